--- a/fault-shim/lib.rs
+++ b/fault-shim/lib.rs
@@ -1,7 +1,7 @@
 //! A library that is loaded into a courier's process (`LD_PRELOAD`) and lets its system calls fail on demand.
 //!
 //! It stands before the C library's functions of the same names. Which calls fail, how, and by which part is read
-//! from a page that the test or the soak holds (`src/bin/lab/fault_page.rs`); without one every call goes through.
+//! from a page that the test or the soak holds (`src/bin/testbed/fault_page.rs`); without one every call goes through.
 //! Chance comes from the page's seed and a count of the calls alone. It keeps to what Linux documents: an error comes
 //! in the place of the call, except where a part of the work is done first (short and torn writes).
 //!
@@ -12,7 +12,7 @@
 // What its callers owe each function is said by the C library, whose names these are.
 #![allow(clippy::missing_safety_doc)]
 
-#[path = "../src/bin/lab/fault_page.rs"]
+#[path = "../src/bin/testbed/fault_page.rs"]
 #[allow(dead_code)]
 mod fault_page;
 
--- a/src/bin/gullcart/admin.rs
+++ b/src/bin/delivery-gateway/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' door: HTTP/1.1 with one call a connection. It decides nothing; what is asked goes to the driver.
 
-use cloverstile::socket::{send_at_once, SteadyStream};
+use delivery_gateway::socket::{send_at_once, SteadyStream};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/src/bin/gullcart/calls.rs
+++ b/src/bin/delivery-gateway/calls.rs
@@ -2,8 +2,8 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
-use cloverstile::socket;
-use cloverstile::{Allowance, EndpointId, MessageId, Outcome};
+use delivery_gateway::socket;
+use delivery_gateway::{Allowance, EndpointId, MessageId, Outcome};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/src/bin/gullcart/clients.rs
+++ b/src/bin/delivery-gateway/clients.rs
@@ -1,8 +1,8 @@
 //! The server for clients: RESP2 requests in, one answer each, on a bounded number of connections.
 
 use bytes::{Buf, Bytes, BytesMut};
-use cloverstile::socket::{not_now, send_at_once, try_transfer, write_all, Transfer};
-use cloverstile::MessageId;
+use delivery_gateway::socket::{not_now, send_at_once, try_transfer, write_all, Transfer};
+use delivery_gateway::MessageId;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/bin/gullcart/clock.rs
+++ b/src/bin/delivery-gateway/clock.rs
@@ -5,7 +5,7 @@
 //! machine's monotonic clock, so that deadlines and windows stay spans of real time when the wall clock is stepped.
 //! Only after a start of the machine, over which no monotonic clock goes on, does it begin anew from the wall clock.
 
-use cloverstile::Time;
+use delivery_gateway::Time;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/src/bin/gullcart/driver.rs
+++ b/src/bin/delivery-gateway/driver.rs
@@ -1,7 +1,7 @@
 //! The one loop that owns the decision module: events in, actions out, timers. It waits for no socket.
 
-use cloverstile::list::{Directory, News, Numbers, Update};
-use cloverstile::*;
+use delivery_gateway::list::{Directory, News, Numbers, Update};
+use delivery_gateway::*;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/bin/gullcart/handover.rs
+++ b/src/bin/delivery-gateway/handover.rs
@@ -2,8 +2,8 @@
 //! a local socket, descriptors included. What is decided is decided by the one process that owns the courier.
 
 use bytes::Bytes;
-use cloverstile::socket::is_momentary;
-use cloverstile::{EndpointId, MessageId, Outcome, Parsed};
+use delivery_gateway::socket::is_momentary;
+use delivery_gateway::{EndpointId, MessageId, Outcome, Parsed};
 use rustix::io::retry_on_intr;
 use rustix::net::{
     recvmsg, sendmsg, shutdown, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, Shutdown,
--- a/src/bin/gullcart/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -1,8 +1,8 @@
 //! What the journal's records say, and the image that they add up to. It reads and writes no file.
 
 use bytes::Bytes;
-use cloverstile::list::{Target, Update};
-use cloverstile::Outage;
+use delivery_gateway::list::{Target, Update};
+use delivery_gateway::Outage;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -87,7 +87,7 @@
     }
 
     /// From the module's figures; `wall` turns its times into journal time, `uid` names its endpoint.
-    pub fn new(outage: &Outage, uid: Option<String>, wall: impl Fn(cloverstile::Time) -> u64) -> Self {
+    pub fn new(outage: &Outage, uid: Option<String>, wall: impl Fn(delivery_gateway::Time) -> u64) -> Self {
         OutageNote {
             destination: outage.destination.0,
             uid,
--- a/src/bin/gullcart/log.rs
+++ b/src/bin/delivery-gateway/log.rs
@@ -9,13 +9,15 @@
 
 /// Names the least level of the lines: `error`, `warn`, `info` (if absent), `debug`, which adds a line for each step of
 /// each message and the reason of each close.
-const LEVEL_VARIABLE: &str = "GULLCART_LOG";
+const LEVEL_VARIABLE: &str = "DELIVERY_GATEWAY_LOG";
+/// The name that the variable had before; it is read where the other one is absent.
+const FORMER_LEVEL_VARIABLE: &str = "GULLCART_LOG";
 /// What a pipe that can be written at all takes at once, by POSIX's least `PIPE_BUF` on Linux; a longer line is cut.
 const LONGEST_LINE: usize = 4096;
 
 /// Begins the log.
 pub fn begin() {
-    let told = std::env::var(LEVEL_VARIABLE).ok();
+    let told = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
     let level = told.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
     let lines = tracing_subscriber::fmt().with_writer(StandardError).with_ansi(false).with_target(false);
     // The library would report what it cannot write to standard error, and panic where that fails.
--- a/src/bin/gullcart/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -1,4 +1,4 @@
-//! gullcart: a courier that takes messages from clients and delivers them to partners' endpoints.
+//! delivery-gateway: a courier that takes messages from clients and delivers them to partners' endpoints.
 
 mod admin;
 mod calls;
@@ -15,9 +15,9 @@
 mod signals;
 mod wire;
 
-use cloverstile::list::{Update, Watch};
-use cloverstile::socket::{persistently, persistently_blocking, AsIoError};
-use cloverstile::{parse_settings_json, Parsed, SettingError, Settings};
+use delivery_gateway::list::{Update, Watch};
+use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
+use delivery_gateway::{parse_settings_json, Parsed, SettingError, Settings};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::ffi::OsString;
--- a/src/bin/gullcart/notices.rs
+++ b/src/bin/delivery-gateway/notices.rs
@@ -1,8 +1,8 @@
 //! The notices that end messages, on their way to the platform.
 
 use bytes::Bytes;
-use cloverstile::list::{connect, Agent, AgentError, Connection, ANSWER};
-use cloverstile::MessageId;
+use delivery_gateway::list::{connect, Agent, AgentError, Connection, ANSWER};
+use delivery_gateway::MessageId;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
--- a/src/bin/gullcart/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -4,7 +4,7 @@
 //! than from the module's memory, right before an attempt is written down; what it forbids is not sent, counted, and
 //! told in the log. It knows no pace, worth or health.
 
-use cloverstile::{Class, DestinationId, Effect, EndpointId, Group, Settings, Time, ZoneId};
+use delivery_gateway::{Class, DestinationId, Effect, EndpointId, Group, Settings, Time, ZoneId};
 use std::collections::HashMap;
 use std::time::Duration;
 use thiserror::Error;
--- a/src/bin/gullcart/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-use cloverstile::socket::{not_now, persistently, try_transfer, Transfer};
+use delivery_gateway::socket::{not_now, persistently, try_transfer, Transfer};
 
 /// The signals' flags are looked at this often even if nothing wakes the loop.
 const LOST_WAKE: Duration = Duration::from_secs(1);
--- a/src/bin/gullcart/wire.rs
+++ b/src/bin/delivery-gateway/wire.rs
@@ -1,7 +1,7 @@
 //! What is seen of a connection's bytes on their way to and from the HTTP library: whether any of a call was
 //! written, what the first line of its answer says, and whether bytes lie there that belong to no call.
 
-use cloverstile::socket::{self, Transfer};
+use delivery_gateway::socket::{self, Transfer};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/src/bin/cloverstile-wirehost/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,7 +1,7 @@
 //! Instance table: records to events of the module, its actions to replies. Translates only.
 
 use crate::wire::{Entry, FinishedRecord, Record, Reply, WireError};
-use cloverstile::*;
+use delivery_gateway::*;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
--- a/src/bin/cloverstile-wirehost/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -47,7 +47,7 @@
     match serve(&mut io::BufReader::with_capacity(1 << 16, input), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("cloverstile-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/lab/hollow.rs
+++ b/src/bin/testbed/hollow.rs
@@ -1,8 +1,8 @@
 //! A hollow courier: the real decision module, stepped on a clock of its own as the real courier's loop steps
 //! it, with answers from a script in the place of sockets. It opens none and reads no clock.
 
-use cloverstile::list::Directory;
-use cloverstile::*;
+use delivery_gateway::list::Directory;
+use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
--- a/src/bin/lab/main.rs
+++ b/src/bin/testbed/main.rs
@@ -1,6 +1,6 @@
-//! lab: how what a courier spends grows with what it knows, holds and does.
+//! testbed: how what a courier spends grows with what it knows, holds and does.
 //!
-//! `lab scale FILE.toml` runs one experiment. Hollow couriers share this process; real ones are started beside
+//! `testbed scale FILE.toml` runs one experiment. Hollow couriers share this process; real ones are started beside
 //! it. Loopback only; every loop is bounded, and all that was started ends with it.
 #![forbid(unsafe_code)]
 
@@ -131,7 +131,7 @@
 ) -> Result<(), LabError> {
     let machine = experiment::machine_memory()?;
     let experiment = experiment::read(&file, machine, only)?;
-    let beside = || std::env::current_exe().unwrap_or_default().with_file_name("gullcart");
+    let beside = || std::env::current_exe().unwrap_or_default().with_file_name("delivery-gateway");
     let courier = courier.unwrap_or_else(beside);
     if experiment.sweep.iter().any(|sweep| sweep.kind().is_real()) && !courier.is_file() {
         return Err(ExperimentError::NoCourier(courier).into());
@@ -192,7 +192,7 @@
 fn main() -> ExitCode {
     // Thousands of watches that break and are begun again say so elsewhere: they are counted.
     let levels =
-        Targets::new().with_default(LevelFilter::INFO).with_target("cloverstile", LevelFilter::ERROR);
+        Targets::new().with_default(LevelFilter::INFO).with_target("delivery_gateway", LevelFilter::ERROR);
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     lines.finish().with(levels).init();
     let played = match Arguments::parse().verb {
@@ -203,7 +203,7 @@
                 seed,
                 couriers: couriers.into(),
                 length: Duration::from_secs(seconds),
-                courier: courier.unwrap_or_else(|| beside("gullcart")),
+                courier: courier.unwrap_or_else(|| beside("delivery-gateway")),
                 shim: shim.unwrap_or_else(|| beside("examples").join("libfault_shim.so")),
                 logs,
             };
--- a/src/bin/lab/module.rs
+++ b/src/bin/testbed/module.rs
@@ -9,8 +9,8 @@
 use crate::hollow::{reader, Hollow, Script};
 use crate::measure::processor_time;
 use crate::report::{Figure, Figures};
-use cloverstile::list::{Directory, Target, Update};
-use cloverstile::*;
+use delivery_gateway::list::{Directory, Target, Update};
+use delivery_gateway::*;
 use std::time::Duration;
 
 /// Destinations that are sent to, where the sweep does not say otherwise; and where very many calls are out.
--- a/src/bin/lab/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -218,7 +218,7 @@
 
     fn variables(&self, plan: &Plan) -> Vec<(&'static str, PathBuf)> {
         let page = (PAGE_VARIABLE, self.folder.join("faults"));
-        let level = ("GULLCART_LOG", PathBuf::from("debug"));
+        let level = ("DELIVERY_GATEWAY_LOG", PathBuf::from("debug"));
         vec![("LD_PRELOAD", plan.shim.clone()), page, level]
     }
 
@@ -403,7 +403,8 @@
 /// # Errors
 /// The soak itself cannot be set up.
 pub fn run(plan: &Arc<Plan>) -> io::Result<Verdict> {
-    let folder = std::env::temp_dir().join(format!("gullcart-soak-{}-{}", std::process::id(), plan.seed));
+    let folder =
+        std::env::temp_dir().join(format!("delivery-gateway-soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&folder)?;
     let ledger = Arc::new(Mutex::new(Ledger::default()));
     let mut chance = fastrand::Rng::with_seed(plan.seed);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //! Call [`Courier::handle`] for every event, then [`Courier::decide`] once.
 //!
 //! ```
-//! use cloverstile::{Accepted, Action, Class, Courier, Effect, Endpoint, Event, Listing, Mode};
-//! use cloverstile::{Settings, Time, ClassId, DestinationId, EndpointId, KindId, MessageId, TenantId, ZoneId};
+//! use delivery_gateway::{Accepted, Action, Class, Courier, Effect, Endpoint, Event, Listing, Mode};
+//! use delivery_gateway::{Settings, Time, ClassId, DestinationId, EndpointId, KindId, MessageId, TenantId, ZoneId};
 //! use std::time::Duration;
 //!
 //! let class = Class { effect: Effect::Unsafe, ..Class::default() };
--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -1,7 +1,7 @@
 //! Many couriers and one partner that has an outage and comes back cold: how much is sent to it, and by whom.
 
 use super::{accepted, endpoint, ms};
-use cloverstile::*;
+use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod crowd;
 
-use cloverstile::*;
+use delivery_gateway::*;
 use std::time::Duration;
 
 pub fn ms(count: u64) -> Duration {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use cloverstile::*;
 use common::crowd::{live_through, Outage, Plan};
 use common::{endpoint, ms, safe, settings, Bench};
+use delivery_gateway::*;
 use std::time::Duration;
 
 const FLEET: Plan = Plan {
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -1,12 +1,12 @@
 //! Journals that other builds have written, and what is in them that once did not fit.
 
-#[path = "../src/bin/gullcart/journal/mod.rs"]
+#[path = "../src/bin/delivery-gateway/journal/mod.rs"]
 #[allow(dead_code)]
 mod journal;
 mod world;
 
 use bytes::Bytes;
-use cloverstile::list::{Target, Update};
+use delivery_gateway::list::{Target, Update};
 use journal::{Journal, OutageChange, OutageKey, OutageNote, Taken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -157,7 +157,7 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("gullcart-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("delivery-gateway-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -411,7 +411,7 @@
 /// repeats counts from the first.
 #[test]
 fn an_attempt_whose_outcome_is_missing_may_have_run() {
-    let folder = std::env::temp_dir().join(format!("gullcart-journal-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("delivery-gateway-journal-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (first, second) = ((1_000, 1), (2_000, 2));
     let mut journal = Journal::open(&folder, 1 << 20).unwrap();
@@ -466,7 +466,7 @@
 /// A list that the disk has no room for keeps no message from being accepted, tried and ended.
 #[test]
 fn a_list_beyond_the_disk_holds_up_no_message() {
-    let folder = std::env::temp_dir().join(format!("gullcart-full-disk-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("delivery-gateway-full-disk-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut journal = Journal::open(&folder, 20_000).unwrap();
     let target = |number: u32| Target {
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -1,7 +1,7 @@
 //! The reader of the list, by itself.
 
-use cloverstile::list::{Directory, Target, Update};
-use cloverstile::*;
+use delivery_gateway::list::{Directory, Target, Update};
+use delivery_gateway::*;
 
 fn directory() -> Directory {
     let settings = Settings { kinds: vec![Kind { batch: 20, own_limits: false }], ..Settings::default() };
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,8 +3,8 @@
 mod common;
 mod world;
 
-use cloverstile::{Action, ClassId, Event, Kind, Outcome, Settings};
 use common::{accepted, endpoint, ms, safe, settings, Bench};
+use delivery_gateway::{Action, ClassId, Event, Kind, Outcome, Settings};
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
@@ -183,14 +183,17 @@
         Settings { kinds: apart, call_slots: 64, ..settings(vec![safe()]) },
         vec![endpoint(11, 3), endpoint(12, 4)],
     );
-    bench.tell(Event::Detach(cloverstile::EndpointId(11)));
+    bench.tell(Event::Detach(delivery_gateway::EndpointId(11)));
     let actions = bench.decide();
-    assert!(actions.contains(&Action::CloseIdle { endpoint: cloverstile::EndpointId(11) }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::CloseIdle { endpoint: delivery_gateway::EndpointId(11) }),
+        "{actions:?}"
+    );
     (1..=40).for_each(|id| bench.accept(id, 0, 3, None));
     assert_eq!(bench.routes(), []);
-    bench.tell(Event::Attach(cloverstile::EndpointId(11)));
+    bench.tell(Event::Attach(delivery_gateway::EndpointId(11)));
     // One that was never left out is as warm as ever.
-    bench.tell(Event::Attach(cloverstile::EndpointId(12)));
+    bench.tell(Event::Attach(delivery_gateway::EndpointId(12)));
     (41..=60).for_each(|id| bench.accept(id, 0, 4, None));
     let (mut cold, mut warm) = (0, 0);
     let end = bench.now + Duration::from_secs(1);
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cloverstile::*;
 use common::*;
+use delivery_gateway::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use cloverstile::*;
 use common::*;
+use delivery_gateway::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -15,7 +15,7 @@
 
 /// What both share: types only.
 mod interface {
-    pub use cloverstile::{
+    pub use delivery_gateway::{
         Accepted, Action, Class, Decay, DestinationId, Effect, Endpoint, EndpointId, Event, Finished, Group,
         Listing, MessageId, Mode, OrderKey, Outage, Outcome, Restored, RouteState, Settings, TenantId, Time,
         WeightSource, ZoneId,
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cloverstile::*;
 use common::*;
+use delivery_gateway::*;
 use std::time::Duration;
 
 fn bench(classes: Vec<Class>, answers_take_time: bool) -> Bench {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cloverstile::*;
 use common::*;
+use delivery_gateway::*;
 use std::time::Duration;
 
 const MAYBE_RAN: [Outcome; 5] =
--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -12,7 +12,7 @@
 
 mod reference;
 
-use cloverstile::*;
+use delivery_gateway::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 use reference::reached;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings mean the same as lines, on the bench's wire, and as nested JSON, in the courier's configuration.
 
-use cloverstile::{parse_settings, parse_settings_json, SettingError};
+use delivery_gateway::{parse_settings, parse_settings_json, SettingError};
 use serde_json::json;
 
 const LINES: &str = "Balancers=3
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -1,6 +1,6 @@
 //! A step costs in proportion to what has changed, not to what exists: what it looks at is counted, no clock is read.
 
-use cloverstile::*;
+use delivery_gateway::*;
 use std::time::Duration;
 
 const LARGE: usize = 65_536;
--- a/tests/lab.rs
+++ b/tests/testbed.rs
@@ -1,4 +1,4 @@
-//! lab: bad input starts nothing, the small experiment has all its figures, what was not run is said so, and a signal
+//! testbed: bad input starts nothing, the small experiment has all its figures, what was not run is said so, and a signal
 //! ends all that was started.
 
 use serde_json::Value;
@@ -14,16 +14,16 @@
 
 // Not all of it is asked here.
 #[allow(dead_code)]
-#[path = "../src/bin/lab/fit.rs"]
+#[path = "../src/bin/testbed/fit.rs"]
 mod fit;
 
 use fit::{median, Fit};
 
 /// Far longer than anything here takes; only a failing test waits for so long.
 const PATIENCE: Duration = Duration::from_secs(60);
-const SMALL: &str = include_str!("../lab/small.toml");
-const SCALE: &str = include_str!("../lab/scale.toml");
-const COURIER: &str = env!("CARGO_BIN_EXE_gullcart");
+const SMALL: &str = include_str!("../experiments/small.toml");
+const SCALE: &str = include_str!("../experiments/scale.toml");
+const COURIER: &str = env!("CARGO_BIN_EXE_delivery-gateway");
 
 /// A folder for one run, which holds its temporary files as well.
 struct Place(PathBuf);
@@ -31,7 +31,7 @@
 impl Place {
     fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let own = format!("lab-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let own = format!("testbed-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let place = Place(std::env::temp_dir().join(own));
         fs::create_dir_all(place.0.join("tmp")).unwrap();
         place
@@ -51,7 +51,7 @@
 
     fn command(&self, experiment: &str, courier: &Path, more: &[&str]) -> Command {
         fs::write(self.path("x.toml"), experiment).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
         command.args(["scale", "x.toml", "--json", "x.json", "--courier"]).arg(courier).args(more);
         command.current_dir(&self.0).env("TMPDIR", self.path("tmp"));
         command
@@ -165,10 +165,10 @@
 #[test]
 fn a_missing_courier_is_refused() {
     let place = Place::new();
-    let output = place.run(SMALL, Path::new("nowhere/gullcart"), &[]);
+    let output = place.run(SMALL, Path::new("nowhere/delivery-gateway"), &[]);
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
-    assert!(said.contains("nowhere/gullcart is missing; build it first: cargo build"), "{said}");
+    assert!(said.contains("nowhere/delivery-gateway is missing; build it first: cargo build"), "{said}");
     assert_eq!(output.stdout, b"");
     assert!(!place.path("x.json").exists());
     assert_eq!(place.left_behind(), 0);
@@ -176,7 +176,8 @@
 
 #[test]
 fn a_missing_file_is_refused() {
-    let output = Command::new(env!("CARGO_BIN_EXE_lab")).args(["scale", "nowhere.toml"]).output().unwrap();
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_testbed")).args(["scale", "nowhere.toml"]).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("nowhere.toml: No such file"));
 }
@@ -248,7 +249,7 @@
 fn one_sweep_can_be_run_alone() {
     let place = Place::new();
     // No courier is needed for these, and so none is looked for.
-    let nowhere = Path::new("nowhere/gullcart");
+    let nowhere = Path::new("nowhere/delivery-gateway");
     let output = place.run(SMALL, nowhere, &["--only", "calls-out", "--only", "endpoints"]);
     assert!(output.status.success());
     let report = place.json();
@@ -427,10 +428,10 @@
 /// A short soak of real couriers among all its troubles: no rule is broken, and faults were met.
 #[test]
 fn a_short_soak_breaks_no_rule() {
-    let shim = Path::new(env!("CARGO_BIN_EXE_lab")).with_file_name("examples").join("libfault_shim.so");
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_lab"));
+    let shim = Path::new(env!("CARGO_BIN_EXE_testbed")).with_file_name("examples").join("libfault_shim.so");
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_testbed"));
     lab.args(["soak", "--seed", "11", "--couriers", "6", "--seconds", "8"]);
-    lab.args(["--courier", env!("CARGO_BIN_EXE_gullcart"), "--shim"]).arg(shim);
+    lab.args(["--courier", env!("CARGO_BIN_EXE_delivery-gateway"), "--shim"]).arg(shim);
     let output = lab.output().unwrap();
     let told = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{told}{}", String::from_utf8_lossy(&output.stderr));
@@ -443,7 +444,7 @@
 #[test]
 fn a_soak_without_its_shim_is_not_played() {
     let output =
-        Command::new(env!("CARGO_BIN_EXE_lab")).args(["soak", "--shim", "nowhere.so"]).output().unwrap();
+        Command::new(env!("CARGO_BIN_EXE_testbed")).args(["soak", "--shim", "nowhere.so"]).output().unwrap();
     assert!(!output.status.success());
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(told.contains("nowhere.so is missing; cargo build --release --examples makes it"), "{told}");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,9 @@
 //! The wire page's byte examples, a round trip for every record, and bad input.
 
-#[path = "../src/bin/cloverstile-wirehost/host.rs"]
+#[path = "../src/bin/simulator-adapter/host.rs"]
 #[allow(dead_code)]
 mod host;
-#[path = "../src/bin/cloverstile-wirehost/wire.rs"]
+#[path = "../src/bin/simulator-adapter/wire.rs"]
 #[allow(dead_code)]
 mod wire;
 
@@ -26,7 +26,7 @@
 }
 
 fn host_with(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cloverstile-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -190,7 +190,7 @@
 fn unknown_settings_are_skipped_and_lists_follow_their_sheet() {
     let config =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
-    let parsed = cloverstile::parse_settings(config).unwrap();
+    let parsed = delivery_gateway::parse_settings(config).unwrap();
     assert_eq!(parsed.settings.couriers, 3);
     assert_eq!(parsed.settings.kinds[1].batch, 4);
     // A sheet's number taken over later in a batch does not touch what referred to it before.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -4,9 +4,9 @@
 
 pub mod life;
 
-#[path = "../../src/bin/lab/fault_page.rs"]
+#[path = "../../src/bin/testbed/fault_page.rs"]
 mod fault_page;
-#[path = "../../src/bin/lab/stand_ins.rs"]
+#[path = "../../src/bin/testbed/stand_ins.rs"]
 mod stand_ins;
 
 use serde_json::{json, Value};
@@ -157,7 +157,8 @@
     /// Endpoints of destination 1, all serving, and a disk of some size.
     pub fn new(endpoints: usize, disk_mb: f64) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let own = format!("gullcart-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let own =
+            format!("delivery-gateway-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(own);
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::create_dir_all(folder.join("tmp")).unwrap();
@@ -233,7 +234,7 @@
         if self.faults.is_none() {
             return Vec::new();
         }
-        let binary = Path::new(env!("CARGO_BIN_EXE_gullcart"));
+        let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let shim = binary.with_file_name("examples").join("libfault_shim.so");
         assert!(shim.exists(), "the shim is built by `cargo test` or `cargo build --examples`: {shim:?}");
         let page = fault_page_path(&self.folder, self.fault_seed.get());
@@ -354,7 +355,7 @@
         drop(_socket);
         self.listen.set(address);
         self.configure(&self.discovery);
-        let binary = Path::new(env!("CARGO_BIN_EXE_gullcart"));
+        let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_logging_to(binary, &self.folder, &self.fault_variables(), log).unwrap();
         let courier = Courier { world: self, process, address, admin: address };
         let end = Instant::now() + PATIENCE;
@@ -554,7 +555,7 @@
 
 impl<'a> Courier<'a> {
     fn start(world: &'a World) -> Self {
-        let binary = Path::new(env!("CARGO_BIN_EXE_gullcart"));
+        let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_with(binary, &world.folder, &world.fault_variables()).unwrap();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         Courier { world, process, address: nowhere, admin: nowhere }
