--- a/src/bin/delivery-gateway/admin.rs
+++ b/src/bin/delivery-gateway/admin/mod.rs
@@ -14,8 +14,8 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-use crate::driver::{Input, Phase};
-use crate::seldom::Seldom;
+use crate::event_loop::{Input, Phase};
+use crate::rate_limited_log::Seldom;
 
 /// Callers at a time; one more takes the place of the one that has been slow for longest ...
 const CALLERS: usize = 8;
--- a/src/bin/delivery-gateway/past.rs
+++ b/src/bin/delivery-gateway/completed_messages.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-use crate::clients::Enqueue;
 use crate::journal::Taken;
+use crate::resp2::Enqueue;
 
 /// Ids that are remembered at most, each in some 50 bytes.
 const MOST: usize = 8192;
--- a/src/bin/delivery-gateway/driver.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -1,6 +1,6 @@
 //! The one loop that owns the decision module: events in, actions out, timers. It waits for no socket.
 
-use delivery_gateway::list::{Directory, News, Numbers, Update};
+use delivery_gateway::discovery::{Directory, News, Numbers, Update};
 use delivery_gateway::*;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -14,17 +14,17 @@
 use tracing::{debug, error, info, warn};
 
 use crate::admin::{Done, Operation};
-use crate::calls::{Call, CallEnded, Ended, Load, Pool, Stop};
-use crate::clients::{Answer, Enqueue};
 use crate::clock::Clock;
+use crate::completed_messages::Past;
+use crate::http_client::connection::Descriptor;
+use crate::http_client::{Call, CallEnded, Ended, Load, Pool, Stop};
 use crate::journal::{
     ClockReading, Held, Journal, JournalError, OutageChange, OutageKey, OutageNote, Taken, Verdict,
 };
-use crate::notices::Notice;
-use crate::past::Past;
-use crate::seldom::Seldom;
+use crate::notifications::Notice;
+use crate::rate_limited_log::Seldom;
+use crate::resp2::{Answer, Enqueue};
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
-use crate::wire::Descriptor;
 
 /// Events that one decision takes in at most.
 const BATCH: usize = 256;
--- a/src/bin/delivery-gateway/handover.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -28,19 +28,19 @@
 use tracing::{info, warn};
 
 use crate::admin::{Done, Operation};
-use crate::calls::{CallEnded, Ended, Stop};
-use crate::clients::{Answer, Clients, Moved};
-use crate::driver::{Baton, Driver, Input, Rules};
+use crate::event_loop::{Baton, Driver, Input, Rules};
+use crate::http_client::{CallEnded, Ended, Stop};
+use crate::resp2::{Answer, Clients, Moved};
 
 /// To be raised with every change to what goes over the socket.
 const FORMAT: u32 = 1;
 /// What the module's memory looks like is said by these; it is passed on only to a process built from the same.
 const MEMORY: [&str; 5] = [
-    include_str!("clock.rs"),
-    include_str!("../../choice.rs"),
-    include_str!("../../books.rs"),
-    include_str!("../../queue.rs"),
-    include_str!("../../interface.rs"),
+    include_str!("../clock.rs"),
+    include_str!("../../../scheduler/mod.rs"),
+    include_str!("../../../scheduler/state/mod.rs"),
+    include_str!("../../../scheduler/state/queue.rs"),
+    include_str!("../../../model/mod.rs"),
 ];
 /// The other process is on this machine: what it does not say in this time it will not say.
 const ANSWER: Duration = Duration::from_secs(1);
--- a/src/bin/delivery-gateway/calls.rs
+++ b/src/bin/delivery-gateway/http_client/mod.rs
@@ -1,5 +1,7 @@
 //! Connections to endpoints: one call each at a time, and how it ended.
 
+pub mod connection;
+
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
 use delivery_gateway::socket;
@@ -23,8 +25,8 @@
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 use tracing::info;
 
-use crate::seldom::Seldom;
-use crate::wire::{Descriptor, Wire, WireStream};
+use crate::http_client::connection::{Descriptor, Wire, WireStream};
+use crate::rate_limited_log::Seldom;
 
 /// Idle connections are closed after this part of the endpoint's own limit, so that no call meets its closing.
 const IDLE_PART: f64 = 0.7;
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -1,6 +1,6 @@
 //! The form of records on disk: length and checksum before each, and long lists in pieces.
 
-use delivery_gateway::list::{Target, Update};
+use delivery_gateway::discovery::{Target, Update};
 use postcard::ser_flavors::Size;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -10,7 +10,7 @@
 mod frame;
 mod record;
 
-use delivery_gateway::list::Update;
+use delivery_gateway::discovery::Update;
 use std::collections::VecDeque;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, BufWriter, Write};
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -1,7 +1,7 @@
 //! What the journal's records say, and the image that they add up to. It reads and writes no file.
 
 use bytes::Bytes;
-use delivery_gateway::list::{Target, Update};
+use delivery_gateway::discovery::{Target, Update};
 use delivery_gateway::Outage;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -1,21 +1,20 @@
 //! delivery-gateway: a courier that takes messages from clients and delivers them to partners' endpoints.
 
 mod admin;
-mod calls;
-mod clients;
 mod clock;
-mod driver;
+mod completed_messages;
+mod event_loop;
 mod handover;
+mod http_client;
 mod journal;
 mod log;
-mod notices;
-mod past;
-mod seldom;
+mod notifications;
+mod rate_limited_log;
+mod resp2;
 mod send_guard;
 mod signals;
-mod wire;
 
-use delivery_gateway::list::{Update, Watch};
+use delivery_gateway::discovery::{Update, Watch};
 use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
 use delivery_gateway::{parse_settings_json, Parsed, SettingError, Settings};
 use serde::Deserialize;
@@ -38,10 +37,10 @@
 use tracing::{error, info, warn};
 
 use crate::admin::Door;
-use crate::clients::{ClientLimits, Clients};
-use crate::driver::{Driver, Ends, Input, Phase, IDLE_OF_SLOTS};
+use crate::event_loop::{Driver, Ends, Input, Phase, IDLE_OF_SLOTS};
 use crate::handover::{Begun, Given, Offer};
 use crate::journal::{Journal, JournalError};
+use crate::resp2::{ClientLimits, Clients};
 use crate::signals::{Handlers, Signals};
 
 /// Descriptors kept for files, the runtime, the listener, discovery and notices.
@@ -280,7 +279,7 @@
     info!(name = config.name, %address, "listening");
     let (found, agent) = watch::channel(config.discovery);
     let gate = Arc::new(Semaphore::new(1));
-    tokio::task::spawn_local(notices::send_all(agent.clone(), owed, inputs.clone(), gate.clone()));
+    tokio::task::spawn_local(notifications::send_all(agent.clone(), owed, inputs.clone(), gate.clone()));
     tokio::task::spawn_local(follow(hang_up, path, found));
     let terminated = inputs.clone();
     tokio::task::spawn_local(async move {
--- a/src/bin/delivery-gateway/notices.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -1,7 +1,7 @@
 //! The notices that end messages, on their way to the platform.
 
 use bytes::Bytes;
-use delivery_gateway::list::{connect, Agent, AgentError, Connection, ANSWER};
+use delivery_gateway::discovery::{connect, Agent, AgentError, Connection, ANSWER};
 use delivery_gateway::MessageId;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use tracing::{error, warn};
 
-use crate::driver::Input;
+use crate::event_loop::Input;
 use crate::journal::Verdict;
 
 /// Notices are answered at once. What is not in this time goes again on another connection, as this one may be dead
--- a/src/bin/delivery-gateway/clients.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -17,9 +17,9 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
 
-use crate::driver::{Input, Phase};
+use crate::event_loop::{Input, Phase};
 use crate::journal::Taken;
-use crate::seldom::Seldom;
+use crate::rate_limited_log::Seldom;
 
 const MOST_WORDS: usize = 16;
 const LONGEST_BODY: usize = 64 << 10;
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -10,15 +10,15 @@
 #[allow(dead_code)]
 mod fault_page;
 mod fit;
-mod hollow;
 mod measure;
-mod module;
 mod report;
 mod restart;
+mod scheduler_sweeps;
+mod simulated;
 mod soak;
 // The tests use more of them.
 #[allow(dead_code)]
-mod stand_ins;
+mod stubs;
 mod watchers;
 
 use clap::{Parser, Subcommand};
--- a/src/bin/testbed/measure.rs
+++ b/src/bin/testbed/measure.rs
@@ -4,8 +4,8 @@
 use crate::bounds::{allocated, Guard, NotRun};
 use crate::experiment::{Experiment, Sweep};
 use crate::fit::median;
-use crate::module::Rig;
 use crate::report::{Figure, Point};
+use crate::scheduler_sweeps::Rig;
 use hdrhistogram::Histogram;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant};
--- a/src/bin/testbed/module.rs
+++ b/src/bin/testbed/scheduler_sweeps.rs
@@ -6,10 +6,10 @@
 
 use crate::bounds::{Guard, NotRun};
 use crate::experiment::{Experiment, Kind};
-use crate::hollow::{reader, Hollow, Script};
 use crate::measure::processor_time;
 use crate::report::{Figure, Figures};
-use delivery_gateway::list::{Directory, Target, Update};
+use crate::simulated::{reader, Hollow, Script};
+use delivery_gateway::discovery::{Directory, Target, Update};
 use delivery_gateway::*;
 use std::time::Duration;
 
--- a/src/bin/testbed/hollow.rs
+++ b/src/bin/testbed/simulated.rs
@@ -1,7 +1,7 @@
 //! A hollow courier: the real decision module, stepped on a clock of its own as the real courier's loop steps
 //! it, with answers from a script in the place of sockets. It opens none and reads no clock.
 
-use delivery_gateway::list::Directory;
+use delivery_gateway::discovery::Directory;
 use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::ledger::{Effect, Ledger};
-use crate::stand_ins::{command, locked, Client};
+use crate::stubs::{command, locked, Client};
 
 /// How long a client waits for its answer.
 const ANSWER: Duration = Duration::from_millis(400);
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::ledger::{is_open, Fate, Ledger};
-use crate::stand_ins::{locked, serve, serve_calls, Call, Seen};
+use crate::stubs::{locked, serve, serve_calls, Call, Seen};
 
 /// Longest time that an ordinary answer takes.
 const SERVICE: Duration = Duration::from_millis(60);
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use crate::fault_page::{Call, Fault, FaultPage, PAGE_VARIABLE};
-use crate::stand_ins::{address_in, class, locked, target, Agent, Client, Configuration, Process, Seen};
+use crate::stubs::{address_in, class, locked, target, Agent, Client, Configuration, Process, Seen};
 use clients::{be_bad, hand_in_messages, Site};
 use endpoints::{Endpoint, Mood};
 use ledger::Ledger;
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -5,11 +5,11 @@
 use crate::bounds::{allocated, Guard, NotRun};
 use crate::experiment::{Experiment, Kind, Sweep};
 use crate::fit::median;
-use crate::hollow::{reader, Hollow, Script};
 use crate::measure::processor_time;
 use crate::report::{Figure, Figures, Point};
-use crate::stand_ins::{locked, target, Agent, Capacity};
-use delivery_gateway::list::{Directory, News, Update, Watch};
+use crate::simulated::{reader, Hollow, Script};
+use crate::stubs::{locked, target, Agent, Capacity};
+use delivery_gateway::discovery::{Directory, News, Update, Watch};
 use delivery_gateway::*;
 use rustix::process::{getrlimit, Resource};
 use serde_json::{json, Value};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -28,16 +28,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agenda;
-mod books;
-mod choice;
-mod interface;
-pub mod list;
-mod queue;
-mod settings;
+mod config;
+pub mod discovery;
+mod model;
+mod scheduler;
 pub mod socket;
 
-pub use agenda::Work;
-pub use choice::{Courier, WATCH_PATIENCE};
-pub use interface::*;
-pub use settings::{parse_settings, parse_settings_json, Parsed, SettingError};
+pub use config::{parse_settings, parse_settings_json, Parsed, SettingError};
+pub use model::*;
+pub use scheduler::{Courier, Work, WATCH_PATIENCE};
--- a/src/choice/upkeep.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,8 +1,8 @@
 //! Keeps the books and the agenda in step: what a change touches, what is over and can be forgotten. It decides
 //! nothing.
 
+use super::state::queue::{Lane, Standing};
 use super::*;
-use crate::queue::{Lane, Standing};
 
 impl Courier {
     /// Which calls would be over in time goes by the moment: until the end all is looked at in each step.
--- a/src/choice.rs
+++ b/src/scheduler/mod.rs
@@ -5,17 +5,20 @@
 //! destination with the fewest calls out; a message whose attempt may have run goes again under its one key,
 //! inside group, window and attempt limit, after a full-jitter exponential gap. All else guards that path.
 
-use crate::agenda::{earliest, Agenda, Look};
-use crate::books::*;
-use crate::interface::*;
-use crate::queue::{Queue, Seq};
+use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+mod maintenance;
 mod operators;
 mod reports;
-mod upkeep;
+mod state;
+
+use state::queue::{Queue, Seq};
+pub use state::ready_index::Work;
+use state::ready_index::{earliest, Agenda, Look};
+use state::*;
 
 // ---- Tuned values ----
 
--- a/src/choice/operators.rs
+++ b/src/scheduler/operators.rs
@@ -1,8 +1,8 @@
 //! Endpoints that operators leave out, and use again.
 
+use super::state::Address;
 use super::Courier;
-use crate::books::Address;
-use crate::interface::*;
+use crate::model::*;
 
 impl Courier {
     /// Gives an endpoint nothing new from now on.
--- a/src/choice/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,7 +1,6 @@
 //! What a courier tells of itself: to its next process, to the log, to measurements. It decides nothing.
 
 use super::*;
-use crate::agenda::Work;
 
 impl Courier {
     /// The waits that were told and are not over, by one endpoint of each route.
--- a/src/books.rs
+++ b/src/scheduler/state/mod.rs
@@ -1,7 +1,10 @@
 //! What a courier keeps in mind: types and sums only. Every decision and tuned value is in `choice.rs`.
 
-use crate::interface::*;
-use crate::queue::Seq;
+pub mod queue;
+pub mod ready_index;
+
+use crate::model::*;
+use queue::Seq;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/src/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -8,8 +8,8 @@
 //! or stays: the best of a stage is its oldest, its youngest or, where it stays, the first in the queue. Those that
 //! may have run, or go in order, are looked at one by one.
 
-use crate::books::VALUE_STAGES;
-use crate::interface::*;
+use super::VALUE_STAGES;
+use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/agenda.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -2,8 +2,8 @@
 //! proportion to what has changed and not to what exists. They can be made anew from the books at any time, are
 //! never passed on, and decide nothing: whoever is looked at more often than the agenda asks decides the same.
 
-use crate::books::RouteId;
-use crate::interface::*;
+use super::RouteId;
+use crate::model::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One due time a key, ordered by time.
--- a/tests/list.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! The reader of the list, by itself.
 
-use delivery_gateway::list::{Directory, Target, Update};
+use delivery_gateway::discovery::{Directory, Target, Update};
 use delivery_gateway::*;
 
 fn directory() -> Directory {
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use bytes::Bytes;
-use delivery_gateway::list::{Target, Update};
+use delivery_gateway::discovery::{Target, Update};
 use journal::{Journal, OutageChange, OutageKey, OutageNote, Taken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -5,13 +5,13 @@
 //! looked at each time. The product's module looks only at what has changed or come due, and has to decide the same;
 //! `same_decisions.rs` plays the same histories to both and compares.
 //!
-//! `choice.rs` and `books.rs` are copies. They are not to be made faster or tidier. A decision that is changed on
-//! purpose in `src/choice.rs` is changed here by the same lines, in the same commit, in the form that looks through
+//! `scheduler.rs` and `state.rs` are copies. They are not to be made faster or tidier. A decision that is changed on
+//! purpose in `src/scheduler/mod.rs` is changed here by the same lines, in the same commit, in the form that looks through
 //! everything; a difference that the test shows without such a purpose is a fault of the product. The types of
 //! `interface.rs` are the product's own. `reached` counts which branches the histories took, and decides nothing.
 
-pub mod books;
-pub mod choice;
+pub mod scheduler;
+pub mod state;
 
 /// What both share: types only.
 mod interface {
@@ -22,7 +22,7 @@
     };
 }
 
-pub use choice::Courier;
+pub use scheduler::Courier;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/tests/reference/choice.rs
+++ b/tests/reference/scheduler.rs
@@ -5,9 +5,9 @@
 //! destination with the fewest calls out; a message whose attempt may have run goes again under its one key,
 //! inside group, window and attempt limit, after a full-jitter exponential gap. All else guards that path.
 
-use super::books::*;
 use super::interface::*;
 use super::reached;
+use super::state::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,7 +6,7 @@
 
 #[path = "../../src/bin/testbed/fault_page.rs"]
 mod fault_page;
-#[path = "../../src/bin/testbed/stand_ins.rs"]
+#[path = "../../src/bin/testbed/stubs.rs"]
 mod stand_ins;
 
 use serde_json::{json, Value};
