--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -1,6 +1,6 @@
 //! The one loop that owns the decision module: events in, actions out, timers. It waits for no socket.
 
-use delivery_gateway::discovery::{Directory, News, Numbers, Update};
+use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, EndpointIdTable, WatchEvent};
 use delivery_gateway::*;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -57,7 +57,7 @@
     /// A client was gone before it could be told that its message was taken on, by its own hand-in.
     Unheard(MessageId),
     /// News of the list of endpoints, or of the watch on it.
-    List(News),
+    List(WatchEvent),
     /// What became of the messages of one call.
     Ended(EndpointId, Vec<MessageId>, CallEnded),
     /// The platform has these notices.
@@ -89,9 +89,9 @@
 
 /// What binds a process that does not share the module's memory.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Rules {
+pub struct CarriedOverConstraints {
     /// Waits that were told, by the uids of endpoints.
-    waits: Vec<(String, Duration)>,
+    retry_after_delays: Vec<(String, Duration)>,
     lame: bool,
 }
 
@@ -105,11 +105,11 @@
 /// All that the next process needs beside the journal to go on as the same courier.
 #[derive(Serialize, Deserialize)]
 pub struct Baton {
-    courier: Courier,
+    courier: Scheduler,
     /// Time since the module's clock began, when the clock was read.
     passed: Duration,
     clock: ClockReading,
-    numbers: Numbers,
+    numbers: EndpointIdTable,
     /// Messages that were handed in more than once.
     shared: Vec<MessageId>,
     /// Calls that stay out in the process before.
@@ -158,12 +158,12 @@
 }
 
 /// An attempt that was not made, as its time to leave had passed.
-const TOO_LATE: Ended = not_sent(Outcome::Moot);
+const TOO_LATE: Ended = not_sent(AttemptOutcome::NotSent);
 /// An attempt that was not made, as it could not be written down.
-const NOT_WRITTEN: Ended = not_sent(Outcome::NotMade);
+const NOT_WRITTEN: Ended = not_sent(AttemptOutcome::LocalFailure);
 
-const fn not_sent(outcome: Outcome) -> Ended {
-    Ended { outcome, latency: Duration::ZERO, complete: false, allowance: None }
+const fn not_sent(outcome: AttemptOutcome) -> Ended {
+    Ended { outcome, latency: Duration::ZERO, complete: false, load_report: None }
 }
 
 /// What the log tells of the load.
@@ -179,17 +179,17 @@
 }
 
 pub struct Driver {
-    courier: Courier,
+    courier: Scheduler,
     clock: Clock,
     journal: Journal,
-    directory: Directory,
+    directory: EndpointDirectory,
     pool: Rc<Pool>,
     /// Idle connections that the pool keeps.
     idle: usize,
     class_names: Vec<String>,
     tenant_names: Vec<String>,
     classes: Vec<Class>,
-    most_held: usize,
+    max_pending_messages: usize,
     /// The messages held, by their ids.
     known: HashMap<String, Known>,
     past: Past,
@@ -228,12 +228,12 @@
         endpoint_sockets: usize,
         Ends { inputs, notices, watch, phase }: Ends,
     ) -> Self {
-        parsed.settings.answers_take_time = true;
-        let directory = Directory::new(&parsed);
+        parsed.settings.outcomes_need_acknowledgement = true;
+        let directory = EndpointDirectory::new(&parsed);
         let settings = parsed.settings;
         // Some are left for calls, so that these need not wait for others to close.
-        let idle = (IDLE_OF_SLOTS * settings.call_slots)
-            .min(endpoint_sockets.saturating_sub(settings.call_slots))
+        let idle = (IDLE_OF_SLOTS * settings.max_in_flight_calls)
+            .min(endpoint_sockets.saturating_sub(settings.max_in_flight_calls))
             .max(1);
         let guard = SendGuard::new(&settings);
         let clock = Clock::new(journal.clock());
@@ -241,14 +241,19 @@
             // Where it cannot be written now it is written later; its errors are those of the next records.
             let _ = journal.set_clock(clock.reading());
         }
-        let pool = Rc::new(Pool::new(settings.connect_timeout, settings.conn_idle, endpoint_sockets, idle));
+        let pool = Rc::new(Pool::new(
+            settings.connect_timeout,
+            settings.connection_idle_timeout,
+            endpoint_sockets,
+            idle,
+        ));
         Driver {
             class_names: parsed.class_names,
             tenant_names: parsed.tenant_names,
             classes: settings.classes.clone(),
-            most_held: settings.most_held,
+            max_pending_messages: settings.max_pending_messages,
             past: Past::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()),
-            courier: Courier::new(settings, seed),
+            courier: Scheduler::new(settings, seed),
             clock,
             journal,
             directory,
@@ -281,7 +286,7 @@
     pub fn resume(&mut self, baton: Baton, stop: impl Fn(MessageId, Stop) + Clone + 'static) {
         let Baton { courier, passed, clock, numbers, shared, calls } = baton;
         self.courier = courier.resumed(std::mem::take(&mut self.courier));
-        let phase = if self.courier.is_lame() { Phase::LameDuck } else { Phase::Serving };
+        let phase = if self.courier.is_lame_duck() { Phase::LameDuck } else { Phase::Serving };
         self.phase.send_replace(phase);
         self.clock = Clock::resumed(passed, clock);
         self.directory.renumber(numbers);
@@ -346,30 +351,30 @@
     }
 
     /// What the journal does not hold, in words that any process understands.
-    pub fn rules(&self) -> Rules {
+    pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
         let wait = |(id, wait): (EndpointId, Duration)| Some((self.directory.uid(id)?.to_owned(), wait));
-        Rules {
-            waits: self.courier.waits(self.clock.now()).filter_map(wait).collect(),
-            lame: self.courier.is_lame(),
+        CarriedOverConstraints {
+            retry_after_delays: self.courier.retry_after_delays(self.clock.now()).filter_map(wait).collect(),
+            lame: self.courier.is_lame_duck(),
         }
     }
 
     /// Goes on where another process stopped whose memory means nothing to this one: by the journal, which has
     /// been replayed, and by the rules. It has no calls out any more.
-    pub fn obey(&mut self, rules: Rules) {
+    pub fn obey(&mut self, carried_over_constraints: CarriedOverConstraints) {
         let now = self.clock.now();
-        for (uid, wait) in rules.waits {
+        for (uid, wait) in carried_over_constraints.retry_after_delays {
             if let Some(endpoint) = self.directory.number(&uid) {
-                self.courier.handle(now, Event::ToldWait { endpoint, wait });
+                self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
             }
         }
-        self.stand(if rules.lame { Phase::LameDuck } else { Phase::Serving });
+        self.stand(if carried_over_constraints.lame { Phase::LameDuck } else { Phase::Serving });
     }
 
     /// Begins no more calls.
     pub fn begin_nothing(&mut self) {
         let now = self.clock.now();
-        self.courier.handle(now, Event::Closing(now));
+        self.courier.handle(now, Event::ShutdownScheduled(now));
     }
 
     pub fn has_calls(&self) -> bool {
@@ -422,7 +427,7 @@
     pub fn stand(&mut self, phase: Phase) {
         let now = self.clock.now();
         self.courier.handle(now, Event::LameDuck(phase == Phase::LameDuck));
-        self.courier.handle(now, Event::Closing(Time(u64::MAX)));
+        self.courier.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
         self.phase.send_replace(phase);
     }
 
@@ -455,8 +460,8 @@
     }
 
     /// After how long to watch the list for the first time.
-    pub fn first_watch(&mut self) -> Duration {
-        self.courier.first_watch()
+    pub fn initial_watch_delay(&mut self) -> Duration {
+        self.courier.initial_watch_delay()
     }
 
     /// The version of the list that the courier has.
@@ -465,38 +470,38 @@
     }
 
     /// Takes up again all that the journal holds.
-    pub fn restore(&mut self, known: &Update) {
+    pub fn restore(&mut self, known: &DiscoveryUpdate) {
         let now = self.clock.now();
         self.journal.image.destinations.extend(known.targets.iter().map(|target| target.pod_group));
         let image = &self.journal.image;
         // What was told before the restart counts as told: the list that comes with the start may be older.
         if image.rev == 0 || image.rev < known.rev {
             let listing = self.directory.apply_whole(&known.targets);
-            self.courier.handle(now, Event::Listed(listing));
-            let written = self.journal.targets(Update { all: true, ..known.clone() });
+            self.courier.handle(now, Event::EndpointsUpdated(listing));
+            let written = self.journal.targets(DiscoveryUpdate { all: true, ..known.clone() });
             self.note(written);
         } else {
             let listing = self.directory.apply_whole(image.targets.values());
-            self.courier.handle(now, Event::Listed(listing));
+            self.courier.handle(now, Event::EndpointsUpdated(listing));
         }
         for uid in self.journal.image.detached.clone() {
             self.detach(now, &uid, true);
         }
-        for note in self.journal.image.outages.notes() {
+        for note in self.journal.image.circuit_records.notes() {
             let endpoint = note.uid.as_ref().and_then(|uid| self.directory.number(uid));
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
             }
-            let outage = Outage {
+            let outage = CircuitRecord {
                 destination: DestinationId(note.destination),
                 endpoint,
-                since: self.clock.of_journal(note.since_ms),
-                evidence: note.evidence,
-                lost: note.lost,
-                returned: note.returned_ms.map(|ms| self.clock.of_journal(ms)),
-                share: note.share,
+                last_success_at: self.clock.of_journal(note.since_ms),
+                failure_score: note.failure_score,
+                calls_lost: note.lost,
+                slow_start_since: note.returned_ms.map(|ms| self.clock.of_journal(ms)),
+                baseline_rate: note.share,
             };
-            self.courier.handle(now, Event::Recalled(outage));
+            self.courier.handle(now, Event::CircuitRestored(outage));
         }
         self.note_all_outages();
         let held: Vec<u32> = self.journal.image.held.keys().copied().collect();
@@ -508,7 +513,7 @@
 
     fn restore_message(&mut self, now: Time, number: u32) {
         let Some(held) = self.journal.image.held.get(&number) else { return };
-        let Held { ref taken, attempts, maybe_ran, out, verdict } = *held;
+        let Held { ref taken, attempts, first_uncertain_attempt, out, verdict } = *held;
         let (message, id) = (MessageId(number), taken.id.clone());
         self.known.insert(id.clone(), Known { number, shared: false });
         let Some(taken) = self.accepted(number, taken) else {
@@ -521,23 +526,30 @@
             let written = self.journal.outcome(number, true);
             self.note(written);
         }
-        let maybe_ran = maybe_ran.or(out).map(|(ms, zone)| (self.clock.of_journal(ms), ZoneId(zone)));
-        let restored = Restored { taken, attempts, maybe_ran, answered: verdict.is_some() };
-        self.courier.handle(now, Event::Restored(restored));
+        let first_uncertain_attempt = first_uncertain_attempt
+            .or(out)
+            .map(|(ms, zone)| SentAttempt { sent_at: self.clock.of_journal(ms), zone: ZoneId(zone) });
+        let restored = RestoredMessage {
+            message: taken,
+            attempts,
+            first_uncertain_attempt,
+            outcome_recorded: verdict.is_some(),
+        };
+        self.courier.handle(now, Event::MessageRestored(restored));
         if let Some(verdict) = verdict {
             let _ = self.notices.send(Notice { message, id, verdict });
         }
     }
 
-    fn accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
+    fn accepted(&self, number: u32, taken: &Taken) -> Option<AcceptedMessage> {
         let class = self.class(&taken.class)?;
-        Some(Accepted {
+        Some(AcceptedMessage {
             id: MessageId(number),
             class,
             destination: DestinationId(taken.destination),
-            key: (taken.key != 0).then_some(OrderKey(taken.key)),
+            key: (taken.key != 0).then_some(OrderingKey(taken.key)),
             deadline: self.clock.of_journal(taken.deadline_ms),
-            from_dead_courier: taken.again,
+            redelivered: taken.again,
             tenant: self.tenant(&taken.tenant),
         })
     }
@@ -583,7 +595,7 @@
             if let Some((at, token)) = self.wake.filter(|(at, _)| *at <= begun) {
                 self.wake = None;
                 self.lateness(begun - at, "a timer was late");
-                self.courier.handle(self.clock.now(), Event::TickDue(token));
+                self.courier.handle(self.clock.now(), Event::TimerFired(token));
             }
             self.decide();
             self.settle();
@@ -656,15 +668,15 @@
                 }
             }
             Input::Unheard(message) => self.unheard(now, message),
-            Input::List(News::Listed(update)) => self.listed(now, update),
-            Input::List(News::Watched) => self.courier.handle(now, Event::Watching),
-            Input::List(News::Unwatched(why)) => self.courier.handle(now, Event::Listed(why)),
+            Input::List(WatchEvent::Updated(update)) => self.listed(now, update),
+            Input::List(WatchEvent::Established) => self.courier.handle(now, Event::WatchEstablished),
+            Input::List(WatchEvent::Broken(why)) => self.courier.handle(now, Event::EndpointsUpdated(why)),
             Input::Ended(endpoint, messages, ended) => self.call_ended(now, endpoint, &messages, &ended),
             Input::Heard(messages) => {
                 for message in messages {
                     debug!(number = message.0, "a notice was answered");
                     self.over(message);
-                    self.courier.handle(now, Event::Heard(message));
+                    self.courier.handle(now, Event::OutcomeAcknowledged(message));
                 }
             }
             Input::Operate(operation, done) => {
@@ -675,7 +687,7 @@
                 let begun = Instant::now();
                 info!(held = self.journal.image.held.len(), out = self.out.len(), "told to end");
                 self.ends = Some((begun + CLOSING_LEAST, begun + CLOSING));
-                self.courier.handle(now, Event::Closing(now + CLOSING));
+                self.courier.handle(now, Event::ShutdownScheduled(now + CLOSING));
                 // What moves to another process is in better hands there.
                 if *self.phase.borrow() != Phase::Moving {
                     self.phase.send_replace(Phase::Closing);
@@ -721,7 +733,10 @@
 
     fn detach(&mut self, now: Time, uid: &str, out: bool) {
         let endpoint = self.directory.detach(uid, out);
-        self.courier.handle(now, if out { Event::Detach(endpoint) } else { Event::Attach(endpoint) });
+        self.courier.handle(
+            now,
+            if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) },
+        );
         self.withdraw(|other, _| out && other == endpoint);
         self.forget_gone();
     }
@@ -747,7 +762,7 @@
             return Answer::Error("unknown destination");
         }
         let class = &self.classes[usize::from(class.0)];
-        if class.effect == Effect::Keyed && enqueue.idempotency_key.is_none() {
+        if class.idempotency == Idempotency::IdempotentWithKey && enqueue.idempotency_key.is_none() {
             return Answer::Error("k is missing");
         }
         let most = class.deadline;
@@ -762,10 +777,10 @@
             again: enqueue.again,
             body: enqueue.body,
         };
-        let full = self.journal.image.held.len() >= self.most_held;
-        if full || !self.accepted(0, &taken).is_some_and(|new| self.courier.takes_on(now, &new)) {
+        let full = self.journal.image.held.len() >= self.max_pending_messages;
+        if full || !self.accepted(0, &taken).is_some_and(|new| self.courier.admits(now, &new)) {
             self.counts.busy += 1;
-            return Answer::Busy(Some(self.courier.come_back(now, destination)));
+            return Answer::Busy(Some(self.courier.suggested_retry_after(now, destination)));
         }
         let id = taken.id.clone();
         match self.journal.take(taken) {
@@ -774,7 +789,7 @@
                 self.known.insert(id, Known { number, shared: false });
                 let taken = self.journal.image.held.get(&number).map(|held| &held.taken);
                 if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
-                    self.courier.handle(now, Event::Accept(accepted));
+                    self.courier.handle(now, Event::MessageAccepted(accepted));
                 }
                 Answer::Taken(MessageId(number))
             }
@@ -786,7 +801,7 @@
                     return Answer::Error("the disk fails");
                 }
                 self.counts.busy += 1;
-                Answer::Busy(Some(self.courier.come_back(now, destination)))
+                Answer::Busy(Some(self.courier.suggested_retry_after(now, destination)))
             }
         }
     }
@@ -797,17 +812,17 @@
         let id = self.journal.image.held.get(&message.0).map(|held| &held.taken.id);
         if id.and_then(|id| self.known.get(id)).is_some_and(|known| !known.shared) {
             self.forget(message);
-            self.courier.handle(now, Event::ClientGone(message));
+            self.courier.handle(now, Event::MessageAbandoned(message));
         }
     }
 
-    fn listed(&mut self, now: Time, update: Update) {
+    fn listed(&mut self, now: Time, update: DiscoveryUpdate) {
         // A watch that begins anew often has nothing new to tell.
         if update.targets.is_empty() && !update.all {
             return;
         }
         let listing = self.directory.apply(&update);
-        self.courier.handle(now, Event::Listed(listing));
+        self.courier.handle(now, Event::EndpointsUpdated(listing));
         let (rev, changed) = (update.rev, update.targets.len());
         let written = self.journal.targets(update);
         self.note(written);
@@ -827,7 +842,7 @@
 
     /// Takes back the calls to some endpoints that are still connecting: by the time their connections are up
     /// they would be new work for an endpoint that drains, or calls inside a told wait.
-    fn withdraw(&mut self, which: impl Fn(EndpointId, &Directory) -> bool) {
+    fn withdraw(&mut self, which: impl Fn(EndpointId, &EndpointDirectory) -> bool) {
         let unsent = |out: &&Out| !out.call.sent.get() && which(out.endpoint, &self.directory);
         for out in self.out.values().filter(unsent) {
             out.call.stop(Stop::Withdrawn);
@@ -838,11 +853,13 @@
         let CallEnded { each, wait } = ended;
         if let Some(wait) = *wait {
             self.told_to_wait(endpoint, wait);
-            self.courier.handle(now, Event::ToldWait { endpoint, wait });
+            self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
         }
         // The module judges an endpoint by the last outcome of a call: those that say nothing of it come first.
         let mut each: Vec<(MessageId, Ended)> = messages.iter().copied().zip(each.iter().copied()).collect();
-        each.sort_by_key(|(_, ended)| !matches!(ended.outcome, Outcome::Moot | Outcome::Spent));
+        each.sort_by_key(|(_, ended)| {
+            !matches!(ended.outcome, AttemptOutcome::NotSent | AttemptOutcome::AttemptsExhausted)
+        });
         for (message, ended) in each {
             self.ended(now, message, endpoint, ended);
         }
@@ -872,29 +889,29 @@
                 "an attempt has ended"
             );
         }
-        if let Outcome::Full(Some(wait)) = ended.outcome {
+        if let AttemptOutcome::Rejected(Some(wait)) = ended.outcome {
             self.told_to_wait(endpoint, wait);
         }
         if ended.complete {
-            self.counts.delivered += u32::from(ended.outcome == Outcome::Ok);
+            self.counts.delivered += u32::from(ended.outcome == AttemptOutcome::Delivered);
             self.over(message);
         } else {
             let written = match ended.outcome {
-                Outcome::NotMade => self.journal.not_made(message.0),
-                outcome => self.journal.outcome(message.0, !outcome.never_ran()),
+                AttemptOutcome::LocalFailure => self.journal.not_made(message.0),
+                outcome => self.journal.outcome(message.0, !outcome.was_not_processed()),
             };
             self.note(written);
         }
         self.courier.handle(
             now,
-            Event::Finished(Finished {
+            Event::AttemptFinished(FinishedAttempt {
                 message,
                 endpoint,
                 attempt: out.attempt,
                 outcome: ended.outcome,
                 latency: ended.latency,
                 complete: ended.complete,
-                allowance: ended.allowance,
+                load_report: ended.load_report,
             }),
         );
         if self.directory.is_gone(endpoint) {
@@ -925,7 +942,7 @@
         self.courier.decide(now, &mut actions);
         // What the module sends to one endpoint in one go shares calls.
         let target = |action: &Action| match action {
-            Action::Route { endpoint, .. } => Some(*endpoint),
+            Action::StartAttempt { endpoint, .. } => Some(*endpoint),
             _ => None,
         };
         for group in actions.chunk_by(|a, b| target(a).is_some() && target(a) == target(b)) {
@@ -945,26 +962,29 @@
 
     fn act(&mut self, now: Time, action: &Action) {
         match *action {
-            Action::StopAttempt { message, .. } => {
+            Action::CancelAttempt { message, .. } => {
                 // A message has one attempt out at most. The others of its call end with it.
                 if let Some(out) = self.out.get(&message) {
                     out.call.stop(Stop::CalledOff);
                 }
             }
-            Action::Busy { message, after } => {
+            Action::Reject { message, retry_after } => {
                 self.counts.returned += 1;
-                self.owe(message, Verdict::Returned { after_ms: after.as_millis() as u64 });
+                self.owe(message, Verdict::Returned { after_ms: retry_after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
                 self.counts.failed += 1;
                 self.owe(message, Verdict::Failed);
             }
-            Action::Wake { after, token } => self.wake = Some((self.clock.instant(now + after), token)),
-            Action::CloseIdle { endpoint } => self.pool.close(endpoint),
+            Action::SetTimer { after, token } => self.wake = Some((self.clock.instant(now + after), token)),
+            Action::CloseIdleConnections { endpoint } => self.pool.close(endpoint),
             Action::Log { ref text } => info!("{text}"),
-            Action::KeepInformed { .. } => self.watch.send_replace(()),
+            Action::WatchEndpoints { .. } => self.watch.send_replace(()),
             // Routes have gone out as calls. The deployment permits neither probes nor notes.
-            Action::Route { .. } | Action::Refresh | Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::StartAttempt { .. }
+            | Action::FetchEndpoints
+            | Action::Probe { .. }
+            | Action::SendNote { .. } => {}
         }
     }
 
@@ -976,10 +996,10 @@
         // The module's times count from its decision, not from when the call's task gets its turn.
         let decided = self.clock.instant(now);
         for route in routes {
-            let Action::Route { message, try_for, leave_within, .. } = *route else { continue };
+            let Action::StartAttempt { message, attempt_timeout, send_within, .. } = *route else { continue };
             let load = self.journal.image.held.get(&message.0).map(|held| Load {
                 message,
-                leave_by: decided + leave_within,
+                leave_by: decided + send_within,
                 over: self.clock.instant(self.clock.of_journal(held.taken.deadline_ms)),
                 id: held.taken.id.clone(),
                 idempotency_key: held.taken.idempotency_key.clone(),
@@ -1002,7 +1022,7 @@
                 size = 0;
             }
             size += load.batched_size();
-            carried.push((load, try_for));
+            carried.push((load, attempt_timeout));
         }
         if let Some(address) = address.filter(|_| !carried.is_empty()) {
             self.call(endpoint, address, carried);
@@ -1018,9 +1038,12 @@
         let class = &self.classes[usize::from(class.0)];
         let deadline = self.clock.of_journal(held.taken.deadline_ms);
         // One of a courier that died may have run there at any time since it was handed in.
-        let again = held.taken.again && class.effect == Effect::Keyed;
+        let again = held.taken.again && class.idempotency == Idempotency::IdempotentWithKey;
         let elsewhere = again.then(|| (deadline - class.deadline, to.zone));
-        let first = held.maybe_ran.or(held.out).map(|(ms, zone)| (self.clock.of_journal(ms), ZoneId(zone)));
+        let first = held
+            .first_uncertain_attempt
+            .or(held.out)
+            .map(|(ms, zone)| (self.clock.of_journal(ms), ZoneId(zone)));
         let attempt = Attempt {
             class,
             already_out: self.out.contains_key(&message),
@@ -1073,14 +1096,21 @@
         let sent = Rc::new(Cell::new(false));
         let out = Rc::new(CallOut { stop: Cell::new(Some(stop)), sent: sent.clone(), _elsewhere: None });
         // One call waits once: for as long as any of its messages may.
-        let try_for = carried.iter().map(|(_, try_for)| *try_for).max().unwrap_or_default();
+        let attempt_timeout =
+            carried.iter().map(|(_, attempt_timeout)| *attempt_timeout).max().unwrap_or_default();
         let loads: Vec<Load> = carried.into_iter().map(|(load, _)| load).collect();
         loads.iter().for_each(|load| self.take_out(load.message, endpoint, &out));
         self.counts.calls += 1;
         for load in &loads {
-            debug!(id = load.id, endpoint = endpoint.0, ?try_for, shared = loads.len(), "an attempt begins");
+            debug!(
+                id = load.id,
+                endpoint = endpoint.0,
+                ?attempt_timeout,
+                shared = loads.len(),
+                "an attempt begins"
+            );
         }
-        let mut call = Call { endpoint, address, loads, try_for };
+        let mut call = Call { endpoint, address, loads, attempt_timeout };
         let (pool, inputs) = (self.pool.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
             let too_late = |messages: Vec<MessageId>| {
@@ -1113,9 +1143,9 @@
 
     /// Takes over what is to be remembered of outages, in the place of what was remembered before the start.
     fn note_all_outages(&mut self) {
-        self.unnoted = self.journal.image.outages.keys().map(|key| (key.clone(), None)).collect();
-        let outages: Vec<Outage> = self.courier.outages().collect();
-        for outage in outages {
+        self.unnoted = self.journal.image.circuit_records.keys().map(|key| (key.clone(), None)).collect();
+        let circuit_records: Vec<CircuitRecord> = self.courier.circuit_records().collect();
+        for outage in circuit_records {
             self.outage_changed(outage.destination, outage.endpoint, Some(&outage));
         }
         self.write_outages();
@@ -1123,7 +1153,7 @@
 
     /// Writes down what has changed of what is to be remembered of outages.
     fn note_outages(&mut self) {
-        for ChangedOutage { destination, endpoint, outage } in self.courier.changed_outages() {
+        for CircuitChange { destination, endpoint, record: outage } in self.courier.take_circuit_changes() {
             self.outage_changed(destination, endpoint, outage.as_ref());
         }
         if !self.unnoted.is_empty() {
@@ -1131,7 +1161,12 @@
         }
     }
 
-    fn outage_changed(&mut self, to: DestinationId, endpoint: Option<EndpointId>, outage: Option<&Outage>) {
+    fn outage_changed(
+        &mut self,
+        to: DestinationId,
+        endpoint: Option<EndpointId>,
+        outage: Option<&CircuitRecord>,
+    ) {
         let uid = endpoint.map(|id| {
             let listed = self.directory.uid(id).map(str::to_owned);
             listed.or_else(|| self.outage_uids.get(&id).cloned()).ok_or(id)
@@ -1150,7 +1185,7 @@
 
     /// What cannot be written stays until the next step.
     fn write_outages(&mut self) {
-        let noted = &self.journal.image.outages;
+        let noted = &self.journal.image.circuit_records;
         self.unnoted.retain(|key, note| noted.get(key) != note.as_ref());
         if self.unnoted.is_empty() {
             return;
@@ -1160,12 +1195,12 @@
             None => OutageChange::Over(key.clone()),
         });
         let before = noted.out();
-        let written = self.journal.outages(&changes.collect::<Vec<_>>());
+        let written = self.journal.circuit_records(&changes.collect::<Vec<_>>());
         if written.is_ok() {
             self.unnoted.clear();
         }
         self.note(written);
-        let after = self.journal.image.outages.out();
+        let after = self.journal.image.circuit_records.out();
         if before != after {
             if let Some(more) = self.outage_lines.due() {
                 info!(before, after, more, "destinations held to be out");
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use delivery_gateway::socket::is_momentary;
-use delivery_gateway::{EndpointId, MessageId, Outcome, Parsed};
+use delivery_gateway::{AttemptOutcome, EndpointId, MessageId, Parsed};
 use rustix::io::retry_on_intr;
 use rustix::net::{
     recvmsg, sendmsg, shutdown, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, Shutdown,
@@ -28,7 +28,7 @@
 use tracing::{info, warn};
 
 use crate::admin::{Done, Operation};
-use crate::event_loop::{Baton, Driver, Input, Rules};
+use crate::event_loop::{Baton, CarriedOverConstraints, Driver, Input};
 use crate::http_client::{CallEnded, Ended, Stop};
 use crate::resp2::{Answer, Clients, Moved};
 
@@ -78,7 +78,7 @@
     No,
     /// The courier is yours: its memory if you share it, the rules if not, and as descriptors the listener and
     /// the lock.
-    Begin(Result<Vec<u8>, Rules>),
+    Begin(Result<Vec<u8>, CarriedOverConstraints>),
     /// A client's connection, as a descriptor.
     Client {
         buffer: Bytes,
@@ -248,7 +248,7 @@
 /// What the old process gave.
 pub struct Begun {
     /// Its memory, or the rules alone where this process has another kind.
-    pub memory: Result<Baton, Rules>,
+    pub memory: Result<Baton, CarriedOverConstraints>,
     pub listener: TcpListener,
     pub lock: File,
     pub old: Old,
@@ -291,7 +291,7 @@
     }
 }
 
-type Asked = Option<(Result<Vec<u8>, Rules>, Vec<OwnedFd>)>;
+type Asked = Option<(Result<Vec<u8>, CarriedOverConstraints>, Vec<OwnedFd>)>;
 
 async fn ask(socket: &Path, memory: u32) -> io::Result<(Asked, Reader, Writer)> {
     let stream = Rc::new(UnixStream::connect(socket).await?);
@@ -305,7 +305,7 @@
 }
 
 fn begin(
-    memory: Result<Vec<u8>, Rules>,
+    memory: Result<Vec<u8>, CarriedOverConstraints>,
     descriptors: Vec<OwnedFd>,
     reader: Reader,
     writer: Writer,
@@ -316,7 +316,7 @@
     };
     let memory = match memory {
         Ok(bytes) => Ok(postcard::from_bytes::<Baton>(&bytes).map_err(io::Error::other)?),
-        Err(rules) => Err(rules),
+        Err(carried_over_constraints) => Err(carried_over_constraints),
     };
     let away = memory.iter().flat_map(Baton::away);
     let away = away.flat_map(|(to, messages)| messages.into_iter().map(move |m| (m, to))).collect();
@@ -369,8 +369,8 @@
         let broken = self.away.take();
         info!(broken = broken.len(), "the process before has gone");
         for (message, endpoint) in broken {
-            let (outcome, latency) = (Outcome::Reset, Duration::ZERO);
-            let each = vec![Ended { outcome, latency, complete: false, allowance: None }];
+            let (outcome, latency) = (AttemptOutcome::Reset, Duration::ZERO);
+            let each = vec![Ended { outcome, latency, complete: false, load_report: None }];
             let _ = inputs.send(Input::Ended(endpoint, vec![message], CallEnded { each, wait: None }));
         }
     }
@@ -475,7 +475,7 @@
             || Ok::<_, io::Error>(vec![listener.as_fd().try_clone_to_owned()?, lock.try_clone()?.into()]);
         let memory = match self.shares_memory {
             true => driver.baton().map(Ok).map_err(io::Error::other),
-            false => Ok(Err(driver.rules())),
+            false => Ok(Err(driver.carried_over_constraints())),
         };
         let begun = memory.and_then(|memory| Ok((memory, descriptors()?)));
         let frames = self.writer.frames.clone();
--- a/src/bin/delivery-gateway/http_client/mod.rs
+++ b/src/bin/delivery-gateway/http_client/mod.rs
@@ -5,7 +5,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
 use delivery_gateway::socket;
-use delivery_gateway::{Allowance, EndpointId, MessageId, Outcome};
+use delivery_gateway::{AttemptOutcome, EndpointId, LoadReport, MessageId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -76,7 +76,7 @@
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub loads: Vec<Load>,
-    pub try_for: Duration,
+    pub attempt_timeout: Duration,
 }
 
 /// Why a call is stopped.
@@ -91,11 +91,11 @@
 /// How a call ended for one of its messages.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Ended {
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     pub latency: Duration,
     /// The message is over.
     pub complete: bool,
-    pub allowance: Option<Allowance>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// How a call ended: for each of its messages, in their order, and the wait that a whole answer told beside them.
@@ -160,14 +160,19 @@
 
 impl Pool {
     /// At most `most` connections are open at a time, and `most_idle` of them idle.
-    pub fn new(connect_timeout: Duration, conn_idle: Duration, most: usize, most_idle: usize) -> Self {
+    pub fn new(
+        connect_timeout: Duration,
+        connection_idle_timeout: Duration,
+        most: usize,
+        most_idle: usize,
+    ) -> Self {
         Pool {
             idle: RefCell::default(),
             shut: RefCell::default(),
             open: Rc::default(),
             closed: Rc::default(),
             connect_timeout,
-            keep: conn_idle.mul_f64(IDLE_PART),
+            keep: connection_idle_timeout.mul_f64(IDLE_PART),
             most,
             most_idle: Cell::new(most_idle),
             used: RefCell::default(),
@@ -283,7 +288,7 @@
         endpoint: EndpointId,
         address: SocketAddr,
         until: Instant,
-    ) -> Result<(Connection, bool), Outcome> {
+    ) -> Result<(Connection, bool), AttemptOutcome> {
         match self.take(endpoint, address).await {
             Some(kept) => Ok((kept, false)),
             None => Ok((self.open(address, until).await?, true)),
@@ -309,14 +314,15 @@
         late
     }
 
-    async fn open(&self, address: SocketAddr, until: Instant) -> Result<Connection, Outcome> {
+    async fn open(&self, address: SocketAddr, until: Instant) -> Result<Connection, AttemptOutcome> {
         // Without a descriptor nothing was tried, which says nothing of the endpoint.
-        let descriptor = timeout_at(until, self.descriptor()).await.map_err(|_| Outcome::NotMade)?;
+        let descriptor =
+            timeout_at(until, self.descriptor()).await.map_err(|_| AttemptOutcome::LocalFailure)?;
         match timeout_at(until, connect(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(error)) if socket::is_of_this_machine(&error) => Err(Outcome::NotMade),
+            Ok(Err(error)) if socket::is_of_this_machine(&error) => Err(AttemptOutcome::LocalFailure),
             // Refused, or it never came up: nothing was sent.
-            Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
+            Ok(Err(_)) | Err(_) => Err(AttemptOutcome::ConnectFailed),
         }
     }
 
@@ -330,10 +336,10 @@
         too_late: impl Fn(Vec<MessageId>),
     ) -> CallEnded {
         let start = Instant::now();
-        let end = start + call.try_for;
+        let end = start + call.attempt_timeout;
         let ended = |call: &Call, outcome| {
-            let (latency, complete) = (start.elapsed(), outcome == Outcome::Ok);
-            let each = vec![Ended { outcome, latency, complete, allowance: None }; call.loads.len()];
+            let (latency, complete) = (start.elapsed(), outcome == AttemptOutcome::Delivered);
+            let each = vec![Ended { outcome, latency, complete, load_report: None }; call.loads.len()];
             CallEnded { each, wait: None }
         };
         loop {
@@ -355,7 +361,7 @@
                     too_late(late);
                 }
                 if call.loads.is_empty() {
-                    return ended(call, Outcome::Moot);
+                    return ended(call, AttemptOutcome::NotSent);
                 }
                 if let Some(Ok(ready)) = ready {
                     break ready;
@@ -365,7 +371,7 @@
             // whole of it for over by then, and what it still answers delivers nothing.
             let end = call.loads.iter().map(|load| load.over).fold(end, Instant::min);
             let budget = end.saturating_duration_since(Instant::now());
-            let Ok(request) = request(call, budget) else { return ended(call, Outcome::Moot) };
+            let Ok(request) = request(call, budget) else { return ended(call, AttemptOutcome::NotSent) };
             let idle = (!fresh).then(|| connection.idle_since.elapsed());
             {
                 let mut used = self.used.borrow_mut();
@@ -394,17 +400,19 @@
                     continue;
                 }
                 End::Stopped(reason) if wire.is_untouched() => never_sent(reason),
-                End::Broken | End::TimedOut if wire.is_untouched() => Outcome::ConnectFailed,
+                End::Broken | End::TimedOut if wire.is_untouched() => AttemptOutcome::ConnectFailed,
                 // What the first line says is true, whatever came behind it; for several the body says it.
-                _ if matches!(call.loads.as_slice(), [one] if wire.is_served(one.over)) => Outcome::Ok,
-                End::Broken if wire.is_answered() => Outcome::Spoilt,
+                _ if matches!(call.loads.as_slice(), [one] if wire.is_served(one.over)) => {
+                    AttemptOutcome::Delivered
+                }
+                End::Broken if wire.is_answered() => AttemptOutcome::MalformedResponse,
                 // Some of it was written, and how much of that arrived cannot be told: it may have run.
                 End::Broken => {
                     self.note_reset(call, idle, start.elapsed());
-                    Outcome::Reset
+                    AttemptOutcome::Reset
                 }
-                End::TimedOut => Outcome::Timeout,
-                End::Stopped(_) => Outcome::Cancelled,
+                End::TimedOut => AttemptOutcome::Timeout,
+                End::Stopped(_) => AttemptOutcome::Cancelled,
             };
             let ended = ended(call, outcome);
             if !matches!(end_of_call, End::Broken) {
@@ -426,14 +434,14 @@
         let several = call.loads.len() > 1;
         let ended = read_answer(&response, start.elapsed(), several, fresh);
         let all = |ended: Ended| CallEnded { each: vec![ended; call.loads.len()], wait: None };
-        let delivered = ended.outcome == Outcome::Ok;
+        let delivered = ended.outcome == AttemptOutcome::Delivered;
         let wait = told_wait(&response);
         // Behind a step that took long an answer may have come after the end: it delivers nothing then. That a call
         // never ran, and a wait, stay true.
-        let too_late = Ended { outcome: Outcome::Timeout, complete: false, ..ended };
+        let too_late = Ended { outcome: AttemptOutcome::Timeout, complete: false, ..ended };
         let served = call.loads.iter().all(|load| connection.wire.is_served(load.over));
         let rest = finish(self.clone(), call.endpoint, connection, response);
-        if ended.outcome == Outcome::Error || (delivered && !several) {
+        if ended.outcome == AttemptOutcome::ErrorResponse || (delivered && !several) {
             tokio::task::spawn_local(rest);
             return all(if delivered && !served { too_late } else { ended });
         }
@@ -442,7 +450,12 @@
         match timeout_at(by, rest).await {
             Ok(Some(_)) | Err(_) if delivered && Instant::now() >= end => CallEnded { wait, ..all(too_late) },
             Ok(None) | Err(_) => {
-                let spoilt = Ended { outcome: Outcome::Spoilt, complete: false, allowance: None, ..ended };
+                let spoilt = Ended {
+                    outcome: AttemptOutcome::MalformedResponse,
+                    complete: false,
+                    load_report: None,
+                    ..ended
+                };
                 CallEnded { wait, ..all(spoilt) }
             }
             Ok(Some(body)) if delivered => {
@@ -466,10 +479,10 @@
 }
 
 /// A call that was stopped before its first byte never ran.
-fn never_sent(reason: Option<Stop>) -> Outcome {
+fn never_sent(reason: Option<Stop>) -> AttemptOutcome {
     match reason {
-        Some(Stop::CalledOff) => Outcome::ConnectFailed,
-        Some(Stop::Withdrawn) | None => Outcome::Moot,
+        Some(Stop::CalledOff) => AttemptOutcome::ConnectFailed,
+        Some(Stop::Withdrawn) | None => AttemptOutcome::NotSent,
     }
 }
 
@@ -523,15 +536,15 @@
 
 /// The outcome for one message, and whether the message is over. What is not told once, in words that are known,
 /// may have run.
-fn state_of(states: &[State], id: &str, wait: Option<Duration>) -> (Outcome, bool) {
+fn state_of(states: &[State], id: &str, wait: Option<Duration>) -> (AttemptOutcome, bool) {
     let mut told = states.iter().filter(|state| state.id == id).map(|state| state.state.as_str());
     match (told.next(), told.next()) {
-        (Some("ok"), None) => (Outcome::Ok, true),
-        (Some("error"), None) => (Outcome::Error, false),
-        (Some("later"), None) => (Outcome::Full(wait), false),
-        (Some("gone"), None) => (Outcome::Moot, true),
-        (Some("exhausted"), None) => (Outcome::Spent, false),
-        _ => (Outcome::Spoilt, false),
+        (Some("ok"), None) => (AttemptOutcome::Delivered, true),
+        (Some("error"), None) => (AttemptOutcome::ErrorResponse, false),
+        (Some("later"), None) => (AttemptOutcome::Rejected(wait), false),
+        (Some("gone"), None) => (AttemptOutcome::NotSent, true),
+        (Some("exhausted"), None) => (AttemptOutcome::AttemptsExhausted, false),
+        _ => (AttemptOutcome::MalformedResponse, false),
     }
 }
 
@@ -548,34 +561,36 @@
 fn read_answer(response: &Response<Incoming>, latency: Duration, several: bool, fresh: bool) -> Ended {
     let header = |name: &str| header(response, name);
     let (outcome, complete) = match response.status().as_u16() {
-        200 => (Outcome::Ok, true),
-        429 => (Outcome::Full(told_wait(response)), false),
+        200 => (AttemptOutcome::Delivered, true),
+        429 => (AttemptOutcome::Rejected(told_wait(response)), false),
         // The call was not understood, or too large: none of it has run.
-        400 | 413 if several => (Outcome::Moot, false),
-        503 if header("X-Line-Busy").is_some_and(|text| text.trim() == "1") => (Outcome::Moot, false),
+        400 | 413 if several => (AttemptOutcome::NotSent, false),
+        503 if header("X-Line-Busy").is_some_and(|text| text.trim() == "1") => {
+            (AttemptOutcome::NotSent, false)
+        }
         // It is the connection that is turned away, not the call, where it was opened for it and is closed with it.
         503 if fresh
             && header("Connection").is_some_and(|text| text.trim().eq_ignore_ascii_case("close")) =>
         {
-            (Outcome::Crowded, false)
+            (AttemptOutcome::TooManyConnections, false)
         }
-        503 => (Outcome::Full(None), false),
-        504 => (Outcome::Spent, false),
-        410 => (Outcome::Moot, true),
+        503 => (AttemptOutcome::Rejected(None), false),
+        504 => (AttemptOutcome::AttemptsExhausted, false),
+        410 => (AttemptOutcome::NotSent, true),
         // An error, or an answer that nobody knows: it may have run.
-        _ => (Outcome::Error, false),
+        _ => (AttemptOutcome::ErrorResponse, false),
     };
-    Ended { outcome, latency, complete, allowance: header("X-Load-Report").and_then(read_report) }
+    Ended { outcome, latency, complete, load_report: header("X-Load-Report").and_then(read_report) }
 }
 
-fn read_report(text: &str) -> Option<Allowance> {
+fn read_report(text: &str) -> Option<LoadReport> {
     let value = |name: &str| -> Option<f64> {
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
         fields.filter(|(field, _)| *field == name).find_map(|(_, value)| value.trim().parse().ok())
     };
     let (left, limit) = (value("x0")?, value("x1")?);
     let sound = (0.0..=MOST_LEFT).contains(&left) && (0.0..=MOST_LIMIT).contains(&limit);
-    sound.then_some(Allowance { left, limit })
+    sound.then_some(LoadReport { headroom: left, limit_per_sec: limit })
 }
 
 /// Reads the rest of an answer, so that its connection can be used again: the body; none where it is not whole.
@@ -648,7 +663,7 @@
         loads: Vec<Load>,
         answer: &'static [u8],
         held_up: Option<Instant>,
-    ) -> (String, Vec<MessageId>, Vec<(MessageId, Outcome)>) {
+    ) -> (String, Vec<MessageId>, Vec<(MessageId, AttemptOutcome)>) {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let asked = tokio::task::spawn_local(async move {
@@ -664,7 +679,8 @@
             while stream.read(&mut [0; 64]).await.is_ok_and(|count| count > 0) {}
             String::from_utf8(request).unwrap()
         });
-        let mut call = Call { endpoint: EndpointId(1), address, loads, try_for: Duration::from_secs(60) };
+        let mut call =
+            Call { endpoint: EndpointId(1), address, loads, attempt_timeout: Duration::from_secs(60) };
         let late = RefCell::new(Vec::new());
         let (_stop, stopped) = oneshot::channel();
         let pool = Rc::new(Pool::new(Duration::from_secs(60), Duration::from_secs(60), 2, 2));
@@ -691,7 +707,7 @@
             let (decided, far) = (Instant::now(), Instant::now() + Duration::from_secs(60));
             let loads = vec![load(1, decided, far), load(2, far, far)];
             let (asked, late, each) = call_answered(loads, SERVED, None).await;
-            assert_eq!((late, each), (vec![MessageId(1)], vec![(MessageId(2), Outcome::Ok)]));
+            assert_eq!((late, each), (vec![MessageId(1)], vec![(MessageId(2), AttemptOutcome::Delivered)]));
             assert!(asked.contains("X-Call-Id: m2\r\n"));
         });
     }
@@ -704,29 +720,32 @@
             let (soon, far) =
                 (Instant::now() + Duration::from_millis(500), Instant::now() + Duration::from_secs(60));
             let (_, late, each) = call_answered(vec![load(1, far, soon)], SERVED, Some(soon)).await;
-            assert_eq!((late, each), (vec![], vec![(MessageId(1), Outcome::Timeout)]));
+            assert_eq!((late, each), (vec![], vec![(MessageId(1), AttemptOutcome::Timeout)]));
             let each_ok = b"HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n\
                 [{\"id\":\"m1\",\"state\":\"ok\"},{\"id\":\"m2\",\"state\":\"ok\"}]";
             let soon = Instant::now() + Duration::from_millis(500);
             let loads = vec![load(1, far, far), load(2, far, soon)];
             let (_, late, each) = call_answered(loads, each_ok, Some(soon)).await;
-            let timed_out = |number| (MessageId(number), Outcome::Timeout);
+            let timed_out = |number| (MessageId(number), AttemptOutcome::Timeout);
             assert_eq!((late, each), (vec![], vec![timed_out(1), timed_out(2)]));
             // A wait binds all the same, and what was refused never ran.
             let soon = Instant::now() + Duration::from_millis(500);
             let refused = b"HTTP/1.1 429 Later\r\nX-Come-Back-Ms: 900\r\nContent-Length: 0\r\n\r\n";
             let (_, late, each) = call_answered(vec![load(1, far, soon)], refused, Some(soon)).await;
-            let told = Outcome::Full(Some(Duration::from_millis(900)));
+            let told = AttemptOutcome::Rejected(Some(Duration::from_millis(900)));
             assert_eq!((late, each), (vec![], vec![(MessageId(1), told)]));
             // In time, the same answer delivers both.
             let (_, _, each) = call_answered(vec![load(1, far, far), load(2, far, far)], each_ok, None).await;
-            assert_eq!(each, [(MessageId(1), Outcome::Ok), (MessageId(2), Outcome::Ok)]);
+            assert_eq!(
+                each,
+                [(MessageId(1), AttemptOutcome::Delivered), (MessageId(2), AttemptOutcome::Delivered)]
+            );
         });
     }
 
     #[test]
     fn reports_that_make_no_sense_are_ignored() {
-        assert_eq!(read_report("x0=0.4,x1=25"), Some(Allowance { left: 0.4, limit: 25.0 }));
+        assert_eq!(read_report("x0=0.4,x1=25"), Some(LoadReport { headroom: 0.4, limit_per_sec: 25.0 }));
         for text in
             ["", "x0=0.4", "x0=-1,x1=25", "x0=0.4,x1=-3", "x0=0.4,x1=1e30", "x0=nan,x1=25", "x0=7e5,x1=2"]
         {
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -1,6 +1,6 @@
 //! The form of records on disk: length and checksum before each, and long lists in pieces.
 
-use delivery_gateway::discovery::{Target, Update};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
 use postcard::ser_flavors::Size;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -41,7 +41,7 @@
 pub fn list_records<'a>(
     rev: u64,
     all: bool,
-    targets: impl IntoIterator<Item = &'a Target>,
+    targets: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
 ) -> postcard::Result<impl Iterator<Item = Record> + 'a> {
     let mut runs = pieces(targets)?;
     if runs.is_empty() {
@@ -49,7 +49,8 @@
     }
     let of = runs.len() as u32;
     Ok((0..of).zip(runs).map(move |(place, run)| {
-        let update = Update { rev, all: all && place == 0, targets: run.into_iter().cloned().collect() };
+        let update =
+            DiscoveryUpdate { rev, all: all && place == 0, targets: run.into_iter().cloned().collect() };
         if of == 1 {
             Record::Targets(update)
         } else {
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -10,7 +10,7 @@
 mod frame;
 mod record;
 
-use delivery_gateway::discovery::Update;
+use delivery_gateway::discovery::DiscoveryUpdate;
 use std::collections::VecDeque;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, BufWriter, Write};
@@ -209,7 +209,7 @@
 
     /// The attempt that was out has ended.
     pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::Outcome(number, may_have_run), number)
+        self.tell_of_attempt(Record::AttemptOutcome(number, may_have_run), number)
     }
 
     /// The attempt that was out was not made after all, and is none of those that the message has.
@@ -230,7 +230,7 @@
     }
 
     /// Writes all of an update or, as far as the next process is concerned, nothing of it: the whole list later.
-    pub fn targets(&mut self, update: Update) -> Result<(), JournalError> {
+    pub fn targets(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
         if self.list_unwritten {
             self.image.list(update);
             return self.write_list();
@@ -241,7 +241,7 @@
         written
     }
 
-    fn write_update(&mut self, update: &Update) -> Result<(), JournalError> {
+    fn write_update(&mut self, update: &DiscoveryUpdate) -> Result<(), JournalError> {
         let mut bytes = Vec::new();
         for record in list_records(update.rev, update.all, &update.targets)? {
             bytes.extend(frame(&record)?);
@@ -250,7 +250,7 @@
         self.write(&bytes)
     }
 
-    pub fn outages(&mut self, changes: &[OutageChange]) -> Result<(), JournalError> {
+    pub fn circuit_records(&mut self, changes: &[OutageChange]) -> Result<(), JournalError> {
         for piece in pieces(changes)? {
             self.promise(Record::OutageChanges(piece.into_iter().cloned().collect()))?;
         }
@@ -390,7 +390,7 @@
         for piece in pieces(&self.image.destinations)? {
             write(Record::Destinations(piece.into_iter().copied().collect()))?;
         }
-        for piece in pieces(self.image.outages.notes())? {
+        for piece in pieces(self.image.circuit_records.notes())? {
             let noted = |note: &OutageNote| OutageChange::Noted(note.clone());
             write(Record::OutageChanges(piece.into_iter().map(noted).collect()))?;
         }
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -1,8 +1,8 @@
 //! What the journal's records say, and the image that they add up to. It reads and writes no file.
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{Target, Update};
-use delivery_gateway::Outage;
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
+use delivery_gateway::CircuitRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -42,7 +42,7 @@
     pub taken: Taken,
     pub attempts: u32,
     /// The first attempt that may have run.
-    pub maybe_ran: Option<Sent>,
+    pub first_uncertain_attempt: Option<Sent>,
     /// The attempt that has no outcome yet: after a restart it may have run.
     pub out: Option<Sent>,
     pub verdict: Option<Verdict>,
@@ -58,13 +58,13 @@
     pub journal_ms: u64,
 }
 
-/// An [`Outage`] in terms that mean the same to the next process.
+/// An [`CircuitRecord`] in terms that mean the same to the next process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutageNote {
     pub destination: u32,
     pub uid: Option<String>,
     pub since_ms: u64,
-    pub evidence: u32,
+    pub failure_score: u32,
     pub lost: Option<bool>,
     pub returned_ms: Option<u64>,
     pub share: f64,
@@ -87,15 +87,19 @@
     }
 
     /// From the module's figures; `wall` turns its times into journal time, `uid` names its endpoint.
-    pub fn new(outage: &Outage, uid: Option<String>, wall: impl Fn(delivery_gateway::Time) -> u64) -> Self {
+    pub fn new(
+        outage: &CircuitRecord,
+        uid: Option<String>,
+        wall: impl Fn(delivery_gateway::Time) -> u64,
+    ) -> Self {
         OutageNote {
             destination: outage.destination.0,
             uid,
-            since_ms: wall(outage.since),
-            evidence: outage.evidence,
-            lost: outage.lost,
-            returned_ms: outage.returned.map(wall),
-            share: outage.share,
+            since_ms: wall(outage.last_success_at),
+            failure_score: outage.failure_score,
+            lost: outage.calls_lost,
+            returned_ms: outage.slow_start_since.map(wall),
+            share: outage.baseline_rate,
         }
     }
 }
@@ -106,13 +110,13 @@
     Take(u32, Taken),
     Start(u32, Sent),
     /// The outcome of the attempt that was out; whether it may have run.
-    Outcome(u32, bool),
+    AttemptOutcome(u32, bool),
     Owe(u32, Verdict),
     Over(u32),
     /// A message with all that is known of it; compaction writes these.
     Whole(u32, Held),
     /// The list of endpoints as it was told, or what has changed of it.
-    Targets(Update),
+    Targets(DiscoveryUpdate),
     /// All outages that are remembered now. Older builds wrote them whole at each change.
     Outages(Vec<OutageNote>),
     /// Destinations that were listed at some time.
@@ -125,7 +129,7 @@
     OutageChanges(Vec<OutageChange>),
     /// One of some parts that are the list together: its place from 0, and how many there are. Nothing of them counts
     /// until the last one is there.
-    TargetsPart(u32, u32, Update),
+    TargetsPart(u32, u32, DiscoveryUpdate),
     /// The attempt that was begun last was not made, for want of something on the courier's own machine.
     NotMade(u32),
 }
@@ -176,14 +180,14 @@
     pub held: BTreeMap<u32, Held>,
     pub last: u32,
     pub rev: u64,
-    pub targets: BTreeMap<String, Target>,
+    pub targets: BTreeMap<String, DiscoveredEndpoint>,
     /// One that has no endpoints just now may get others.
     pub destinations: BTreeSet<u32>,
-    pub outages: Outages,
+    pub circuit_records: Outages,
     /// Endpoints that operators leave out, by their uids, listed or not.
     pub detached: BTreeSet<String>,
     /// The parts so far of a list that is not whole yet.
-    parts: Vec<Update>,
+    parts: Vec<DiscoveryUpdate>,
 }
 
 impl Image {
@@ -192,7 +196,8 @@
         match record {
             Record::Take(number, taken) => {
                 self.last = self.last.max(number);
-                let held = Held { taken, attempts: 0, maybe_ran: None, out: None, verdict: None };
+                let held =
+                    Held { taken, attempts: 0, first_uncertain_attempt: None, out: None, verdict: None };
                 self.held.insert(number, held);
             }
             Record::Whole(number, held) => {
@@ -203,14 +208,14 @@
                 if let Some(held) = self.held.get_mut(&number) {
                     held.attempts += 1;
                     // One that has no outcome may have run, also if another was begun after it.
-                    held.maybe_ran = held.maybe_ran.or(held.out.take());
+                    held.first_uncertain_attempt = held.first_uncertain_attempt.or(held.out.take());
                     held.out = Some(sent);
                 }
             }
-            Record::Outcome(number, may_have_run) => {
+            Record::AttemptOutcome(number, may_have_run) => {
                 if let Some(held) = self.held.get_mut(&number) {
                     let sent = held.out.take().filter(|_| may_have_run);
-                    held.maybe_ran = held.maybe_ran.or(sent);
+                    held.first_uncertain_attempt = held.first_uncertain_attempt.or(sent);
                 }
             }
             Record::NotMade(number) => {
@@ -244,11 +249,11 @@
                 }
             }
             Record::Outages(notes) => {
-                self.outages = Outages::default();
-                notes.into_iter().for_each(|note| self.outages.change(OutageChange::Noted(note)));
+                self.circuit_records = Outages::default();
+                notes.into_iter().for_each(|note| self.circuit_records.change(OutageChange::Noted(note)));
             }
             Record::OutageChanges(changes) => {
-                changes.into_iter().for_each(|change| self.outages.change(change));
+                changes.into_iter().for_each(|change| self.circuit_records.change(change));
             }
             Record::Tenant(number, tenant) => {
                 if let Some(held) = self.held.get_mut(&number) {
@@ -262,7 +267,7 @@
     }
 
     /// Takes an update of the list in.
-    pub fn list(&mut self, update: Update) {
+    pub fn list(&mut self, update: DiscoveryUpdate) {
         self.rev = update.rev;
         if update.all {
             self.targets.clear();
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -14,9 +14,9 @@
 mod send_guard;
 mod signals;
 
-use delivery_gateway::discovery::{Update, Watch};
+use delivery_gateway::discovery::{DiscoveryUpdate, EndpointWatch};
 use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
-use delivery_gateway::{parse_settings_json, Parsed, SettingError, Settings};
+use delivery_gateway::{settings_from_json, Parsed, SettingError, Settings};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::ffi::OsString;
@@ -68,7 +68,7 @@
     admin_addr: Option<String>,
     seed: String,
     limits: Limits,
-    known: Update,
+    known: DiscoveryUpdate,
     settings: serde_json::Value,
 }
 
@@ -214,10 +214,25 @@
     if let Some(admin) = admin {
         tokio::task::spawn_local(open_door(admin, door.clone()));
     }
-    let parsed = parse_settings_json(&config.settings)?;
-    let slots = parsed.settings.call_slots;
-    let Settings { couriers, most_held, connect_timeout, conn_idle, kinds, .. } = &parsed.settings;
-    info!(couriers, slots, most_held, ?connect_timeout, ?conn_idle, ?kinds, "the settings");
+    let parsed = settings_from_json(&config.settings)?;
+    let slots = parsed.settings.max_in_flight_calls;
+    let Settings {
+        fleet_size,
+        max_pending_messages,
+        connect_timeout,
+        connection_idle_timeout,
+        destination_kinds,
+        ..
+    } = &parsed.settings;
+    info!(
+        fleet_size,
+        slots,
+        max_pending_messages,
+        ?connect_timeout,
+        ?connection_idle_timeout,
+        ?destination_kinds,
+        "the settings"
+    );
     // Any text serves as a seed, but two couriers must not act alike.
     let seed = u64::from_str_radix(&config.seed, 16)
         .unwrap_or_else(|_| u64::from(crc32fast::hash(config.seed.as_bytes())));
@@ -258,7 +273,7 @@
     let mut first = Duration::ZERO;
     let mut listener = match begun {
         None => {
-            first = driver.first_watch();
+            first = driver.initial_watch_delay();
             driver.restore(&known);
             bind(&config.listen).await?.0
         }
@@ -266,9 +281,9 @@
             lock = held;
             match memory {
                 Ok(baton) => driver.resume(baton, old.stop()),
-                Err(rules) => {
+                Err(carried_over_constraints) => {
                     driver.restore(&known);
-                    driver.obey(rules);
+                    driver.obey(carried_over_constraints);
                 }
             }
             tokio::task::spawn_local(old.follow(inputs.clone(), clients.clone()));
@@ -290,7 +305,7 @@
     door.open(inputs.clone(), phases);
     loop {
         let accepting = tokio::task::spawn_local(clients.clone().serve(listener));
-        let watch = Watch { agent: agent.clone(), rev: driver.rev(), again: again.clone() };
+        let watch = EndpointWatch { agent: agent.clone(), rev: driver.rev(), again: again.clone() };
         let first = std::mem::take(&mut first);
         let listed = inputs.clone();
         let tell = move |news| drop(listed.send(Input::List(news)));
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -1,7 +1,7 @@
 //! The notices that end messages, on their way to the platform.
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{connect, Agent, AgentError, Connection, ANSWER};
+use delivery_gateway::discovery::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
 use delivery_gateway::MessageId;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
 /// comes twice does no harm, one that never comes does.
 /// While somebody else holds the gate, nothing is sent.
 pub async fn send_all(
-    mut agent: Agent,
+    mut agent: AgentAddress,
     mut queue: UnboundedReceiver<Notice>,
     driver: UnboundedSender<Input>,
     gate: Arc<Semaphore>,
@@ -83,7 +83,7 @@
                         warn!(%reason, waiting = batch.len(), "notices are not answered");
                         down = true;
                     }
-                    if matches!(reason, AgentError::Silent(_)) {
+                    if matches!(reason, DiscoveryError::TimedOut(_)) {
                         patience = (patience * 2).min(ANSWER);
                     } else if !kept {
                         let _ = timeout(BACK_OFF, agent.changed()).await;
@@ -106,10 +106,10 @@
     batch: &mut Vec<Notice>,
     driver: &UnboundedSender<Input>,
     patience: Duration,
-) -> Result<(), AgentError> {
+) -> Result<(), DiscoveryError> {
     match post(agent, connection, batch.iter().map(Notice::line).collect(), patience).await {
         // One bad line must not hold up the others: they go one by one, and it is let go.
-        Err(AgentError::Status(StatusCode::BAD_REQUEST)) => {}
+        Err(DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {}
         result => {
             result?;
             let heard = batch.drain(..).map(|notice| notice.message).collect();
@@ -119,7 +119,7 @@
     }
     while let Some(notice) = batch.last() {
         match post(agent, connection, notice.line(), patience).await {
-            Err(refused @ AgentError::Status(StatusCode::BAD_REQUEST)) => {
+            Err(refused @ DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {
                 error!(id = notice.id, %refused, "a notice is not understood");
             }
             result => result?,
@@ -135,7 +135,7 @@
     kept: &mut Option<Connection>,
     lines: String,
     patience: Duration,
-) -> Result<(), AgentError> {
+) -> Result<(), DiscoveryError> {
     let request = Request::post("/v1/notices").header("Host", agent).body(Full::new(Bytes::from(lines)))?;
     let exchange = async {
         let mut connection = match kept.take().filter(|connection| !connection.is_closed()) {
@@ -146,13 +146,13 @@
         let response: Response<Incoming> = connection.send_request(request).await?;
         let status = response.status();
         response.into_body().collect().await?;
-        Ok::<_, AgentError>((connection, status))
+        Ok::<_, DiscoveryError>((connection, status))
     };
     let (connection, status) = timeout(patience, exchange).await??;
     *kept = Some(connection);
     if status == StatusCode::NO_CONTENT {
         Ok(())
     } else {
-        Err(AgentError::Status(status))
+        Err(DiscoveryError::Status(status))
     }
 }
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -4,7 +4,9 @@
 //! than from the module's memory, right before an attempt is written down; what it forbids is not sent, counted, and
 //! told in the log. It knows no pace, worth or health.
 
-use delivery_gateway::{Class, DestinationId, Effect, EndpointId, Group, Settings, Time, ZoneId};
+use delivery_gateway::{
+    Class, DeduplicationScope, DestinationId, EndpointId, Idempotency, Settings, Time, ZoneId,
+};
 use std::collections::HashMap;
 use std::time::Duration;
 use thiserror::Error;
@@ -66,20 +68,20 @@
 
 /// The rules, and the waits that are in force.
 pub struct SendGuard {
-    send_cap: u32,
-    waits: HashMap<(DestinationId, Option<EndpointId>), Time>,
+    max_attempts: u32,
+    retry_after_delays: HashMap<(DestinationId, Option<EndpointId>), Time>,
     breaches: u32,
 }
 
 impl SendGuard {
     pub fn new(settings: &Settings) -> Self {
-        SendGuard { send_cap: settings.send_cap, waits: HashMap::new(), breaches: 0 }
+        SendGuard { max_attempts: settings.max_attempts, retry_after_delays: HashMap::new(), breaches: 0 }
     }
 
     /// An endpoint has told to wait.
     pub fn told_to_wait(&mut self, now: Time, to: &Receiver, wait: Duration) {
-        self.waits.retain(|_, until| *until > now);
-        let until = self.waits.entry(to.bound()).or_insert(now);
+        self.retry_after_delays.retain(|_, until| *until > now);
+        let until = self.retry_after_delays.entry(to.bound()).or_insert(now);
         *until = (*until).max(now + wait);
     }
 
@@ -110,15 +112,17 @@
         if now >= attempt.deadline {
             return Err(Breach::DeadlinePassed);
         }
-        if attempt.attempts >= self.send_cap {
+        if attempt.attempts >= self.max_attempts {
             return Err(Breach::AttemptsExhausted);
         }
-        match (class.effect, may_have_run) {
-            (Effect::Unsafe, Some(_)) => Err(Breach::MayHaveRun),
-            (Effect::Keyed, Some((first, _))) if now > *first + class.repeat_window => {
+        match (class.idempotency, may_have_run) {
+            (Idempotency::NonIdempotent, Some(_)) => Err(Breach::MayHaveRun),
+            (Idempotency::IdempotentWithKey, Some((first, _))) if now > *first + class.idempotency_window => {
                 Err(Breach::WindowOver)
             }
-            (Effect::Keyed, Some((_, zone))) if class.group == Group::Zone && *zone != attempt.to.zone => {
+            (Idempotency::IdempotentWithKey, Some((_, zone)))
+                if class.deduplication_scope == DeduplicationScope::Zone && *zone != attempt.to.zone =>
+            {
                 Err(Breach::OtherZone)
             }
             _ => Ok(()),
@@ -129,7 +133,7 @@
         if !to.is_open {
             return Err(Breach::EndpointClosed);
         }
-        match self.waits.get(&to.bound()) {
+        match self.retry_after_delays.get(&to.bound()) {
             Some(until) if now < *until => Err(Breach::ToldToWait),
             _ => Ok(()),
         }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 struct Instance {
-    courier: Courier,
+    courier: Scheduler,
     left_at: Option<usize>,
     limit_at: Option<usize>,
 }
@@ -61,8 +61,8 @@
         Ok(Some(match record {
             Record::NewInstance { who, nonce, config } => {
                 let Parsed { settings, left_at, limit_at, .. } =
-                    parse_settings(&config).map_err(|error| HostError::Setting { who, error })?;
-                let courier = Courier::new(settings, nonce);
+                    settings_from_lines(&config).map_err(|error| HostError::Setting { who, error })?;
+                let courier = Scheduler::new(settings, nonce);
                 self.instances.insert(who, Instance { courier, left_at, limit_at });
                 return Ok(None);
             }
@@ -78,35 +78,35 @@
             Record::Members { who, slot, kind, .. } => {
                 let entries = || self.sheets.get(&slot).cloned().unwrap_or_default();
                 let listing = match kind {
-                    0 => Listing::Changes(entries()),
-                    1 | 2 => Listing::Whole(entries()),
-                    3 => Listing::Failed,
+                    0 => EndpointUpdate::Delta(entries()),
+                    1 | 2 => EndpointUpdate::Snapshot(entries()),
+                    3 => EndpointUpdate::WatchFailed,
                     other => return Err(unknown("Kind", u32::from(other))),
                 };
-                (who, Event::Listed(listing))
+                (who, Event::EndpointsUpdated(listing))
             }
             Record::Accept { who, call, profile, dest, key, deadline, opts, owner, .. } => {
-                let accepted = Accepted {
+                let accepted = AcceptedMessage {
                     id: MessageId(call),
                     class: ClassId(profile),
                     destination: DestinationId(u32::from(dest as u16)),
-                    key: (key != 0).then_some(OrderKey(key)),
+                    key: (key != 0).then_some(OrderingKey(key)),
                     deadline: Time(deadline),
-                    from_dead_courier: opts & 16 != 0,
+                    redelivered: opts & 16 != 0,
                     tenant: TenantId(owner),
                 };
-                (who, Event::Accept(accepted))
+                (who, Event::MessageAccepted(accepted))
             }
             Record::ProbeDone { who, code, delay, endpoint, .. } => {
                 let outcome = outcome(code, 0)?;
                 let endpoint = EndpointId(endpoint);
-                (who, Event::Probed { endpoint, outcome, latency: Duration::from_nanos(delay) })
+                (who, Event::ProbeFinished { endpoint, outcome, latency: Duration::from_nanos(delay) })
             }
-            Record::ClientGone { who, call } => (who, Event::ClientGone(MessageId(call))),
-            Record::FirstByte { who, call, .. } => (who, Event::FirstByte(MessageId(call))),
-            Record::Finished(record) => (record.who, self.finished(&record)?),
-            Record::TickDue { who, cookie } => (who, Event::TickDue(cookie)),
-            Record::NoteFrom { who, from, msg } => (who, Event::Note { from, text: msg }),
+            Record::ClientGone { who, call } => (who, Event::MessageAbandoned(MessageId(call))),
+            Record::FirstByte { who, call, .. } => (who, Event::ResponseStarted(MessageId(call))),
+            Record::FinishedAttempt(record) => (record.who, self.finished(&record)?),
+            Record::TickDue { who, cookie } => (who, Event::TimerFired(cookie)),
+            Record::NoteFrom { who, from, msg } => (who, Event::PeerNote { from, text: msg }),
         }))
     }
 
@@ -115,14 +115,16 @@
         let value = |at: Option<usize>| at.and_then(|at| record.report.get(at)).map(|v| f64::from(*v));
         let left = value(instance.and_then(|i| i.left_at));
         let limit = value(instance.and_then(|i| i.limit_at));
-        Ok(Event::Finished(Finished {
+        Ok(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(record.call),
             endpoint: EndpointId(record.endpoint),
             attempt: record.trial,
             outcome: outcome(record.code, record.detail)?,
             latency: Duration::from_nanos(record.delay),
             complete: record.complete,
-            allowance: left.zip(limit).map(|(left, limit)| Allowance { left, limit }),
+            load_report: left
+                .zip(limit)
+                .map(|(left, limit)| LoadReport { headroom: left, limit_per_sec: limit }),
         }))
     }
 }
@@ -140,16 +142,16 @@
     HostError::Wire(WireError::Value { at: 0, field, value })
 }
 
-fn outcome(code: u16, detail: u32) -> Result<Outcome, HostError> {
+fn outcome(code: u16, detail: u32) -> Result<AttemptOutcome, HostError> {
     Ok(match code {
-        100 => Outcome::Ok,
-        301 => Outcome::Error,
-        302 => Outcome::Full((detail > 0).then(|| Duration::from_millis(u64::from(detail)))),
-        303 => Outcome::Timeout,
-        304 => Outcome::ConnectFailed,
-        305 => Outcome::Reset,
-        306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        100 => AttemptOutcome::Delivered,
+        301 => AttemptOutcome::ErrorResponse,
+        302 => AttemptOutcome::Rejected((detail > 0).then(|| Duration::from_millis(u64::from(detail)))),
+        303 => AttemptOutcome::Timeout,
+        304 => AttemptOutcome::ConnectFailed,
+        305 => AttemptOutcome::Reset,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
         other => return Err(unknown("Code", u32::from(other))),
     })
 }
@@ -158,12 +160,12 @@
     Ok(Endpoint {
         id: EndpointId(entry.endpoint),
         zone: ZoneId(entry.zone),
-        kind: KindId(entry.kind),
+        kind: DestinationKindId(entry.kind),
         destination: DestinationId(entry.cell.into()),
         mode: match entry.mode {
-            3 => Mode::Ready,
-            1 => Mode::Draining,
-            2 => Mode::Gone,
+            3 => Availability::Ready,
+            1 => Availability::Draining,
+            2 => Availability::Removed,
             other => return Err(unknown("Mode", u32::from(other))),
         },
         weight: f64::from(entry.weight),
@@ -177,20 +179,25 @@
 /// A time-out of zero means none on the wire, so the shortest one is a nanosecond.
 fn reply(who: u16, action: Action) -> Reply {
     match action {
-        Action::Route { message, endpoint, try_for, .. } => {
-            Reply::Route { who, call: message.0, endpoint: endpoint.0, try_for: nanos(try_for).max(1) }
+        Action::StartAttempt { message, endpoint, attempt_timeout, .. } => Reply::Route {
+            who,
+            call: message.0,
+            endpoint: endpoint.0,
+            attempt_timeout: nanos(attempt_timeout).max(1),
+        },
+        Action::Reject { message, retry_after } => {
+            Reply::Busy { who, call: message.0, stay_away: nanos(retry_after) }
         }
-        Action::Busy { message, after } => Reply::Busy { who, call: message.0, stay_away: nanos(after) },
         Action::ReportFailure { message } => Reply::ReportFailure { who, call: message.0 },
-        Action::StopAttempt { message, attempt } => {
+        Action::CancelAttempt { message, attempt } => {
             Reply::StopAttempt { who, call: message.0, trial: attempt }
         }
-        Action::Wake { after, token } => Reply::After { who, after: nanos(after), cookie: token },
-        Action::CloseIdle { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
+        Action::SetTimer { after, token } => Reply::After { who, after: nanos(after), cookie: token },
+        Action::CloseIdleConnections { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
         Action::Probe { endpoint } => Reply::SoundOut { who, endpoint: endpoint.0 },
-        Action::Tell { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
+        Action::SendNote { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
         Action::Log { text } => Reply::Log { who, words: text },
-        Action::KeepInformed { active } => Reply::KeepInformed { who, active },
-        Action::Refresh => Reply::Refresh { who },
+        Action::WatchEndpoints { active } => Reply::KeepInformed { who, active },
+        Action::FetchEndpoints => Reply::Refresh { who },
     }
 }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -79,7 +79,7 @@
         trial: u16,
         delay: u64,
     },
-    Finished(FinishedRecord),
+    FinishedAttempt(FinishedRecord),
     TickDue {
         who: u16,
         cookie: u64,
@@ -108,7 +108,7 @@
 /// A record of a reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Route { who: u16, call: u32, endpoint: u32, try_for: u64 },
+    Route { who: u16, call: u32, endpoint: u32, attempt_timeout: u64 },
     Busy { who: u16, call: u32, stay_away: u64 },
     ReportFailure { who: u16, call: u32 },
     StopAttempt { who: u16, call: u32, trial: u16 },
@@ -226,7 +226,7 @@
                 trial: self.u16("Trial")?,
                 delay: self.u64("DelaySeen")?,
             },
-            50 => Record::Finished(FinishedRecord {
+            50 => Record::FinishedAttempt(FinishedRecord {
                 who,
                 call: self.u32("Call")?,
                 code: self.u16("Code")?,
@@ -284,11 +284,11 @@
         out.extend(who.to_be_bytes());
     };
     match reply {
-        Reply::Route { who, call, endpoint, try_for } => {
+        Reply::Route { who, call, endpoint, attempt_timeout } => {
             head(10, who);
             out.extend(call.to_be_bytes());
             out.extend(endpoint.to_be_bytes());
-            out.extend(try_for.to_be_bytes());
+            out.extend(attempt_timeout.to_be_bytes());
         }
         Reply::Busy { who, call, stay_away } => {
             head(20, who);
--- a/src/bin/testbed/measure.rs
+++ b/src/bin/testbed/measure.rs
@@ -91,7 +91,7 @@
     let mut rig = Rig::build(experiment, sweep.kind(), size, guard)?;
     rig.settle(experiment.work.longest_latency(), guard)?;
     let memory = allocated().saturating_sub(before + rig.own);
-    info!(kind = %sweep.kind(), size, out = rig.hollow.out(), outages = rig.hollow.outages(), memory, "set up");
+    info!(kind = %sweep.kind(), size, out = rig.hollow.out(), circuit_records = rig.hollow.circuit_records(), memory, "set up");
     Ok(Measured { size, rig, memory, rounds: Vec::new(), looked_at: 0, steps })
 }
 
--- a/src/bin/testbed/restart.rs
+++ b/src/bin/testbed/restart.rs
@@ -96,7 +96,7 @@
             slots: DESTINATIONS as u32,
             batch: 1,
             // Shedding begins below the limit.
-            most_held: 2 * size as u32,
+            max_pending_messages: 2 * size as u32,
         };
         configuration.write(&folder.0).map_err(|error| NotRun::failed("the configuration", error))
     }
--- a/src/bin/testbed/scheduler_sweeps.rs
+++ b/src/bin/testbed/scheduler_sweeps.rs
@@ -9,7 +9,7 @@
 use crate::measure::processor_time;
 use crate::report::{Figure, Figures};
 use crate::simulated::{reader, Hollow, Script};
-use delivery_gateway::discovery::{Directory, Target, Update};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory};
 use delivery_gateway::*;
 use std::time::Duration;
 
@@ -60,16 +60,16 @@
 
 /// A list and its changes, in the words of discovery.
 struct List {
-    directory: Directory,
+    directory: EndpointDirectory,
     /// Lines of the watch.
     changes: Vec<Vec<u8>>,
 }
 
 impl List {
     /// So many endpoints. Gives what its reader makes of the whole of it, too, and what that took.
-    fn new(endpoints: &[Endpoint], settings: &Settings) -> Result<(Self, Listing, Figures), NotRun> {
+    fn new(endpoints: &[Endpoint], settings: &Settings) -> Result<(Self, EndpointUpdate, Figures), NotRun> {
         let failed = |error| NotRun::failed("the list", error);
-        let named = |entry: &Endpoint, state: &str| Target {
+        let named = |entry: &Endpoint, state: &str| DiscoveredEndpoint {
             uid: format!("s-{:08x}", entry.id.0),
             endpoint: "127.0.0.1:9".into(),
             az: "kingston".into(),
@@ -79,17 +79,17 @@
             capacity_hint: entry.weight,
         };
         let targets = endpoints.iter().map(|entry| named(entry, "SERVING")).collect();
-        let whole = serde_json::to_vec(&Update { rev: 1, all: true, targets }).map_err(failed)?;
+        let whole = serde_json::to_vec(&DiscoveryUpdate { rev: 1, all: true, targets }).map_err(failed)?;
         let mut changes = Vec::new();
         for state in ["DRAINING", "SERVING"] {
             for entry in endpoints.iter().step_by(endpoints.len().div_ceil(CHANGING)) {
-                let update = Update { rev: 2, all: false, targets: vec![named(entry, state)] };
+                let update = DiscoveryUpdate { rev: 2, all: false, targets: vec![named(entry, state)] };
                 changes.push(serde_json::to_vec(&update).map_err(failed)?);
             }
         }
         let mut directory = reader(settings);
         let begun = processor_time();
-        let update: Update = serde_json::from_slice(&whole).map_err(failed)?;
+        let update: DiscoveryUpdate = serde_json::from_slice(&whole).map_err(failed)?;
         let listing = directory.apply(&update);
         let took = (processor_time() - begun).as_nanos() as f64;
         let figures = Figures::from([(Figure::ListBytes, whole.len() as f64), (Figure::ListNs, took)]);
@@ -120,9 +120,9 @@
     Ok(Endpoint {
         id: endpoint_id(place)?,
         zone: ZoneId(0),
-        kind: KindId(0),
+        kind: DestinationKindId(0),
         destination: destination(to)?,
-        mode: Mode::Ready,
+        mode: Availability::Ready,
         weight,
     })
 }
@@ -153,12 +153,12 @@
 fn settings(experiment: &Experiment, slots: usize, held: u64) -> Settings {
     let class = Class { deadline: LONG * 2, ..Class::default() };
     Settings {
-        couriers: experiment.target.couriers as u32,
+        fleet_size: experiment.target.couriers as u32,
         classes: vec![class],
-        call_slots: slots,
+        max_in_flight_calls: slots,
         // Shedding begins below the limit, and is no part of any sweep.
-        most_held: 2 * held as usize + 100_000,
-        send_cap: 12,
+        max_pending_messages: 2 * held as usize + 100_000,
+        max_attempts: 12,
         ..Settings::default()
     }
 }
@@ -193,7 +193,8 @@
             down_after: Duration::from_millis(*work.down_ms.get_ref()),
             limit: work.limit_per_s,
             // Nothing is left of the limit, so that the pace does not grow.
-            allowance: (kind == Kind::HeldAtOne).then_some(Allowance { left: 0.0, limit: AMPLE }),
+            load_report: (kind == Kind::HeldAtOne)
+                .then_some(LoadReport { headroom: 0.0, limit_per_sec: AMPLE }),
             down: match kind {
                 Kind::Down => {
                     entries.iter().skip(WORKED as usize).take(size as usize).map(|e| e.id).collect()
@@ -209,11 +210,11 @@
             (list, figures) = (Some(read), measured);
             drop(entries);
             let begun = processor_time();
-            hollow.tell(Event::Listed(listing));
+            hollow.tell(Event::EndpointsUpdated(listing));
             let took = (processor_time() - begun).as_nanos() as f64;
             figures.entry(Figure::ListNs).and_modify(|reading| *reading += took);
         } else {
-            hollow.tell(Event::Listed(Listing::Whole(entries)));
+            hollow.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(entries)));
         }
         let mut worked: Vec<DestinationId> = (0..worked).map(destination).collect::<Result<_, _>>()?;
         if kind == Kind::Loaded {
@@ -272,32 +273,32 @@
 
     /// An endpoint tells its destination to wait.
     fn told_wait(&mut self, number: u64) -> Result<(), NotRun> {
-        self.hollow.tell(Event::ToldWait { endpoint: endpoint_id(number)?, wait: LONG });
+        self.hollow.tell(Event::RetryAfter { endpoint: endpoint_id(number)?, delay: LONG });
         Ok(())
     }
 
     /// Makes one more destination one of those that the sweep counts.
     fn hold_up(&mut self, number: u64) -> Result<(), NotRun> {
         let to = destination(WORKED + number)?;
-        let mut waits = true;
+        let mut retry_after_delays = true;
         match self.kind {
             Kind::QueuesToldWait => self.told_wait(WORKED + number)?,
             Kind::Down => {
-                let outage = Outage {
+                let outage = CircuitRecord {
                     destination: to,
                     endpoint: None,
-                    since: self.hollow.now() - DOWN_FOR,
-                    evidence: 6,
-                    lost: Some(true),
-                    returned: None,
-                    share: 0.0,
+                    last_success_at: self.hollow.now() - DOWN_FOR,
+                    failure_score: 6,
+                    calls_lost: Some(true),
+                    slow_start_since: None,
+                    baseline_rate: 0.0,
                 };
-                self.hollow.tell(Event::Recalled(outage));
-                waits = number.is_multiple_of(WAITING_OF_DOWN);
+                self.hollow.tell(Event::CircuitRestored(outage));
+                retry_after_delays = number.is_multiple_of(WAITING_OF_DOWN);
             }
             _ => {}
         }
-        if waits {
+        if retry_after_delays {
             self.hollow.hand_in(to);
         }
         Ok(())
@@ -307,9 +308,9 @@
         self.hollow.pass(self.period);
         if let Some(List { directory, changes }) = &mut self.list {
             // As the watch and the real loop take one in.
-            let update: Update = serde_json::from_slice(&changes[self.at])
+            let update: DiscoveryUpdate = serde_json::from_slice(&changes[self.at])
                 .map_err(|error| NotRun::failed("the list", error))?;
-            self.hollow.tell(Event::Listed(directory.apply(&update)));
+            self.hollow.tell(Event::EndpointsUpdated(directory.apply(&update)));
             directory.forget_gone(|_| false);
             self.at = (self.at + 1) % changes.len();
         } else {
--- a/src/bin/testbed/simulated.rs
+++ b/src/bin/testbed/simulated.rs
@@ -1,7 +1,7 @@
 //! A hollow courier: the real decision module, stepped on a clock of its own as the real courier's loop steps
 //! it, with answers from a script in the place of sockets. It opens none and reads no clock.
 
-use delivery_gateway::discovery::Directory;
+use delivery_gateway::discovery::EndpointDirectory;
 use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,8 +10,8 @@
 const EPOCH: Time = Time(1_000_000_000_000_000);
 
 /// The reader of the list, for the one kind and the one zone of the experiments.
-pub fn reader(settings: &Settings) -> Directory {
-    Directory::new(&Parsed {
+pub fn reader(settings: &Settings) -> EndpointDirectory {
+    EndpointDirectory::new(&Parsed {
         settings: settings.clone(),
         left_at: None,
         limit_at: None,
@@ -34,7 +34,7 @@
     /// Calls a second that one endpoint takes before it answers 503.
     pub limit: Option<f64>,
     /// What the answers tell of the limit.
-    pub allowance: Option<Allowance>,
+    pub load_report: Option<LoadReport>,
     /// Endpoints that take no connection.
     pub down: BTreeSet<EndpointId>,
 }
@@ -43,7 +43,7 @@
     /// All calls are answered, after some time.
     pub fn prompt(latency: Duration) -> Self {
         let jitter = Duration::ZERO;
-        Script { latency, jitter, down_after: latency, limit: None, allowance: None, down: BTreeSet::new() }
+        Script { latency, jitter, down_after: latency, limit: None, load_report: None, down: BTreeSet::new() }
     }
 
     /// What becomes of a call, and when that is known.
@@ -53,9 +53,9 @@
         room: &mut HashMap<EndpointId, (f64, Time)>,
         chance: &mut fastrand::Rng,
         to: EndpointId,
-    ) -> (Outcome, Duration) {
+    ) -> (AttemptOutcome, Duration) {
         if self.down.contains(&to) {
-            return (Outcome::ConnectFailed, self.down_after);
+            return (AttemptOutcome::ConnectFailed, self.down_after);
         }
         let after = self.latency + self.jitter.mul_f64(chance.f64());
         if let Some(limit) = self.limit {
@@ -63,11 +63,11 @@
             *left = (*left + (now - *since).as_secs_f64() * limit).min(limit.max(1.0));
             *since = now;
             if *left < 1.0 {
-                return (Outcome::Full(None), after);
+                return (AttemptOutcome::Rejected(None), after);
             }
             *left -= 1.0;
         }
-        (Outcome::Ok, after)
+        (AttemptOutcome::Delivered, after)
     }
 }
 
@@ -75,7 +75,7 @@
 struct Coming {
     message: MessageId,
     endpoint: EndpointId,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     sent: Time,
 }
 
@@ -89,7 +89,7 @@
 }
 
 pub struct Hollow {
-    courier: Courier,
+    courier: Scheduler,
     script: Script,
     chance: fastrand::Rng,
     deadline: Duration,
@@ -101,7 +101,7 @@
     room: HashMap<EndpointId, (f64, Time)>,
     /// Final answers, whose hearing is told in the next step.
     answered: Vec<MessageId>,
-    noted: BTreeMap<(DestinationId, Option<EndpointId>), Outage>,
+    noted: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
     actions: Vec<Action>,
     /// The list is to be watched again.
     watch_due: bool,
@@ -114,7 +114,7 @@
     pub fn new(settings: Settings, seed: u64, script: Script) -> Self {
         let deadline = settings.classes.first().map(|class| class.deadline).unwrap_or_default();
         Hollow {
-            courier: Courier::new(Settings { answers_take_time: true, ..settings }, seed),
+            courier: Scheduler::new(Settings { outcomes_need_acknowledgement: true, ..settings }, seed),
             script,
             chance: fastrand::Rng::with_seed(seed),
             deadline,
@@ -144,18 +144,18 @@
     /// Hands a message in, as a client does; it may be turned away.
     pub fn hand_in(&mut self, destination: DestinationId) {
         self.last_message += 1;
-        let accepted = Accepted {
+        let accepted = AcceptedMessage {
             id: MessageId(self.last_message),
             class: ClassId(0),
             destination,
             key: None,
             deadline: self.now + self.deadline,
-            from_dead_courier: false,
+            redelivered: false,
             tenant: TenantId(0),
         };
-        if self.courier.takes_on(self.now, &accepted) {
+        if self.courier.admits(self.now, &accepted) {
             self.counts.taken += 1;
-            self.courier.handle(self.now, Event::Accept(accepted));
+            self.courier.handle(self.now, Event::MessageAccepted(accepted));
         } else {
             self.counts.turned_away += 1;
         }
@@ -165,10 +165,10 @@
     pub fn pass(&mut self, by: Duration) {
         self.now = self.now + by;
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= self.now) {
-            self.courier.handle(self.now, Event::TickDue(token));
+            self.courier.handle(self.now, Event::TimerFired(token));
         }
         for message in self.answered.drain(..) {
-            self.courier.handle(self.now, Event::Heard(message));
+            self.courier.handle(self.now, Event::OutcomeAcknowledged(message));
         }
         while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let coming = entry.remove();
@@ -177,15 +177,16 @@
     }
 
     fn finish(&mut self, Coming { message, endpoint, outcome, sent }: Coming) {
-        let complete = outcome == Outcome::Ok;
+        let complete = outcome == AttemptOutcome::Delivered;
         self.counts.delivered += u64::from(complete);
         let attempt = self.attempts.get(&message).map_or(0, |count| count.saturating_sub(1));
         if complete {
             self.attempts.remove(&message);
         }
-        let (latency, allowance) = (self.now - sent, self.script.allowance);
-        let finished = Finished { message, endpoint, attempt, outcome, latency, complete, allowance };
-        self.courier.handle(self.now, Event::Finished(finished));
+        let (latency, load_report) = (self.now - sent, self.script.load_report);
+        let finished =
+            FinishedAttempt { message, endpoint, attempt, outcome, latency, complete, load_report };
+        self.courier.handle(self.now, Event::AttemptFinished(finished));
     }
 
     /// Decides once, carries out what was decided, and looks at the outages, as the real loop does at each turn.
@@ -194,7 +195,7 @@
         self.courier.decide(self.now, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Route { message, endpoint, .. } => {
+                Action::StartAttempt { message, endpoint, .. } => {
                     self.counts.sent += 1;
                     *self.attempts.entry(message).or_default() += 1;
                     let (outcome, after) =
@@ -203,27 +204,27 @@
                     let coming = Coming { message, endpoint, outcome, sent: self.now };
                     self.coming.insert((self.now + after, self.last_answer), coming);
                 }
-                Action::StopAttempt { message, .. } => {
+                Action::CancelAttempt { message, .. } => {
                     let found = self.coming.iter().find(|(_, coming)| coming.message == message);
                     if let Some(mut coming) =
                         found.map(|(key, _)| *key).and_then(|key| self.coming.remove(&key))
                     {
-                        coming.outcome = Outcome::Cancelled;
+                        coming.outcome = AttemptOutcome::Cancelled;
                         self.last_answer += 1;
                         self.coming.insert((self.now, self.last_answer), coming);
                     }
                 }
-                Action::Busy { message, .. } | Action::ReportFailure { message } => {
+                Action::Reject { message, .. } | Action::ReportFailure { message } => {
                     self.attempts.remove(&message);
                     self.answered.push(message);
                 }
-                Action::Wake { after, token } => self.wake = Some((self.now + after, token)),
-                Action::KeepInformed { .. } => self.watch_due = true,
+                Action::SetTimer { after, token } => self.wake = Some((self.now + after, token)),
+                Action::WatchEndpoints { .. } => self.watch_due = true,
                 // There are no connections to close, and no log.
-                Action::CloseIdle { .. }
-                | Action::Refresh
+                Action::CloseIdleConnections { .. }
+                | Action::FetchEndpoints
                 | Action::Probe { .. }
-                | Action::Tell { .. }
+                | Action::SendNote { .. }
                 | Action::Log { .. } => {}
             }
         }
@@ -233,7 +234,7 @@
 
     /// What the real loop does after each decision, to write outages down as they change.
     fn look_at_outages(&mut self) {
-        for ChangedOutage { destination, endpoint, outage } in self.courier.changed_outages() {
+        for CircuitChange { destination, endpoint, record: outage } in self.courier.take_circuit_changes() {
             match outage {
                 Some(outage) => drop(self.noted.insert((destination, endpoint), outage)),
                 None => drop(self.noted.remove(&(destination, endpoint))),
@@ -242,8 +243,8 @@
     }
 
     /// After how long to watch the list for the first time.
-    pub fn first_watch(&mut self) -> Duration {
-        self.courier.first_watch()
+    pub fn initial_watch_delay(&mut self) -> Duration {
+        self.courier.initial_watch_delay()
     }
 
     /// Whether the module has asked for another watch since this was asked last.
@@ -260,12 +261,12 @@
 
     /// What it has looked at so far, all steps together.
     pub fn looked_at(&self) -> u64 {
-        let Work { destinations, messages, calls, routes, endpoints } = self.courier.work();
+        let WorkCounters { destinations, messages, calls, routes, endpoints } = self.courier.work();
         destinations + messages + calls + routes + endpoints
     }
 
     /// Outages that are being remembered.
-    pub fn outages(&self) -> usize {
+    pub fn circuit_records(&self) -> usize {
         self.noted.len()
     }
 
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::ledger::{Effect, Ledger};
+use super::ledger::{Idempotency, Ledger};
 use crate::stubs::{command, locked, Client};
 
 /// How long a client waits for its answer.
@@ -32,10 +32,10 @@
 }
 
 /// The classes of the configuration: name, effect, and what each needs in its fields.
-pub const CLASSES: [(&str, Effect, &str); 3] = [
-    ("salary", Effect::Unsafe, ""),
-    ("notice", Effect::Keyed(Duration::from_secs(10)), ",k=aa"),
-    ("brief", Effect::Keyed(Duration::from_millis(400)), ",k=aa"),
+pub const CLASSES: [(&str, Idempotency, &str); 3] = [
+    ("salary", Idempotency::NonIdempotent, ""),
+    ("notice", Idempotency::IdempotentWithKey(Duration::from_secs(10)), ",k=aa"),
+    ("brief", Idempotency::IdempotentWithKey(Duration::from_millis(400)), ",k=aa"),
 ];
 
 /// Hands in messages until the soak is over.
@@ -76,26 +76,26 @@
 /// A message on its way in.
 struct Request {
     id: String,
-    effect: Effect,
+    idempotency: Idempotency,
     left: Duration,
     bytes: Vec<u8>,
 }
 
 impl Request {
     fn new(site: &Site, id: &str, chance: &mut fastrand::Rng) -> Self {
-        let (class, effect, more) = CLASSES[chance.usize(..CLASSES.len())];
+        let (class, idempotency, more) = CLASSES[chance.usize(..CLASSES.len())];
         let left = Duration::from_millis(chance.u64(600..6000));
         let destination = chance.u32(1..=site.destinations);
         let fields = format!("c={class},d={},dest={destination}{more}", left.as_millis());
         let body = "x".repeat(chance.usize(1..400));
         let bytes = command(&["ENQUEUE", "0", id, fields.as_str(), body.as_str()]);
-        Request { id: id.to_owned(), effect, left, bytes }
+        Request { id: id.to_owned(), idempotency, left, bytes }
     }
 
     /// Sends it, the part behind the cut a moment later, and hears the answer.
     fn hand_in(&self, site: &Site, kept: &mut Option<Client>, cut: usize) -> io::Result<()> {
         let client = connected(site, kept)?;
-        locked(&site.ledger).handed_in(&self.id, site.courier, self.effect, self.left);
+        locked(&site.ledger).handed_in(&self.id, site.courier, self.idempotency, self.left);
         client.try_send(&self.bytes[..cut])?;
         if cut < self.bytes.len() {
             thread::sleep(PART);
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -57,7 +57,7 @@
 pub fn start(
     endpoints: usize,
     destinations: u32,
-    send_cap: usize,
+    max_attempts: usize,
     seed: u64,
     ledger: &Arc<Mutex<Ledger>>,
 ) -> std::io::Result<Arc<Vec<Endpoint>>> {
@@ -72,14 +72,14 @@
     }
     let all = Arc::new(all);
     let (endpoints, ledger) = (all.clone(), ledger.clone());
-    thread::spawn(move || dispatch(&calls, &endpoints, send_cap, seed, &ledger));
+    thread::spawn(move || dispatch(&calls, &endpoints, max_attempts, seed, &ledger));
     Ok(all)
 }
 
 fn dispatch(
     calls: &Receiver<Seen>,
     endpoints: &Arc<Vec<Endpoint>>,
-    send_cap: usize,
+    max_attempts: usize,
     seed: u64,
     ledger: &Arc<Mutex<Ledger>>,
 ) {
@@ -89,7 +89,7 @@
         let endpoint = &endpoints[call.endpoint];
         let destination = endpoint.destination;
         let Ok(connection) = call.connection.try_clone() else { continue };
-        locked(ledger).attempt(&call.id, call.endpoint, destination, send_cap, connection);
+        locked(ledger).attempt(&call.id, call.endpoint, destination, max_attempts, connection);
         let mood = Mood::of(endpoint.mood.load(Ordering::SeqCst));
         let chance = chance.fork();
         let ledger = ledger.clone();
--- a/src/bin/testbed/soak/ledger.rs
+++ b/src/bin/testbed/soak/ledger.rs
@@ -25,10 +25,10 @@
 
 /// What a repeat of a message does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Unsafe,
+pub enum Idempotency {
+    NonIdempotent,
     /// Dropped for so long after the first attempt that may have run.
-    Keyed(Duration),
+    IdempotentWithKey(Duration),
 }
 
 /// How an endpoint ended an attempt.
@@ -76,7 +76,7 @@
 
 struct Message {
     courier: usize,
-    effect: Effect,
+    idempotency: Idempotency,
     deadline: Instant,
     told: Told,
     attempts: Vec<Attempt>,
@@ -99,7 +99,7 @@
     messages: HashMap<String, Message>,
     absences: HashMap<usize, Vec<Absence>>,
     /// Per courier and destination: from when until when a wait binds.
-    waits: HashMap<(usize, u32), (Instant, Instant)>,
+    retry_after_delays: HashMap<(usize, u32), (Instant, Instant)>,
     drained: Drained,
     broken: Vec<String>,
     counts: BTreeMap<&'static str, u64>,
@@ -122,14 +122,14 @@
     // ---- Clients ----
 
     /// A client is about to send a message, for the first time or once more.
-    pub fn handed_in(&mut self, id: &str, courier: usize, effect: Effect, left: Duration) {
+    pub fn handed_in(&mut self, id: &str, courier: usize, idempotency: Idempotency, left: Duration) {
         if let Some(message) = self.messages.get_mut(id) {
             message.deadline = Instant::now() + left;
             return;
         }
         let message = Message {
             courier,
-            effect,
+            idempotency,
             deadline: Instant::now() + left,
             told: Told::Nothing,
             attempts: Vec::new(),
@@ -172,7 +172,7 @@
         id: &str,
         endpoint: usize,
         destination: u32,
-        send_cap: usize,
+        max_attempts: usize,
         connection: TcpStream,
     ) {
         let now = Instant::now();
@@ -185,14 +185,14 @@
         if message.attempts.iter().any(Attempt::is_out) {
             broken.push("while another attempt was out".to_owned());
         }
-        match (message.effect, first_run) {
-            (Effect::Unsafe, Some(_)) => broken.push("though it may have run".to_owned()),
-            (Effect::Keyed(window), Some(first)) if now > first + window + NOISE => {
+        match (message.idempotency, first_run) {
+            (Idempotency::NonIdempotent, Some(_)) => broken.push("though it may have run".to_owned()),
+            (Idempotency::IdempotentWithKey(window), Some(first)) if now > first + window + NOISE => {
                 broken.push(format!("{:?} after its first attempt", now - first));
             }
             _ => {}
         }
-        if message.attempts.len() >= send_cap {
+        if message.attempts.len() >= max_attempts {
             broken.push("after its last attempt".to_owned());
         }
         if message.notified.is_some_and(|at| now > at + WAIT_GRACE) || message.told == Told::Refused {
@@ -208,7 +208,7 @@
                 broken.push(format!("to endpoint {endpoint}, {:?} after it was to drain", now - *told));
             }
         }
-        if let Some((from, until)) = self.waits.get(&(courier, destination)) {
+        if let Some((from, until)) = self.retry_after_delays.get(&(courier, destination)) {
             if now > *from + WAIT_GRACE + NOISE / 7 && now < *until {
                 broken.push(format!("{:?} inside a told wait", *until - now));
             }
@@ -235,7 +235,7 @@
     pub fn told_to_wait(&mut self, id: &str, destination: u32, wait: Duration) {
         if let Some(message) = self.messages.get(id) {
             let now = Instant::now();
-            let bound = self.waits.entry((message.courier, destination)).or_insert((now, now));
+            let bound = self.retry_after_delays.entry((message.courier, destination)).or_insert((now, now));
             if now + wait > bound.1 {
                 *bound = (now, now + wait);
             }
@@ -280,7 +280,7 @@
         if let Some(away) = self.absences.entry(courier).or_default().last_mut() {
             away.ready = Some(now);
         }
-        self.waits.retain(|(of, _), _| *of != courier);
+        self.retry_after_delays.retain(|(of, _), _| *of != courier);
         self.count("starts");
         if now > started + READY {
             self.breach(format!("courier {courier} was ready only after {:?}", now - started));
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -78,7 +78,7 @@
 }
 
 /// One courier with its folder, its agents of discovery and its faults.
-struct Courier {
+struct Scheduler {
     number: usize,
     folder: PathBuf,
     address: SocketAddr,
@@ -93,7 +93,7 @@
     logs: Vec<String>,
 }
 
-impl Courier {
+impl Scheduler {
     fn start(&mut self, plan: &Plan, endpoints: &[Endpoint]) -> io::Result<()> {
         self.configure(endpoints)?;
         let started = Instant::now();
@@ -153,7 +153,7 @@
             zone: "kingston",
             slots: 8,
             batch: 1,
-            most_held: 60,
+            max_pending_messages: 60,
         };
         configuration.write(&self.folder)
     }
@@ -365,7 +365,7 @@
     folder: &Path,
     endpoints: &[Endpoint],
     ledger: &Arc<Mutex<Ledger>>,
-) -> io::Result<Vec<Courier>> {
+) -> io::Result<Vec<Scheduler>> {
     let (send, notices) = channel();
     let heard = ledger.clone();
     thread::spawn(move || hear_notices(&notices, &heard));
@@ -379,7 +379,7 @@
             faults.set(call, Fault::always(errors).part(SOFT_PART))?;
         }
         let agent = Agent::start(&send)?;
-        let mut courier = Courier {
+        let mut courier = Scheduler {
             number,
             folder,
             address: ([127, 0, 0, 1], 0).into(),
@@ -431,7 +431,7 @@
         let (endpoints, over, chance) = (endpoints.clone(), over.clone(), chance.fork());
         thread::spawn(move || change_moods(&endpoints, &over, chance))
     };
-    let lives: Vec<JoinHandle<Courier>> = couriers
+    let lives: Vec<JoinHandle<Scheduler>> = couriers
         .into_iter()
         .map(|courier| {
             let (plan, endpoints, over, chance) =
@@ -442,9 +442,9 @@
     thread::sleep(plan.length);
     over.store(true, Ordering::SeqCst);
     clients.into_iter().chain([moods]).for_each(|thread| drop(thread.join()));
-    let mut couriers: Vec<Courier> = lives.into_iter().filter_map(|life| life.join().ok()).collect();
+    let mut couriers: Vec<Scheduler> = lives.into_iter().filter_map(|life| life.join().ok()).collect();
     thread::sleep(LAST_ENDS);
-    couriers.iter_mut().for_each(Courier::keep_log);
+    couriers.iter_mut().for_each(Scheduler::keep_log);
     locked(&ledger).close();
     let hits = hits(&couriers)?;
     let ledger = locked(&ledger);
@@ -462,7 +462,7 @@
 }
 
 /// How often each call was made and failed, over all couriers.
-fn hits(couriers: &[Courier]) -> io::Result<String> {
+fn hits(couriers: &[Scheduler]) -> io::Result<String> {
     let mut all = Vec::new();
     for call in Call::ALL {
         let (mut calls, mut hits) = (0, 0);
--- a/src/bin/testbed/stubs.rs
+++ b/src/bin/testbed/stubs.rs
@@ -241,11 +241,11 @@
 }
 
 /// A class of the settings: its name, effect, window in milliseconds, and whether it keeps its order.
-pub fn class(aim: u64, name: &str, effect: &str, window: u64, order: bool) -> Value {
+pub fn class(latency_objective: u64, name: &str, idempotency: &str, window: u64, order: bool) -> Value {
     json!({
-        "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": window * 1_000_000,
+        "Name": name, "Effect": idempotency, "Group": "all", "RepeatWindow": window * 1_000_000,
         "OneAtATime": order, "Worth": 1.0, "LateShare": 0.5,
-        "Aim": aim * 1_000_000_000, "Deadline": aim * 8 * 1_000_000_000,
+        "Aim": latency_objective * 1_000_000_000, "Deadline": latency_objective * 8 * 1_000_000_000,
     })
 }
 
@@ -270,7 +270,7 @@
     pub zone: &'a str,
     pub slots: u32,
     pub batch: u32,
-    pub most_held: u32,
+    pub max_pending_messages: u32,
 }
 
 impl Configuration<'_> {
@@ -288,7 +288,7 @@
                 "WeightSource": "nominal",
                 "FamilyInfo": {"CallsOut": self.slots, "KindBatch": [self.batch], "OwnLimits": [false]},
                 "Permissions": {
-                    "MostHeld": self.most_held, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
+                    "MostHeld": self.max_pending_messages, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
                     "ConnectTimeout": 5_000_000_000_u64,
                 },
                 "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 2_000_000_000},
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -9,7 +9,7 @@
 use crate::report::{Figure, Figures, Point};
 use crate::simulated::{reader, Hollow, Script};
 use crate::stubs::{locked, target, Agent, Capacity};
-use delivery_gateway::discovery::{Directory, News, Update, Watch};
+use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, EndpointWatch, WatchEvent};
 use delivery_gateway::*;
 use rustix::process::{getrlimit, Resource};
 use serde_json::{json, Value};
@@ -45,7 +45,7 @@
 /// One hollow courier and its watch.
 struct Watcher {
     hollow: Hollow,
-    directory: Directory,
+    directory: EndpointDirectory,
     begun: Instant,
     passed: Duration,
 }
@@ -62,9 +62,9 @@
     async fn run(mut self, agent: watch::Receiver<String>, rev: u64, heard: mpsc::UnboundedSender<Heard>) {
         let (news, mut told) = mpsc::unbounded_channel();
         let (ask_again, again) = watch::channel(());
-        let first = self.hollow.first_watch();
+        let first = self.hollow.initial_watch_delay();
         let tell = move |what| drop(news.send(what));
-        tokio::task::spawn_local(Watch { agent, rev, again }.run(first, tell));
+        tokio::task::spawn_local(EndpointWatch { agent, rev, again }.run(first, tell));
         loop {
             let wake = self.hollow.wakes_in();
             let what = tokio::select! {
@@ -76,15 +76,15 @@
             };
             self.catch_up();
             match what {
-                Some(News::Listed(update)) => {
-                    self.hollow.tell(Event::Listed(self.directory.apply(&update)));
+                Some(WatchEvent::Updated(update)) => {
+                    self.hollow.tell(Event::EndpointsUpdated(self.directory.apply(&update)));
                     let _ = heard.send(Heard::Has(update.rev));
                 }
-                Some(News::Watched) => {
-                    self.hollow.tell(Event::Watching);
+                Some(WatchEvent::Established) => {
+                    self.hollow.tell(Event::WatchEstablished);
                     let _ = heard.send(Heard::Watching);
                 }
-                Some(News::Unwatched(why)) => self.hollow.tell(Event::Listed(why)),
+                Some(WatchEvent::Broken(why)) => self.hollow.tell(Event::EndpointsUpdated(why)),
                 None => {}
             }
             self.hollow.decide();
@@ -116,7 +116,7 @@
         let mut fleet = Fleet::new(experiment, size, agent.clone(), guard);
         fleet.begin().await?;
         match kind {
-            Kind::WatchersReturn => fleet.come_back(experiment).await,
+            Kind::WatchersReturn => fleet.suggested_retry_after(experiment).await,
             _ => fleet.hear().await,
         }
     });
@@ -162,14 +162,14 @@
             (1..=entries).map(|to| target(&format!("s-{to}"), nowhere, to, "SERVING", 10.0)).collect();
         let known = json!({"rev": 1, "all": true, "targets": targets});
         // What is written here can be read.
-        let known: Rc<Update> = Rc::new(serde_json::from_value(known).unwrap_or_default());
-        let settings = Settings { couriers: size as u32, ..Settings::default() };
+        let known: Rc<DiscoveryUpdate> = Rc::new(serde_json::from_value(known).unwrap_or_default());
+        let settings = Settings { fleet_size: size as u32, ..Settings::default() };
         let mut watchers = Vec::new();
         for number in 0..size {
             let script = Script::prompt(experiment.work.latency());
             let mut hollow = Hollow::new(settings.clone(), experiment.seed + number, script);
             let mut directory = reader(&settings);
-            hollow.tell(Event::Listed(directory.apply(&known)));
+            hollow.tell(Event::EndpointsUpdated(directory.apply(&known)));
             let watcher = Watcher { hollow, directory, begun: Instant::now(), passed: Duration::ZERO };
             watchers.push(tokio::task::spawn_local(watcher.run(addresses.clone(), 1, hear.clone())));
         }
@@ -253,7 +253,7 @@
     }
 
     /// All watches break at once, and a change comes just then.
-    async fn come_back(mut self, experiment: &Experiment) -> Result<Point, NotRun> {
+    async fn suggested_retry_after(mut self, experiment: &Experiment) -> Result<Point, NotRun> {
         let state = self.agent.state.clone();
         let counted = || {
             let count = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::SeqCst) as f64;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,10 @@
 //! The one reader of settings, shared by the bench adapter and the courier: path=value lines, or the same names
 //! as nested JSON, to [`Settings`]. Unknown paths are skipped.
 
-use crate::{Class, Decay, Effect, Group, Kind, Rules, Settings, Tenant, WeightSource};
+use crate::{
+    Class, Decay, DeduplicationScope, DeliveryLimits, DestinationKind, Idempotency, Settings, Tenant,
+    WeightSource,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -42,7 +45,7 @@
     pub class_names: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenant_names: Vec<String>,
-    /// Names of the kinds of destination, in the order of [`Settings::kinds`].
+    /// Names of the kinds of destination, in the order of [`Settings::destination_kinds`].
     pub kind_names: Vec<String>,
     /// Names of the locations.
     pub zone_names: Vec<String>,
@@ -91,7 +94,7 @@
 }
 
 /// Reads the text of a `Config` field.
-pub fn parse_settings(text: &str) -> Result<Parsed, SettingError> {
+pub fn settings_from_lines(text: &str) -> Result<Parsed, SettingError> {
     let mut map = BTreeMap::new();
     for (index, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
         let unreadable = || SettingError::Line { line: index + 1, text: line.to_owned() };
@@ -102,7 +105,7 @@
 }
 
 /// Reads the same settings as nested JSON.
-pub fn parse_settings_json(value: &Value) -> Result<Parsed, SettingError> {
+pub fn settings_from_json(value: &Value) -> Result<Parsed, SettingError> {
     let mut map = BTreeMap::new();
     flatten(String::new(), value, &mut map);
     read(&Lines(map))
@@ -143,14 +146,14 @@
 
 fn read(lines: &Lines) -> Result<Parsed, SettingError> {
     let base = Settings::default();
-    let rules = base.rules;
+    let rules = base.limits;
     let fields = lines.words("Report.Fields");
     let place = |name: &str| fields.iter().position(|field| *field == name);
     let settings = Settings {
-        couriers: lines.or("Balancers", base.couriers)?,
+        fleet_size: lines.or("Balancers", base.fleet_size)?,
         classes: list(lines, "Lanes", class)?,
         tenants: list(lines, "Projects", tenant)?,
-        kinds: kinds(lines)?,
+        destination_kinds: destination_kinds(lines)?,
         weights: lines.choice(
             "WeightSource",
             WeightSource::Silent,
@@ -164,30 +167,30 @@
         decay: lines.choice(
             "FamilyInfo.Decay",
             base.decay,
-            &[("line", Decay::Line), ("halves", Decay::Halves)],
+            &[("line", Decay::Linear), ("halves", Decay::Halving)],
         )?,
-        zone_fees: lines
+        zone_costs: lines
             .words("FamilyInfo.FeeByZone")
             .into_iter()
             .map(|fee| parse("FamilyInfo.FeeByZone", fee))
             .collect::<Result<_, _>>()?,
-        call_slots: lines.or("FamilyInfo.CallsOut", base.call_slots)?,
-        most_held: lines.or("Permissions.MostHeld", base.most_held)?,
-        send_cap: lines.or("Permissions.SendCap", base.send_cap)?,
-        cancel: lines.or("Permissions.Cancel", false)?,
-        second_copies: lines.or("Permissions.SecondCopies", false)?,
-        answers_take_time: base.answers_take_time,
-        over_share_worth: lines.or("OverShareWorth", base.over_share_worth)?,
+        max_in_flight_calls: lines.or("FamilyInfo.CallsOut", base.max_in_flight_calls)?,
+        max_pending_messages: lines.or("Permissions.MostHeld", base.max_pending_messages)?,
+        max_attempts: lines.or("Permissions.SendCap", base.max_attempts)?,
+        allow_cancel: lines.or("Permissions.Cancel", false)?,
+        allow_hedging: lines.or("Permissions.SecondCopies", false)?,
+        outcomes_need_acknowledgement: base.outcomes_need_acknowledgement,
+        over_quota_value_ratio: lines.or("OverShareWorth", base.over_quota_value_ratio)?,
         connect_timeout: lines.span("Permissions.ConnectTimeout", base.connect_timeout)?,
-        conn_idle: lines.span("Permissions.ConnIdle", base.conn_idle)?,
-        rules: Rules {
-            answer_slack: lines.span("Rules.AnswerSlack", rules.answer_slack)?,
-            cold_from: lines.or("Rules.ColdFrom", rules.cold_from)?,
-            cold: lines.span("Rules.Cold", rules.cold)?,
-            tip_multiple: lines.or("Rules.TipMultiple", rules.tip_multiple)?,
-            fall: lines.span("Rules.Fall", rules.fall)?,
-            stop_sending: lines.span("Rules.StopSendingWithin", rules.stop_sending)?,
-            order_settle: lines.span("Rules.OrderSettle", rules.order_settle)?,
+        connection_idle_timeout: lines.span("Permissions.ConnIdle", base.connection_idle_timeout)?,
+        limits: DeliveryLimits {
+            final_outcome_grace: lines.span("Rules.AnswerSlack", rules.final_outcome_grace)?,
+            cold_capacity_ratio: lines.or("Rules.ColdFrom", rules.cold_capacity_ratio)?,
+            warm_up: lines.span("Rules.Cold", rules.warm_up)?,
+            overload_multiple: lines.or("Rules.TipMultiple", rules.overload_multiple)?,
+            overload_window: lines.span("Rules.Fall", rules.overload_window)?,
+            drain_grace: lines.span("Rules.StopSendingWithin", rules.drain_grace)?,
+            ordering_key_hold: lines.span("Rules.OrderSettle", rules.ordering_key_hold)?,
         },
     };
     let names = |path: &str| lines.words(path).into_iter().map(str::to_owned).collect();
@@ -217,41 +220,47 @@
     let at = |name: &str| format!("{path}.{name}");
     let base = Class::default();
     Ok(Class {
-        aim: lines.span(&at("Aim"), base.aim)?,
+        latency_objective: lines.span(&at("Aim"), base.latency_objective)?,
         deadline: lines.span(&at("Deadline"), base.deadline)?,
-        effect: lines.choice(
+        idempotency: lines.choice(
             &at("Effect"),
-            Effect::Unsafe,
+            Idempotency::NonIdempotent,
             &[
-                ("read_like", Effect::Safe),
-                ("idempotency_key", Effect::Keyed),
-                ("non_idempotent", Effect::Unsafe),
+                ("read_like", Idempotency::Idempotent),
+                ("idempotency_key", Idempotency::IdempotentWithKey),
+                ("non_idempotent", Idempotency::NonIdempotent),
             ],
         )?,
-        group: lines.choice(
+        deduplication_scope: lines.choice(
             &at("Group"),
-            Group::Zone,
-            &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::All)],
+            DeduplicationScope::Zone,
+            &[
+                ("all", DeduplicationScope::Destination),
+                ("zone", DeduplicationScope::Zone),
+                ("cell", DeduplicationScope::Destination),
+            ],
         )?,
-        repeat_window: lines.span(&at("RepeatWindow"), Duration::ZERO)?,
-        in_order: lines.or(&at("OneAtATime"), false)?,
-        worth: lines.or(&at("Worth"), base.worth)?,
-        late_share: lines.or(&at("LateShare"), 0.0)?,
+        idempotency_window: lines.span(&at("RepeatWindow"), Duration::ZERO)?,
+        ordered: lines.or(&at("OneAtATime"), false)?,
+        priority_weight: lines.or(&at("Worth"), base.priority_weight)?,
+        late_value_ratio: lines.or(&at("LateShare"), 0.0)?,
     })
 }
 
 fn tenant(lines: &Lines, path: &str) -> Result<Tenant, SettingError> {
-    Ok(Tenant { quota: lines.or(&format!("{path}.QuotaPerS"), f64::INFINITY)? })
+    Ok(Tenant { quota_per_sec: lines.or(&format!("{path}.QuotaPerS"), f64::INFINITY)? })
 }
 
-fn kinds(lines: &Lines) -> Result<Vec<Kind>, SettingError> {
+fn destination_kinds(lines: &Lines) -> Result<Vec<DestinationKind>, SettingError> {
     let batches = lines.words("FamilyInfo.KindBatch");
     let apart = lines.words("FamilyInfo.OwnLimits");
     (0..batches.len().max(apart.len()))
         .map(|index| {
-            Ok(Kind {
+            Ok(DestinationKind {
                 batch: batches.get(index).map_or(Ok(1), |v| parse("FamilyInfo.KindBatch", v))?,
-                own_limits: apart.get(index).map_or(Ok(false), |v| parse("FamilyInfo.OwnLimits", v))?,
+                per_endpoint_limits: apart
+                    .get(index)
+                    .map_or(Ok(false), |v| parse("FamilyInfo.OwnLimits", v))?,
             })
         })
         .collect()
--- a/src/discovery/agent.rs
+++ b/src/discovery/agent.rs
@@ -18,11 +18,11 @@
 pub const ANSWER: Duration = Duration::from_millis(500);
 
 /// Where discovery's agent is now; a new address is gone over to at once.
-pub type Agent = watch::Receiver<String>;
+pub type AgentAddress = watch::Receiver<String>;
 
 /// Why the agent was of no use.
 #[derive(Debug, Error)]
-pub enum AgentError {
+pub enum DiscoveryError {
     /// The socket.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -34,19 +34,19 @@
     Request(#[from] hyper::http::Error),
     /// No answer in time.
     #[error("silent")]
-    Silent(#[from] tokio::time::error::Elapsed),
+    TimedOut(#[from] tokio::time::error::Elapsed),
     /// Another status than the one that is due.
     #[error("answered {0}")]
     Status(StatusCode),
     /// A watch was begun and not served: the agent has more to do than it can.
     #[error("taken on and broken off before its first line")]
-    Unserved,
+    WatchNotServed,
     /// A line, or the list, is not what it should be.
     #[error("a line cannot be read: {0}")]
-    Line(#[from] serde_json::Error),
+    InvalidLine(#[from] serde_json::Error),
     /// The end of the list, or of a line, does not come.
     #[error("broken off or without end")]
-    Long,
+    TooLong,
 }
 
 /// A connection to the agent.
@@ -57,7 +57,7 @@
 ///
 /// # Errors
 /// Whatever keeps the connection from coming up within [`ANSWER`].
-pub async fn connect(agent: &str) -> Result<Connection, AgentError> {
+pub async fn connect(agent: &str) -> Result<Connection, DiscoveryError> {
     let stream = timeout(ANSWER, connect_by_name(agent)).await??;
     let (sender, connection) = http1::handshake(TokioIo::new(SteadyStream(stream))).await?;
     tokio::spawn(connection);
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -5,11 +5,13 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-use crate::{DestinationId, Endpoint, EndpointId, KindId, Listing, Mode, Parsed, ZoneId};
+use crate::{
+    Availability, DestinationId, DestinationKindId, Endpoint, EndpointId, EndpointUpdate, Parsed, ZoneId,
+};
 
 /// An entry of the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Target {
+pub struct DiscoveredEndpoint {
     /// The endpoint's name. Another one in its place has another.
     pub uid: String,
     /// Its address, as `IP:port`.
@@ -26,7 +28,7 @@
     pub capacity_hint: f64,
 }
 
-impl Target {
+impl DiscoveredEndpoint {
     /// Whether the list holds the endpoint no more.
     pub fn is_gone(&self) -> bool {
         self.state == "DELETED"
@@ -35,28 +37,28 @@
 
 /// The whole list, or what changed in it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Update {
+pub struct DiscoveryUpdate {
     /// The version of the list that this leads to.
     pub rev: u64,
     /// The whole list: what it does not name is gone.
     pub all: bool,
     /// The entries, or those that have changed.
-    pub targets: Vec<Target>,
+    pub targets: Vec<DiscoveredEndpoint>,
 }
 
 /// The numbers that stand for names, for the next process: the module's memory is in terms of them.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Numbers {
+pub struct EndpointIdTable {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    destination_kinds: Vec<String>,
     last: u32,
     numbers: Vec<(String, EndpointId)>,
 }
 
 /// Numbers for the names that the list uses, and where each endpoint is found.
-pub struct Directory {
+pub struct EndpointDirectory {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    destination_kinds: Vec<String>,
     /// Messages in one call at most, by kind.
     batches: Vec<usize>,
     /// Whether a destination's endpoints have each their own limits and waits, by kind.
@@ -75,19 +77,19 @@
     zone: ZoneId,
     destination: DestinationId,
     address: Option<SocketAddr>,
-    mode: Mode,
+    mode: Availability,
     batch: usize,
     is_apart: bool,
 }
 
-impl Directory {
+impl EndpointDirectory {
     /// Knows the names of the settings, and no endpoint.
     pub fn new(parsed: &Parsed) -> Self {
-        Directory {
+        EndpointDirectory {
             zones: parsed.zone_names.clone(),
-            kinds: parsed.kind_names.clone(),
-            apart: parsed.settings.kinds.iter().map(|kind| kind.own_limits).collect(),
-            batches: parsed.settings.kinds.iter().map(|kind| kind.batch.max(1)).collect(),
+            destination_kinds: parsed.kind_names.clone(),
+            apart: parsed.settings.destination_kinds.iter().map(|kind| kind.per_endpoint_limits).collect(),
+            batches: parsed.settings.destination_kinds.iter().map(|kind| kind.batch.max(1)).collect(),
             last: 0,
             numbers: HashMap::new(),
             entries: BTreeMap::new(),
@@ -97,18 +99,19 @@
     }
 
     /// What the next process needs to go on with the same numbers.
-    pub fn numbers(&self) -> Numbers {
-        Numbers {
+    pub fn numbers(&self) -> EndpointIdTable {
+        EndpointIdTable {
             zones: self.zones.clone(),
-            kinds: self.kinds.clone(),
+            destination_kinds: self.destination_kinds.clone(),
             last: self.last,
             numbers: self.numbers.iter().map(|(uid, id)| (uid.clone(), *id)).collect(),
         }
     }
 
     /// Goes on with the numbers of another process.
-    pub fn renumber(&mut self, numbers: Numbers) {
-        (self.zones, self.kinds, self.last) = (numbers.zones, numbers.kinds, numbers.last);
+    pub fn renumber(&mut self, numbers: EndpointIdTable) {
+        (self.zones, self.destination_kinds, self.last) =
+            (numbers.zones, numbers.destination_kinds, numbers.last);
         self.numbers = numbers.numbers.into_iter().collect();
         // Those that are listed leave this with the list, which comes next.
         self.unlisted = self.numbers.iter().map(|(uid, id)| (*id, uid.clone())).collect();
@@ -151,7 +154,8 @@
 
     /// Whether an endpoint may be given new work.
     pub fn is_open(&self, id: EndpointId) -> bool {
-        self.entries.get(&id).is_some_and(|entry| entry.mode == Mode::Ready) && !self.detached.contains(&id)
+        self.entries.get(&id).is_some_and(|entry| entry.mode == Availability::Ready)
+            && !self.detached.contains(&id)
     }
 
     /// Leaves an endpoint out, or uses it again, and gives its number. It need not be listed (any more).
@@ -170,7 +174,7 @@
 
     /// Whether an endpoint is not listed any more, and not forgotten yet.
     pub fn is_gone(&self, id: EndpointId) -> bool {
-        self.entries.get(&id).is_some_and(|entry| entry.mode == Mode::Gone)
+        self.entries.get(&id).is_some_and(|entry| entry.mode == Availability::Removed)
     }
 
     /// Whether there are endpoints that are not listed and not forgotten.
@@ -181,7 +185,7 @@
     /// Forgets the endpoints that are not listed any more, but those that are still needed. What operators leave out
     /// keeps its number. It looks at none that is listed.
     pub fn forget_gone(&mut self, needed: impl Fn(EndpointId) -> bool) {
-        let Directory { unlisted, entries, numbers, detached, .. } = self;
+        let EndpointDirectory { unlisted, entries, numbers, detached, .. } = self;
         unlisted.retain(|id, uid| {
             if needed(*id) {
                 return true;
@@ -196,24 +200,27 @@
     }
 
     /// Takes news of the list in and words them for the module.
-    pub fn apply(&mut self, update: &Update) -> Listing {
+    pub fn apply(&mut self, update: &DiscoveryUpdate) -> EndpointUpdate {
         if update.all {
             self.apply_whole(&update.targets)
         } else {
-            Listing::Changes(update.targets.iter().map(|target| self.entry(target)).collect())
+            EndpointUpdate::Delta(update.targets.iter().map(|target| self.entry(target)).collect())
         }
     }
 
     /// Takes a whole list in, and words it for the module.
-    pub fn apply_whole<'a>(&mut self, targets: impl IntoIterator<Item = &'a Target>) -> Listing {
+    pub fn apply_whole<'a>(
+        &mut self,
+        targets: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
+    ) -> EndpointUpdate {
         // What a whole list does not name is gone.
         for (id, entry) in &mut self.entries {
-            if entry.mode != Mode::Gone {
-                entry.mode = Mode::Gone;
+            if entry.mode != Availability::Removed {
+                entry.mode = Availability::Removed;
                 self.unlisted.insert(*id, entry.uid.clone());
             }
         }
-        Listing::Whole(targets.into_iter().map(|target| self.entry(target)).collect())
+        EndpointUpdate::Snapshot(targets.into_iter().map(|target| self.entry(target)).collect())
     }
 
     fn number_of(&mut self, uid: &str) -> EndpointId {
@@ -223,25 +230,25 @@
         })
     }
 
-    fn entry(&mut self, target: &Target) -> Endpoint {
+    fn entry(&mut self, target: &DiscoveredEndpoint) -> Endpoint {
         let id = self.number_of(&target.uid);
         let address = target.endpoint.parse().ok();
         if address.is_none() {
             warn!(uid = target.uid, endpoint = target.endpoint, "an endpoint's address cannot be read");
         }
         let mode = match target.state.as_str() {
-            "SERVING" if address.is_some() => Mode::Ready,
-            "DELETED" => Mode::Gone,
-            _ => Mode::Draining,
+            "SERVING" if address.is_some() => Availability::Ready,
+            "DELETED" => Availability::Removed,
+            _ => Availability::Draining,
         };
         let zone = ZoneId(place(&mut self.zones, &target.az));
-        let kind = KindId(place(&mut self.kinds, &target.model).into());
+        let kind = DestinationKindId(place(&mut self.destination_kinds, &target.model).into());
         let (uid, destination) = (target.uid.clone(), DestinationId(target.pod_group));
         let batch = self.batches.get(usize::from(kind.0)).copied().unwrap_or(1);
         let is_apart = self.apart.get(usize::from(kind.0)).copied().unwrap_or_default();
         match mode {
-            Mode::Gone => drop(self.unlisted.insert(id, uid.clone())),
-            Mode::Ready | Mode::Draining => drop(self.unlisted.remove(&id)),
+            Availability::Removed => drop(self.unlisted.insert(id, uid.clone())),
+            Availability::Ready | Availability::Draining => drop(self.unlisted.remove(&id)),
         }
         self.entries.insert(id, Entry { uid, zone, destination, address, mode, batch, is_apart });
         Endpoint { id, zone, kind, destination, mode, weight: target.capacity_hint }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -6,6 +6,6 @@
 mod directory;
 mod watch;
 
-pub use agent::{connect, Agent, AgentError, Connection, ANSWER};
-pub use directory::{Directory, Numbers, Target, Update};
-pub use watch::{News, Watch};
+pub use agent::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
+pub use directory::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory, EndpointIdTable};
+pub use watch::{EndpointWatch, WatchEvent};
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -8,9 +8,9 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::agent::{connect, Agent, AgentError, Connection, ANSWER};
-use super::directory::Update;
-use crate::{Listing, WATCH_PATIENCE};
+use super::agent::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
+use super::directory::DiscoveryUpdate;
+use crate::{EndpointUpdate, WATCH_RESPONSE_TIMEOUT};
 
 /// The watch has an empty line every 2 s; silence for this long is an outage of discovery. What was missed counts
 /// as told after 6 s, so that there is no time for a longer wait.
@@ -20,28 +20,28 @@
 
 /// What the watch has to tell.
 #[derive(Debug)]
-pub enum News {
+pub enum WatchEvent {
     /// The whole list, or what has changed in it.
-    Listed(Update),
+    Updated(DiscoveryUpdate),
     /// The watch is up.
-    Watched,
-    /// It is not: [`Listing::Failed`], or [`Listing::Refused`] as discovery has more to do than it can.
-    Unwatched(Listing),
+    Established,
+    /// It is not: [`EndpointUpdate::WatchFailed`], or [`EndpointUpdate::WatchRejected`] as discovery has more to do than it can.
+    Broken(EndpointUpdate),
 }
 
 /// The watch on the list, from its last version on.
-pub struct Watch {
+pub struct EndpointWatch {
     /// Where to ask.
-    pub agent: Agent,
+    pub agent: AgentAddress,
     /// The version of the list that is known already.
     pub rev: u64,
     /// What breaks is begun anew when the module says so.
     pub again: watch::Receiver<()>,
 }
 
-impl Watch {
+impl EndpointWatch {
     /// Begins after some time, and says what it hears; ends when nobody can tell any more where the agent is.
-    pub async fn run(mut self, first: Duration, tell: impl Fn(News)) {
+    pub async fn run(mut self, first: Duration, tell: impl Fn(WatchEvent)) {
         let mut down = false;
         let mut agent = self.agent.clone();
         // Another agent may know another list: it is asked for the whole of it first, and at once.
@@ -59,10 +59,10 @@
                 }
             };
             let why = match &result {
-                Err(AgentError::Status(StatusCode::SERVICE_UNAVAILABLE) | AgentError::Unserved) => {
-                    Listing::Refused
-                }
-                _ => Listing::Failed,
+                Err(
+                    DiscoveryError::Status(StatusCode::SERVICE_UNAVAILABLE) | DiscoveryError::WatchNotServed,
+                ) => EndpointUpdate::WatchRejected,
+                _ => EndpointUpdate::WatchFailed,
             };
             let reason = result.err().map_or_else(|| "ended".to_owned(), |error| error.to_string());
             if !down {
@@ -70,7 +70,7 @@
                 down = true;
             }
             self.again.mark_unchanged();
-            tell(News::Unwatched(why));
+            tell(WatchEvent::Broken(why));
             tokio::select! {
                 Ok(()) = self.again.changed() => {}
                 changed = agent.changed() => whole |= changed.is_ok(),
@@ -82,17 +82,17 @@
         &mut self,
         agent: &str,
         whole: &mut bool,
-        tell: &impl Fn(News),
+        tell: &impl Fn(WatchEvent),
         down: &mut bool,
-    ) -> Result<(), AgentError> {
+    ) -> Result<(), DiscoveryError> {
         let mut connection = connect(agent).await?;
         if *whole {
             let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
-            let list = timeout(WATCH_PATIENCE, fetch(&mut connection, request)).await??;
+            let list = timeout(WATCH_RESPONSE_TIMEOUT, fetch(&mut connection, request)).await??;
             // An agent that has heard less than the one before must not take back a drain.
             if list.rev >= self.rev {
                 self.rev = list.rev;
-                tell(News::Listed(Update { all: true, ..list }));
+                tell(WatchEvent::Updated(DiscoveryUpdate { all: true, ..list }));
             }
             *whole = false;
             timeout(ANSWER, connection.ready()).await??;
@@ -100,9 +100,9 @@
         let request = Request::get(format!("/v1/endpoints?watch=1&after={}", self.rev))
             .header("Host", agent)
             .body(Full::default())?;
-        let response = timeout(WATCH_PATIENCE, connection.send_request(request)).await??;
+        let response = timeout(WATCH_RESPONSE_TIMEOUT, connection.send_request(request)).await??;
         if response.status() != StatusCode::OK {
-            return Err(AgentError::Status(response.status()));
+            return Err(DiscoveryError::Status(response.status()));
         }
         let mut body = response.into_body();
         let mut buffer: Vec<u8> = Vec::new();
@@ -113,11 +113,11 @@
         let mut told = false;
         while let Some(part) = timeout(SILENCE, body.frame()).await? {
             if part.is_err() && !told {
-                return Err(AgentError::Unserved);
+                return Err(DiscoveryError::WatchNotServed);
             }
             if !told {
                 told = true;
-                tell(News::Watched);
+                tell(WatchEvent::Established);
             }
             if *down {
                 info!(rev = self.rev, "the list is being watched again");
@@ -131,7 +131,7 @@
                 let line = &buffer[begun..=end];
                 let blank = line.trim_ascii().is_empty();
                 if begun > 0 && blank {
-                    return Err(AgentError::Long);
+                    return Err(DiscoveryError::TooLong);
                 }
                 // What is indented belongs to the object, whose end alone is worth a look.
                 if begun > 0 && line[0].is_ascii_whitespace() {
@@ -139,10 +139,10 @@
                     continue;
                 }
                 if !blank {
-                    match serde_json::from_slice::<Update>(&buffer[..=end]) {
+                    match serde_json::from_slice::<DiscoveryUpdate>(&buffer[..=end]) {
                         Ok(update) => {
                             self.rev = update.rev;
-                            tell(News::Listed(update));
+                            tell(WatchEvent::Updated(update));
                         }
                         Err(error) if error.is_eof() => {
                             begun = end + 1;
@@ -156,7 +156,7 @@
             }
             searched = buffer.len();
             if buffer.len() > LONGEST_LIST {
-                return Err(AgentError::Long);
+                return Err(DiscoveryError::TooLong);
             }
         }
         Ok(())
@@ -164,11 +164,14 @@
 }
 
 /// The whole list.
-async fn fetch(connection: &mut Connection, request: Request<Full<Bytes>>) -> Result<Update, AgentError> {
+async fn fetch(
+    connection: &mut Connection,
+    request: Request<Full<Bytes>>,
+) -> Result<DiscoveryUpdate, DiscoveryError> {
     let response = connection.send_request(request).await?;
     if response.status() != StatusCode::OK {
-        return Err(AgentError::Status(response.status()));
+        return Err(DiscoveryError::Status(response.status()));
     }
     let body = Limited::new(response.into_body(), LONGEST_LIST).collect().await;
-    Ok(serde_json::from_slice(&body.map_err(|_| AgentError::Long)?.to_bytes())?)
+    Ok(serde_json::from_slice(&body.map_err(|_| DiscoveryError::TooLong)?.to_bytes())?)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,29 +1,31 @@
-//! Decisions of an outbound delivery gateway ("courier") that calls many partners' systems.
+//! The delivery gateway's scheduler, and what the programs around it share.
 //!
-//! [`Courier`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It opens no
-//! socket, reads no clock and shares nothing: its randomness comes from the seed, its time from the caller.
-//! Call [`Courier::handle`] for every event, then [`Courier::decide`] once.
+//! [`Scheduler`] decides which message goes to which endpoint, and when. It is told what happens ([`Event`]) and
+//! answers with what to do ([`Action`]). It opens no socket, reads no clock and shares nothing: its randomness comes
+//! from the seed, its time from the caller. Call [`Scheduler::handle`] for every event, then [`Scheduler::decide`]
+//! once.
 //!
 //! ```
-//! use delivery_gateway::{Accepted, Action, Class, Courier, Effect, Endpoint, Event, Listing, Mode};
-//! use delivery_gateway::{Settings, Time, ClassId, DestinationId, EndpointId, KindId, MessageId, TenantId, ZoneId};
+//! use delivery_gateway::{AcceptedMessage, Action, Availability, Class, Endpoint, EndpointUpdate, Event};
+//! use delivery_gateway::{ClassId, DestinationId, DestinationKindId, EndpointId, MessageId, TenantId, ZoneId};
+//! use delivery_gateway::{Idempotency, Scheduler, Settings, Time};
 //! use std::time::Duration;
 //!
-//! let class = Class { effect: Effect::Unsafe, ..Class::default() };
-//! let settings = Settings { classes: vec![class], couriers: 1, ..Settings::default() };
-//! let mut courier = Courier::new(settings, 7);
+//! let class = Class { idempotency: Idempotency::NonIdempotent, ..Class::default() };
+//! let settings = Settings { classes: vec![class], fleet_size: 1, ..Settings::default() };
+//! let mut scheduler = Scheduler::new(settings, 7);
 //! let now = Time::ZERO + Duration::from_secs(1);
-//! courier.handle(now, Event::Listed(Listing::Whole(vec![Endpoint {
-//!     id: EndpointId(11), zone: ZoneId(0), kind: KindId(0), destination: DestinationId(3),
-//!     mode: Mode::Ready, weight: 10.0,
+//! scheduler.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![Endpoint {
+//!     id: EndpointId(11), zone: ZoneId(0), kind: DestinationKindId(0), destination: DestinationId(3),
+//!     mode: Availability::Ready, weight: 10.0,
 //! }])));
-//! courier.handle(now, Event::Accept(Accepted {
+//! scheduler.handle(now, Event::MessageAccepted(AcceptedMessage {
 //!     id: MessageId(1), class: ClassId(0), destination: DestinationId(3), key: None,
-//!     deadline: now + Duration::from_secs(20), from_dead_courier: false, tenant: TenantId(0),
+//!     deadline: now + Duration::from_secs(20), redelivered: false, tenant: TenantId(0),
 //! }));
 //! let mut actions = Vec::new();
-//! courier.decide(now, &mut actions);
-//! assert!(matches!(actions[0], Action::Route { message: MessageId(1), endpoint: EndpointId(11), .. }));
+//! scheduler.decide(now, &mut actions);
+//! assert!(matches!(actions[0], Action::StartAttempt { message: MessageId(1), endpoint: EndpointId(11), .. }));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -34,6 +36,6 @@
 mod scheduler;
 pub mod socket;
 
-pub use config::{parse_settings, parse_settings_json, Parsed, SettingError};
+pub use config::{settings_from_json, settings_from_lines, Parsed, SettingError};
 pub use model::*;
-pub use scheduler::{Courier, Work, WATCH_PATIENCE};
+pub use scheduler::{Scheduler, WorkCounters, WATCH_RESPONSE_TIMEOUT};
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -58,30 +58,30 @@
     ClassId(u8);
     /// Index into [`Settings::tenants`].
     TenantId(u32);
-    /// Index into [`Settings::kinds`].
-    KindId(u16);
+    /// Index into [`Settings::destination_kinds`].
+    DestinationKindId(u16);
     /// A location.
     ZoneId(u8);
     /// What messages of an ordered class are about; those with one key go in turn.
-    OrderKey(u64);
+    OrderingKey(u64);
 }
 
 /// What a repeat of a message does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// A repeat does no harm.
-    Safe,
+    Idempotent,
     /// A repeat under the same key is dropped, inside a group of endpoints and for a time.
-    Keyed,
+    IdempotentWithKey,
     /// A repeat takes effect again.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which endpoints of a destination drop repeats of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
-    All,
+    Destination,
     /// Those of the zone that was called first.
     Zone,
 }
@@ -90,34 +90,34 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Delivered within this time after the hand-in, it earns its full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// How long after the hand-in it may be delivered at all.
     pub deadline: Duration,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Keyed classes: who drops repeats.
-    pub group: Group,
+    pub deduplication_scope: DeduplicationScope,
     /// Keyed classes: for how long from the sending of the first attempt that may have run.
-    pub repeat_window: Duration,
+    pub idempotency_window: Duration,
     /// Messages with one key go one at a time, in the order taken.
-    pub in_order: bool,
+    pub ordered: bool,
     /// Worth of a message delivered on time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that is left at the deadline, see [`Decay`].
-    pub late_share: f64,
+    pub late_value_ratio: f64,
 }
 
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: Duration::from_secs(3),
+            latency_objective: Duration::from_secs(3),
             deadline: Duration::from_secs(20),
-            effect: Effect::Keyed,
-            group: Group::All,
-            repeat_window: Duration::from_secs(10),
-            in_order: false,
-            worth: 1.0,
-            late_share: 0.5,
+            idempotency: Idempotency::IdempotentWithKey,
+            deduplication_scope: DeduplicationScope::Destination,
+            idempotency_window: Duration::from_secs(10),
+            ordered: false,
+            priority_weight: 1.0,
+            late_value_ratio: 0.5,
         }
     }
 }
@@ -126,16 +126,16 @@
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Messages a second over all couriers inside its share; what is beyond is worth little.
-    pub quota: f64,
+    pub quota_per_sec: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct DestinationKind {
     /// Messages that one call may carry.
     pub batch: usize,
     /// The endpoints of a destination are separate routes, each with its own limit, pace and outages.
-    pub own_limits: bool,
+    pub per_endpoint_limits: bool,
 }
 
 /// What an endpoint's weight means.
@@ -152,97 +152,97 @@
 /// How the worth of a message falls once its aim has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to [`Class::late_share`] at the deadline.
-    Line,
-    /// By half with each further aim, but not under [`Class::late_share`].
-    Halves,
+    /// Evenly, down to [`Class::late_value_ratio`] at the deadline.
+    Linear,
+    /// By half with each further aim, but not under [`Class::late_value_ratio`].
+    Halving,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct DeliveryLimits {
     /// A final answer still counts this long after the deadline.
-    pub answer_slack: Duration,
+    pub final_outcome_grace: Duration,
     /// A destination back from an outage can do at least this share of its capacity.
-    pub cold_from: f64,
+    pub cold_capacity_ratio: f64,
     /// It is warm after this at the latest.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// Sent more than this multiple of what it can do just now ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold destination falls over.
-    pub fall: Duration,
+    pub overload_window: Duration,
     /// Calls to an endpoint end within this time from when it is told that it drains or is gone.
-    pub stop_sending: Duration,
+    pub drain_grace: Duration,
     /// A key rests this long after an attempt that may still be running.
-    pub order_settle: Duration,
+    pub ordering_key_hold: Duration,
 }
 
 /// What a courier is handed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Couriers that share the destinations, this one included.
-    pub couriers: u32,
+    pub fleet_size: u32,
     /// Classes of message.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Kinds of destination.
-    pub kinds: Vec<Kind>,
+    pub destination_kinds: Vec<DestinationKind>,
     /// What weights mean.
     pub weights: WeightSource,
     /// How worth falls after the aim.
     pub decay: Decay,
     /// What a message costs that a route of its own in this location takes on, by [`ZoneId`]; none where absent.
-    pub zone_fees: Vec<f64>,
+    pub zone_costs: Vec<f64>,
     /// Calls that may be out at once.
-    pub call_slots: usize,
+    pub max_in_flight_calls: usize,
     /// Messages that may be held; further ones are turned away before the courier.
-    pub most_held: usize,
+    pub max_pending_messages: usize,
     /// Most attempts for one message.
-    pub send_cap: u32,
-    /// [`Action::StopAttempt`] is permitted.
-    pub cancel: bool,
+    pub max_attempts: u32,
+    /// [`Action::CancelAttempt`] is permitted.
+    pub allow_cancel: bool,
     /// A message may have two attempts out at once.
-    pub second_copies: bool,
-    /// A final answer is over, and frees its key, only when [`Event::Heard`] says that it has arrived.
-    pub answers_take_time: bool,
+    pub allow_hedging: bool,
+    /// A final answer is over, and frees its key, only when [`Event::OutcomeAcknowledged`] says that it has arrived.
+    pub outcomes_need_acknowledgement: bool,
     /// Worth of a message beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value_ratio: f64,
     /// A connection that takes longer has failed.
     pub connect_timeout: Duration,
     /// An idle connection is closed after this.
-    pub conn_idle: Duration,
+    pub connection_idle_timeout: Duration,
     /// The figures of the rules.
-    pub rules: Rules,
+    pub limits: DeliveryLimits,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            couriers: 2,
+            fleet_size: 2,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            kinds: vec![Kind { batch: 1, own_limits: false }],
+            destination_kinds: vec![DestinationKind { batch: 1, per_endpoint_limits: false }],
             weights: WeightSource::Nominal,
-            decay: Decay::Line,
-            zone_fees: Vec::new(),
-            call_slots: 16,
-            most_held: 400,
-            send_cap: 8,
-            cancel: true,
-            second_copies: false,
-            answers_take_time: false,
-            over_share_worth: 1.0,
+            decay: Decay::Linear,
+            zone_costs: Vec::new(),
+            max_in_flight_calls: 16,
+            max_pending_messages: 400,
+            max_attempts: 8,
+            allow_cancel: true,
+            allow_hedging: false,
+            outcomes_need_acknowledgement: false,
+            over_quota_value_ratio: 1.0,
             connect_timeout: Duration::from_secs(1),
-            conn_idle: Duration::from_secs(15),
-            rules: Rules {
-                answer_slack: Duration::from_millis(20),
-                cold_from: 0.2,
-                cold: Duration::from_secs(10),
-                tip_multiple: 2.0,
-                fall: Duration::from_secs(2),
-                stop_sending: Duration::from_secs(2),
-                order_settle: Duration::ZERO,
+            connection_idle_timeout: Duration::from_secs(15),
+            limits: DeliveryLimits {
+                final_outcome_grace: Duration::from_millis(20),
+                cold_capacity_ratio: 0.2,
+                warm_up: Duration::from_secs(10),
+                overload_multiple: 2.0,
+                overload_window: Duration::from_secs(2),
+                drain_grace: Duration::from_secs(2),
+                ordering_key_hold: Duration::ZERO,
             },
         }
     }
@@ -250,13 +250,13 @@
 
 /// Whether an endpoint may be given new work. It says nothing of health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Mode {
+pub enum Availability {
     /// Listed.
     Ready,
     /// To be sent nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of endpoints.
@@ -267,31 +267,31 @@
     /// Where it stands.
     pub zone: ZoneId,
     /// What kind of destination it belongs to.
-    pub kind: KindId,
+    pub kind: DestinationKindId,
     /// The destination that it belongs to.
     pub destination: DestinationId,
     /// Whether it may be given new work.
-    pub mode: Mode,
+    pub mode: Availability,
     /// See [`WeightSource`].
     pub weight: f64,
 }
 
 /// News of the list of endpoints.
 #[derive(Clone, Debug)]
-pub enum Listing {
+pub enum EndpointUpdate {
     /// Altered entries only.
-    Changes(Vec<Endpoint>),
+    Delta(Vec<Endpoint>),
     /// The whole list; what it does not name is gone.
-    Whole(Vec<Endpoint>),
+    Snapshot(Vec<Endpoint>),
     /// The list could not be had, or the watch on it broke; the prior one remains valid.
-    Failed,
+    WatchFailed,
     /// So it is, as discovery has more to do than it can.
-    Refused,
+    WatchRejected,
 }
 
 /// A message that the courier now owes one final answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedMessage {
     /// Its id, which never comes twice.
     pub id: MessageId,
     /// Its class.
@@ -299,82 +299,91 @@
     /// Where it must go.
     pub destination: DestinationId,
     /// Its key, if it has one.
-    pub key: Option<OrderKey>,
+    pub key: Option<OrderingKey>,
     /// When it is given up.
     pub deadline: Time,
     /// A courier that died held it before; a keyed one may have run there.
-    pub from_dead_courier: bool,
+    pub redelivered: bool,
     /// Whose it is.
     pub tenant: TenantId,
 }
 
+/// When and where an attempt was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentAttempt {
+    /// When its first byte may have left.
+    pub sent_at: Time,
+    /// The zone of the endpoint that it went to.
+    pub zone: ZoneId,
+}
+
 /// A message that this courier took before it was started again.
 #[derive(Clone, Debug)]
-pub struct Restored {
+pub struct RestoredMessage {
     /// The message as it was taken.
-    pub taken: Accepted,
+    pub message: AcceptedMessage,
     /// Attempts made for it.
     pub attempts: u32,
     /// When the first attempt that may have run was sent, and to which zone.
-    pub maybe_ran: Option<(Time, ZoneId)>,
+    pub first_uncertain_attempt: Option<SentAttempt>,
     /// Its final answer was given, but not yet heard: it keeps its key until then.
-    pub answered: bool,
+    pub outcome_recorded: bool,
 }
 
 /// What a courier saw of an outage, for its next start: the rule on returning destinations still counts it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outage {
+pub struct CircuitRecord {
     /// Where.
     pub destination: DestinationId,
     /// One endpoint of it, where its endpoints are separate routes.
     pub endpoint: Option<EndpointId>,
     /// The last success before it.
-    pub since: Time,
+    pub last_success_at: Time,
     /// Weight of the failures seen.
-    pub evidence: u32,
+    pub failure_score: u32,
     /// Calls were lost there, not just refused; none while it is not held to be out.
-    pub lost: Option<bool>,
+    pub calls_lost: Option<bool>,
     /// When its slow return began.
-    pub returned: Option<Time>,
+    pub slow_start_since: Option<Time>,
     /// Calls a second that were served there before.
-    pub share: f64,
+    pub baseline_rate: f64,
 }
 
 /// What is to be remembered of one route now; nothing where the outage is over or its endpoint is gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ChangedOutage {
+pub struct CircuitChange {
     /// Where.
     pub destination: DestinationId,
     /// One endpoint of it, where its endpoints are separate routes.
     pub endpoint: Option<EndpointId>,
     /// What is to be remembered.
-    pub outage: Option<Outage>,
+    pub record: Option<CircuitRecord>,
 }
 
 /// Why a route takes no more than it does, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RouteState {
+pub struct RouteStatus {
     /// The endpoint, where its endpoints are separate routes.
     pub endpoint: Option<EndpointId>,
     /// Calls out.
-    pub out: usize,
+    pub in_flight: usize,
     /// Calls a second that this courier may send now.
-    pub pace: f64,
+    pub rate_limit_per_sec: f64,
     /// What is left of a told wait.
-    pub wait: Duration,
+    pub retry_after: Duration,
     /// Held to be out.
-    pub sick: bool,
+    pub circuit_open: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Delivered.
-    Ok,
+    Delivered,
     /// Answered with an error; may have run.
-    Error,
+    ErrorResponse,
     /// Turned away unseen: above the limit, queue full, shut or draining. Told to wait for this long, if at all.
-    Full(Option<Duration>),
+    Rejected(Option<Duration>),
     /// No answer in time; may have run, or may still run.
     Timeout,
     /// No connection; never ran.
@@ -382,47 +391,47 @@
     /// The connection broke; may have run.
     Reset,
     /// Answered with what cannot be read; may have run.
-    Spoilt,
+    MalformedResponse,
     /// Called off by the courier; may have run.
     Cancelled,
     /// Not sent at all (no free slot, message over).
-    Moot,
+    NotSent,
     /// Not sent: the message has had all its attempts.
-    Spent,
+    AttemptsExhausted,
     /// Turned away for the connection that it came on: the endpoint has too many. Its limit was not met.
-    Crowded,
+    TooManyConnections,
     /// The courier's own machine could not make the attempt (its disk, descriptors, memory or ports): it is none of
     /// those that the message has, and says nothing of the endpoint.
-    NotMade,
+    LocalFailure,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether the attempt has surely not run.
-    pub fn never_ran(self) -> bool {
+    pub fn was_not_processed(self) -> bool {
         matches!(
             self,
-            Outcome::Full(_)
-                | Outcome::ConnectFailed
-                | Outcome::Moot
-                | Outcome::Spent
-                | Outcome::Crowded
-                | Outcome::NotMade
+            AttemptOutcome::Rejected(_)
+                | AttemptOutcome::ConnectFailed
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::AttemptsExhausted
+                | AttemptOutcome::TooManyConnections
+                | AttemptOutcome::LocalFailure
         )
     }
 }
 
 /// What a destination told of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Allowance {
+pub struct LoadReport {
     /// Share of the limit that is left just now.
-    pub left: f64,
+    pub headroom: f64,
     /// The limit in calls a second over all couriers; zero where there is none.
-    pub limit: f64,
+    pub limit_per_sec: f64,
 }
 
 /// The end of one attempt. Each routed attempt has exactly one.
 #[derive(Clone, Debug)]
-pub struct Finished {
+pub struct FinishedAttempt {
     /// The message.
     pub message: MessageId,
     /// Where the attempt went.
@@ -430,65 +439,65 @@
     /// The how-manieth attempt of the message, from 0.
     pub attempt: u16,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub latency: Duration,
     /// The message is over; if not, its final answer is still owed.
     pub complete: bool,
     /// What was told of the limit.
-    pub allowance: Option<Allowance>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the list.
-    Listed(Listing),
+    EndpointsUpdated(EndpointUpdate),
     /// The watch on the list is up.
-    Watching,
+    WatchEstablished,
     /// A message was taken.
-    Accept(Accepted),
+    MessageAccepted(AcceptedMessage),
     /// A message taken before a restart. They come in the order in which they were taken, before all others.
-    Restored(Restored),
+    MessageRestored(RestoredMessage),
     /// An outage seen before a restart; comes after the list.
-    Recalled(Outage),
-    /// The final answer of a message has arrived (see [`Settings::answers_take_time`]).
-    Heard(MessageId),
+    CircuitRestored(CircuitRecord),
+    /// The final answer of a message has arrived (see [`Settings::outcomes_need_acknowledgement`]).
+    OutcomeAcknowledged(MessageId),
     /// The courier ends at this time: no call is begun that would not be over by then.
-    Closing(Time),
+    ShutdownScheduled(Time),
     /// Operators leave an endpoint out, whatever the list says; it need not be listed. It may come twice.
-    Detach(EndpointId),
+    EndpointDisabled(EndpointId),
     /// They use it again. It may have been restarted meanwhile.
-    Attach(EndpointId),
+    EndpointEnabled(EndpointId),
     /// Operators empty the courier, or put it back to work.
     LameDuck(bool),
     /// An answer that took messages on told to wait all the same. Refusals bring their own
-    /// ([`Outcome::Full`]).
-    ToldWait {
+    /// ([`AttemptOutcome::Rejected`]).
+    RetryAfter {
         /// Who told it.
         endpoint: EndpointId,
         /// How long, from now.
-        wait: Duration,
+        delay: Duration,
     },
     /// An attempt ended.
-    Finished(Finished),
+    AttemptFinished(FinishedAttempt),
     /// Nobody wants this message any more; no answer is owed.
-    ClientGone(MessageId),
-    /// A timer asked for by [`Action::Wake`] has come due.
-    TickDue(u64),
+    MessageAbandoned(MessageId),
+    /// A timer asked for by [`Action::SetTimer`] has come due.
+    TimerFired(u64),
     /// The answer of a streamed message has begun; the attempt now belongs to the client.
-    FirstByte(MessageId),
+    ResponseStarted(MessageId),
     /// A probe's result.
-    Probed {
+    ProbeFinished {
         /// Which endpoint.
         endpoint: EndpointId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Time since it was sent.
         latency: Duration,
     },
     /// A note of another courier.
-    Note {
+    PeerNote {
         /// Its number.
         from: u32,
         /// What it says.
@@ -500,24 +509,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call this endpoint with this message. Routes of one `decide` to one endpoint share a call as far as
-    /// [`Kind::batch`] allows.
-    Route {
+    /// [`DestinationKind::batch`] allows.
+    StartAttempt {
         /// The message.
         message: MessageId,
         /// Where to.
         endpoint: EndpointId,
         /// The attempt's time-out.
-        try_for: Duration,
+        attempt_timeout: Duration,
         /// Its first byte may leave within this time: what takes longer to connect is not sent any more
-        /// ([`Outcome::Moot`]).
-        leave_within: Duration,
+        /// ([`AttemptOutcome::NotSent`]).
+        send_within: Duration,
     },
     /// Final answer: handed back; the client may safely hand it in again.
-    Busy {
+    Reject {
         /// The message.
         message: MessageId,
         /// After how long the client does well to come again.
-        after: Duration,
+        retry_after: Duration,
     },
     /// Final answer: given up; the client is not told whether it took effect.
     ReportFailure {
@@ -525,21 +534,21 @@
         message: MessageId,
     },
     /// Stop waiting for an attempt.
-    StopAttempt {
+    CancelAttempt {
         /// The message.
         message: MessageId,
         /// Which attempt, from 0.
         attempt: u16,
     },
-    /// Ask for a [`Event::TickDue`] with this token after this time.
-    Wake {
+    /// Ask for a [`Event::TimerFired`] with this token after this time.
+    SetTimer {
         /// How long from now.
         after: Duration,
         /// Comes back with the event.
         token: u64,
     },
     /// Close the idle connections to an endpoint.
-    CloseIdle {
+    CloseIdleConnections {
         /// Which endpoint.
         endpoint: EndpointId,
     },
@@ -549,7 +558,7 @@
         endpoint: EndpointId,
     },
     /// Send a note of at most 256 bytes to one courier, or to all.
-    Tell {
+    SendNote {
         /// A courier's number; all of them where absent.
         to: Option<u16>,
         /// What it says.
@@ -561,10 +570,10 @@
         text: String,
     },
     /// Subscribe to changes of the list, or end the subscription.
-    KeepInformed {
+    WatchEndpoints {
         /// On or off.
         active: bool,
     },
     /// Ask for the whole list once.
-    Refresh,
+    FetchEndpoints,
 }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -4,7 +4,7 @@
 use super::state::queue::{Lane, Standing};
 use super::*;
 
-impl Courier {
+impl Scheduler {
     /// Which calls would be over in time goes by the moment: until the end all is looked at in each step.
     pub(super) fn on_closing(&mut self, at: Time) {
         (self.closing, self.agenda.all) = ((at < Time(u64::MAX)).then_some(at), true);
@@ -43,13 +43,16 @@
 
     /// How a message stands in its queue: one that was never tried differs from its like in its age alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
-        let turns = self.class(message).in_order && message.taken.key.is_some();
+        let turns = self.class(message).ordered && message.taken.key.is_some();
         if message.out.is_some() {
             Standing::Out
-        } else if turns || message.maybe_ran.is_some() || message.attempts >= self.settings.send_cap {
+        } else if turns
+            || message.first_uncertain_attempt.is_some()
+            || message.attempts >= self.settings.max_attempts
+        {
             Standing::Apart
         } else {
-            let lane = (message.taken.class, message.over_share);
+            let lane = (message.taken.class, message.over_quota);
             Standing::Among { lane, born: message.born, not_before: message.not_before }
         }
     }
@@ -76,12 +79,14 @@
         let best = index.map(|mut index| {
             let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
             let stage = |lane: Lane, born: Time| {
-                let (age, aim) = ((now - born).as_secs_f64(), class(lane).aim.as_secs_f64());
+                let (age, latency_objective) =
+                    ((now - born).as_secs_f64(), class(lane).latency_objective.as_secs_f64());
                 let value = |age: f64| class(lane).value(self.settings.decay, age).1;
-                value(age) + value(age + aim)
+                value(age) + value(age + latency_objective)
             };
             index.advance(now, stage);
-            let best = index.candidates(|lane| unsafe_apart && class(lane).effect == Effect::Unsafe);
+            let best = index
+                .candidates(|lane| unsafe_apart && class(lane).idempotency == Idempotency::NonIdempotent);
             queue.give_back(index);
             best
         });
@@ -112,16 +117,17 @@
         self.agenda.all = true;
         let hanging = self.calls.iter().filter(|(_, call)| call.stalled && !call.called_off);
         self.agenda.hanging = hanging.map(|(id, _)| *id).collect();
-        let gone = self.addresses.values().filter(|address| address.entry.mode == Mode::Gone);
+        let gone = self.addresses.values().filter(|address| address.entry.mode == Availability::Removed);
         self.agenda.gone = gone.map(|address| address.entry.id).collect();
-        self.agenda.outages = self.routes.keys().copied().filter(|id| self.is_noted(*id)).collect();
+        self.agenda.circuit_records = self.routes.keys().copied().filter(|id| self.is_noted(*id)).collect();
         let calling = self.routes.iter().filter(|(_, route)| !route.out.is_empty());
         calling.map(|(id, _)| *id).collect::<Vec<_>>().into_iter().for_each(|id| self.plan_stall(id));
     }
 
     /// Whether something of a route is to be remembered over a restart.
     pub(super) fn is_noted(&self, id: RouteId) -> bool {
-        let noted = |route: &Route| route.evidence > 0 || route.spell.is_some() || route.returned.is_some();
+        let noted =
+            |route: &Route| route.failure_score > 0 || route.spell.is_some() || route.returned.is_some();
         self.routes.get(&id).is_some_and(noted)
     }
 
@@ -137,7 +143,7 @@
             if route_id.1.is_some() {
                 self.routes.remove(&route_id);
                 self.plan_stall(route_id);
-                self.agenda.outages.insert(route_id);
+                self.agenda.circuit_records.insert(route_id);
             }
         }
     }
