--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -16,7 +16,7 @@
 mod state;
 
 use state::queue::{Queue, Seq};
-pub use state::ready_index::Work;
+pub use state::ready_index::WorkCounters;
 use state::ready_index::{earliest, Agenda, Look};
 use state::*;
 
@@ -133,7 +133,7 @@
 /// and together they must ask less than it can answer, or none of them hears of it again.
 const WATCH_GAPS_REFUSED: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
 /// ... but never longer than this: what discovery has counts as told 6 s later, also to whom it refused, and
-/// 2 s after that nothing may go to what drains; the answer may take `WATCH_PATIENCE`. Where this binds, all
+/// 2 s after that nothing may go to what drains; the answer may take `WATCH_RESPONSE_TIMEOUT`. Where this binds, all
 /// couriers have grown to it, and spread over its second half.
 const WATCH_GAP_LONGEST: Duration = Duration::from_secs(5);
 /// Within so much for each courier it is asked for the first time: what a herd asks for at its start is done
@@ -143,16 +143,16 @@
 /// away counts as told.
 const WATCH_FIRST_OF_DRAIN: f64 = 0.5;
 /// How long discovery may take to answer: who hangs up has made it work for nothing, and asks once more.
-pub const WATCH_PATIENCE: Duration = Duration::from_secs(3);
+pub const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// While operators empty the courier, clients that have not yet heard of it are served for so long.
 const LAME_GRACE: Duration = Duration::from_secs(3);
 
 // ---- State ----
 
 /// A courier: records events in `handle`, acts in `decide`. All that it keeps in mind can be passed on to
-/// another process, which goes on with [`Courier::resumed`].
+/// another process, which goes on with [`Scheduler::resumed`].
 #[derive(Default, Serialize, Deserialize)]
-pub struct Courier {
+pub struct Scheduler {
     #[serde(skip)]
     settings: Settings,
     #[serde(skip)]
@@ -167,8 +167,8 @@
     shares: BTreeMap<TenantId, (f64, Time)>,
     open: usize,
     deadlines: BTreeSet<(Time, MessageId)>,
-    keys: BTreeMap<OrderKey, Vec<MessageId>>,
-    rests: BTreeMap<OrderKey, Time>,
+    keys: BTreeMap<OrderingKey, Vec<MessageId>>,
+    rests: BTreeMap<OrderingKey, Time>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
     /// Latency over all destinations: what one that was never called is assumed to need.
@@ -200,72 +200,77 @@
     agenda: Agenda,
 }
 
-impl Courier {
+impl Scheduler {
     /// A courier that knows only its settings; `seed` is its one source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let first = shortest_aim(&settings) * FIRST_LATENCY_OF_AIM;
         let usual = Latency { mean: first, deviation: first, samples: 0 };
-        Courier { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Courier::default() }
+        Scheduler { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Scheduler::default() }
     }
 
     /// Goes on in another process, in the place of a `fresh` courier with the same settings: nothing that
     /// happened is forgotten but that the old process is to end.
-    pub fn resumed(self, fresh: Courier) -> Self {
-        let mut courier = Courier { settings: fresh.settings, rng: fresh.rng, closing: None, ..self };
+    pub fn resumed(self, fresh: Scheduler) -> Self {
+        let mut courier = Scheduler { settings: fresh.settings, rng: fresh.rng, closing: None, ..self };
         courier.rebuild_agenda();
         courier
     }
 
-    /// Records one event. Call [`Courier::decide`] after the last one of a batch.
+    /// Records one event. Call [`Scheduler::decide`] after the last one of a batch.
     pub fn handle(&mut self, now: Time, event: Event) {
         match event {
-            Event::Listed(listing) => self.on_listing(now, listing),
-            Event::Watching => (self.refused, self.watch_at) = (0, None),
-            Event::Accept(message) => self.on_accept(now, message),
-            Event::Restored(message) => self.on_restored(now, message),
-            Event::Recalled(outage) => self.on_recalled(now, outage),
-            Event::Heard(id) => {
+            Event::EndpointsUpdated(listing) => self.on_listing(now, listing),
+            Event::WatchEstablished => (self.refused, self.watch_at) = (0, None),
+            Event::MessageAccepted(message) => self.on_accept(now, message),
+            Event::MessageRestored(message) => self.on_restored(now, message),
+            Event::CircuitRestored(outage) => self.on_recalled(now, outage),
+            Event::OutcomeAcknowledged(id) => {
                 if let Some(message) = self.messages.get_mut(&id) {
                     message.unheard = false;
                 }
                 self.forget_if_over(id);
             }
-            Event::Closing(at) => self.on_closing(at),
-            Event::Detach(endpoint) => self.on_detach(endpoint),
-            Event::Attach(endpoint) => self.on_attach(now, endpoint),
+            Event::ShutdownScheduled(at) => self.on_closing(at),
+            Event::EndpointDisabled(endpoint) => self.on_detach(endpoint),
+            Event::EndpointEnabled(endpoint) => self.on_attach(now, endpoint),
             Event::LameDuck(on) => self.lame_since = on.then(|| self.lame_since.unwrap_or(now)),
-            Event::ToldWait { endpoint, wait } => self.on_told_wait(now, endpoint, wait),
-            Event::Finished(finished) => self.on_finished(now, finished),
-            Event::ClientGone(id) => self.close(id),
-            Event::TickDue(token) => self.wake = self.wake.filter(|(_, set)| *set != token),
-            Event::FirstByte(_) | Event::Probed { .. } | Event::Note { .. } => {}
+            Event::RetryAfter { endpoint, delay } => self.on_told_wait(now, endpoint, delay),
+            Event::AttemptFinished(finished) => self.on_finished(now, finished),
+            Event::MessageAbandoned(id) => self.close(id),
+            Event::TimerFired(token) => self.wake = self.wake.filter(|(_, set)| *set != token),
+            Event::ResponseStarted(_) | Event::ProbeFinished { .. } | Event::PeerNote { .. } => {}
         }
     }
 
     /// When a client does well to come again with a message for this destination: what waits there has to go
     /// out first, and a told wait to pass.
-    pub fn come_back(&mut self, now: Time, to: DestinationId) -> Duration {
-        let aim = Duration::from_secs_f64(shortest_aim(&self.settings));
+    pub fn suggested_retry_after(&mut self, now: Time, to: DestinationId) -> Duration {
+        let latency_objective = Duration::from_secs_f64(shortest_aim(&self.settings));
         let waiting = self.queues.get(&to).map_or(0, Queue::len) as f64;
         let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
         let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
         let wait = routes.iter().map(|id| self.routes[id].told_wait - now).min().unwrap_or_default();
-        let backlog = Duration::from_secs_f64((waiting / pace.max(0.001)).min(aim.as_secs_f64()));
-        wait.max(backlog).clamp(aim.mul_f64(BACKOFF_BASE_OF_AIM), aim.mul_f64(BACKOFF_CAP_OF_AIM))
+        let backlog =
+            Duration::from_secs_f64((waiting / pace.max(0.001)).min(latency_objective.as_secs_f64()));
+        wait.max(backlog).clamp(
+            latency_objective.mul_f64(BACKOFF_BASE_OF_AIM),
+            latency_objective.mul_f64(BACKOFF_CAP_OF_AIM),
+        )
     }
 
     /// Whether a new message is taken on, rather than refused: nearly full, only if it is worth more than
     /// what has to go for it and what that costs.
-    pub fn takes_on(&mut self, now: Time, taken: &Accepted) -> bool {
+    pub fn admits(&mut self, now: Time, taken: &AcceptedMessage) -> bool {
         let leaving = self.lame_since.is_some_and(|since| now - since >= LAME_GRACE);
         if leaving || self.open < self.most_open() {
             return !leaving;
         }
-        let over_share = self.share_left(now, taken.tenant).is_some_and(|left| left < 1.0);
-        let worth = self.new_message(now, taken.clone(), over_share).map(|m| self.worth(now, &m));
+        let over_quota = self.share_left(now, taken.tenant).is_some_and(|left| left < 1.0);
+        let worth = self.new_message(now, taken.clone(), over_quota).map(|m| self.current_value(now, &m));
         let early = |m: &Message| now < m.born + self.class(m).deadline.mul_f64(UNTRIED.0);
-        let price = |m: &Message| if m.maybe_ran.is_none() && early(m) { UNTRIED.1 } else { 0.0 };
-        let costs = |m: &Message| price(m) * self.full_worth(m);
+        let price =
+            |m: &Message| if m.first_uncertain_attempt.is_none() && early(m) { UNTRIED.1 } else { 0.0 };
+        let costs = |m: &Message| price(m) * self.full_value(m);
         let takes = self.least(now).is_none_or(|(least, m)| worth.is_some_and(|w| w > least + costs(m)));
         if !takes {
             self.note_demand(now, taken.destination);
@@ -274,9 +279,9 @@
     }
 
     /// After how long to watch the list for the first time: couriers that start together spread.
-    pub fn first_watch(&mut self) -> Duration {
-        let longest = self.settings.rules.stop_sending.mul_f64(WATCH_FIRST_OF_DRAIN);
-        WATCH_FIRST.mul_f64(couriers(&self.settings)).min(longest).mul_f64(self.rng.f64())
+    pub fn initial_watch_delay(&mut self) -> Duration {
+        let longest = self.settings.limits.drain_grace.mul_f64(WATCH_FIRST_OF_DRAIN);
+        WATCH_FIRST.mul_f64(fleet_size(&self.settings)).min(longest).mul_f64(self.rng.f64())
     }
 
     /// Acts on all that was recorded.
@@ -293,16 +298,16 @@
 
     // ---- Events ----
 
-    fn on_listing(&mut self, now: Time, listing: Listing) {
+    fn on_listing(&mut self, now: Time, listing: EndpointUpdate) {
         let entries = match listing {
-            Listing::Failed => {
+            EndpointUpdate::WatchFailed => {
                 self.watch_at = Some(now + WATCH_GAP);
                 return;
             }
-            Listing::Refused => {
+            EndpointUpdate::WatchRejected => {
                 let (first, longest) = WATCH_GAPS_REFUSED;
                 let gap =
-                    growing_gap(first, 1.0, self.refused).min(longest).mul_f64(couriers(&self.settings));
+                    growing_gap(first, 1.0, self.refused).min(longest).mul_f64(fleet_size(&self.settings));
                 let chance = self.rng.f64();
                 self.watch_at = Some(if gap > WATCH_GAP_LONGEST {
                     now + WATCH_GAP_LONGEST.mul_f64(0.5 + 0.5 * chance)
@@ -312,11 +317,11 @@
                 self.refused += 1;
                 return;
             }
-            Listing::Changes(entries) => entries,
-            Listing::Whole(entries) => {
+            EndpointUpdate::Delta(entries) => entries,
+            EndpointUpdate::Snapshot(entries) => {
                 // What a whole list does not name is gone: it gets nothing new from now on.
                 for address in self.addresses.values_mut() {
-                    address.entry.mode = Mode::Gone;
+                    address.entry.mode = Availability::Removed;
                 }
                 self.agenda.gone = self.addresses.keys().copied().collect();
                 self.agenda.all = true;
@@ -326,22 +331,23 @@
         self.agenda.work.endpoints += entries.len() as u64;
         for entry in entries {
             let known = self.addresses.get(&entry.id).map(|address| address.entry.destination);
-            if entry.mode == Mode::Gone && known.is_none() {
+            if entry.mode == Availability::Removed && known.is_none() {
                 continue;
             }
             known.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
-            if entry.mode == Mode::Gone {
+            if entry.mode == Availability::Removed {
                 self.agenda.gone.insert(entry.id);
             } else {
                 self.agenda.gone.remove(&entry.id);
             }
             let weight = self.weight_of(&entry);
             let usual = self.usual;
-            let batch = self.settings.kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
+            let batch =
+                self.settings.destination_kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
             // Nor may the first calls of all come at once: each begins somewhere inside a call of its pace.
             // What is not told has to be tried, and what is told far too low must not hold messages back.
             let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
-            let part = if told { (FIRST_RATE / couriers(&self.settings)).min(1.0) } else { 1.0 };
+            let part = if told { (FIRST_RATE / fleet_size(&self.settings)).min(1.0) } else { 1.0 };
             let least = FIRST_LEAST / shortest_deadline(&self.settings);
             let (first, token) = ((weight * part).max(least), 1.0 - chance * (1.0 - part));
             let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| {
@@ -368,18 +374,18 @@
     /// Watches the list again once its gap has passed.
     fn watch_again(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_at.take_if(|at| *at <= now).is_some() {
-            self.actions.push(Action::KeepInformed { active: true });
+            self.actions.push(Action::WatchEndpoints { active: true });
         }
         earliest(next, self.watch_at);
     }
 
-    fn on_accept(&mut self, now: Time, taken: Accepted) {
-        let over_share = self.is_over_share(now, taken.tenant);
-        let Some(mut message) = self.new_message(now, taken, over_share) else { return };
+    fn on_accept(&mut self, now: Time, taken: AcceptedMessage) {
+        let over_quota = self.is_over_share(now, taken.tenant);
+        let Some(mut message) = self.new_message(now, taken, over_quota) else { return };
         self.last_seq += 1;
         message.seq = self.last_seq;
         let taken = &message.taken;
-        if let (true, Some(key)) = (self.class(&message).in_order, taken.key) {
+        if let (true, Some(key)) = (self.class(&message).ordered, taken.key) {
             self.keys.entry(key).or_default().push(taken.id);
         }
         self.deadlines.insert((taken.deadline, taken.id));
@@ -391,18 +397,18 @@
         self.messages.insert(message.taken.id, message);
     }
 
-    fn new_message(&self, now: Time, taken: Accepted, over_share: bool) -> Option<Message> {
+    fn new_message(&self, now: Time, taken: AcceptedMessage, over_quota: bool) -> Option<Message> {
         let class = self.settings.classes.get(usize::from(taken.class.0))?;
         let born = taken.deadline - class.deadline;
         // A keyed message of a courier that died may have run there at any time since it was handed in.
-        let may_have_run = taken.from_dead_courier && class.effect == Effect::Keyed;
+        let may_have_run = taken.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         Some(Message {
             born,
-            over_share,
+            over_quota,
             seq: 0,
             attempts: 0,
             out: None,
-            maybe_ran: may_have_run.then_some((born, None)),
+            first_uncertain_attempt: may_have_run.then_some((born, None)),
             not_before: now,
             closed: false,
             unheard: false,
@@ -412,17 +418,17 @@
 
     /// Takes a message up again after a restart. Calls that were out then broke with the old process at the
     /// latest, so that keys rest from now on.
-    fn on_restored(&mut self, now: Time, restored: Restored) {
-        let id = restored.taken.id;
-        self.keys_rest = now + self.settings.rules.order_settle;
+    fn on_restored(&mut self, now: Time, restored: RestoredMessage) {
+        let id = restored.message.id;
+        self.keys_rest = now + self.settings.limits.ordering_key_hold;
         self.agenda.all = true;
-        self.on_accept(now, restored.taken);
+        self.on_accept(now, restored.message);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
-        if let Some((sent, zone)) = restored.maybe_ran {
-            message.maybe_ran = message.maybe_ran.or(Some((sent, Some(zone))));
+        if let Some(SentAttempt { sent_at: sent, zone }) = restored.first_uncertain_attempt {
+            message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent, Some(zone))));
         }
-        let answered = restored.answered;
+        let answered = restored.outcome_recorded;
         message.unheard |= answered;
         self.restand(id);
         if answered {
@@ -432,19 +438,20 @@
         }
     }
 
-    fn on_recalled(&mut self, now: Time, outage: Outage) {
+    fn on_recalled(&mut self, now: Time, outage: CircuitRecord) {
         self.touch(outage.destination);
         let (settings, chance) = (&self.settings, self.rng.f64());
         let id = RouteId(outage.destination, outage.endpoint);
         let Some(route) = self.routes.get_mut(&id) else { return };
-        self.agenda.outages.insert(id);
-        (route.last_answer, route.evidence) = (outage.since, outage.evidence);
-        (route.returned, route.share) = (outage.returned, outage.share);
+        self.agenda.circuit_records.insert(id);
+        (route.last_answer, route.failure_score) = (outage.last_success_at, outage.failure_score);
+        (route.returned, route.share) = (outage.slow_start_since, outage.baseline_rate);
         if route.returned.is_some() {
             route.tokens = 0.0;
         }
-        if let Some(lost) = outage.lost {
-            route.spell = Some(Spell { began: outage.since, failed: true, lost, ..Spell::default() });
+        if let Some(lost) = outage.calls_lost {
+            route.spell =
+                Some(Spell { began: outage.last_success_at, failed: true, lost, ..Spell::default() });
             route.plan_trial(now, settings, chance);
         }
     }
@@ -460,8 +467,8 @@
 
     /// What is left of a tenant's share, in messages; none where it has no share.
     fn share_left(&self, now: Time, tenant: TenantId) -> Option<f64> {
-        let quota = self.settings.tenants.get(tenant.0 as usize)?.quota;
-        let most = quota * (QUOTA_PART / couriers(&self.settings)).min(1.0);
+        let quota = self.settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
+        let most = quota * (QUOTA_PART / fleet_size(&self.settings)).min(1.0);
         let (left, since) = self.shares.get(&tenant).copied().unwrap_or((most, now));
         Some((left + (now - since).as_secs_f64() * most).min(most))
     }
@@ -474,10 +481,10 @@
         }
     }
 
-    fn on_finished(&mut self, now: Time, finished: Finished) {
+    fn on_finished(&mut self, now: Time, finished: FinishedAttempt) {
         // A wait binds from the batch that tells it, whichever message of a call brings it, and whatever
         // became of that message.
-        if let Outcome::Full(Some(wait)) = finished.outcome {
+        if let AttemptOutcome::Rejected(Some(wait)) = finished.outcome {
             self.on_told_wait(now, finished.endpoint, wait);
         }
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
@@ -487,24 +494,25 @@
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         let class = &self.settings.classes[usize::from(message.taken.class.0)];
-        let never_ran = finished.outcome.never_ran();
-        if finished.outcome == Outcome::NotMade {
+        let was_not_processed = finished.outcome.was_not_processed();
+        if finished.outcome == AttemptOutcome::LocalFailure {
             message.attempts = message.attempts.saturating_sub(1);
         }
-        if finished.outcome == Outcome::Spent {
-            message.attempts = self.settings.send_cap;
+        if finished.outcome == AttemptOutcome::AttemptsExhausted {
+            message.attempts = self.settings.max_attempts;
         }
-        if !never_ran && message.maybe_ran.is_none() {
-            message.maybe_ran = Some((call.sent, Some(call.zone)));
+        if !was_not_processed && message.first_uncertain_attempt.is_none() {
+            message.first_uncertain_attempt = Some((call.sent, Some(call.zone)));
         }
-        let gap = growing_gap(class.aim, BACKOFF_BASE_OF_AIM, message.attempts)
-            .min(class.aim.mul_f64(BACKOFF_CAP_OF_AIM));
+        let gap = growing_gap(class.latency_objective, BACKOFF_BASE_OF_AIM, message.attempts)
+            .min(class.latency_objective.mul_f64(BACKOFF_CAP_OF_AIM));
         message.not_before = now + gap.mul_f64(self.rng.f64());
         // A call that may still be running lets its key rest before the next message of the key.
-        let unsettled = !never_ran && !matches!(finished.outcome, Outcome::Ok | Outcome::Error);
-        if let (true, true, Some(key)) = (unsettled, class.in_order, message.taken.key) {
+        let unsettled = !was_not_processed
+            && !matches!(finished.outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
+        if let (true, true, Some(key)) = (unsettled, class.ordered, message.taken.key) {
             self.rests.retain(|_, until| *until > now);
-            self.rests.insert(key, now + self.settings.rules.order_settle);
+            self.rests.insert(key, now + self.settings.limits.ordering_key_hold);
         }
         // Only a call's last outcome counts for the route: its messages share one fate.
         call.unanswered -= 1;
@@ -527,54 +535,61 @@
     /// Until when a message may be sent again, if that ends before its deadline.
     fn last_send(&self, message: &Message) -> Option<Time> {
         let class = self.class(message);
-        match (message.maybe_ran, class.effect) {
-            _ if message.attempts >= self.settings.send_cap => Some(Time::ZERO),
-            (Some(_), Effect::Unsafe) => Some(Time::ZERO),
-            (Some((first, _)), Effect::Keyed) => Some(window_end(class, first)),
+        match (message.first_uncertain_attempt, class.idempotency) {
+            _ if message.attempts >= self.settings.max_attempts => Some(Time::ZERO),
+            (Some(_), Idempotency::NonIdempotent) => Some(Time::ZERO),
+            (Some((first, _)), Idempotency::IdempotentWithKey) => Some(window_end(class, first)),
             _ => None,
         }
     }
 
     /// Frees the slot of a call and lets address, connections and route learn from its outcome.
-    fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &Finished) {
+    fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.out.remove(&id);
         }
         self.agenda.hanging.remove(&id);
-        let lost = matches!(finished.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        let lost = matches!(
+            finished.outcome,
+            AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled
+        );
         let risk =
             call.idle.and_then(|idle| self.idle_step(idle)).map_or(0.0, |step| self.reaping.risks[step]);
         let reaped = lost && risk > REAPED_RISKS.0 + self.reaping.other * REAPED_OTHER;
         if !(lost && call.stalled) {
-            self.learn_of_idle(now, call.idle, lost, finished.outcome == Outcome::Ok);
+            self.learn_of_idle(now, call.idle, lost, finished.outcome == AttemptOutcome::Delivered);
         }
-        if finished.outcome == Outcome::Crowded {
-            self.crowded = now + self.settings.conn_idle * CROWDED_IDLES;
+        if finished.outcome == AttemptOutcome::TooManyConnections {
+            self.crowded = now + self.settings.connection_idle_timeout * CROWDED_IDLES;
         }
-        let rules = &self.settings.rules;
+        let rules = &self.settings.limits;
         if let Some(address) = self.addresses.get_mut(&call.to) {
             address.calls_out = address.calls_out.saturating_sub(1);
             match finished.outcome {
-                Outcome::Ok => (address.used, address.failures) = (Some(now), 0),
-                Outcome::Full(_) => address.used = Some(now),
+                AttemptOutcome::Delivered => (address.used, address.failures) = (Some(now), 0),
+                AttemptOutcome::Rejected(_) => address.used = Some(now),
                 _ if reaped => {}
-                Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset | Outcome::Error => {
+                AttemptOutcome::ConnectFailed
+                | AttemptOutcome::Timeout
+                | AttemptOutcome::Reset
+                | AttemptOutcome::ErrorResponse => {
                     address.failures += 1;
-                    let gap = growing_gap(rules.fall, TRIAL_GAPS_OF_FALL.0, address.failures).min(rules.cold);
+                    let gap = growing_gap(rules.overload_window, TRIAL_GAPS_OF_FALL.0, address.failures)
+                        .min(rules.warm_up);
                     address.avoid_until = now + gap.mul_f64(self.rng.f64());
                 }
-                Outcome::Spoilt
-                | Outcome::Cancelled
-                | Outcome::Moot
-                | Outcome::Spent
-                | Outcome::Crowded
-                | Outcome::NotMade => {}
+                AttemptOutcome::MalformedResponse
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::AttemptsExhausted
+                | AttemptOutcome::TooManyConnections
+                | AttemptOutcome::LocalFailure => {}
             }
             if self.crowded > now {
                 address.used = None;
-                self.actions.push(Action::CloseIdle { endpoint: call.to });
+                self.actions.push(Action::CloseIdleConnections { endpoint: call.to });
             }
-            if address.calls_out == 0 && address.entry.mode == Mode::Gone {
+            if address.calls_out == 0 && address.entry.mode == Availability::Removed {
                 self.forget_address(call.to);
             }
         }
@@ -583,7 +598,7 @@
             self.learn(now, finished, &call);
         }
         if noted || self.is_noted(call.route) {
-            self.agenda.outages.insert(call.route);
+            self.agenda.circuit_records.insert(call.route);
         }
         self.plan_stall(call.route);
     }
@@ -613,16 +628,19 @@
     // ---- Health and pace ----
 
     /// Health and pace of a route, from the outcome of one call.
-    fn learn(&mut self, now: Time, finished: &Finished, call: &Call) {
+    fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
         let (settings, chance) = (&self.settings, self.rng.f64());
         let waiting = self.queues.get(&call.route.0).map_or(0, Queue::len) as f64;
         let Some(route) = self.routes.get_mut(&call.route) else { return };
-        if let Some(limit) = finished.allowance.map(|a| a.limit).filter(|limit| *limit > 0.0) {
+        if let Some(limit) = finished.load_report.map(|a| a.limit_per_sec).filter(|limit| *limit > 0.0) {
             route.weight = limit;
         }
         // A time-out is a sample too, of at least its length: else it would stay too short all through a slow
         // spell, and each repeat would meet the first call still running.
-        if matches!(finished.outcome, Outcome::Ok | Outcome::Timeout | Outcome::Cancelled) {
+        if matches!(
+            finished.outcome,
+            AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled
+        ) {
             if route.latency.samples == 0 {
                 route.latency = Latency { samples: 0, ..self.usual };
             }
@@ -631,19 +649,20 @@
         // With a success since it was sent, a lost call says nothing of the route. Nor do errors and resets
         // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
         let detached = &self.detached;
-        let sound =
-            |a: &Address| a.entry.mode == Mode::Ready && a.failures == 0 && !detached.contains(&a.entry.id);
+        let sound = |a: &Address| {
+            a.entry.mode == Availability::Ready && a.failures == 0 && !detached.contains(&a.entry.id)
+        };
         let alone = call.sent >= route.last_answer;
         let all_sick = alone && !route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(sound);
-        let blip = settings.rules.fall.mul_f64(BLIP_OF_FALL);
-        let span = settings.rules.fall.as_secs_f64() * UNSAFE_LOSS_FALLS;
+        let blip = settings.limits.overload_window.mul_f64(BLIP_OF_FALL);
+        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
         match finished.outcome {
-            outcome if outcome.never_ran() => {}
-            Outcome::Ok => drop(route.kept.rate(now, span, 1.0)),
+            outcome if outcome.was_not_processed() => {}
+            AttemptOutcome::Delivered => drop(route.kept.rate(now, span, 1.0)),
             _ => drop(route.lost.rate(now, span, 1.0)),
         }
         match finished.outcome {
-            Outcome::Ok => {
+            AttemptOutcome::Delivered => {
                 self.usual.learn(finished.latency, LATENCY_GAIN);
                 let served = route.served.rate(now, cold_s(settings), 0.0);
                 let sick = route.spell.is_some() || route.returned.is_some();
@@ -655,31 +674,35 @@
                     route.returned = Some(now);
                     route.tokens = 0.0;
                 }
-                let left = finished.allowance.filter(|a| a.limit > 0.0).map(|a| a.left.clamp(0.0, 1.0));
+                let left = finished
+                    .load_report
+                    .filter(|a| a.limit_per_sec > 0.0)
+                    .map(|a| a.headroom.clamp(0.0, 1.0));
                 if route.bound {
-                    let below = 1.0 - route.rate * couriers(settings) / route.weight.max(TOLD_RATES.0);
+                    let below = 1.0 - route.rate * fleet_size(settings) / route.weight.max(TOLD_RATES.0);
                     let part = RATE_GROWTH * (1.0 + BELOW_GROWTH * below.clamp(0.0, 1.0));
                     let growth = part * route.rate.min(shortest_aim(settings).recip());
                     let growth = left.map_or(growth, |left| TOLD_GROWTH * left * route.rate);
                     route.rate += growth;
                 }
                 route.spell = None;
-                (route.evidence, route.cuts) = (0, 0);
+                (route.failure_score, route.cuts) = (0, 0);
                 route.last_answer = now;
                 return;
             }
             // Shut, and told until when: all whom the door refused come back at one moment (issue of later
             // mandeville: 480 of 490 calls at the fall). So the slow start begins there, by chance inside a
             // call of its pace, and nothing is saved up behind the door.
-            Outcome::Full(Some(wait)) if wait > blip => {
+            AttemptOutcome::Rejected(Some(wait)) if wait > blip => {
                 (route.spell, route.returned) = (None, Some(route.told_wait));
                 (route.filled, route.tokens) = (route.told_wait, chance);
                 return;
             }
-            Outcome::Full(_) => {
+            AttemptOutcome::Rejected(_) => {
                 // Refused though there is room inside the limit: it is shut or hangs with its queue full.
-                let room = finished.allowance.is_some_and(|a| a.limit > 0.0 && a.left > ROOM_LEFT);
-                route.evidence += if room { EVIDENCE_LOST } else { EVIDENCE_REFUSED };
+                let room =
+                    finished.load_report.is_some_and(|a| a.limit_per_sec > 0.0 && a.headroom > ROOM_LEFT);
+                route.failure_score += if room { EVIDENCE_LOST } else { EVIDENCE_REFUSED };
                 if now - route.last_cut > CUT_EVERY {
                     let cut = RATE_CUTS[route.cuts.min(RATE_CUTS.len() - 1)];
                     route.cuts += 1;
@@ -689,7 +712,7 @@
                     let (waiting, most) = if route.batch > 1 { (0.0, an_aim) } else { (waiting, f64::MAX) };
                     let late = route.sent.rate(now, LATE_S, 0.0).min(most);
                     let own = route.demand.rate(now, cold_s(settings), 0.0);
-                    let late = late.max(own).max(route.weight / couriers(settings)).max(waiting * an_aim);
+                    let late = late.max(own).max(route.weight / fleet_size(settings)).max(waiting * an_aim);
                     let slowest = route.fall_part(now, settings, 0.0);
                     route.rate = (cut * route.rate.min(late)).max(slowest.min(route.rate));
                     route.last_cut = now;
@@ -698,17 +721,23 @@
                 let spread = if route.is_light(now, settings) { LIGHT_SPREAD } else { 1.0 };
                 route.tokens = route.tokens.min(-chance * spread);
             }
-            Outcome::Error | Outcome::Reset if all_sick => route.evidence += EVIDENCE_LOST,
+            AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if all_sick => {
+                route.failure_score += EVIDENCE_LOST
+            }
             // It is up, and may yet be failing most calls.
-            Outcome::Spoilt if alone => route.evidence += EVIDENCE_REFUSED,
-            Outcome::ConnectFailed if alone => route.evidence += EVIDENCE_NO_CONNECTION,
-            Outcome::Timeout | Outcome::Cancelled if alone => route.evidence += EVIDENCE_LOST,
+            AttemptOutcome::MalformedResponse if alone => route.failure_score += EVIDENCE_REFUSED,
+            AttemptOutcome::ConnectFailed if alone => route.failure_score += EVIDENCE_NO_CONNECTION,
+            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if alone => {
+                route.failure_score += EVIDENCE_LOST
+            }
             _ => {}
         }
-        if route.evidence >= SPELL_AFTER || (route.spell.is_some() && route.evidence >= EVIDENCE_LOST) {
+        if route.failure_score >= SPELL_AFTER
+            || (route.spell.is_some() && route.failure_score >= EVIDENCE_LOST)
+        {
             let spell = route.spell.get_or_insert(Spell { began: route.last_answer, ..Spell::default() });
             spell.failed = true;
-            spell.lost |= !matches!(finished.outcome, Outcome::Full(_));
+            spell.lost |= !matches!(finished.outcome, AttemptOutcome::Rejected(_));
             route.plan_trial(now, settings, chance);
             route.returned = None;
         }
@@ -760,7 +789,7 @@
             if now >= silent {
                 let (began, next_trial) = (route.last_answer.min(sent), now + stall);
                 route.spell = Some(Spell { began, next_trial, lost: true, ..Spell::default() });
-                self.agenda.outages.insert(id);
+                self.agenda.circuit_records.insert(id);
             } else {
                 earliest(&mut look.change, Some(silent));
             }
@@ -799,7 +828,7 @@
         let warmth = (now - returned).as_secs_f64() / cold_s(&self.settings);
         if warmth >= 1.0 {
             route.returned = None;
-            self.agenda.outages.insert(id);
+            self.agenda.circuit_records.insert(id);
             return route.rate;
         }
         route.fall_part(now, &self.settings, warmth).min(route.rate)
@@ -867,7 +896,9 @@
                 let served =
                     at + Duration::from_secs_f64((queue / pace.max(0.001)).min(cold_s(&self.settings)));
                 let m = self.messages.get(&message);
-                if m.is_some_and(|m| served < m.born + self.class(m).aim.mul_f64(FEE_PATIENCE_OF_AIM)) {
+                if m.is_some_and(|m| {
+                    served < m.born + self.class(m).latency_objective.mul_f64(FEE_PATIENCE_OF_AIM)
+                }) {
                     // Which message is best, and so how long it may wait, goes by the moment.
                     (look.always, look.wake) = (true, look.wake.into_iter().chain([at]).min());
                     continue;
@@ -884,7 +915,7 @@
     fn fee(&self, id: RouteId) -> f64 {
         let zone =
             id.1.and_then(|endpoint| self.addresses.get(&endpoint)).map(|a| usize::from(a.entry.zone.0));
-        zone.and_then(|zone| self.settings.zone_fees.get(zone)).copied().unwrap_or(0.0)
+        zone.and_then(|zone| self.settings.zone_costs.get(zone)).copied().unwrap_or(0.0)
     }
 
     /// The waiting message of most worth that may go to these locations now. A trial goes by repeatability.
@@ -907,14 +938,16 @@
                 earliest(&mut look.change, over.filter(|_| at.is_some()));
                 continue;
             }
-            let last_try = message.taken.deadline - self.class(message).aim.mul_f64(UNSAFE_LAST_AIM);
+            let last_try =
+                message.taken.deadline - self.class(message).latency_objective.mul_f64(UNSAFE_LAST_AIM);
             if loses && !self.repeatable(message) && now < last_try {
-                let fading = now + self.settings.rules.fall.mul_f64(UNSAFE_LOSS_FALLS * UNSAFE_LOSS);
+                let fading =
+                    now + self.settings.limits.overload_window.mul_f64(UNSAFE_LOSS_FALLS * UNSAFE_LOSS);
                 (look.always, look.wake) = (true, look.wake.into_iter().chain([fading.min(last_try)]).min());
                 continue;
             }
             let fit = !trial || self.repeatable(message);
-            let worth = self.worth(now, message);
+            let worth = self.current_value(now, message);
             if best.is_none_or(|(best_fit, most, _)| (fit, worth) > (best_fit, most)) {
                 best = Some((fit, worth, message.taken.id));
             }
@@ -927,7 +960,7 @@
     }
 
     fn repeatable(&self, message: &Message) -> bool {
-        self.class(message).effect != Effect::Unsafe
+        self.class(message).idempotency != Idempotency::NonIdempotent
     }
 
     /// The one gate for every send: when this message may be sent; none if not before some event, or never.
@@ -937,7 +970,7 @@
         }
         let class = self.class(message);
         let mut at = message.not_before;
-        if let (true, Some(key)) = (class.in_order, message.taken.key) {
+        if let (true, Some(key)) = (class.ordered, message.taken.key) {
             if self.keys.get(&key).and_then(|turn| turn.first()) != Some(&message.taken.id) {
                 return None;
             }
@@ -952,7 +985,7 @@
 
     /// Worth still to be won, and what of it waiting would lose: on time before late, what is about to be
     /// late before what is fresh, and what is about to run out before what may wait.
-    fn worth(&self, now: Time, message: &Message) -> f64 {
+    fn current_value(&self, now: Time, message: &Message) -> f64 {
         // A repeat that must go before its window ends has nothing left after that.
         let last = self.last_send(message).map(|end| (end - message.born).as_secs_f64());
         let class = self.class(message);
@@ -960,22 +993,24 @@
             Some(end) if age > end => 0.0,
             _ => class.value(self.settings.decay, age).0,
         };
-        let aim = class.aim.as_secs_f64();
+        let latency_objective = class.latency_objective.as_secs_f64();
         let age = (now - message.born).as_secs_f64();
-        self.full_worth(message) * ((1.0 + WAITING_LOSS) * value(age) - WAITING_LOSS * value(age + aim))
+        self.full_value(message)
+            * ((1.0 + WAITING_LOSS) * value(age) - WAITING_LOSS * value(age + latency_objective))
     }
 
     /// Worth of a message on time.
-    fn full_worth(&self, message: &Message) -> f64 {
-        let share = if message.over_share { self.settings.over_share_worth } else { 1.0 };
-        self.class(message).worth * share
+    fn full_value(&self, message: &Message) -> f64 {
+        let share = if message.over_quota { self.settings.over_quota_value_ratio } else { 1.0 };
+        self.class(message).priority_weight * share
     }
 
     /// Whether a message may go to a location: a repeat stays inside its group.
     fn may_go(&self, message: &Message, zone: ZoneId) -> bool {
         let class = self.class(message);
-        let bound = class.effect == Effect::Keyed && class.group == Group::Zone;
-        message.maybe_ran.is_none_or(|(_, first)| !bound || first == Some(zone))
+        let bound = class.idempotency == Idempotency::IdempotentWithKey
+            && class.deduplication_scope == DeduplicationScope::Zone;
+        message.first_uncertain_attempt.is_none_or(|(_, first)| !bound || first == Some(zone))
     }
 
     /// The address of a route with the fewest calls out, sick ones last; inside the group of a repeat. Ties
@@ -1013,14 +1048,19 @@
         let mut carried = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
-            let try_for = self.time_out(now, id, message);
+            let attempt_timeout = self.time_out(now, id, message);
             let last = self.messages.get(&message).and_then(|m| self.last_send(m));
             if let Some(m) = self.messages.get_mut(&message) {
                 // What shares its call may wait longer for the connection than this one has time.
-                let leave_within = last.map_or(m.taken.deadline, |end| end.min(m.taken.deadline)) - now;
+                let send_within = last.map_or(m.taken.deadline, |end| end.min(m.taken.deadline)) - now;
                 m.attempts += 1;
                 m.out = Some(self.last_call);
-                self.actions.push(Action::Route { message, endpoint: to, try_for, leave_within });
+                self.actions.push(Action::StartAttempt {
+                    message,
+                    endpoint: to,
+                    attempt_timeout,
+                    send_within,
+                });
             }
             self.restand(message);
             carried.push(message);
@@ -1040,7 +1080,7 @@
     /// dropped unseen, they are closed first; now and then one is tried, with a message that can be repeated.
     fn idle_connection(&mut self, now: Time, to: EndpointId, first: MessageId) -> Option<Duration> {
         let address = self.addresses.get(&to)?;
-        let idle = now - address.used.filter(|used| now - *used < self.settings.conn_idle)?;
+        let idle = now - address.used.filter(|used| now - *used < self.settings.connection_idle_timeout)?;
         // With calls out, a second connection may have been idle for longer than was seen.
         let alone = address.calls_out == 0;
         let repeatable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
@@ -1057,7 +1097,7 @@
                 now + Duration::from_secs_f64(shortest_aim(&self.settings) * REAPED_CHECK_AIMS);
             return Some(idle);
         }
-        self.actions.push(Action::CloseIdle { endpoint: to });
+        self.actions.push(Action::CloseIdleConnections { endpoint: to });
         None
     }
 
@@ -1069,19 +1109,21 @@
         let left = m.taken.deadline - now;
         let Some(route) = self.routes.get(&id) else { return left };
         let usual = route.latency.times(TIMEOUT_LATENCIES);
-        let aim = class.aim.as_secs_f64();
-        let span = Duration::from_secs_f64(usual.clamp(aim * TIMEOUT_AIMS.0, aim * TIMEOUT_AIMS.1));
-        let first = m.maybe_ran.map_or(now, |(first, _)| first);
-        let last = m.attempts + 1 >= self.settings.send_cap
-            || class.effect == Effect::Unsafe
-            || (class.effect == Effect::Keyed && now + span > window_end(class, first));
+        let latency_objective = class.latency_objective.as_secs_f64();
+        let span = Duration::from_secs_f64(
+            usual.clamp(latency_objective * TIMEOUT_AIMS.0, latency_objective * TIMEOUT_AIMS.1),
+        );
+        let first = m.first_uncertain_attempt.map_or(now, |(first, _)| first);
+        let last = m.attempts + 1 >= self.settings.max_attempts
+            || class.idempotency == Idempotency::NonIdempotent
+            || (class.idempotency == Idempotency::IdempotentWithKey && now + span > window_end(class, first));
         let span = if last { left } else { span };
         span.min(left)
     }
 
     /// All slots taken while messages wait: the oldest call that hangs is called off, an unsafe one later.
     fn free_pinned_slot(&mut self, now: Time) {
-        if !self.settings.cancel || self.slots_free() > 0 || self.open <= self.calls.len() {
+        if !self.settings.allow_cancel || self.slots_free() > 0 || self.open <= self.calls.len() {
             return;
         }
         let hanging = |call: &&Call| {
@@ -1099,7 +1141,7 @@
         for message in &call.carried {
             if let Some(m) = self.messages.get(message).filter(|m| m.out == Some(id)) {
                 self.actions
-                    .push(Action::StopAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
+                    .push(Action::CancelAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
             }
         }
     }
@@ -1110,12 +1152,12 @@
     fn permitted_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
         let message = self.messages.get(&id).filter(|m| !m.closed)?;
         let to = message.taken.destination;
-        let refusable = match self.class(message).effect {
-            Effect::Safe => true,
-            _ => message.maybe_ran.is_none() && message.out.is_none(),
+        let refusable = match self.class(message).idempotency {
+            Idempotency::Idempotent => true,
+            _ => message.first_uncertain_attempt.is_none() && message.out.is_none(),
         };
         Some(if refusable {
-            Action::Busy { message: id, after: self.come_back(now, to) }
+            Action::Reject { message: id, retry_after: self.suggested_retry_after(now, to) }
         } else {
             Action::ReportFailure { message: id }
         })
@@ -1124,7 +1166,7 @@
     fn answer(&mut self, now: Time, id: MessageId) {
         let action = self.permitted_answer(now, id);
         if let Some(message) = self.messages.get_mut(&id).filter(|_| action.is_some()) {
-            message.unheard = self.settings.answers_take_time;
+            message.unheard = self.settings.outcomes_need_acknowledgement;
         }
         self.actions.extend(action);
         self.close(id);
@@ -1135,7 +1177,7 @@
         while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
             self.deadlines.remove(&(due, id));
             let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { continue };
-            let last_call = message.taken.deadline + self.settings.rules.answer_slack / 2;
+            let last_call = message.taken.deadline + self.settings.limits.final_outcome_grace / 2;
             if message.out.is_some() && now < last_call {
                 self.deadlines.insert((last_call, id));
             } else {
@@ -1153,25 +1195,29 @@
     }
 
     fn most_open(&self) -> usize {
-        (self.settings.most_held as f64 * SHED_ABOVE) as usize
+        (self.settings.max_pending_messages as f64 * SHED_ABOVE) as usize
     }
 
     /// The message of least worth that could be handed back.
     fn least(&self, now: Time) -> Option<(f64, &Message)> {
         let idle = self.messages.values().filter(|m| !m.closed && m.out.is_none());
-        idle.map(|m| (self.worth(now, m), m))
+        idle.map(|m| (self.current_value(now, m), m))
             .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.taken.id.cmp(&a.1.taken.id)))
     }
 
     // ---- Settings and timers ----
 
     fn route_of(&self, entry: &Endpoint) -> RouteId {
-        let apart = self.settings.kinds.get(usize::from(entry.kind.0)).is_some_and(|k| k.own_limits);
+        let apart = self
+            .settings
+            .destination_kinds
+            .get(usize::from(entry.kind.0))
+            .is_some_and(|k| k.per_endpoint_limits);
         RouteId(entry.destination, apart.then_some(entry.id))
     }
 
     fn weight_of(&self, entry: &Endpoint) -> f64 {
-        self.told_rate(entry).unwrap_or(self.settings.call_slots as f64)
+        self.told_rate(entry).unwrap_or(self.settings.max_in_flight_calls as f64)
     }
 
     /// What the list tells of the calls a second that all couriers may make, if it does.
@@ -1181,7 +1227,7 @@
     }
 
     fn slots_free(&self) -> usize {
-        self.settings.call_slots.saturating_sub(self.calls.len())
+        self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
     /// One timer is outstanding: the earliest moment at which something could be done without an event.
@@ -1191,7 +1237,7 @@
         if self.wake.is_none_or(|(set, _)| at < set || set <= now) {
             self.token += 1;
             self.wake = Some((at, self.token));
-            self.actions.push(Action::Wake { after: at - now, token: self.token });
+            self.actions.push(Action::SetTimer { after: at - now, token: self.token });
         }
     }
 }
@@ -1213,7 +1259,7 @@
 
     /// The share of the calls of late that may have run without being served.
     fn share_lost(&mut self, now: Time, settings: &Settings) -> f64 {
-        let span = settings.rules.fall.as_secs_f64() * UNSAFE_LOSS_FALLS;
+        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
         let (kept, lost) = (self.kept.rate(now, span, 0.0) * span, self.lost.rate(now, span, 0.0) * span);
         lost / (lost + kept + UNSAFE_LOSS_PRIOR)
     }
@@ -1226,9 +1272,10 @@
         let demand = self.demand.rate(now, cold_s(settings), 0.0);
         let least = if self.is_light(now, settings) { shortest_deadline(settings).recip() } else { 0.0 };
         let own = demand.clamp(self.share, self.share * DEMAND_OF_SERVED);
-        let part = own.max(self.weight / couriers(settings));
-        let share = settings.rules.cold_from + (1.0 - settings.rules.cold_from) * warmth;
-        (part * share * settings.rules.tip_multiple * FALL_BUDGET_USED).max(least)
+        let part = own.max(self.weight / fleet_size(settings));
+        let share =
+            settings.limits.cold_capacity_ratio + (1.0 - settings.limits.cold_capacity_ratio) * warmth;
+        (part * share * settings.limits.overload_multiple * FALL_BUDGET_USED).max(least)
     }
 
     /// Sets when the next trial call of a spell may go: at growing, jittered gaps, and by this courier's part
@@ -1236,7 +1283,7 @@
     fn plan_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
         let own = Duration::from_secs_f64(self.fall_part(now, settings, 0.0).max(0.001).recip());
         let Some(spell) = &mut self.spell else { return };
-        let (fall, (first, longest)) = (settings.rules.fall, TRIAL_GAPS_OF_FALL);
+        let (fall, (first, longest)) = (settings.limits.overload_window, TRIAL_GAPS_OF_FALL);
         let gap = growing_gap(fall, first, spell.trials).min(fall.mul_f64(longest));
         let jitter = TRIAL_JITTER_FROM + chance * (1.0 - TRIAL_JITTER_FROM);
         // Behind a told wait no gap runs out: who waits together must not come back together.
@@ -1246,5 +1293,5 @@
 
 /// Until when a keyed message may be resent that may first have run in an attempt sent then.
 fn window_end(class: &Class, first: Time) -> Time {
-    first + class.repeat_window.mul_f64(1.0 - WINDOW_MARGIN)
+    first + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN)
 }
--- a/src/scheduler/operators.rs
+++ b/src/scheduler/operators.rs
@@ -1,16 +1,16 @@
 //! Endpoints that operators leave out, and use again.
 
 use super::state::Address;
-use super::Courier;
+use super::Scheduler;
 use crate::model::*;
 
-impl Courier {
+impl Scheduler {
     /// Gives an endpoint nothing new from now on.
     pub(super) fn on_detach(&mut self, endpoint: EndpointId) {
         if self.detached.insert(endpoint) {
             let to = self.addresses.get(&endpoint).map(|address| address.entry.destination);
             to.into_iter().for_each(|to| self.touch(to));
-            self.actions.push(Action::CloseIdle { endpoint });
+            self.actions.push(Action::CloseIdleConnections { endpoint });
         }
     }
 
@@ -27,14 +27,14 @@
         };
         self.touch(id.0);
         if let Some(route) = self.routes.get_mut(&id) {
-            self.agenda.outages.insert(id);
-            (route.spell, route.evidence, route.returned) = (None, 0, Some(now));
+            self.agenda.circuit_records.insert(id);
+            (route.spell, route.failure_score, route.returned) = (None, 0, Some(now));
             (route.filled, route.tokens) = (now, 0.0);
         }
     }
 
     /// Whether an endpoint may be given new work.
     pub(super) fn is_open(&self, address: &Address) -> bool {
-        address.entry.mode == Mode::Ready && !self.detached.contains(&address.entry.id)
+        address.entry.mode == Availability::Ready && !self.detached.contains(&address.entry.id)
     }
 }
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -12,7 +12,7 @@
 /// A message between its hand-in and its end (and the end of its last attempt).
 #[derive(Serialize, Deserialize)]
 pub struct Message {
-    pub taken: Accepted,
+    pub taken: AcceptedMessage,
     /// Its place in the queue of its destination.
     pub seq: Seq,
     pub born: Time,
@@ -20,13 +20,13 @@
     /// The call that carries it now.
     pub out: Option<u64>,
     /// When the first attempt that may have run was sent, and where: it fixes window and group.
-    pub maybe_ran: Option<(Time, Option<ZoneId>)>,
+    pub first_uncertain_attempt: Option<(Time, Option<ZoneId>)>,
     pub not_before: Time,
     pub closed: bool,
     /// A final answer is under way; until it is heard the message keeps its key.
     pub unheard: bool,
     /// Beyond its tenant's share, and so worth little.
-    pub over_share: bool,
+    pub over_quota: bool,
 }
 
 /// A call out: one slot, one fate, however many messages it carries.
@@ -146,7 +146,7 @@
     pub told_wait: Time,
     pub latency: Latency,
     pub last_answer: Time,
-    pub evidence: u32,
+    pub failure_score: u32,
     pub spell: Option<Spell>,
     /// When the slow start began, if one is on.
     pub returned: Option<Time>,
@@ -158,16 +158,17 @@
     /// What is left of the worth of a message at some age, in seconds, as a share; and the stage that it is in, which
     /// grows with age: inside one, the share only falls or stays.
     pub(crate) fn value(&self, decay: Decay, age: f64) -> (f64, usize) {
-        let (aim, span) = (self.aim.as_secs_f64(), self.deadline.as_secs_f64());
+        let (latency_objective, span) = (self.latency_objective.as_secs_f64(), self.deadline.as_secs_f64());
         if age > span {
             return (0.0, VALUE_STAGES - 1);
         }
-        let late = (age - aim).max(0.0);
+        let late = (age - latency_objective).max(0.0);
         let (value, least) = match decay {
-            Decay::Line => {
-                (1.0 - (1.0 - self.late_share) * late / (span - aim).max(0.001), f64::NEG_INFINITY)
-            }
-            Decay::Halves => ((-late / aim.max(0.001)).exp2(), self.late_share),
+            Decay::Linear => (
+                1.0 - (1.0 - self.late_value_ratio) * late / (span - latency_objective).max(0.001),
+                f64::NEG_INFINITY,
+            ),
+            Decay::Halving => ((-late / latency_objective.max(0.001)).exp2(), self.late_value_ratio),
         };
         (value.max(least), usize::from(late > 0.0) + usize::from(value <= least))
     }
@@ -216,8 +217,8 @@
 }
 
 /// Couriers that share the destinations: an even part is one over this.
-pub fn couriers(settings: &Settings) -> f64 {
-    f64::from(settings.couriers.max(1))
+pub fn fleet_size(settings: &Settings) -> f64 {
+    f64::from(settings.fleet_size.max(1))
 }
 
 /// A gap that doubles from try to try.
@@ -227,8 +228,8 @@
 
 /// Shortest aim of a class, in seconds.
 pub fn shortest_aim(settings: &Settings) -> f64 {
-    let aim = settings.classes.iter().map(|c| c.aim).min();
-    aim.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(0.001)
+    let latency_objective = settings.classes.iter().map(|c| c.latency_objective).min();
+    latency_objective.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(0.001)
 }
 
 /// Shortest deadline of a class, in seconds.
@@ -239,5 +240,5 @@
 
 /// How long a cold return lasts, in seconds.
 pub fn cold_s(settings: &Settings) -> f64 {
-    settings.rules.cold.as_secs_f64().max(1.0)
+    settings.limits.warm_up.as_secs_f64().max(1.0)
 }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -77,7 +77,7 @@
 
 /// How much was looked at so far, all steps together; for tests and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct WorkCounters {
     /// Destinations that were looked at for something to send.
     pub destinations: u64,
     /// Waiting messages that were looked at for that.
@@ -111,8 +111,8 @@
     /// Endpoints that are gone and not forgotten, as they have calls out.
     pub gone: BTreeSet<EndpointId>,
     /// Routes of which something else is to be remembered than was told last.
-    pub outages: BTreeSet<RouteId>,
-    pub work: Work,
+    pub circuit_records: BTreeSet<RouteId>,
+    pub work: WorkCounters,
 }
 
 impl Agenda {
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -13,7 +13,7 @@
 }
 
 /// Hands messages in behind one that holds the slot, and lets them go.
-fn behind_one(world: &World, courier: &Courier, messages: &[(&str, &str)]) {
+fn behind_one(world: &World, courier: &Scheduler, messages: &[(&str, &str)]) {
     let mut client = courier.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
     let first = world.call();
--- a/tests/common/crowd.rs
+++ b/tests/common/crowd.rs
@@ -7,7 +7,7 @@
 
 /// What the partner does with calls while it is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outage {
+pub enum OutageKind {
     /// Refuses, and tells how long it stays shut.
     ShutAndTells,
     /// Refuses without a word on when it opens.
@@ -21,8 +21,8 @@
 /// What a crowd is put through.
 #[derive(Clone, Copy)]
 pub struct Plan {
-    pub outage: Outage,
-    pub couriers: u32,
+    pub outage: OutageKind,
+    pub fleet_size: u32,
     /// Calls a second that the warm partner takes.
     pub capacity: f64,
     /// What the list tells of that, over the truth.
@@ -59,7 +59,7 @@
 const TO: EndpointId = EndpointId(7);
 
 struct Member {
-    courier: Courier,
+    courier: Scheduler,
     wake: Option<(Time, u64)>,
     /// Its part of all messages.
     part: f64,
@@ -74,7 +74,7 @@
     member: usize,
     message: MessageId,
     attempt: u16,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     sent: Time,
 }
 
@@ -103,7 +103,7 @@
 /// Lets a crowd live through the outage and the cold return.
 pub fn live_through(plan: Plan) -> Seen {
     let mut crowd = Crowd::new(plan);
-    let (cold, fall) = (crowd.settings.rules.cold, crowd.settings.rules.fall);
+    let (cold, fall) = (crowd.settings.limits.warm_up, crowd.settings.limits.overload_window);
     let mut worst = 0.0_f64;
     while crowd.now < crowd.back + cold {
         crowd.now = crowd.now + STEP;
@@ -113,7 +113,7 @@
         crowd.tell_outcomes();
         (0..crowd.members.len()).for_each(|member| crowd.act(member));
         if crowd.now >= crowd.back {
-            let survives = crowd.settings.rules.tip_multiple * crowd.capacity() * fall.as_secs_f64();
+            let survives = crowd.settings.limits.overload_multiple * crowd.capacity() * fall.as_secs_f64();
             let recent = crowd.weights.iter().filter(|(at, _)| crowd.now - *at < fall);
             worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
         }
@@ -129,21 +129,26 @@
 }
 
 fn settings_of(plan: &Plan) -> Settings {
-    let (aim, span) = (Duration::from_secs(4), Duration::from_secs(20));
-    let rules = Rules {
-        cold_from: 0.18,
-        cold: Duration::from_secs(12),
-        tip_multiple: 2.0,
-        fall: Duration::from_secs(3),
-        ..Settings::default().rules
+    let (latency_objective, span) = (Duration::from_secs(4), Duration::from_secs(20));
+    let rules = DeliveryLimits {
+        cold_capacity_ratio: 0.18,
+        warm_up: Duration::from_secs(12),
+        overload_multiple: 2.0,
+        overload_window: Duration::from_secs(3),
+        ..Settings::default().limits
     };
     Settings {
-        classes: vec![Class { aim, deadline: span, repeat_window: span, ..Class::default() }],
-        couriers: plan.couriers,
-        kinds: vec![Kind { batch: plan.batch, own_limits: false }],
-        call_slots: 4,
-        most_held: 48,
-        rules,
+        classes: vec![Class {
+            latency_objective,
+            deadline: span,
+            idempotency_window: span,
+            ..Class::default()
+        }],
+        fleet_size: plan.fleet_size,
+        destination_kinds: vec![DestinationKind { batch: plan.batch, per_endpoint_limits: false }],
+        max_in_flight_calls: 4,
+        max_pending_messages: 48,
+        limits: rules,
         ..Settings::default()
     }
 }
@@ -153,11 +158,11 @@
         let settings = settings_of(&plan);
         let start = Time::ZERO + Duration::from_secs(100);
         let listed = Endpoint { weight: plan.capacity * plan.told, ..endpoint(TO.0, 1) };
-        let shares: Vec<f64> = (0..plan.couriers).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
+        let shares: Vec<f64> = (0..plan.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
         let all: f64 = shares.iter().sum();
         let member = |(number, share): (usize, &f64)| {
-            let mut courier = Courier::new(settings.clone(), plan.seed * 1000 + number as u64);
-            courier.handle(start, Event::Listed(Listing::Whole(vec![listed.clone()])));
+            let mut courier = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
+            courier.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
             Member { courier, wake: None, part: share / all, touched: true, aware: false }
         };
         let members = shares.iter().enumerate().map(member).collect();
@@ -186,10 +191,11 @@
 
     /// Calls a second that the partner can do at this moment.
     fn capacity(&self) -> f64 {
-        let rules = &self.settings.rules;
-        let warmth = ((self.now - self.back).as_secs_f64() / rules.cold.as_secs_f64()).min(1.0);
+        let rules = &self.settings.limits;
+        let warmth = ((self.now - self.back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
         let cold = self.now >= self.back;
-        self.plan.capacity * if cold { rules.cold_from + (1.0 - rules.cold_from) * warmth } else { 1.0 }
+        self.plan.capacity
+            * if cold { rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * warmth } else { 1.0 }
     }
 
     fn hand_in(&mut self) {
@@ -206,7 +212,7 @@
             }
             let class = (ClassId(0), &self.settings.classes[0]);
             let accepted = accepted(self.now, id.0, class, 1, None);
-            member.courier.handle(self.now, Event::Accept(accepted));
+            member.courier.handle(self.now, Event::MessageAccepted(accepted));
             member.touched = true;
         }
     }
@@ -214,7 +220,7 @@
     fn wake(&mut self) {
         for member in &mut self.members {
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= self.now) {
-                member.courier.handle(self.now, Event::TickDue(token));
+                member.courier.handle(self.now, Event::TimerFired(token));
                 member.touched = true;
             }
         }
@@ -224,13 +230,20 @@
         let out = self.out();
         while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let Coming { member, message, attempt, outcome, sent } = entry.remove();
-            let complete = outcome == Outcome::Ok;
+            let complete = outcome == AttemptOutcome::Delivered;
             self.delivered += usize::from(complete && self.since_return.contains(&message));
             let latency = self.now - sent;
-            let finished =
-                Finished { message, endpoint: TO, attempt, outcome, latency, complete, allowance: None };
+            let finished = FinishedAttempt {
+                message,
+                endpoint: TO,
+                attempt,
+                outcome,
+                latency,
+                complete,
+                load_report: None,
+            };
             let member = &mut self.members[member];
-            member.courier.handle(self.now, Event::Finished(finished));
+            member.courier.handle(self.now, Event::AttemptFinished(finished));
             member.aware |= out && !complete;
             member.touched = true;
         }
@@ -246,14 +259,14 @@
         let mut fate = None;
         for action in actions {
             match action {
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.members[member].wake = Some((self.now + after, token));
                 }
-                Action::Route { message, try_for, .. } => {
+                Action::StartAttempt { message, attempt_timeout, .. } => {
                     if self.members[member].aware && self.now >= self.back {
                         self.weights.push((self.now, if fate.is_none() { 1.0 } else { ITEM }));
                     }
-                    let (outcome, after) = *fate.get_or_insert_with(|| self.call(try_for));
+                    let (outcome, after) = *fate.get_or_insert_with(|| self.call(attempt_timeout));
                     let attempts = self.attempts.entry(message).or_default();
                     let coming = Coming { member, message, attempt: *attempts, outcome, sent: self.now };
                     *attempts += 1;
@@ -266,7 +279,7 @@
     }
 
     /// What becomes of a call sent now, and when that is known.
-    fn call(&mut self, try_for: Duration) -> (Outcome, Duration) {
+    fn call(&mut self, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
         let soon = ms(50);
         if !self.out() {
             let early = usize::from(self.now < self.out_from);
@@ -276,17 +289,19 @@
                 if self.plan.counted {
                     self.room = 0.0;
                 }
-                return (Outcome::Full(None), soon);
+                return (AttemptOutcome::Rejected(None), soon);
             }
             self.room -= 1.0;
-            return (Outcome::Ok, ms(200));
+            return (AttemptOutcome::Delivered, ms(200));
         }
         match self.plan.outage {
             // A wait counts from its answer.
-            Outage::ShutAndTells => (Outcome::Full(Some((self.back - self.now).saturating_sub(soon))), soon),
-            Outage::Shut => (Outcome::Full(None), soon),
-            Outage::Down => (Outcome::ConnectFailed, soon),
-            Outage::Hung => (Outcome::Timeout, try_for),
+            OutageKind::ShutAndTells => {
+                (AttemptOutcome::Rejected(Some((self.back - self.now).saturating_sub(soon))), soon)
+            }
+            OutageKind::Shut => (AttemptOutcome::Rejected(None), soon),
+            OutageKind::Down => (AttemptOutcome::ConnectFailed, soon),
+            OutageKind::Hung => (AttemptOutcome::Timeout, attempt_timeout),
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,24 +15,24 @@
 }
 
 pub fn unsafe_class() -> Class {
-    Class { effect: Effect::Unsafe, ..Class::default() }
+    Class { idempotency: Idempotency::NonIdempotent, ..Class::default() }
 }
 
 pub fn safe() -> Class {
-    Class { effect: Effect::Safe, ..Class::default() }
+    Class { idempotency: Idempotency::Idempotent, ..Class::default() }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
-    Settings { classes, couriers: 1, ..Settings::default() }
+    Settings { classes, fleet_size: 1, ..Settings::default() }
 }
 
 pub fn endpoint(id: u32, destination: u16) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
         zone: ZoneId(0),
-        kind: KindId(0),
+        kind: DestinationKindId(0),
         destination: DestinationId(destination.into()),
-        mode: Mode::Ready,
+        mode: Availability::Ready,
         weight: 100.0,
     }
 }
@@ -44,14 +44,14 @@
     (class, rules): (ClassId, &Class),
     destination: u16,
     key: Option<u64>,
-) -> Accepted {
-    Accepted {
+) -> AcceptedMessage {
+    AcceptedMessage {
         id: MessageId(id),
         class,
         destination: DestinationId(destination.into()),
-        key: key.map(OrderKey),
+        key: key.map(OrderingKey),
         deadline: now + rules.deadline,
-        from_dead_courier: false,
+        redelivered: false,
         tenant: TenantId(0),
     }
 }
@@ -60,7 +60,7 @@
 pub type Sent = (u32, u32, Duration);
 
 pub struct Bench {
-    pub courier: Courier,
+    pub courier: Scheduler,
     pub now: Time,
     pub settings: Settings,
     attempts: std::collections::BTreeMap<u32, u16>,
@@ -69,12 +69,12 @@
 impl Bench {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut bench = Bench {
-            courier: Courier::new(settings.clone(), 1),
+            courier: Scheduler::new(settings.clone(), 1),
             now: Time::ZERO + Duration::from_secs(100),
             settings,
             attempts: Default::default(),
         };
-        bench.tell(Event::Listed(Listing::Whole(endpoints)));
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
         bench
     }
 
@@ -84,14 +84,14 @@
 
     pub fn accept(&mut self, id: u32, class: u8, destination: u16, key: Option<u64>) {
         let class = (ClassId(class), &self.settings.classes[usize::from(class)]);
-        self.tell(Event::Accept(accepted(self.now, id, class, destination, key)));
+        self.tell(Event::MessageAccepted(accepted(self.now, id, class, destination, key)));
     }
 
     pub fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.courier.decide(self.now, &mut actions);
         for action in &actions {
-            if let Action::Route { message, .. } = action {
+            if let Action::StartAttempt { message, .. } = action {
                 *self.attempts.entry(message.0).or_default() += 1;
             }
         }
@@ -100,7 +100,9 @@
 
     pub fn routes(&mut self) -> Vec<Sent> {
         let routed = |action: &Action| match action {
-            Action::Route { message, endpoint, try_for, .. } => Some((message.0, endpoint.0, *try_for)),
+            Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
+                Some((message.0, endpoint.0, *attempt_timeout))
+            }
             _ => None,
         };
         self.decide().iter().filter_map(routed).collect()
@@ -112,7 +114,7 @@
         while self.now < end {
             self.now = self.now + ms(5);
             let mut actions = self.decide();
-            actions.retain(|a| !matches!(a, Action::Wake { .. }));
+            actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
             if !actions.is_empty() {
                 return actions;
             }
@@ -122,37 +124,43 @@
 
     /// The same world with a courier of other settings and another seed.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
-        self.courier = Courier::new(settings.clone(), seed);
+        self.courier = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
-        self.tell(Event::Listed(Listing::Whole(endpoints)));
+        self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
     }
 
-    pub fn finish(&mut self, message: u32, endpoint: u32, outcome: Outcome, latency: Duration) {
+    pub fn finish(&mut self, message: u32, endpoint: u32, outcome: AttemptOutcome, latency: Duration) {
         self.finish_telling(message, endpoint, outcome, latency, None);
     }
 
     /// A refusal that tells which share of which limit is left.
     pub fn refuse(&mut self, message: u32, endpoint: u32, left: f64, limit: f64) {
-        self.finish_telling(message, endpoint, Outcome::Full(None), ms(20), Some(Allowance { left, limit }));
+        self.finish_telling(
+            message,
+            endpoint,
+            AttemptOutcome::Rejected(None),
+            ms(20),
+            Some(LoadReport { headroom: left, limit_per_sec: limit }),
+        );
     }
 
     fn finish_telling(
         &mut self,
         message: u32,
         endpoint: u32,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         latency: Duration,
-        allowance: Option<Allowance>,
+        load_report: Option<LoadReport>,
     ) {
         let attempt = self.attempts.get(&message).map_or(0, |count| count - 1);
-        self.tell(Event::Finished(Finished {
+        self.tell(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(message),
             endpoint: EndpointId(endpoint),
             attempt,
             outcome,
             latency,
-            complete: outcome == Outcome::Ok,
-            allowance,
+            complete: outcome == AttemptOutcome::Delivered,
+            load_report,
         }));
     }
 }
--- a/tests/courier.rs
+++ b/tests/courier.rs
@@ -329,7 +329,7 @@
 #[test]
 fn no_more_messages_are_held_than_the_settings_allow() {
     let mut world = World::patient(1, 3.0);
-    world.most_held = 3;
+    world.max_pending_messages = 3;
     world.hold_notices(true);
     let courier = world.start();
     let mut client = courier.client();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,19 +1,22 @@
 //! The reader of the list, by itself.
 
-use delivery_gateway::discovery::{Directory, Target, Update};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory};
 use delivery_gateway::*;
 
-fn directory() -> Directory {
-    let settings = Settings { kinds: vec![Kind { batch: 20, own_limits: false }], ..Settings::default() };
+fn directory() -> EndpointDirectory {
+    let settings = Settings {
+        destination_kinds: vec![DestinationKind { batch: 20, per_endpoint_limits: false }],
+        ..Settings::default()
+    };
     let (kind_names, zone_names) = (vec!["banks".to_owned()], vec!["kingston".to_owned()]);
     let (class_names, tenant_names) = Default::default();
     let parsed =
         Parsed { settings, class_names, tenant_names, kind_names, zone_names, left_at: None, limit_at: None };
-    Directory::new(&parsed)
+    EndpointDirectory::new(&parsed)
 }
 
-fn target(uid: &str, state: &str) -> Target {
-    Target {
+fn target(uid: &str, state: &str) -> DiscoveredEndpoint {
+    DiscoveredEndpoint {
         uid: uid.to_owned(),
         endpoint: "127.0.0.1:9".to_owned(),
         az: "kingston".to_owned(),
@@ -24,13 +27,13 @@
     }
 }
 
-fn update(all: bool, targets: Vec<Target>) -> Update {
-    Update { rev: 1, all, targets }
+fn update(all: bool, targets: Vec<DiscoveredEndpoint>) -> DiscoveryUpdate {
+    DiscoveryUpdate { rev: 1, all, targets }
 }
 
-fn entries(listing: Listing) -> Vec<(u32, Mode)> {
+fn entries(listing: EndpointUpdate) -> Vec<(u32, Availability)> {
     match listing {
-        Listing::Whole(entries) | Listing::Changes(entries) => {
+        EndpointUpdate::Snapshot(entries) | EndpointUpdate::Delta(entries) => {
             entries.iter().map(|entry| (entry.id.0, entry.mode)).collect()
         }
         other => panic!("no entries in {other:?}"),
@@ -41,11 +44,13 @@
 fn names_become_numbers_that_stay() {
     let mut directory = directory();
     let first = directory.apply(&update(true, vec![target("a", "SERVING"), target("b", "DRAINING")]));
-    assert!(matches!(&first, Listing::Whole(entries) if entries[0].destination == DestinationId(70_000)));
-    assert_eq!(entries(first), [(1, Mode::Ready), (2, Mode::Draining)]);
+    assert!(
+        matches!(&first, EndpointUpdate::Snapshot(entries) if entries[0].destination == DestinationId(70_000))
+    );
+    assert_eq!(entries(first), [(1, Availability::Ready), (2, Availability::Draining)]);
     let next = directory.apply(&update(false, vec![target("c", "SERVING"), target("a", "DELETED")]));
-    assert!(matches!(next, Listing::Changes(_)));
-    assert_eq!(entries(next), [(3, Mode::Ready), (1, Mode::Gone)]);
+    assert!(matches!(next, EndpointUpdate::Delta(_)));
+    assert_eq!(entries(next), [(3, Availability::Ready), (1, Availability::Removed)]);
     assert_eq!(directory.batch(EndpointId(3)), 20);
     assert_eq!(directory.address(EndpointId(3)), Some(([127, 0, 0, 1], 9).into()));
 }
@@ -54,8 +59,8 @@
 #[test]
 fn an_address_that_cannot_be_read_drains() {
     let mut directory = directory();
-    let target = Target { endpoint: "nowhere".to_owned(), ..target("a", "SERVING") };
-    assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Mode::Draining)]);
+    let target = DiscoveredEndpoint { endpoint: "nowhere".to_owned(), ..target("a", "SERVING") };
+    assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Availability::Draining)]);
     assert!(!directory.is_open(EndpointId(1)));
 }
 
@@ -67,12 +72,13 @@
     directory.apply(&update(true, all.to_vec()));
     directory.detach("c", true);
     directory.apply(&update(true, vec![target("d", "SERVING")]));
-    let gone =
-        |directory: &Directory| (1..=4).map(|id| directory.is_gone(EndpointId(id))).collect::<Vec<_>>();
+    let gone = |directory: &EndpointDirectory| {
+        (1..=4).map(|id| directory.is_gone(EndpointId(id))).collect::<Vec<_>>()
+    };
     assert_eq!(gone(&directory), [true, true, true, false]);
     directory.forget_gone(|id| id == EndpointId(2));
     assert_eq!(gone(&directory), [false, true, false, false]);
-    let number = |directory: &Directory, uid: &str| directory.number(uid).map(|id| id.0);
+    let number = |directory: &EndpointDirectory, uid: &str| directory.number(uid).map(|id| id.0);
     assert_eq!(["a", "b", "c", "d"].map(|uid| number(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
     directory.forget_gone(|_| false);
     assert_eq!(number(&directory, "b"), None);
--- a/tests/falls.rs
+++ b/tests/falls.rs
@@ -3,12 +3,12 @@
 
 mod common;
 
-use common::crowd::{live_through, Outage, Plan};
+use common::crowd::{live_through, OutageKind, Plan};
 use std::time::Duration;
 
 const CROWD: Plan = Plan {
-    outage: Outage::Down,
-    couriers: 200,
+    outage: OutageKind::Down,
+    fleet_size: 200,
     capacity: 60.0,
     told: 1.0,
     load: 0.8,
@@ -25,7 +25,7 @@
             let seen = live_through(Plan { seed, ..*plan });
             let case = format!(
                 "{:?}, {} couriers, {} calls a second, told {}, batches of {}, load {}, seed {seed}",
-                plan.outage, plan.couriers, plan.capacity, plan.told, plan.batch, plan.load
+                plan.outage, plan.fleet_size, plan.capacity, plan.told, plan.batch, plan.load
             );
             assert!(seen.worst <= 1.0, "{case}: {:.2} of what it survives", seen.worst);
             assert!(seen.delivered * plan.load > 0.05, "{case}: only {:.2} delivered", seen.delivered);
@@ -36,17 +36,17 @@
 /// Issue of later mandeville (Ld0af66): all whom a shut door had told when it opens came back at that moment.
 #[test]
 fn a_told_opening_gathers_nobody() {
-    let told = Plan { outage: Outage::ShutAndTells, ..CROWD };
+    let told = Plan { outage: OutageKind::ShutAndTells, ..CROWD };
     let small = Plan { capacity: 20.0, ..told };
     let tiny = Plan { capacity: 6.0, ..told };
-    let few = Plan { couriers: 20, ..small };
+    let few = Plan { fleet_size: 20, ..small };
     keeps_budget(&[told, small, tiny, few, Plan { load: 1.5, ..told }]);
 }
 
 /// Hunted day h562547: what waits at each courier set the slowest pace after refusals, and added up.
 #[test]
 fn refusals_without_a_word_slow_all_down() {
-    let shut = Plan { outage: Outage::Shut, ..CROWD };
+    let shut = Plan { outage: OutageKind::Shut, ..CROWD };
     let small = Plan { capacity: 20.0, ..shut };
     let tiny = Plan { capacity: 12.0, ..shut };
     let hot = Plan { load: 4.0, ..small };
@@ -56,13 +56,13 @@
 /// Hunted day h1c8921: trials by own demand add up to the demand, and a hot partner has many times its limit.
 #[test]
 fn trials_and_slow_starts_share_one_budget() {
-    for outage in [Outage::Down, Outage::Hung] {
+    for outage in [OutageKind::Down, OutageKind::Hung] {
         let out = Plan { outage, ..CROWD };
         let hot = Plan { load: 1.5, ..out };
         let hotter = Plan { load: 4.0, capacity: 20.0, ..out };
         let listed_too_high = Plan { told: 1.5, ..out };
         let tiny = Plan { capacity: 6.0, ..out };
-        let few = Plan { couriers: 20, capacity: 20.0, ..out };
+        let few = Plan { fleet_size: 20, capacity: 20.0, ..out };
         keeps_budget(&[out, hot, hotter, listed_too_high, tiny, few, Plan { batch: 20, ..out }]);
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,14 +3,14 @@
 
 mod common;
 
-use common::crowd::{live_through, Outage, Plan};
+use common::crowd::{live_through, OutageKind, Plan};
 use common::{endpoint, ms, safe, settings, Bench};
 use delivery_gateway::*;
 use std::time::Duration;
 
 const FLEET: Plan = Plan {
-    outage: Outage::Down,
-    couriers: 100,
+    outage: OutageKind::Down,
+    fleet_size: 100,
     capacity: 20.0,
     told: 1.0,
     load: 2.0,
@@ -57,11 +57,11 @@
 fn odd_rates_fleet_sizes_and_waits_do_no_harm() {
     for weights in [WeightSource::Silent, WeightSource::Rough, WeightSource::Nominal] {
         for weight in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
-            for couriers in [0, 1, 100, u32::MAX] {
-                let case = format!("{weights:?} {weight} {couriers}");
+            for fleet_size in [0, 1, 100, u32::MAX] {
+                let case = format!("{weights:?} {weight} {fleet_size}");
                 let told = Endpoint { weight, ..endpoint(7, 1) };
                 let base = settings(vec![safe()]);
-                let mut bench = Bench::new(Settings { couriers, weights, ..base }, vec![told]);
+                let mut bench = Bench::new(Settings { fleet_size, weights, ..base }, vec![told]);
                 let (mut calls, mut waiting) = (0, 0);
                 for step in 0..24_000 {
                     bench.now = bench.now + ms(5);
@@ -72,15 +72,21 @@
                         calls += 1;
                         waiting += usize::from(step >= 20_000);
                         // From then on it is told to wait for ever.
-                        let outcome =
-                            if step < 20_000 { Outcome::Ok } else { Outcome::Full(Some(Duration::MAX)) };
+                        let outcome = if step < 20_000 {
+                            AttemptOutcome::Delivered
+                        } else {
+                            AttemptOutcome::Rejected(Some(Duration::MAX))
+                        };
                         bench.finish(id, to, outcome, ms(50));
                     }
                 }
                 assert!((1..=120).contains(&calls), "{case}: {calls} calls for 120 messages");
                 assert!(waiting <= 1, "{case}: {waiting} calls inside an endless wait");
                 let mut courier = bench.courier;
-                assert!(courier.come_back(bench.now, DestinationId(1)) <= Duration::from_secs(3), "{case}");
+                assert!(
+                    courier.suggested_retry_after(bench.now, DestinationId(1)) <= Duration::from_secs(3),
+                    "{case}"
+                );
             }
         }
     }
@@ -89,20 +95,20 @@
 /// A list that is empty, or late, leaves nothing to send to; messages are still answered in time.
 #[test]
 fn without_a_list_messages_are_answered_in_time() {
-    let settings = Settings { couriers: 100, ..settings(vec![safe()]) };
+    let settings = Settings { fleet_size: 100, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings.clone(), Vec::new());
     bench.accept(1, 0, 1, None);
     let span = settings.classes[0].deadline;
-    assert!(matches!(bench.until_action(span + ms(10))[..], [Action::Busy { .. }]));
+    assert!(matches!(bench.until_action(span + ms(10))[..], [Action::Reject { .. }]));
     bench.accept(2, 0, 1, None);
-    bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
-    assert!(matches!(bench.until_action(span)[..], [Action::Route { .. }]));
+    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
+    assert!(matches!(bench.until_action(span)[..], [Action::StartAttempt { .. }]));
 }
 
 /// After a lowered limit a courier that calls seldom is back at its part within a few calls, not minutes.
 #[test]
 fn a_pace_that_was_cut_is_soon_back_at_the_told_part() {
-    let mut bench = Bench::new(Settings { couriers: 100, ..settings(vec![safe()]) }, vec![endpoint(7, 1)]);
+    let mut bench = Bench::new(Settings { fleet_size: 100, ..settings(vec![safe()]) }, vec![endpoint(7, 1)]);
     let (mut id, mut refused, mut served) = (0, 0, 0);
     let mut end = bench.now + Duration::from_secs(600);
     while bench.now < end {
@@ -112,11 +118,11 @@
         for (id, to, _) in bench.routes() {
             if refused == 3 {
                 served += 1;
-                bench.finish(id, to, Outcome::Ok, ms(20));
+                bench.finish(id, to, AttemptOutcome::Delivered, ms(20));
                 continue;
             }
             refused += 1;
-            bench.finish(id, to, Outcome::Full(None), ms(20));
+            bench.finish(id, to, AttemptOutcome::Rejected(None), ms(20));
             end = bench.now + Duration::from_secs(20);
         }
     }
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{Target, Update};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
 use journal::{Journal, OutageChange, OutageKey, OutageNote, Taken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -182,7 +182,7 @@
         destination,
         uid,
         since_ms: rng.u64(..),
-        evidence: rng.u32(..),
+        failure_score: rng.u32(..),
         lost: [None, Some(false), Some(true)][rng.usize(..3)],
         returned_ms: rng.bool().then(|| rng.u64(..)),
         share: rng.f64(),
@@ -190,9 +190,9 @@
 }
 
 fn assert_noted(journal: &Journal, known: &BTreeMap<OutageKey, OutageNote>) {
-    let outages = &journal.image.outages;
-    assert_eq!(outages.notes().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
-    assert_eq!(outages.out(), known.values().filter(|note| note.lost.is_some()).count());
+    let circuit_records = &journal.image.circuit_records;
+    assert_eq!(circuit_records.notes().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
+    assert_eq!(circuit_records.out(), known.values().filter(|note| note.lost.is_some()).count());
 }
 
 /// Outages that are noted one by one come back as they are, over kills and compactions, and a tail that is torn
@@ -206,7 +206,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut journal = folder.journal(DISK);
         let mut known: BTreeMap<OutageKey, OutageNote> =
-            journal.image.outages.notes().map(|note| (note.key(), note.clone())).collect();
+            journal.image.circuit_records.notes().map(|note| (note.key(), note.clone())).collect();
         for _ in 0..200 {
             let before = (folder.bytes(), known.clone());
             let uid = rng.bool().then(|| format!("s-{}", rng.u32(..4)));
@@ -219,7 +219,7 @@
                 known.remove(&key);
                 OutageChange::Over(key)
             };
-            journal.outages(&[change]).unwrap();
+            journal.circuit_records(&[change]).unwrap();
             assert_noted(&journal, &known);
             let now = folder.bytes();
             let grown = now.starts_with(&before.0);
@@ -253,13 +253,13 @@
         .collect();
     let mut journal = folder.journal(DISK);
     let all: Vec<OutageChange> = known.values().cloned().map(OutageChange::Noted).collect();
-    journal.outages(&all).unwrap();
+    journal.circuit_records(&all).unwrap();
     let whole = folder.bytes().len();
     assert!(whole > 4 << 20, "{whole} bytes would fit one record");
     let mut size = whole;
     while folder.bytes().len() >= size {
         size = folder.bytes().len();
-        journal.outages(&all).unwrap();
+        journal.circuit_records(&all).unwrap();
     }
     drop(journal);
     assert_noted(&folder.journal(DISK), &known);
@@ -292,8 +292,8 @@
 }
 
 /// An update whose record would be too long.
-fn long_update(rev: u64, all: bool, count: u32) -> Update {
-    let target = |number| Target {
+fn long_update(rev: u64, all: bool, count: u32) -> DiscoveryUpdate {
+    let target = |number| DiscoveredEndpoint {
         uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{rev}-{number}"),
         endpoint: "127.0.0.1:9".to_owned(),
         az: "kingston".to_owned(),
@@ -302,7 +302,7 @@
         state: "SERVING".to_owned(),
         capacity_hint: 1.0,
     };
-    Update { rev, all, targets: (0..count).map(target).collect() }
+    DiscoveryUpdate { rev, all, targets: (0..count).map(target).collect() }
 }
 
 /// What a journal holds of the list: its version, how many endpoints, and their least uid.
@@ -384,7 +384,7 @@
     world.enlarge(MANY as usize);
     world.apart = true;
     // One that stays out is held when the process is killed.
-    let send = |courier: &Courier, id: &str, destination| {
+    let send = |courier: &Scheduler, id: &str, destination| {
         assert_eq!(courier.client().enqueue(id, "0", "salary", destination, b"x"), "+OK");
         let call = world.call_among_notices();
         assert_eq!(call.id, id);
@@ -421,7 +421,7 @@
     journal.outcome(number, false).unwrap();
     let journal = Journal::open(&folder, 1 << 20).unwrap();
     let held = &journal.image.held[&number];
-    assert_eq!((held.attempts, held.maybe_ran, held.out), (2, Some(first), None));
+    assert_eq!((held.attempts, held.first_uncertain_attempt, held.out), (2, Some(first), None));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -469,7 +469,7 @@
     let folder = std::env::temp_dir().join(format!("delivery-gateway-full-disk-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut journal = Journal::open(&folder, 20_000).unwrap();
-    let target = |number: u32| Target {
+    let target = |number: u32| DiscoveredEndpoint {
         uid: format!("s-{number}"),
         endpoint: "127.0.0.1:1".to_owned(),
         az: "kingston".to_owned(),
@@ -479,11 +479,11 @@
         capacity_hint: 1.0,
     };
     let targets = (0..1000).map(target).collect();
-    assert!(journal.targets(Update { rev: 2, all: true, targets }).is_err());
+    assert!(journal.targets(DiscoveryUpdate { rev: 2, all: true, targets }).is_err());
     let number = journal.take(taken("m1")).unwrap();
     journal.start(number, (1_000, 1)).unwrap();
     journal.outcome(number, true).unwrap();
     let journal = Journal::open(&folder, 20_000).unwrap();
-    assert_eq!(journal.image.held[&number].maybe_ran, Some((1_000, 1)));
+    assert_eq!(journal.image.held[&number].first_uncertain_attempt, Some((1_000, 1)));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -11,14 +11,14 @@
 fn large() -> World {
     let mut world = World::patient(1, 3.0);
     world.enlarge(MANY as usize);
-    (world.apart, world.couriers, world.rate) = (true, MANY, 1e6);
+    (world.apart, world.fleet_size, world.rate) = (true, MANY, 1e6);
     (world.sockets, world.memory_mb) = (SOCKETS, MEMORY_MB);
     world
 }
 
 /// Each destination gets its message, through fewer descriptors than there are endpoints. Of one order key, each goes
 /// out when the one before is over; the last stays out.
-fn deliver_to_all(world: &World, courier: &Courier, round: &str) -> Call {
+fn deliver_to_all(world: &World, courier: &Scheduler, round: &str) -> Call {
     let mut client = courier.client();
     let mut send = |id: &str, destination| {
         assert_eq!(client.enqueue(id, "9", "notice,k=k", destination, b"x"), "+OK");
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_disk_that_fails_for_a_while_uses_up_no_attempts() {
     let mut world = World::faulty(1, 1);
-    world.aim = 3;
+    world.latency_objective = 3;
     let courier = world.start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("d1", "0", "salary", 1, b"x"), "+OK");
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -23,7 +23,7 @@
     let mut world = World::faulty(2, u64::from(nth) + 1);
     // Small, so that the journal is compacted.
     world.disk_mb = 0.03;
-    world.aim = 3;
+    world.latency_objective = 3;
     let mut life = Life::new(&world);
     let mut courier = world.start();
     world.fail(call, Fault::always(&[how]).after(nth).times(1));
@@ -82,7 +82,7 @@
 fn hand_over_until(call: SystemCall, how: i32, nth: u32, of_old: bool) -> bool {
     let what = format!("{call:?} {how} at call {nth} of the {} process", if of_old { "old" } else { "new" });
     let mut world = World::faulty(2, u64::from(nth) + 1);
-    world.aim = 3;
+    world.latency_objective = 3;
     let mut life = Life::new(&world);
     let mut old = world.start();
     for number in 0..HELD {
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -36,7 +36,7 @@
     let mut world = World::faulty(2, seed);
     // Small, so that the journal is compacted; and with what a killed process has left behind.
     world.disk_mb = 0.06;
-    world.aim = 3;
+    world.latency_objective = 3;
     world.append_to_journal(b"torn");
     world.leave_copy_of_journal();
     let fault = Fault::always(&[error]);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use common::{accepted, endpoint, ms, safe, settings, Bench};
-use delivery_gateway::{Action, ClassId, Event, Kind, Outcome, Settings};
+use delivery_gateway::{Action, AttemptOutcome, ClassId, DestinationKind, Event, Settings};
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
@@ -164,47 +164,46 @@
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
     bench.tell(Event::LameDuck(true));
     let class = (ClassId(0), &safe());
-    let takes_on =
-        |bench: &mut Bench| bench.courier.takes_on(bench.now, &accepted(bench.now, 1, class, 3, None));
-    assert!(takes_on(&mut bench));
+    let admits = |bench: &mut Bench| bench.courier.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
+    assert!(admits(&mut bench));
     bench.now = bench.now + ms(2000);
     bench.tell(Event::LameDuck(true));
     bench.now = bench.now + ms(1500);
-    assert!(!takes_on(&mut bench));
+    assert!(!admits(&mut bench));
     bench.tell(Event::LameDuck(false));
-    assert!(takes_on(&mut bench));
+    assert!(admits(&mut bench));
 }
 
 /// What comes back from the operators may have been restarted: it is served slowly at first.
 #[test]
 fn an_attached_endpoint_counts_as_cold() {
-    let apart = vec![Kind { batch: 1, own_limits: true }];
+    let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(
-        Settings { kinds: apart, call_slots: 64, ..settings(vec![safe()]) },
+        Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![safe()]) },
         vec![endpoint(11, 3), endpoint(12, 4)],
     );
-    bench.tell(Event::Detach(delivery_gateway::EndpointId(11)));
+    bench.tell(Event::EndpointDisabled(delivery_gateway::EndpointId(11)));
     let actions = bench.decide();
     assert!(
-        actions.contains(&Action::CloseIdle { endpoint: delivery_gateway::EndpointId(11) }),
+        actions.contains(&Action::CloseIdleConnections { endpoint: delivery_gateway::EndpointId(11) }),
         "{actions:?}"
     );
     (1..=40).for_each(|id| bench.accept(id, 0, 3, None));
     assert_eq!(bench.routes(), []);
-    bench.tell(Event::Attach(delivery_gateway::EndpointId(11)));
+    bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(11)));
     // One that was never left out is as warm as ever.
-    bench.tell(Event::Attach(delivery_gateway::EndpointId(12)));
+    bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(12)));
     (41..=60).for_each(|id| bench.accept(id, 0, 4, None));
     let (mut cold, mut warm) = (0, 0);
     let end = bench.now + Duration::from_secs(1);
     while bench.now < end {
         for (message, at, _) in bench.routes() {
             *(if at == 11 { &mut cold } else { &mut warm }) += 1;
-            bench.finish(message, at, Outcome::Ok, ms(5));
+            bench.finish(message, at, AttemptOutcome::Delivered, ms(5));
         }
         bench.now = bench.now + ms(5);
     }
     // At most what the rule on cold returns lets one courier send in a second: 2.0 x 100/s from 20% on.
     assert!((1..=40).contains(&cold) && warm == 20, "{cold} and {warm}");
-    assert!(bench.courier.outages().any(|outage| outage.returned.is_some()));
+    assert!(bench.courier.circuit_records().any(|outage| outage.slow_start_since.is_some()));
 }
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -7,51 +7,57 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const OUTCOMES: [Outcome; 8] = [
-    Outcome::Ok,
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Timeout,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Full(None),
-    Outcome::Full(Some(Duration::from_millis(300))),
+const OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Delivered,
+    AttemptOutcome::Delivered,
+    AttemptOutcome::ErrorResponse,
+    AttemptOutcome::Timeout,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Rejected(None),
+    AttemptOutcome::Rejected(Some(Duration::from_millis(300))),
 ];
 
-fn listed(id: u32, mode: Mode) -> Endpoint {
-    Endpoint { kind: KindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
+fn listed(id: u32, mode: Availability) -> Endpoint {
+    Endpoint { kind: DestinationKindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
 }
 
 /// The changes since a hand-over or a start come on top of all that was known then, or of nothing.
 #[test]
 fn changes_of_outages_add_up() {
-    let mut outages = 0;
+    let mut circuit_records = 0;
     for seed in 0..30 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let kinds = [false, true].map(|own_limits| Kind { batch: 1, own_limits });
-        let settings = Settings { kinds: kinds.into(), call_slots: 24, ..settings(vec![safe()]) };
+        let destination_kinds =
+            [false, true].map(|per_endpoint_limits| DestinationKind { batch: 1, per_endpoint_limits });
+        let settings = Settings {
+            destination_kinds: destination_kinds.into(),
+            max_in_flight_calls: 24,
+            ..settings(vec![safe()])
+        };
         let all = |mode| (0..16).map(|id| listed(id, mode)).collect::<Vec<_>>();
-        let mut bench = Bench::new(settings.clone(), all(Mode::Ready));
+        let mut bench = Bench::new(settings.clone(), all(Availability::Ready));
         let mut known = BTreeMap::new();
         let mut out = Vec::new();
         for step in 0..600 {
             bench.now = bench.now + ms(rng.u64(1..200));
             match rng.u32(..40) {
                 0 => {
-                    let mode = [Mode::Ready, Mode::Draining, Mode::Gone][rng.usize(..3)];
+                    let mode =
+                        [Availability::Ready, Availability::Draining, Availability::Removed][rng.usize(..3)];
                     let changed = listed(rng.u32(..16), mode);
-                    bench.tell(Event::Listed(Listing::Changes(vec![changed])));
+                    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])));
                 }
-                1 => bench.tell(Event::Detach(EndpointId(rng.u32(..16)))),
-                2 | 3 => bench.tell(Event::Attach(EndpointId(rng.u32(..16)))),
+                1 => bench.tell(Event::EndpointDisabled(EndpointId(rng.u32(..16)))),
+                2 | 3 => bench.tell(Event::EndpointEnabled(EndpointId(rng.u32(..16)))),
                 4 if step % 5 == 0 => {
-                    let before: Vec<Outage> = bench.courier.outages().collect();
-                    bench.restart(settings.clone(), step.into(), all(Mode::Ready));
-                    before.into_iter().for_each(|outage| bench.tell(Event::Recalled(outage)));
+                    let before: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+                    bench.restart(settings.clone(), step.into(), all(Availability::Ready));
+                    before.into_iter().for_each(|outage| bench.tell(Event::CircuitRestored(outage)));
                     (known, out) = (BTreeMap::new(), Vec::new());
                 }
                 5 if step % 5 == 0 => {
-                    let fresh = Courier::new(settings.clone(), step.into());
+                    let fresh = Scheduler::new(settings.clone(), step.into());
                     bench.courier = std::mem::take(&mut bench.courier).resumed(fresh);
                 }
                 6..20 => bench.accept(step, 0, rng.u16(1..5), None),
@@ -59,23 +65,26 @@
                     let (message, endpoint, _): Sent = out.swap_remove(rng.usize(..out.len()));
                     // Each endpoint has its bad spells.
                     let bad = (step / 100 + endpoint) % 3 == 0;
-                    let outcome = if bad { OUTCOMES[rng.usize(..OUTCOMES.len())] } else { Outcome::Ok };
+                    let outcome =
+                        if bad { OUTCOMES[rng.usize(..OUTCOMES.len())] } else { AttemptOutcome::Delivered };
                     bench.finish(message, endpoint, outcome, ms(20));
                 }
                 _ => {}
             }
             out.extend(bench.routes());
-            for ChangedOutage { destination, endpoint, outage } in bench.courier.changed_outages() {
+            for CircuitChange { destination, endpoint, record: outage } in
+                bench.courier.take_circuit_changes()
+            {
                 match outage {
                     Some(outage) => drop(known.insert((destination, endpoint), outage)),
                     None => drop(known.remove(&(destination, endpoint))),
                 }
             }
-            let mut all: Vec<Outage> = bench.courier.outages().collect();
+            let mut all: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
             all.sort_by_key(|outage| (outage.destination, outage.endpoint));
             assert_eq!(known.values().copied().collect::<Vec<_>>(), all, "seed {seed}, step {step}");
-            outages += all.len();
+            circuit_records += all.len();
         }
     }
-    assert!(outages > 0);
+    assert!(circuit_records > 0);
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -15,8 +15,8 @@
     Pass(u64),
     Accept { class: u8, destination: u16, key: u64 },
     Finish { which: usize, how: usize },
-    Gone(usize),
-    Mode { endpoint: u32, mode: usize },
+    Removed(usize),
+    Availability { endpoint: u32, mode: usize },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -24,22 +24,32 @@
         5 => (1u64..400).prop_map(Step::Pass),
         5 => (0u8..5, 1u16..4, 0u64..4).prop_map(|(class, destination, key)| Step::Accept { class, destination, key }),
         5 => (0usize..64, 0usize..9).prop_map(|(which, how)| Step::Finish { which, how }),
-        1 => (0usize..64).prop_map(Step::Gone),
-        1 => (0u32..6, 0usize..3).prop_map(|(endpoint, mode)| Step::Mode { endpoint, mode }),
+        1 => (0usize..64).prop_map(Step::Removed),
+        1 => (0u32..6, 0usize..3).prop_map(|(endpoint, mode)| Step::Availability { endpoint, mode }),
     ];
     proptest::collection::vec(step, 1..300)
 }
 
 fn world() -> (Settings, Vec<Endpoint>) {
-    let in_order = Class { in_order: true, ..unsafe_class() };
-    let by_zone = Class { group: Group::Zone, ..keyed() };
-    let base = settings(vec![keyed(), unsafe_class(), safe(), in_order, by_zone]);
-    let kinds = vec![Kind { batch: 1, own_limits: false }, Kind { batch: 3, own_limits: false }];
-    let rules = Rules { order_settle: ms(120), ..base.rules.clone() };
-    let settings = Settings { call_slots: 5, most_held: 60, send_cap: 5, kinds, rules, ..base };
+    let ordered = Class { ordered: true, ..unsafe_class() };
+    let by_zone = Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() };
+    let base = settings(vec![keyed(), unsafe_class(), safe(), ordered, by_zone]);
+    let destination_kinds = vec![
+        DestinationKind { batch: 1, per_endpoint_limits: false },
+        DestinationKind { batch: 3, per_endpoint_limits: false },
+    ];
+    let rules = DeliveryLimits { ordering_key_hold: ms(120), ..base.limits.clone() };
+    let settings = Settings {
+        max_in_flight_calls: 5,
+        max_pending_messages: 60,
+        max_attempts: 5,
+        destination_kinds,
+        limits: rules,
+        ..base
+    };
     let endpoints = (0..6)
         .map(|id| Endpoint {
-            kind: KindId((id % 2) as u16),
+            kind: DestinationKindId((id % 2) as u16),
             weight: 20.0,
             zone: ZoneId((id % 2) as u8),
             ..endpoint(id, 1 + (id / 2) as u16)
@@ -65,21 +75,24 @@
 struct Judge {
     settings: Settings,
     held: BTreeMap<u32, Held>,
-    waits: BTreeMap<u16, Time>,
+    retry_after_delays: BTreeMap<u16, Time>,
     rests: BTreeMap<u64, Time>,
-    modes: BTreeMap<u32, Mode>,
+    modes: BTreeMap<u32, Availability>,
 }
 
 impl Judge {
     fn check(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Route { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
-                Action::Busy { message, .. } => {
+                Action::StartAttempt { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
+                Action::Reject { message, .. } => {
                     let held = self.end(now, message.0);
-                    let effect = self.settings.classes[self.held[&held].class].effect;
+                    let idempotency = self.settings.classes[self.held[&held].class].idempotency;
                     let held = &self.held[&held];
-                    assert!(effect == Effect::Safe || (held.first_maybe.is_none() && held.out.is_none()));
+                    assert!(
+                        idempotency == Idempotency::Idempotent
+                            || (held.first_maybe.is_none() && held.out.is_none())
+                    );
                 }
                 Action::ReportFailure { message } => {
                     self.end(now, message.0);
@@ -92,7 +105,7 @@
     fn end(&mut self, now: Time, id: u32) -> u32 {
         let held = self.held.get_mut(&id).expect("answers only what it holds");
         assert!(!held.ended, "one final answer");
-        assert!(now <= held.deadline + self.settings.rules.answer_slack, "in time");
+        assert!(now <= held.deadline + self.settings.limits.final_outcome_grace, "in time");
         held.ended = true;
         id
     }
@@ -101,18 +114,27 @@
         let held = &self.held[&id];
         let class = &self.settings.classes[held.class];
         assert!(!held.ended && held.out.is_none(), "never two attempts, nothing after the end");
-        assert_eq!(self.modes[&endpoint], Mode::Ready, "nothing to a drained endpoint");
-        assert!(self.waits.get(&held.destination).is_none_or(|until| *until <= now), "waits are kept");
-        assert!(held.sends < self.settings.send_cap);
+        assert_eq!(self.modes[&endpoint], Availability::Ready, "nothing to a drained endpoint");
+        assert!(
+            self.retry_after_delays.get(&held.destination).is_none_or(|until| *until <= now),
+            "waits are kept"
+        );
+        assert!(held.sends < self.settings.max_attempts);
         if let Some((first, to)) = held.first_maybe {
             // Endpoints of two zones take turns.
-            assert!(class.group == Group::All || to % 2 == endpoint % 2, "inside the group");
-            assert_ne!(class.effect, Effect::Unsafe, "no unsafe resend");
-            assert!(class.effect == Effect::Safe || now < first + class.repeat_window, "inside the window");
+            assert!(
+                class.deduplication_scope == DeduplicationScope::Destination || to % 2 == endpoint % 2,
+                "inside the group"
+            );
+            assert_ne!(class.idempotency, Idempotency::NonIdempotent, "no unsafe resend");
+            assert!(
+                class.idempotency == Idempotency::Idempotent || now < first + class.idempotency_window,
+                "inside the window"
+            );
         }
-        if class.in_order && held.key != 0 {
+        if class.ordered && held.key != 0 {
             let mut earlier = self.held.range(..id).map(|(_, h)| h);
-            let taken = |h: &Held| self.settings.classes[h.class].in_order && h.key == held.key;
+            let taken = |h: &Held| self.settings.classes[h.class].ordered && h.key == held.key;
             assert!(!earlier.any(|h| taken(h) && (!h.ended || h.out.is_some())), "keys in turn");
             assert!(held.sends > 0 || self.rests.get(&held.key).is_none_or(|until| *until <= now), "rest");
         }
@@ -120,20 +142,20 @@
         held.out = Some((endpoint, now));
         held.sends += 1;
         let out = self.held.values().filter(|h| h.out.is_some()).count();
-        assert!(out <= self.settings.call_slots * 3, "slots");
+        assert!(out <= self.settings.max_in_flight_calls * 3, "slots");
     }
 }
 
-fn outcome(how: usize) -> Outcome {
+fn outcome(how: usize) -> AttemptOutcome {
     match how {
-        0 => Outcome::Full(None),
-        1 => Outcome::Full(Some(ms(700))),
-        2 => Outcome::Error,
-        3 => Outcome::Timeout,
-        4 => Outcome::ConnectFailed,
-        5 => Outcome::Reset,
-        6 => Outcome::Cancelled,
-        _ => Outcome::Ok,
+        0 => AttemptOutcome::Rejected(None),
+        1 => AttemptOutcome::Rejected(Some(ms(700))),
+        2 => AttemptOutcome::ErrorResponse,
+        3 => AttemptOutcome::Timeout,
+        4 => AttemptOutcome::ConnectFailed,
+        5 => AttemptOutcome::Reset,
+        6 => AttemptOutcome::Cancelled,
+        _ => AttemptOutcome::Delivered,
     }
 }
 
@@ -141,11 +163,11 @@
 fn play(steps: &[Step], seed: u64) -> Vec<Action> {
     let (settings, endpoints) = world();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
-    bench.courier = Courier::new(settings.clone(), seed);
-    bench.tell(Event::Listed(Listing::Whole(endpoints.clone())));
+    bench.courier = Scheduler::new(settings.clone(), seed);
+    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.clone())));
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
-    let (held, waits, rests) = Default::default();
-    let mut judge = Judge { settings, held, waits, rests, modes };
+    let (held, retry_after_delays, rests) = Default::default();
+    let mut judge = Judge { settings, held, retry_after_delays, rests, modes };
     let mut all = Vec::new();
     let mut id = 0;
     for step in steps.iter().cloned().chain((0..120).map(|_| Step::Pass(250))) {
@@ -161,7 +183,7 @@
                         .filter(|(_, h)| h.out.is_some() && h.deadline <= bench.now)
                         .map(|(id, _)| *id)
                         .collect();
-                    due.iter().for_each(|id| finish(&mut bench, &mut judge, *id, Outcome::Timeout));
+                    due.iter().for_each(|id| finish(&mut bench, &mut judge, *id, AttemptOutcome::Timeout));
                     let actions = bench.decide();
                     judge.check(bench.now, &actions);
                     all.extend(actions);
@@ -169,7 +191,7 @@
                 continue;
             }
             Step::Accept { class, destination, key } => {
-                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.most_held {
+                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.max_pending_messages {
                     continue;
                 }
                 id += 1;
@@ -188,18 +210,18 @@
                     finish(&mut bench, &mut judge, out[which % out.len()], outcome(how));
                 }
             }
-            Step::Gone(which) => {
+            Step::Removed(which) => {
                 let open: Vec<u32> = judge.held.iter().filter(|(_, h)| !h.ended).map(|(i, _)| *i).collect();
                 if !open.is_empty() {
                     let gone = open[which % open.len()];
-                    bench.tell(Event::ClientGone(MessageId(gone)));
+                    bench.tell(Event::MessageAbandoned(MessageId(gone)));
                     judge.held.get_mut(&gone).expect("open").ended = true;
                 }
             }
-            Step::Mode { endpoint, mode } => {
-                let mode = [Mode::Ready, Mode::Draining, Mode::Gone][mode];
+            Step::Availability { endpoint, mode } => {
+                let mode = [Availability::Ready, Availability::Draining, Availability::Removed][mode];
                 let entry = Endpoint { mode, ..endpoints[endpoint as usize].clone() };
-                bench.tell(Event::Listed(Listing::Changes(vec![entry])));
+                bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
                 judge.modes.insert(endpoint, mode);
             }
         }
@@ -211,22 +233,24 @@
     all
 }
 
-fn finish(bench: &mut Bench, judge: &mut Judge, id: u32, outcome: Outcome) {
+fn finish(bench: &mut Bench, judge: &mut Judge, id: u32, outcome: AttemptOutcome) {
     let held = judge.held.get_mut(&id).expect("known");
     let (endpoint, sent) = held.out.take().expect("out");
-    if !outcome.never_ran() && held.first_maybe.is_none() {
+    if !outcome.was_not_processed() && held.first_maybe.is_none() {
         held.first_maybe = Some((sent, endpoint));
     }
-    if outcome == Outcome::Ok {
+    if outcome == AttemptOutcome::Delivered {
         held.ended = true;
     }
-    if let Outcome::Full(Some(wait)) = outcome {
-        let until = judge.waits.entry(held.destination).or_insert(Time::ZERO);
+    if let AttemptOutcome::Rejected(Some(wait)) = outcome {
+        let until = judge.retry_after_delays.entry(held.destination).or_insert(Time::ZERO);
         *until = (*until).max(bench.now + wait);
     }
-    let in_order = judge.settings.classes[held.class].in_order;
-    if in_order && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-        judge.rests.insert(held.key, bench.now + judge.settings.rules.order_settle);
+    let ordered = judge.settings.classes[held.class].ordered;
+    if ordered
+        && matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
+    {
+        judge.rests.insert(held.key, bench.now + judge.settings.limits.ordering_key_hold);
     }
     bench.finish(id, endpoint, outcome, bench.now - sent);
 }
@@ -262,7 +286,7 @@
         bench.accept(step, 2, 1 + (step % 3) as u16, None);
         let actions = bench.decide();
         for action in &actions {
-            if let Action::Route { message, endpoint, .. } = action {
+            if let Action::StartAttempt { message, endpoint, .. } = action {
                 bench.finish(message.0, endpoint.0, outcome((step % 9) as usize), ms(7));
             }
         }
@@ -294,12 +318,12 @@
             bench.accept(step, (step % 4) as u8, 1 + (step % 3) as u16, Some(u64::from(step)));
             // Endpoints come and go as well.
             let new = Endpoint { id: EndpointId(1000 + step), ..endpoints[0].clone() };
-            let gone = Endpoint { mode: Mode::Gone, ..new.clone() };
-            bench.tell(Event::Listed(Listing::Changes(vec![new])));
+            let gone = Endpoint { mode: Availability::Removed, ..new.clone() };
+            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
             for (message, endpoint, _) in bench.routes() {
                 bench.finish(message, endpoint, outcome((step % 9) as usize), ms(7));
             }
-            bench.tell(Event::Listed(Listing::Changes(vec![gone])));
+            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
         }
         // All that is still held runs out.
         let longest = bench.settings.classes.iter().map(|class| class.deadline).max().unwrap();
@@ -307,7 +331,7 @@
         while bench.now < end {
             bench.now = bench.now + ms(500);
             for (message, endpoint, _) in bench.routes() {
-                bench.finish(message, endpoint, Outcome::Ok, ms(7));
+                bench.finish(message, endpoint, AttemptOutcome::Delivered, ms(7));
             }
         }
         postcard::to_stdvec(&bench.courier).unwrap().len()
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -16,13 +16,14 @@
 /// What both share: types only.
 mod interface {
     pub use delivery_gateway::{
-        Accepted, Action, Class, Decay, DestinationId, Effect, Endpoint, EndpointId, Event, Finished, Group,
-        Listing, MessageId, Mode, OrderKey, Outage, Outcome, Restored, RouteState, Settings, TenantId, Time,
-        WeightSource, ZoneId,
+        AcceptedMessage, Action, AttemptOutcome, Availability, CircuitRecord, Class, Decay,
+        DeduplicationScope, DestinationId, Endpoint, EndpointId, EndpointUpdate, Event, FinishedAttempt,
+        Idempotency, MessageId, OrderingKey, RestoredMessage, RouteStatus, SentAttempt, Settings, TenantId,
+        Time, WeightSource, ZoneId,
     };
 }
 
-pub use scheduler::Courier;
+pub use scheduler::Scheduler;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/tests/reference/state.rs
+++ b/tests/reference/state.rs
@@ -8,19 +8,19 @@
 /// A message between its hand-in and its end (and the end of its last attempt).
 #[derive(Serialize, Deserialize)]
 pub struct Message {
-    pub taken: Accepted,
+    pub taken: AcceptedMessage,
     pub born: Time,
     pub attempts: u32,
     /// The call that carries it now.
     pub out: Option<u64>,
     /// When the first attempt that may have run was sent, and where: it fixes window and group.
-    pub maybe_ran: Option<(Time, Option<ZoneId>)>,
+    pub first_uncertain_attempt: Option<(Time, Option<ZoneId>)>,
     pub not_before: Time,
     pub closed: bool,
     /// A final answer is under way; until it is heard the message keeps its key.
     pub unheard: bool,
     /// Beyond its tenant's share, and so worth little.
-    pub over_share: bool,
+    pub over_quota: bool,
 }
 
 /// A call out: one slot, one fate, however many messages it carries.
@@ -138,7 +138,7 @@
     pub told_wait: Time,
     pub latency: Latency,
     pub last_answer: Time,
-    pub evidence: u32,
+    pub failure_score: u32,
     pub spell: Option<Spell>,
     /// When the slow start began, if one is on.
     pub returned: Option<Time>,
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -6,37 +6,49 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-fn bench(classes: Vec<Class>, answers_take_time: bool) -> Bench {
-    let settings = Settings { answers_take_time, ..settings(classes) };
-    let settling = Rules { order_settle: ms(100), ..settings.rules.clone() };
-    Bench::new(Settings { rules: settling, ..settings }, vec![endpoint(11, 3)])
+fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> Bench {
+    let settings = Settings { outcomes_need_acknowledgement, ..settings(classes) };
+    let settling = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
+    Bench::new(Settings { limits: settling, ..settings }, vec![endpoint(11, 3)])
 }
 
-fn restored(bench: &Bench, id: u32, key: Option<u64>, attempts: u32, maybe_ran: Option<Time>) -> Restored {
+fn restored(
+    bench: &Bench,
+    id: u32,
+    key: Option<u64>,
+    attempts: u32,
+    first_uncertain_attempt: Option<Time>,
+) -> RestoredMessage {
     let class = (ClassId(0), &bench.settings.classes[0]);
     let taken = accepted(bench.now, id, class, 3, key);
-    Restored { taken, attempts, maybe_ran: maybe_ran.map(|at| (at, ZoneId(0))), answered: false }
+    RestoredMessage {
+        message: taken,
+        attempts,
+        first_uncertain_attempt: first_uncertain_attempt
+            .map(|at| SentAttempt { sent_at: at, zone: ZoneId(0) }),
+        outcome_recorded: false,
+    }
 }
 
 fn ordered() -> Class {
-    Class { in_order: true, ..keyed() }
+    Class { ordered: true, ..keyed() }
 }
 
 #[test]
 fn an_unsafe_message_that_may_have_run_fails_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 1, Some(bench.now - ms(700)));
-    bench.tell(Event::Restored(message));
+    bench.tell(Event::MessageRestored(message));
     let actions = bench.decide();
     assert!(matches!(actions[0], Action::ReportFailure { message: MessageId(1) }), "{actions:?}");
-    assert!(!actions.iter().any(|action| matches!(action, Action::Route { .. })));
+    assert!(!actions.iter().any(|action| matches!(action, Action::StartAttempt { .. })));
 }
 
 #[test]
 fn an_unsafe_message_that_never_ran_is_sent() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 2, None);
-    bench.tell(Event::Restored(message));
+    bench.tell(Event::MessageRestored(message));
     assert_eq!(bench.routes().len(), 1);
 }
 
@@ -47,10 +59,11 @@
     let (inside, outside) = (bench.now - Duration::from_secs(5), bench.now - Duration::from_secs(10));
     let (first, second) =
         (restored(&bench, 1, None, 1, Some(inside)), restored(&bench, 2, None, 1, Some(outside)));
-    bench.tell(Event::Restored(first));
-    bench.tell(Event::Restored(second));
+    bench.tell(Event::MessageRestored(first));
+    bench.tell(Event::MessageRestored(second));
     let actions = bench.decide();
-    let sent = |id| actions.iter().any(|a| matches!(a, Action::Route { message, .. } if message.0 == id));
+    let sent =
+        |id| actions.iter().any(|a| matches!(a, Action::StartAttempt { message, .. } if message.0 == id));
     assert!(sent(1) && !sent(2), "{actions:?}");
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(2) }));
 }
@@ -58,10 +71,10 @@
 #[test]
 fn attempts_made_before_a_restart_count() {
     let mut bench = bench(vec![keyed()], true);
-    let message = restored(&bench, 1, None, bench.settings.send_cap, None);
-    bench.tell(Event::Restored(message));
+    let message = restored(&bench, 1, None, bench.settings.max_attempts, None);
+    bench.tell(Event::MessageRestored(message));
     let actions = bench.decide();
-    assert!(matches!(actions[0], Action::Busy { message: MessageId(1), .. }), "{actions:?}");
+    assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
 /// Any key may have had a call out when the old process died: all rest, new messages' keys too.
@@ -70,7 +83,7 @@
     let mut bench = bench(vec![ordered()], true);
     for id in [1, 2] {
         let message = restored(&bench, id, Some(5), 0, None);
-        bench.tell(Event::Restored(message));
+        bench.tell(Event::MessageRestored(message));
     }
     bench.accept(3, 0, 3, Some(6));
     assert_eq!(bench.routes(), []);
@@ -83,12 +96,15 @@
 #[test]
 fn a_key_is_free_once_the_answer_is_heard() {
     let mut bench = bench(vec![ordered()], true);
-    let answered = Restored { answered: true, ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900))) };
-    bench.tell(Event::Restored(answered));
+    let answered = RestoredMessage {
+        outcome_recorded: true,
+        ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900)))
+    };
+    bench.tell(Event::MessageRestored(answered));
     bench.accept(2, 0, 3, Some(5));
     bench.now = bench.now + Duration::from_secs(1);
     assert_eq!(bench.routes(), []);
-    bench.tell(Event::Heard(MessageId(1)));
+    bench.tell(Event::OutcomeAcknowledged(MessageId(1)));
     assert_eq!(bench.routes().len(), 1);
 }
 
@@ -98,25 +114,28 @@
     let mut bench = bench(vec![safe()], true);
     (1..=3).for_each(|id| bench.accept(id, 0, 3, None));
     for (message, endpoint, _) in bench.routes() {
-        bench.finish(message, endpoint, Outcome::ConnectFailed, ms(1));
+        bench.finish(message, endpoint, AttemptOutcome::ConnectFailed, ms(1));
     }
-    let outages: Vec<Outage> = bench.courier.outages().collect();
-    assert_eq!(outages.len(), 1);
+    let circuit_records: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+    assert_eq!(circuit_records.len(), 1);
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
-    assert_eq!(bench.courier.outages().count(), 0);
-    outages.iter().for_each(|outage| bench.tell(Event::Recalled(*outage)));
+    assert_eq!(bench.courier.circuit_records().count(), 0);
+    circuit_records.iter().for_each(|outage| bench.tell(Event::CircuitRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
     // Without the memory all ten would go at once.
     assert!(bench.routes().len() <= 1);
-    assert_eq!(bench.courier.outages().next().map(|outage| outage.since), Some(outages[0].since));
+    assert_eq!(
+        bench.courier.circuit_records().next().map(|outage| outage.last_success_at),
+        Some(circuit_records[0].last_success_at)
+    );
 }
 
 /// No call is begun that would not be over when the courier ends.
 #[test]
 fn nothing_is_begun_shortly_before_the_end() {
     let mut bench = bench(vec![keyed()], true);
-    bench.tell(Event::Closing(bench.now + Duration::from_secs(3)));
+    bench.tell(Event::ShutdownScheduled(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(2900);
@@ -130,10 +149,10 @@
     let mut bench = bench(vec![unsafe_class()], true);
     bench.accept(1, 0, 3, None);
     let (message, endpoint, _) = bench.routes()[0];
-    bench.finish(message, endpoint, Outcome::Spent, ms(1));
+    bench.finish(message, endpoint, AttemptOutcome::AttemptsExhausted, ms(1));
     let actions = bench.decide();
     let told = actions.iter().find_map(|action| match action {
-        Action::Busy { message: MessageId(1), after } => Some(*after),
+        Action::Reject { message: MessageId(1), retry_after } => Some(*retry_after),
         _ => None,
     });
     assert!(told.is_some_and(|after| after > Duration::ZERO), "{actions:?}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,17 +6,26 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-const MAYBE_RAN: [Outcome; 5] =
-    [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Spoilt, Outcome::Cancelled];
-const NEVER_RAN: [Outcome; 4] =
-    [Outcome::Full(None), Outcome::ConnectFailed, Outcome::Moot, Outcome::NotMade];
+const MAYBE_RAN: [AttemptOutcome; 5] = [
+    AttemptOutcome::ErrorResponse,
+    AttemptOutcome::Timeout,
+    AttemptOutcome::Reset,
+    AttemptOutcome::MalformedResponse,
+    AttemptOutcome::Cancelled,
+];
+const NEVER_RAN: [AttemptOutcome; 4] = [
+    AttemptOutcome::Rejected(None),
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::NotSent,
+    AttemptOutcome::LocalFailure,
+];
 
 fn one(class: Class) -> Bench {
     Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
 
 /// Message 1 was sent to endpoint 7, and its attempt ended so.
-fn after_one_attempt(class: Class, outcome: Outcome) -> Bench {
+fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> Bench {
     let mut bench = one(class);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
@@ -31,8 +40,8 @@
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
     let actions = bench.until_action(Duration::from_secs(30));
-    assert!(matches!(actions[..], [Action::Busy { message: MessageId(1), .. }]));
-    assert!(bench.now <= deadline + bench.settings.rules.answer_slack);
+    assert!(matches!(actions[..], [Action::Reject { message: MessageId(1), .. }]));
+    assert!(bench.now <= deadline + bench.settings.limits.final_outcome_grace);
     assert!(bench.until_action(Duration::from_secs(30)).is_empty());
 }
 
@@ -50,7 +59,7 @@
     for outcome in NEVER_RAN {
         let mut bench = after_one_attempt(unsafe_class(), outcome);
         let next = bench.until_action(Duration::from_secs(15));
-        assert!(matches!(next[0], Action::Route { message: MessageId(1), .. }), "{outcome:?}");
+        assert!(matches!(next[0], Action::StartAttempt { message: MessageId(1), .. }), "{outcome:?}");
     }
 }
 
@@ -63,10 +72,10 @@
     let mut repeats = 0;
     loop {
         bench.now = bench.now + ms(30);
-        bench.finish(1, 7, Outcome::Error, ms(30));
+        bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(30));
         match bench.until_action(Duration::from_secs(30)).first() {
-            Some(Action::Route { .. }) => {
-                assert!(bench.now < sent + bench.settings.classes[0].repeat_window);
+            Some(Action::StartAttempt { .. }) => {
+                assert!(bench.now < sent + bench.settings.classes[0].idempotency_window);
                 repeats += 1;
             }
             Some(Action::ReportFailure { .. }) => break,
@@ -74,7 +83,7 @@
         }
     }
     assert!(repeats > 0);
-    assert!(repeats < bench.settings.send_cap);
+    assert!(repeats < bench.settings.max_attempts);
 }
 
 /// A connection may take long to come up: each call tells how long its message may wait for that, which is until
@@ -82,7 +91,7 @@
 #[test]
 fn a_call_tells_until_when_its_message_may_leave() {
     let within = |actions: &[Action]| match actions {
-        [Action::Route { leave_within, .. }, ..] => *leave_within,
+        [Action::StartAttempt { send_within, .. }, ..] => *send_within,
         other => panic!("{other:?}"),
     };
     let mut bench = one(keyed());
@@ -90,10 +99,10 @@
     let sent = bench.now;
     assert_eq!(within(&bench.decide()), bench.settings.classes[0].deadline);
     bench.now = bench.now + ms(50);
-    bench.finish(1, 7, Outcome::Reset, ms(50));
+    bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
     let repeat = bench.until_action(Duration::from_secs(10));
     let last = bench.now + within(&repeat);
-    let window = bench.settings.classes[0].repeat_window;
+    let window = bench.settings.classes[0].idempotency_window;
     assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
 }
 
@@ -101,29 +110,32 @@
 fn a_keyed_message_stays_in_the_zone_that_drops_its_repeats() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
-    let class = Class { group: Group::Zone, ..keyed() };
+    let class = Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() };
     let mut bench = Bench::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
     bench.now = bench.now + ms(50);
-    bench.finish(1, first, Outcome::Reset, ms(50));
+    bench.finish(1, first, AttemptOutcome::Reset, ms(50));
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
-    let drained = Endpoint { mode: Mode::Draining, zone, ..endpoint(first, 1) };
-    bench.tell(Event::Listed(Listing::Changes(vec![drained])));
+    let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
+    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
     let end = bench.until_action(Duration::from_secs(30));
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
 /// Two endpoints in two zones, and one call at a time that may carry several. Message 1 may have run at the first.
-fn one_that_may_have_run_in_a_zone(own_limits: bool) -> (Bench, u32) {
-    let base = settings(vec![Class { group: Group::Zone, ..keyed() }]);
-    let kinds = vec![Kind { batch: 5, own_limits }];
+fn one_that_may_have_run_in_a_zone(per_endpoint_limits: bool) -> (Bench, u32) {
+    let base = settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() }]);
+    let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
     let other = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
-    let mut bench = Bench::new(Settings { call_slots: 1, kinds, ..base }, vec![endpoint(7, 1), other]);
+    let mut bench = Bench::new(
+        Settings { max_in_flight_calls: 1, destination_kinds, ..base },
+        vec![endpoint(7, 1), other],
+    );
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
     bench.now = bench.now + ms(50);
-    bench.finish(1, first, Outcome::Reset, ms(50));
+    bench.finish(1, first, AttemptOutcome::Reset, ms(50));
     (bench, first)
 }
 
@@ -131,8 +143,8 @@
 /// again outside its group on 10 of 12 short days).
 #[test]
 fn a_repeat_shares_no_call_to_another_zone() {
-    for own_limits in [false, true] {
-        let (mut bench, first) = one_that_may_have_run_in_a_zone(own_limits);
+    for per_endpoint_limits in [false, true] {
+        let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
         let mut seen = [0, 0];
         for round in 0..40 {
             bench.now = bench.now + ms(100);
@@ -140,10 +152,10 @@
             for (message, to, _) in bench.routes() {
                 seen[usize::from(to == first)] += 1;
                 if message == 1 {
-                    assert_eq!(to, first, "{own_limits}");
+                    assert_eq!(to, first, "{per_endpoint_limits}");
                 }
                 // What refuses is not preferred: calls go to both.
-                bench.finish(message, to, Outcome::Full(None), ms(5));
+                bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
             }
         }
         assert!(seen[0] > 0 && seen[1] > 0, "{seen:?}");
@@ -153,16 +165,16 @@
 /// A repeat whose zone takes nothing just now does not keep others of its destination from going elsewhere.
 #[test]
 fn a_repeat_that_has_to_wait_for_its_zone_holds_nobody_up() {
-    for own_limits in [false, true] {
-        let (mut bench, first) = one_that_may_have_run_in_a_zone(own_limits);
+    for per_endpoint_limits in [false, true] {
+        let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
-        let drained = Endpoint { mode: Mode::Draining, zone, ..endpoint(first, 1) };
-        bench.tell(Event::Listed(Listing::Changes(vec![drained])));
+        let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
         // Of more worth than what is new.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
         assert!(matches!(bench.until_action(Duration::from_secs(2)).as_slice(),
-            [Action::Route { message: MessageId(2), endpoint, .. }] if endpoint.0 != first));
+            [Action::StartAttempt { message: MessageId(2), endpoint, .. }] if endpoint.0 != first));
     }
 }
 
@@ -172,12 +184,12 @@
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
                 let mut bench = one(safe());
-                bench.courier = Courier::new(bench.settings.clone(), seed);
-                bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
+                bench.courier = Scheduler::new(bench.settings.clone(), seed);
+                bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
                 bench.accept(1, 0, 1, None);
                 bench.routes();
                 for attempt in 0..failures {
-                    bench.finish(1, 7, Outcome::Error, ms(10));
+                    bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(10));
                     let failed = bench.now;
                     assert!(!bench.until_action(Duration::from_secs(10)).is_empty());
                     if attempt + 1 == failures {
@@ -197,13 +209,13 @@
 fn a_message_from_a_dead_courier_counts_its_window_from_its_hand_in() {
     let mut bench = one(keyed());
     let class = bench.settings.classes[0].clone();
-    bench.tell(Event::Accept(Accepted {
+    bench.tell(Event::MessageAccepted(AcceptedMessage {
         id: MessageId(1),
         class: ClassId(0),
         destination: DestinationId(1),
         key: None,
-        deadline: bench.now + (class.deadline - class.repeat_window),
-        from_dead_courier: true,
+        deadline: bench.now + (class.deadline - class.idempotency_window),
+        redelivered: true,
         tenant: TenantId(0),
     }));
     let end = bench.until_action(Duration::from_secs(30));
@@ -212,15 +224,15 @@
 
 #[test]
 fn a_drained_or_gone_endpoint_gets_nothing_new() {
-    for mode in [Mode::Draining, Mode::Gone] {
+    for mode in [Availability::Draining, Availability::Removed] {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
-        bench.tell(Event::Listed(Listing::Changes(vec![Endpoint { mode, ..endpoint(7, 1) }])));
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(7, 1) }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
         let routes = bench.routes();
         assert!(!routes.is_empty() && routes.iter().all(|r| r.1 == 8));
     }
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
-    bench.tell(Event::Listed(Listing::Whole(vec![endpoint(8, 1)])));
+    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(8, 1)])));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes()[0].1, 8);
 }
@@ -230,7 +242,7 @@
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
-    bench.finish(1, first, Outcome::Full(Some(ms(800))), ms(20));
+    bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
     let told = bench.now;
     bench.accept(2, 0, 1, None);
     assert!(bench.routes().is_empty());
@@ -243,14 +255,17 @@
 fn a_wait_told_by_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(
-        Settings { kinds: vec![Kind { batch: 5, own_limits: false }], ..base },
+        Settings {
+            destination_kinds: vec![DestinationKind { batch: 5, per_endpoint_limits: false }],
+            ..base
+        },
         vec![endpoint(7, 1)],
     );
     (1..=3).for_each(|id| bench.accept(id, 0, 1, None));
     assert_eq!(bench.routes().len(), 3);
-    bench.finish(1, 7, Outcome::Full(Some(ms(900))), ms(20));
-    bench.finish(2, 7, Outcome::Full(None), ms(20));
-    bench.finish(3, 7, Outcome::Full(None), ms(20));
+    bench.finish(1, 7, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
+    bench.finish(2, 7, AttemptOutcome::Rejected(None), ms(20));
+    bench.finish(3, 7, AttemptOutcome::Rejected(None), ms(20));
     let told = bench.now;
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
     assert!(bench.now - told >= ms(900));
@@ -258,22 +273,22 @@
 
 #[test]
 fn keys_go_strictly_in_turn_and_rest_after_an_unsettled_attempt() {
-    let class = Class { in_order: true, ..unsafe_class() };
+    let class = Class { ordered: true, ..unsafe_class() };
     let base = settings(vec![class]);
-    let rules = Rules { order_settle: ms(300), ..base.rules.clone() };
-    let mut bench = Bench::new(Settings { rules, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    let rules = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
+    let mut bench = Bench::new(Settings { limits: rules, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, Some(5));
     bench.accept(2, 0, 1, Some(5));
     let sent = bench.routes();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].0, 1);
     // The client goes, the attempt runs on: the key stays taken until its outcome is known, and rests after it.
-    bench.tell(Event::ClientGone(MessageId(1)));
+    bench.tell(Event::MessageAbandoned(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
-    bench.finish(1, sent[0].1, Outcome::Reset, ms(100));
+    bench.finish(1, sent[0].1, AttemptOutcome::Reset, ms(100));
     let settled = bench.now;
     let next = bench.until_action(Duration::from_secs(10));
-    assert!(matches!(next[0], Action::Route { message: MessageId(2), .. }));
+    assert!(matches!(next[0], Action::StartAttempt { message: MessageId(2), .. }));
     assert!(bench.now - settled >= ms(300));
 }
 
@@ -282,33 +297,36 @@
     let mut bench = one(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
-        bench.finish(id, to, Outcome::ConnectFailed, ms(10));
+        bench.finish(id, to, AttemptOutcome::ConnectFailed, ms(10));
     }
     let began = bench.now;
     let mut trials = 0;
     while bench.now - began < Duration::from_secs(6) {
         let routed = bench.until_action(Duration::from_secs(6));
         assert_eq!(routed.len(), 1, "one trial at a time");
-        let Action::Route { message, .. } = routed[0] else { panic!("{routed:?}") };
+        let Action::StartAttempt { message, .. } = routed[0] else { panic!("{routed:?}") };
         trials += 1;
-        bench.finish(message.0, 7, Outcome::ConnectFailed, ms(5));
+        bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
     }
     assert!((3..20).contains(&trials), "{trials}");
     // It is back: all that is sent in the fall window stays inside the budget of a cold destination.
     let (mut sent, mut back) = (0.0, bench.now);
-    let rules = bench.settings.rules.clone();
-    while bench.now - back < rules.fall {
+    let rules = bench.settings.limits.clone();
+    while bench.now - back < rules.overload_window {
         bench.now = bench.now + ms(5);
         for (id, to, _) in bench.routes() {
             if sent == 0.0 {
                 back = bench.now;
             }
             sent += 1.0;
-            bench.finish(id, to, Outcome::Ok, ms(5));
+            bench.finish(id, to, AttemptOutcome::Delivered, ms(5));
         }
     }
-    let capacity = 100.0 * (rules.cold_from + (1.0 - rules.cold_from) * 0.2);
-    assert!(sent > 0.0 && sent <= rules.tip_multiple * capacity * rules.fall.as_secs_f64(), "{sent}");
+    let capacity = 100.0 * (rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * 0.2);
+    assert!(
+        sent > 0.0 && sent <= rules.overload_multiple * capacity * rules.overload_window.as_secs_f64(),
+        "{sent}"
+    );
 }
 
 /// Hang of a destination: the silence stops further calls long before a time-out would.
@@ -343,7 +361,7 @@
             // Only the fifth destination answers.
             if to == 5 {
                 healthy += 1;
-                bench.finish(message, to, Outcome::Ok, ms(5));
+                bench.finish(message, to, AttemptOutcome::Delivered, ms(5));
             }
         }
     }
@@ -352,21 +370,23 @@
 
 #[test]
 fn nearly_full_the_least_worth_are_handed_back() {
-    let rich = Class { worth: 5.0, ..safe() };
+    let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
-    let mut bench = Bench::new(Settings { most_held: 20, ..base }, vec![]);
+    let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     (0..10).for_each(|id| bench.accept(id, 0, 1, None));
     (10..20).for_each(|id| bench.accept(id, 1, 1, None));
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
-    assert!(shed.iter().all(|a| matches!(a, Action::Busy { message, .. } if message.0 < 10)), "{shed:?}");
+    assert!(shed.iter().all(|a| matches!(a, Action::Reject { message, .. } if message.0 < 10)), "{shed:?}");
 }
 
 #[test]
 fn a_free_slot_goes_to_the_destination_with_fewest_calls_out() {
     let base = settings(vec![safe()]);
-    let mut bench =
-        Bench::new(Settings { call_slots: 4, ..base }, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
+    let mut bench = Bench::new(
+        Settings { max_in_flight_calls: 4, ..base },
+        vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)],
+    );
     (0..4).for_each(|id| bench.accept(id, 0, 1, None));
     (4..8).for_each(|id| bench.accept(id, 0, 2, None));
     (8..12).for_each(|id| bench.accept(id, 0, 3, None));
@@ -378,8 +398,9 @@
 #[test]
 fn one_call_carries_many_where_the_kind_allows_it() {
     let base = settings(vec![safe()]);
-    let kinds = vec![Kind { batch: 5, own_limits: false }];
-    let mut bench = Bench::new(Settings { call_slots: 1, kinds, ..base }, vec![endpoint(7, 1)]);
+    let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits: false }];
+    let mut bench =
+        Bench::new(Settings { max_in_flight_calls: 1, destination_kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| bench.accept(id, 0, 1, None));
     assert_eq!(bench.routes().len(), 5);
 }
@@ -393,11 +414,11 @@
     let mut last = first;
     for _ in 0..6 {
         bench.now = bench.now + last;
-        bench.finish(1, 7, Outcome::Timeout, last);
+        bench.finish(1, 7, AttemptOutcome::Timeout, last);
         bench.accept(1000 + bench.now.0 as u32, 0, 1, None);
         match bench.until_action(Duration::from_secs(5)).first() {
-            Some(Action::Route { message, try_for, .. }) => {
-                last = *try_for;
+            Some(Action::StartAttempt { message, attempt_timeout, .. }) => {
+                last = *attempt_timeout;
                 if message.0 != 1 {
                     break;
                 }
@@ -411,10 +432,10 @@
 #[test]
 fn events_for_unknown_things_are_ignored() {
     let mut bench = one(safe());
-    bench.finish(99, 7, Outcome::Ok, ms(5));
-    bench.finish(99, 98, Outcome::Full(Some(ms(5))), ms(5));
-    bench.tell(Event::ClientGone(MessageId(99)));
-    bench.tell(Event::TickDue(12345));
+    bench.finish(99, 7, AttemptOutcome::Delivered, ms(5));
+    bench.finish(99, 98, AttemptOutcome::Rejected(Some(ms(5))), ms(5));
+    bench.tell(Event::MessageAbandoned(MessageId(99)));
+    bench.tell(Event::TimerFired(12345));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
 }
@@ -425,7 +446,7 @@
     (0..5).for_each(|id| bench.accept(id, 0, 1, None));
     bench.routes();
     bench.now = bench.now + Duration::from_secs(100_000);
-    let answers = bench.decide().iter().filter(|a| !matches!(a, Action::Wake { .. })).count();
+    let answers = bench.decide().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
     assert_eq!(answers, 5);
 }
 
@@ -433,44 +454,47 @@
 /// itself, costs more than it. Of one worth nothing goes for another, and for one worth more the least goes.
 #[test]
 fn nearly_full_a_message_of_no_more_worth_is_refused_at_the_door() {
-    let rich = Class { worth: 5.0, ..safe() };
+    let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
-    let mut bench = Bench::new(Settings { most_held: 20, ..base }, vec![]);
+    let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     let classes = bench.settings.classes.clone();
-    let takes_on = |bench: &mut Bench, class: u8| {
+    let admits = |bench: &mut Bench, class: u8| {
         let new = accepted(bench.now, 99, (ClassId(class), &classes[usize::from(class)]), 1, None);
-        bench.courier.takes_on(bench.now, &new)
+        bench.courier.admits(bench.now, &new)
     };
     for id in 0..18 {
-        assert!(takes_on(&mut bench, 0), "{id}");
+        assert!(admits(&mut bench, 0), "{id}");
         bench.accept(id, 0, 1, None);
     }
     assert!(bench.until_action(ms(5)).is_empty());
-    assert!(!takes_on(&mut bench, 0));
-    assert!(takes_on(&mut bench, 1));
+    assert!(!admits(&mut bench, 0));
+    assert!(admits(&mut bench, 1));
     // Late and near its end, the least costs nothing any more.
     bench.now = bench.now + classes[0].deadline.mul_f64(0.8);
-    assert!(takes_on(&mut bench, 0));
+    assert!(admits(&mut bench, 0));
 }
 
 #[test]
 fn what_is_beyond_a_tenants_share_is_shed_first() {
     let base = settings(vec![safe()]);
-    let tenants = vec![Tenant { quota: 5.0 }, Tenant { quota: 1000.0 }];
-    let mut bench = Bench::new(Settings { most_held: 40, tenants, over_share_worth: 0.1, ..base }, vec![]);
+    let tenants = vec![Tenant { quota_per_sec: 5.0 }, Tenant { quota_per_sec: 1000.0 }];
+    let mut bench = Bench::new(
+        Settings { max_pending_messages: 40, tenants, over_quota_value_ratio: 0.1, ..base },
+        vec![],
+    );
     let deadline = bench.now + bench.settings.classes[0].deadline;
     for id in 0..40 {
         let tenant = TenantId(u32::from(id >= 20));
         let (class, destination) = (ClassId(0), DestinationId(1));
         let id = MessageId(id);
-        let from_dead_courier = false;
-        let taken = Accepted { id, class, destination, key: None, deadline, from_dead_courier, tenant };
-        bench.tell(Event::Accept(taken));
+        let redelivered = false;
+        let taken = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
+        bench.tell(Event::MessageAccepted(taken));
     }
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
     assert!(
-        shed.iter().all(|a| matches!(a, Action::Busy { message, .. } if (6..20).contains(&message.0))),
+        shed.iter().all(|a| matches!(a, Action::Reject { message, .. } if (6..20).contains(&message.0))),
         "{shed:?}"
     );
 }
@@ -479,15 +503,16 @@
 /// still on time goes first; where it falls evenly, the late one goes on losing.
 #[test]
 fn what_waiting_loses_goes_by_the_settings_decay() {
-    for (decay, first) in [(Decay::Line, 1), (Decay::Halves, 2)] {
-        let aim = Duration::from_secs(3);
-        let class = Class { aim, deadline: aim * 4, late_share: 0.5, ..safe() };
+    for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
+        let latency_objective = Duration::from_secs(3);
+        let class =
+            Class { latency_objective, deadline: latency_objective * 4, late_value_ratio: 0.5, ..safe() };
         let mut bench = Bench::new(Settings { decay, ..settings(vec![class]) }, vec![]);
         bench.accept(1, 0, 1, None);
-        bench.now = bench.now + aim * 5 / 2;
+        bench.now = bench.now + latency_objective * 5 / 2;
         bench.accept(2, 0, 1, None);
-        bench.now = bench.now + aim / 15;
-        bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
+        bench.now = bench.now + latency_objective / 15;
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
         assert_eq!(bench.routes()[0].0, first, "{decay:?}");
     }
 }
@@ -497,18 +522,18 @@
 #[test]
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
     let base = settings(vec![safe()]);
-    let kinds = vec![Kind { batch: 1, own_limits: true }];
+    let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let costly = Endpoint { zone: ZoneId(2), weight: 5.0, ..endpoint(7, 1) };
     let cheap = Endpoint { zone: ZoneId(1), weight: 5.0, ..endpoint(8, 1) };
-    let zone_fees = vec![0.0, 0.03, 0.06];
-    let mut bench = Bench::new(Settings { kinds, zone_fees, ..base }, vec![costly, cheap]);
+    let zone_costs = vec![0.0, 0.03, 0.06];
+    let mut bench = Bench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes()[0].1, 8);
-    bench.finish(1, 8, Outcome::Ok, ms(20));
+    bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
     bench.accept(2, 0, 1, None);
     let next = bench.until_action(ms(700));
-    assert!(matches!(next[..], [Action::Route { endpoint: EndpointId(8), .. }]), "{next:?}");
-    bench.finish(2, 8, Outcome::Ok, ms(20));
+    assert!(matches!(next[..], [Action::StartAttempt { endpoint: EndpointId(8), .. }]), "{next:?}");
+    bench.finish(2, 8, AttemptOutcome::Delivered, ms(20));
     (3..40).for_each(|id| bench.accept(id, 0, 1, None));
     assert!(bench.routes().iter().any(|sent| sent.1 == 7));
 }
@@ -534,8 +559,13 @@
                 }
                 others += u32::from(waited.is_none());
                 let fails = step % 2 == 0 && (step < 20 || !recovers);
-                bench.finish(id, to, if fails { Outcome::Error } else { Outcome::Ok }, ms(20));
-                bench.tell(Event::ClientGone(MessageId(id)));
+                bench.finish(
+                    id,
+                    to,
+                    if fails { AttemptOutcome::ErrorResponse } else { AttemptOutcome::Delivered },
+                    ms(20),
+                );
+                bench.tell(Event::MessageAbandoned(MessageId(id)));
             }
             bench.now = bench.now + ms(100);
         }
@@ -549,11 +579,11 @@
 #[test]
 fn where_routes_are_apart_a_wait_holds_for_its_route_only() {
     let base = settings(vec![safe()]);
-    let kinds = vec![Kind { batch: 1, own_limits: true }];
-    let mut bench = Bench::new(Settings { kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
+    let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
-    bench.finish(1, first, Outcome::Full(Some(ms(900))), ms(20));
+    bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
     bench.accept(2, 0, 1, None);
     let other = bench.routes();
     assert_eq!(other.len(), 1);
@@ -566,8 +596,12 @@
     let chosen: std::collections::BTreeSet<u32> = (0..30)
         .map(|seed| {
             let mut bench = Bench::new(settings(vec![safe()]), vec![]);
-            bench.courier = Courier::new(bench.settings.clone(), seed);
-            bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)])));
+            bench.courier = Scheduler::new(bench.settings.clone(), seed);
+            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+                endpoint(7, 1),
+                endpoint(8, 1),
+                endpoint(9, 1),
+            ])));
             bench.accept(1, 0, 1, None);
             bench.routes()[0].1
         })
@@ -578,48 +612,51 @@
 /// A message that can never be sent again must not keep its order key from the messages behind it.
 #[test]
 fn a_hopeless_message_is_answered_at_once_and_frees_its_key() {
-    let classes = [unsafe_class(), keyed()].map(|class| Class { in_order: true, ..class });
+    let classes = [unsafe_class(), keyed()].map(|class| Class { ordered: true, ..class });
     let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
     // The one behind can be repeated: an unsafe one would wait after a loss.
     bench.accept(2, 1, 1, Some(5));
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(50);
-    bench.finish(1, 7, Outcome::Reset, ms(50));
+    bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
     let mut actions = bench.decide();
     actions.extend(bench.until_action(ms(500)));
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(1) }), "{actions:?}");
-    assert!(actions.iter().any(|a| matches!(a, Action::Route { message: MessageId(2), .. })), "{actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, Action::StartAttempt { message: MessageId(2), .. })),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn a_message_whose_attempts_are_used_up_is_handed_back_at_once() {
     let mut bench = one(unsafe_class());
-    bench.restart(Settings { send_cap: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
     bench.routes();
-    bench.finish(1, 7, Outcome::Full(None), ms(20));
-    let refused = |action: &Action| matches!(action, Action::Busy { message: MessageId(1), .. });
+    bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
+    let refused = |action: &Action| matches!(action, Action::Reject { message: MessageId(1), .. });
     assert!(bench.decide().iter().any(refused));
 }
 
 /// Sends a message to each of `count` destinations in turn, each with a connection idle for this time and one
 /// round; calls on these end so, those on new ones well. Returns how often idle connections were closed before use.
-fn closes_after(outcome: Outcome, count: u32, idle: Duration) -> usize {
+fn closes_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
     let mut bench = Bench::new(settings(vec![safe()]), all);
     let mut id = 0;
-    let mut call = |bench: &mut Bench, to: u32, outcome: Outcome| {
+    let mut call = |bench: &mut Bench, to: u32, outcome: AttemptOutcome| {
         id += 1;
         bench.accept(id, 0, to as u16, None);
         let actions = bench.decide();
-        let closes = actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
+        let closes = actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
         bench.now = bench.now + ms(20);
-        bench.finish(id, to, if closes > 0 { Outcome::Ok } else { outcome }, ms(20));
-        bench.tell(Event::ClientGone(MessageId(id)));
+        bench.finish(id, to, if closes > 0 { AttemptOutcome::Delivered } else { outcome }, ms(20));
+        bench.tell(Event::MessageAbandoned(MessageId(id)));
         closes
     };
-    (1..=count).for_each(|to| assert_eq!(call(&mut bench, to, Outcome::Ok), 0));
+    (1..=count).for_each(|to| assert_eq!(call(&mut bench, to, AttemptOutcome::Delivered), 0));
     bench.now = bench.now + idle;
     (1..=count).map(|to| call(&mut bench, to, outcome)).sum()
 }
@@ -628,18 +665,18 @@
 #[test]
 fn idle_connections_are_closed_before_use_once_calls_on_them_get_lost() {
     for idle in [Duration::from_secs(2), ms(20)] {
-        assert_eq!(closes_after(Outcome::Ok, 12, idle), 0);
-        assert!(closes_after(Outcome::Reset, 12, idle) >= 6, "after {idle:?}");
+        assert_eq!(closes_after(AttemptOutcome::Delivered, 12, idle), 0);
+        assert!(closes_after(AttemptOutcome::Reset, 12, idle) >= 6, "after {idle:?}");
     }
 }
 
 /// One lost answer is not an outage: with a share of the answers lost, messages must not wait for trials.
 #[test]
 fn a_single_reset_opens_no_spell_but_a_missing_connection_does() {
-    let next_send = |outcome: Outcome| {
+    let next_send = |outcome: AttemptOutcome| {
         let mut bench = one(safe());
         let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
-        bench.restart(Settings { couriers: 100, ..bench.settings.clone() }, 1, vec![told]);
+        bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![told]);
         bench.now = bench.now + ms(20);
         bench.accept(1, 0, 1, None);
         bench.routes();
@@ -648,8 +685,8 @@
         bench.accept(2, 0, 1, None);
         !bench.routes().is_empty()
     };
-    assert!(next_send(Outcome::Reset));
-    assert!(!next_send(Outcome::ConnectFailed));
+    assert!(next_send(AttemptOutcome::Reset));
+    assert!(!next_send(AttemptOutcome::ConnectFailed));
 }
 
 /// Hunt h560941: a hung partner with its queue full refuses although its limit has room.
@@ -676,20 +713,22 @@
 #[test]
 fn with_all_slots_taken_a_stalled_call_is_called_off() {
     let base = settings(vec![safe()]);
-    let mut bench = Bench::new(Settings { call_slots: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
+    let mut bench =
+        Bench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     (0..2).for_each(|id| bench.accept(id, 0, 1 + id as u16, None));
     assert_eq!(bench.routes().len(), 2);
     bench.accept(5, 0, 2, None);
     let off = bench.until_action(Duration::from_secs(3));
-    assert_eq!(off, [Action::StopAttempt { message: MessageId(0), attempt: 0 }]);
+    assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
 /// A slot is worth most where a message of more worth waits, not where the list starts.
 #[test]
 fn ties_between_destinations_go_by_worth() {
-    let rich = Class { worth: 5.0, ..safe() };
+    let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
-    let mut bench = Bench::new(Settings { call_slots: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
+    let mut bench =
+        Bench::new(Settings { max_in_flight_calls: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     bench.accept(1, 0, 1, None);
     bench.accept(2, 1, 2, None);
     assert_eq!(bench.routes()[0].0, 2);
@@ -701,17 +740,17 @@
     let mut trials = 0;
     for seed in 0..100 {
         let mut bench = one(safe());
-        bench.restart(Settings { couriers: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
+        bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.now = bench.now + Duration::from_secs(4);
         bench.accept(1, 0, 1, None);
         bench.routes();
-        bench.finish(1, 7, Outcome::ConnectFailed, ms(20));
+        bench.finish(1, 7, AttemptOutcome::ConnectFailed, ms(20));
         let began = bench.now;
         while bench.now - began < Duration::from_secs(12) {
             for action in bench.until_action(Duration::from_secs(1)) {
-                if let Action::Route { message, .. } = action {
+                if let Action::StartAttempt { message, .. } = action {
                     trials += 1;
-                    bench.finish(message.0, 7, Outcome::ConnectFailed, ms(20));
+                    bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(20));
                 }
             }
         }
@@ -723,13 +762,13 @@
 #[test]
 fn a_light_courier_sends_at_once_inside_its_part() {
     let mut bench = one(safe());
-    bench.restart(Settings { couriers: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
         bench.now = bench.now + Duration::from_secs(4);
         bench.accept(id, 0, 1, None);
         assert_eq!(bench.routes().len(), 1);
         bench.now = bench.now + ms(30);
-        bench.finish(id, 7, Outcome::Ok, ms(30));
+        bench.finish(id, 7, AttemptOutcome::Delivered, ms(30));
     }
 }
 
@@ -738,11 +777,11 @@
 fn where_calls_carry_many_one_refusal_slows_down_to_a_call_an_aim() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
         let base = settings(vec![safe()]);
-        let kinds = vec![Kind { batch, own_limits: false }];
+        let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
         let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
-        let mut bench = Bench::new(Settings { couriers: 400, kinds, ..base }, vec![told]);
+        let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
         // Its pace is far above its part of what is told now.
-        bench.courier.handle(bench.now, Event::Listed(Listing::Changes(vec![endpoint(7, 1)])));
+        bench.courier.handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(100);
         bench.accept(1, 0, 1, None);
         let mut calls = 0;
@@ -751,7 +790,7 @@
             let sent = bench.routes();
             calls += sent.len();
             for (id, to, _) in sent {
-                bench.finish(id, to, Outcome::Full(None), ms(20));
+                bench.finish(id, to, AttemptOutcome::Rejected(None), ms(20));
             }
             bench.now = bench.now + ms(20);
         }
@@ -767,19 +806,24 @@
 fn light_couriers_refused_together_come_back_apart() {
     let back_after = |seed: u64| {
         let mut bench = one(safe());
-        bench.restart(Settings { couriers: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
+        bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(1, 0, 1, None);
         bench.routes();
-        bench.finish(1, 7, Outcome::Full(None), ms(20));
+        bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
         let refused = bench.now;
-        assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::Route { .. }]));
+        assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::StartAttempt { .. }]));
         bench.now - refused
     };
     let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
     gaps.sort_unstable();
-    let aim = safe().aim;
-    assert!(gaps[39] - gaps[0] > aim, "from {:?} to {:?}, aim {aim:?}", gaps[0], gaps[39]);
+    let latency_objective = safe().latency_objective;
+    assert!(
+        gaps[39] - gaps[0] > latency_objective,
+        "from {:?} to {:?}, aim {latency_objective:?}",
+        gaps[0],
+        gaps[39]
+    );
 }
 
 /// An endpoint that answers is up, also where what it says cannot be read: a few such answers open no spell, as
@@ -792,14 +836,14 @@
             bench.accept(id, 0, 1, None);
             for (message, endpoint, _) in bench.routes() {
                 bench.finish(message, endpoint, outcome, ms(50));
-                bench.tell(Event::ClientGone(MessageId(message)));
+                bench.tell(Event::MessageAbandoned(MessageId(message)));
             }
             bench.now = bench.now + ms(100);
         }
-        bench.courier.outages().filter(|outage| outage.lost.is_some()).count()
+        bench.courier.circuit_records().filter(|outage| outage.calls_lost.is_some()).count()
     };
-    assert_eq!(outages_after(Outcome::Spoilt), 0);
-    assert_eq!(outages_after(Outcome::Reset), 1);
+    assert_eq!(outages_after(AttemptOutcome::MalformedResponse), 0);
+    assert_eq!(outages_after(AttemptOutcome::Reset), 1);
 }
 
 /// A watch that discovery refuses is tried again at growing gaps, the longer the more couriers there are: they lose
@@ -807,17 +851,17 @@
 /// what changes counts as told 6 s later. One that broke in silence is tried again soon.
 #[test]
 fn a_refused_watch_is_tried_again_at_growing_gaps() {
-    let tries = |couriers: u32, why: Listing, span: Duration| {
-        let mut bench = Bench::new(Settings { couriers, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
+    let tries = |fleet_size: u32, why: EndpointUpdate, span: Duration| {
+        let mut bench = Bench::new(Settings { fleet_size, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
         let end = bench.now + span;
         let (mut tries, mut last, mut longest) = (0, bench.now, Duration::ZERO);
-        bench.tell(Event::Listed(why.clone()));
+        bench.tell(Event::EndpointsUpdated(why.clone()));
         while bench.now < end {
-            if bench.decide().contains(&Action::KeepInformed { active: true }) {
+            if bench.decide().contains(&Action::WatchEndpoints { active: true }) {
                 tries += 1;
                 longest = longest.max(bench.now - last);
                 last = bench.now;
-                bench.tell(Event::Listed(why.clone()));
+                bench.tell(Event::EndpointsUpdated(why.clone()));
             }
             bench.now = bench.now + ms(5);
         }
@@ -825,20 +869,20 @@
     };
     // Gaps of 1.5 s in the mean, once they have grown, and of 3.75 s where the longest one binds.
     let span = Duration::from_secs(240);
-    let (few, _) = tries(3, Listing::Refused, span);
+    let (few, _) = tries(3, EndpointUpdate::WatchRejected, span);
     assert!((100..=300).contains(&few), "{few}");
-    for couriers in [48, 318, 6900] {
-        let (many, longest) = tries(couriers, Listing::Refused, span);
-        assert!((58..=72).contains(&many) && longest <= ms(5005), "{couriers}: {many}, {longest:?}");
+    for fleet_size in [48, 318, 6900] {
+        let (many, longest) = tries(fleet_size, EndpointUpdate::WatchRejected, span);
+        assert!((58..=72).contains(&many) && longest <= ms(5005), "{fleet_size}: {many}, {longest:?}");
     }
-    assert!(tries(3, Listing::Failed, Duration::from_secs(1)).0 >= 8);
+    assert!(tries(3, EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
     // Who are refused at one moment do not come back at one moment.
     let refused = |seed: u64| {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
-        bench.restart(Settings { couriers: 318, ..settings(vec![safe()]) }, seed, vec![endpoint(11, 3)]);
+        bench.restart(Settings { fleet_size: 318, ..settings(vec![safe()]) }, seed, vec![endpoint(11, 3)]);
         let begun = bench.now;
-        bench.tell(Event::Listed(Listing::Refused));
-        assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::KeepInformed { active: true }]);
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
+        assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { active: true }]);
         bench.now - begun
     };
     let mut herd: Vec<Duration> = (0..318).map(refused).collect();
@@ -850,27 +894,27 @@
     );
     // The first tries of a herd are spread too, but what was told while a courier was away counts as told: however
     // many there are, all have asked well before they may send no more to what drains.
-    let first = |couriers: u32, seed: u64| {
-        Courier::new(Settings { couriers, ..settings(vec![safe()]) }, seed).first_watch()
+    let first = |fleet_size: u32, seed: u64| {
+        Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed).initial_watch_delay()
     };
-    let drain = Settings::default().rules.stop_sending;
-    for couriers in [48, 100, 318] {
-        let mut herd: Vec<Duration> = (0..couriers.into()).map(|seed| first(couriers, seed)).collect();
+    let drain = Settings::default().limits.drain_grace;
+    for fleet_size in [48, 100, 318] {
+        let mut herd: Vec<Duration> = (0..fleet_size.into()).map(|seed| first(fleet_size, seed)).collect();
         herd.sort();
         let last = herd[herd.len() - 1];
-        assert!(last > drain / 3 && last <= drain / 2, "{couriers}: {last:?}");
-        assert!(herd[herd.len() / 2] - herd[herd.len() / 4] > drain / 16, "{couriers}: {herd:?}");
+        assert!(last > drain / 3 && last <= drain / 2, "{fleet_size}: {last:?}");
+        assert!(herd[herd.len() / 2] - herd[herd.len() / 4] > drain / 16, "{fleet_size}: {herd:?}");
     }
     assert!(first(3, 1) < ms(300));
     // One that succeeds makes the next gap short again.
-    let mut bench = Bench::new(Settings { couriers: 3, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
+    let mut bench = Bench::new(Settings { fleet_size: 3, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
     for _ in 0..8 {
-        bench.tell(Event::Listed(Listing::Refused));
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
     }
-    bench.tell(Event::Watching);
+    bench.tell(Event::WatchEstablished);
     assert_eq!(bench.until_action(Duration::from_secs(10)), []);
-    bench.tell(Event::Listed(Listing::Refused));
-    assert_eq!(bench.until_action(ms(610)), [Action::KeepInformed { active: true }]);
+    bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
+    assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
 }
 
 /// A courier that calls seldom has no later event to find the silence by: the one at its due moment must do.
@@ -879,19 +923,19 @@
     let mut bench = one(safe());
     bench.accept(1, 0, 1, None);
     let due = |action: &Action| match action {
-        Action::Wake { after, token } => Some((*after, *token)),
+        Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     };
     // From one timer to the next, up to the last one before the deadline's.
     let began = bench.now;
     while let Some((after, token)) = bench.decide().iter().find_map(due) {
-        if bench.now + after - began > bench.settings.classes[0].aim {
+        if bench.now + after - began > bench.settings.classes[0].latency_objective {
             break;
         }
         bench.now = bench.now + after;
-        bench.tell(Event::TickDue(token));
+        bench.tell(Event::TimerFired(token));
     }
-    assert!(bench.courier.longest_queue(bench.now).unwrap().2[0].sick);
+    assert!(bench.courier.longest_queue(bench.now).unwrap().2[0].circuit_open);
 }
 
 /// An endpoint that has too many connections says nothing of its limit, and whoever keeps one idle keeps others of the
@@ -899,26 +943,27 @@
 #[test]
 fn a_connection_that_was_one_too_many_is_no_limit_and_none_is_kept() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 2)]);
-    let closes = |actions: &[Action], id| actions.contains(&Action::CloseIdle { endpoint: EndpointId(id) });
+    let closes =
+        |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
     bench.accept(1, 0, 2, None);
     assert_eq!(bench.routes().len(), 1);
-    bench.finish(1, 8, Outcome::Ok, ms(20));
+    bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
     assert!(!closes(&bench.decide(), 8));
     for id in 2..12 {
         bench.now = bench.now + ms(100);
         bench.accept(id, 0, 1, None);
         assert_eq!(bench.routes().len(), 1, "{id}: the pace is not cut");
-        bench.finish(id, 7, Outcome::Crowded, ms(20));
-        bench.tell(Event::ClientGone(MessageId(id)));
+        bench.finish(id, 7, AttemptOutcome::TooManyConnections, ms(20));
+        bench.tell(Event::MessageAbandoned(MessageId(id)));
     }
     bench.accept(20, 0, 2, None);
     assert_eq!(bench.routes().len(), 1);
-    bench.finish(20, 8, Outcome::Ok, ms(20));
+    bench.finish(20, 8, AttemptOutcome::Delivered, ms(20));
     assert!(closes(&bench.decide(), 8), "at other endpoints neither");
-    bench.now = bench.now + bench.settings.conn_idle * 4;
+    bench.now = bench.now + bench.settings.connection_idle_timeout * 4;
     bench.accept(21, 0, 2, None);
     assert_eq!(bench.routes().len(), 1);
-    bench.finish(21, 8, Outcome::Ok, ms(20));
+    bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
     assert!(!closes(&bench.decide(), 8), "not for good");
 }
 
@@ -926,30 +971,30 @@
 /// and not when the pace of the first moment would have let it go.
 #[test]
 fn a_slow_start_is_looked_at_again_while_nothing_happens() {
-    let settings = Settings { couriers: 300, ..settings(vec![safe()]) };
+    let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings, vec![Endpoint { weight: 40.0, ..endpoint(11, 3) }]);
     let begun = bench.now;
-    bench.tell(Event::Recalled(Outage {
+    bench.tell(Event::CircuitRestored(CircuitRecord {
         destination: DestinationId(3),
         endpoint: None,
-        since: begun,
-        evidence: 0,
-        lost: None,
-        returned: Some(begun),
-        share: 0.0,
+        last_success_at: begun,
+        failure_score: 0,
+        calls_lost: None,
+        slow_start_since: Some(begun),
+        baseline_rate: 0.0,
     }));
     bench.accept(1, 0, 3, None);
     loop {
         let mut wake = None;
         for action in bench.decide() {
             match action {
-                Action::Route { .. } => return,
-                Action::Wake { after, token } => wake = Some((after, token)),
+                Action::StartAttempt { .. } => return,
+                Action::SetTimer { after, token } => wake = Some((after, token)),
                 other => panic!("{other:?} after {:?}", bench.now - begun),
             }
         }
         let (after, token) = wake.expect("asked for a timer");
         bench.now = bench.now + after;
-        bench.tell(Event::TickDue(token));
+        bench.tell(Event::TimerFired(token));
     }
 }
