--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -119,9 +119,9 @@
     seed: u64,
     destinations: u8,
     slots: usize,
-    most_held: usize,
-    couriers: u32,
-    send_cap: u32,
+    max_pending_messages: usize,
+    fleet_size: u32,
+    max_attempts: u32,
     /// Messages that come for each one of the history: many make long queues.
     many: u8,
     /// Each bit switches one setting, see [`World::settings`].
@@ -193,8 +193,8 @@
         mood: Mood,
     },
     ToldWait(usize, u64),
-    Gone(usize),
-    Mode(usize, Mode),
+    Removed(usize),
+    Availability(usize, Availability),
     /// A drained endpoint is ready again.
     Reopen(usize),
     Reweigh(usize, f64),
@@ -253,7 +253,7 @@
 
 /// Steps, and whether the courier decides after each or only after the next.
 fn histories() -> impl Strategy<Value = Vec<(Step, bool)>> {
-    let mode = prop_oneof![3 => Just(Mode::Ready), 2 => Just(Mode::Draining), 1 => Just(Mode::Gone)];
+    let mode = prop_oneof![3 => Just(Availability::Ready), 2 => Just(Availability::Draining), 1 => Just(Availability::Removed)];
     let which = 0usize..1000;
     // Most messages go to a few destinations, so that queues form there; all others wait beside them.
     let destination = prop_oneof![2 => 0u8..4, 3 => 0u8..40];
@@ -277,8 +277,8 @@
     ];
     let seldom = prop_oneof![
         4 => (which.clone(), 0u64..1500).prop_map(|(which, ms)| Step::ToldWait(which, ms)),
-        4 => which.clone().prop_map(Step::Gone),
-        6 => (which.clone(), mode).prop_map(|(which, mode)| Step::Mode(which, mode)),
+        4 => which.clone().prop_map(Step::Removed),
+        6 => (which.clone(), mode).prop_map(|(which, mode)| Step::Availability(which, mode)),
         3 => which.clone().prop_map(Step::Reopen),
         2 => (which.clone(), 0.0f64..200.0).prop_map(|(which, weight)| Step::Reweigh(which, weight)),
         3 => which.clone().prop_map(Step::NewEndpoint),
@@ -302,9 +302,9 @@
     let deep = (1u8..=3, 250usize..700, 10u8..=25);
     let sizes = (any::<u64>(), prop_oneof![9 => wide.boxed(), 1 => deep.boxed()], 3usize..=14);
     let rest = (prop_oneof![Just(1u32), Just(3), Just(30)], 2u32..10, any::<u8>());
-    (sizes, rest).prop_map(|((seed, size, slots), (couriers, send_cap, switches))| {
-        let (destinations, most_held, many) = size;
-        World { seed, destinations, slots, most_held, couriers, send_cap, many, switches }
+    (sizes, rest).prop_map(|((seed, size, slots), (fleet_size, max_attempts, switches))| {
+        let (destinations, max_pending_messages, many) = size;
+        World { seed, destinations, slots, max_pending_messages, fleet_size, max_attempts, many, switches }
     })
 }
 
@@ -314,36 +314,50 @@
     }
 
     fn settings(&self) -> Settings {
-        let aim = Duration::from_secs(1);
+        let latency_objective = Duration::from_secs(1);
         let deadline = Duration::from_secs(6);
-        let keyed = Class { aim, deadline, repeat_window: ms(2500), ..Class::default() };
-        let by_zone = Class { group: Group::Zone, aim: aim * 2, deadline: deadline * 2, ..keyed.clone() };
-        let unsafe_class = Class { effect: Effect::Unsafe, worth: 2.0, ..keyed.clone() };
-        let safe = Class { effect: Effect::Safe, aim: aim * 3, worth: 0.5, ..keyed.clone() };
-        let in_order = Class { in_order: true, ..keyed.clone() };
-        let unsafe_in_order = Class { in_order: true, deadline: deadline * 2, ..unsafe_class.clone() };
+        let keyed = Class { latency_objective, deadline, idempotency_window: ms(2500), ..Class::default() };
+        let by_zone = Class {
+            deduplication_scope: DeduplicationScope::Zone,
+            latency_objective: latency_objective * 2,
+            deadline: deadline * 2,
+            ..keyed.clone()
+        };
+        let unsafe_class =
+            Class { idempotency: Idempotency::NonIdempotent, priority_weight: 2.0, ..keyed.clone() };
+        let safe = Class {
+            idempotency: Idempotency::Idempotent,
+            latency_objective: latency_objective * 3,
+            priority_weight: 0.5,
+            ..keyed.clone()
+        };
+        let ordered = Class { ordered: true, ..keyed.clone() };
+        let unsafe_in_order = Class { ordered: true, deadline: deadline * 2, ..unsafe_class.clone() };
         let base = Settings::default();
         Settings {
-            couriers: self.couriers,
-            classes: vec![keyed, by_zone, unsafe_class, safe, in_order, unsafe_in_order],
-            tenants: vec![Tenant { quota: f64::INFINITY }, Tenant { quota: 3.0 * f64::from(self.couriers) }],
-            kinds: [(1, false), (1, true), (3, false), (4, true)]
-                .map(|(batch, own_limits)| Kind { batch, own_limits })
+            fleet_size: self.fleet_size,
+            classes: vec![keyed, by_zone, unsafe_class, safe, ordered, unsafe_in_order],
+            tenants: vec![
+                Tenant { quota_per_sec: f64::INFINITY },
+                Tenant { quota_per_sec: 3.0 * f64::from(self.fleet_size) },
+            ],
+            destination_kinds: [(1, false), (1, true), (3, false), (4, true)]
+                .map(|(batch, per_endpoint_limits)| DestinationKind { batch, per_endpoint_limits })
                 .into(),
             weights: if self.on(0) { WeightSource::Silent } else { WeightSource::Nominal },
-            decay: if self.on(1) { Decay::Halves } else { Decay::Line },
-            zone_fees: vec![0.0, 0.2, 0.5],
-            call_slots: self.slots,
-            most_held: self.most_held,
-            send_cap: self.send_cap,
-            cancel: !self.on(2),
-            answers_take_time: self.on(3),
-            over_share_worth: 0.1,
-            conn_idle: if self.on(4) { ms(700) } else { Duration::from_secs(15) },
-            rules: Rules {
-                cold: Duration::from_secs(5),
-                order_settle: if self.on(5) { ms(150) } else { Duration::ZERO },
-                ..base.rules.clone()
+            decay: if self.on(1) { Decay::Halving } else { Decay::Linear },
+            zone_costs: vec![0.0, 0.2, 0.5],
+            max_in_flight_calls: self.slots,
+            max_pending_messages: self.max_pending_messages,
+            max_attempts: self.max_attempts,
+            allow_cancel: !self.on(2),
+            outcomes_need_acknowledgement: self.on(3),
+            over_quota_value_ratio: 0.1,
+            connection_idle_timeout: if self.on(4) { ms(700) } else { Duration::from_secs(15) },
+            limits: DeliveryLimits {
+                warm_up: Duration::from_secs(5),
+                ordering_key_hold: if self.on(5) { ms(150) } else { Duration::ZERO },
+                ..base.limits.clone()
             },
             ..base
         }
@@ -355,9 +369,9 @@
         Endpoint {
             id: EndpointId(id),
             zone: ZoneId(((d + place) % 3) as u8),
-            kind: KindId((d % 4) as u16),
+            kind: DestinationKindId((d % 4) as u16),
             destination: DestinationId(destination.into()),
-            mode: Mode::Ready,
+            mode: Availability::Ready,
             weight: [100.0, 5.0, 0.0, 20.0, 40.0][((d * 2 + place + self.seed as u32 % 5) % 5) as usize],
         }
     }
@@ -375,15 +389,15 @@
 
 /// The product's module and the reference, told the same.
 struct Both {
-    product: Courier,
-    reference: reference::Courier,
+    product: Scheduler,
+    reference: reference::Scheduler,
 }
 
 impl Both {
     fn new(settings: &Settings, seed: u64) -> Both {
         Both {
-            product: Courier::new(settings.clone(), seed),
-            reference: reference::Courier::new(settings.clone(), seed),
+            product: Scheduler::new(settings.clone(), seed),
+            reference: reference::Scheduler::new(settings.clone(), seed),
         }
     }
 
@@ -396,9 +410,9 @@
     fn handed_over(self, settings: &Settings, seed: u64) -> Result<Both, TestCaseError> {
         let fresh = Both::new(settings, seed);
         let bytes = postcard::to_stdvec(&self.product).map_err(failed)?;
-        let product: Courier = postcard::from_bytes(&bytes).map_err(failed)?;
+        let product: Scheduler = postcard::from_bytes(&bytes).map_err(failed)?;
         let bytes = postcard::to_stdvec(&self.reference).map_err(failed)?;
-        let reference: reference::Courier = postcard::from_bytes(&bytes).map_err(failed)?;
+        let reference: reference::Scheduler = postcard::from_bytes(&bytes).map_err(failed)?;
         Ok(Both { product: product.resumed(fresh.product), reference: reference.resumed(fresh.reference) })
     }
 }
@@ -420,10 +434,12 @@
     use Action::*;
     match (product, reference) {
         (
-            Route { message: m1, endpoint: e1, try_for: t1, leave_within: l1 },
-            Route { message: m2, endpoint: e2, try_for: t2, leave_within: l2 },
+            StartAttempt { message: m1, endpoint: e1, attempt_timeout: t1, send_within: l1 },
+            StartAttempt { message: m2, endpoint: e2, attempt_timeout: t2, send_within: l2 },
         ) => (m1, e1) == (m2, e2) && near(*t1, *t2) && near(*l1, *l2),
-        (Busy { message: m1, after: a1 }, Busy { message: m2, after: a2 }) => m1 == m2 && near(*a1, *a2),
+        (Reject { message: m1, retry_after: a1 }, Reject { message: m2, retry_after: a2 }) => {
+            m1 == m2 && near(*a1, *a2)
+        }
         _ => product == reference,
     }
 }
@@ -439,18 +455,19 @@
     near_times(after[0], after[1]) && (set[0] == set[1] || !moved(0) && !moved(1))
 }
 
-fn same_outage(product: &Outage, reference: &Outage) -> bool {
-    near_rate(product.share, reference.share) && Outage { share: reference.share, ..*product } == *reference
+fn same_outage(product: &CircuitRecord, reference: &CircuitRecord) -> bool {
+    near_rate(product.baseline_rate, reference.baseline_rate)
+        && CircuitRecord { baseline_rate: reference.baseline_rate, ..*product } == *reference
 }
 
 // ---- One history ----
 
 /// A message not forgotten by the courier.
 struct Held {
-    taken: Accepted,
+    taken: AcceptedMessage,
     order: usize,
     attempts: u32,
-    maybe_ran: Option<(Time, ZoneId)>,
+    first_uncertain_attempt: Option<(Time, ZoneId)>,
     /// Its end is given, or its client has gone.
     closed: bool,
     /// When its answer is heard, if that is still to come.
@@ -462,8 +479,8 @@
     endpoint: EndpointId,
     sent: Time,
     ends: Time,
-    outcome: Outcome,
-    allowance: Option<Allowance>,
+    outcome: AttemptOutcome,
+    load_report: Option<LoadReport>,
 }
 
 /// One history as it is played. It plays the endpoints and clients, and the timer.
@@ -481,7 +498,7 @@
     detached: BTreeSet<u32>,
     told_waits: BTreeSet<Time>,
     /// Outages by what the product told of their changes, as a journal keeps them.
-    outages: BTreeMap<(DestinationId, Option<EndpointId>), Outage>,
+    circuit_records: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
     watch_answer: Option<Time>,
     last_message: u32,
     last_endpoint: u32,
@@ -505,7 +522,7 @@
             moods: BTreeMap::new(),
             detached: BTreeSet::new(),
             told_waits: BTreeSet::new(),
-            outages: BTreeMap::new(),
+            circuit_records: BTreeMap::new(),
             watch_answer: None,
             last_message: 0,
             last_endpoint: 0,
@@ -531,8 +548,8 @@
     }
 
     fn tell_whole_list(&mut self) {
-        let listed = self.list.values().filter(|e| e.mode != Mode::Gone).cloned().collect();
-        self.tell(Event::Listed(Listing::Whole(listed)));
+        let listed = self.list.values().filter(|e| e.mode != Availability::Removed).cloned().collect();
+        self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(listed)));
     }
 
     fn differ(
@@ -568,14 +585,14 @@
             return Err(self.differ("actions", &seen(&product, 0), &seen(&reference, 1)));
         }
         self.compare_outages()?;
-        let sorted = |mut waits: Vec<(EndpointId, Duration)>| {
-            waits.sort();
-            waits
+        let sorted = |mut retry_after_delays: Vec<(EndpointId, Duration)>| {
+            retry_after_delays.sort();
+            retry_after_delays
         };
-        let product_waits = sorted(self.both.product.waits(self.now).collect());
-        let waits = sorted(self.both.reference.waits(self.now).collect());
-        if product_waits != waits {
-            return Err(self.differ("told waits", &product_waits, &waits));
+        let product_waits = sorted(self.both.product.retry_after_delays(self.now).collect());
+        let retry_after_delays = sorted(self.both.reference.retry_after_delays(self.now).collect());
+        if product_waits != retry_after_delays {
+            return Err(self.differ("told waits", &product_waits, &retry_after_delays));
         }
         self.told.clear();
         for action in reference {
@@ -586,34 +603,34 @@
 
     /// Sets the timer of one side, if it asks for one; returns all that it asks for before.
     fn set_timer<'a>(&mut self, side: usize, actions: &'a [Action]) -> &'a [Action] {
-        let Some((Action::Wake { after, token }, before)) = actions.split_last() else { return actions };
+        let Some((Action::SetTimer { after, token }, before)) = actions.split_last() else { return actions };
         self.wakes[side] = Some((self.now + *after, *token));
         before
     }
 
     /// Outages as both tell them, all and by their changes; the reference's are returned.
-    fn compare_outages(&mut self) -> Result<Vec<Outage>, TestCaseError> {
-        let sorted = |mut outages: Vec<Outage>| {
-            outages.sort_by_key(|outage| (outage.destination, outage.endpoint));
-            outages
+    fn compare_outages(&mut self) -> Result<Vec<CircuitRecord>, TestCaseError> {
+        let sorted = |mut circuit_records: Vec<CircuitRecord>| {
+            circuit_records.sort_by_key(|outage| (outage.destination, outage.endpoint));
+            circuit_records
         };
-        let same = |product: &[Outage], reference: &[Outage]| {
+        let same = |product: &[CircuitRecord], reference: &[CircuitRecord]| {
             product.len() == reference.len()
                 && product.iter().zip(reference).all(|(one, other)| same_outage(one, other))
         };
-        let product = sorted(self.both.product.outages().collect());
-        let reference = sorted(self.both.reference.outages().collect());
+        let product = sorted(self.both.product.circuit_records().collect());
+        let reference = sorted(self.both.reference.circuit_records().collect());
         if !same(&product, &reference) {
             return Err(self.differ("outages", &product, &reference));
         }
-        for changed in self.both.product.changed_outages() {
+        for changed in self.both.product.take_circuit_changes() {
             let of = (changed.destination, changed.endpoint);
-            match changed.outage {
-                Some(outage) => self.outages.insert(of, outage),
-                None => self.outages.remove(&of),
+            match changed.record {
+                Some(outage) => self.circuit_records.insert(of, outage),
+                None => self.circuit_records.remove(&of),
             };
         }
-        let kept: Vec<Outage> = self.outages.values().copied().collect();
+        let kept: Vec<CircuitRecord> = self.circuit_records.values().copied().collect();
         if same(&kept, &reference) {
             Ok(reference)
         } else {
@@ -624,22 +641,24 @@
     /// Plays what both couriers ask for.
     fn act(&mut self, action: Action) {
         match action {
-            Action::Route { message, endpoint, try_for, .. } => self.send(message, endpoint, try_for),
-            Action::Busy { message, .. } | Action::ReportFailure { message } => {
+            Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
+                self.send(message, endpoint, attempt_timeout)
+            }
+            Action::Reject { message, .. } | Action::ReportFailure { message } => {
                 let heard_at = self.now + ms(10 + 10 * (self.chance(message.0) % 40));
                 if let Some(held) = self.held.get_mut(&message.0) {
                     held.closed = true;
-                    held.heard_at = self.settings.answers_take_time.then_some(heard_at);
+                    held.heard_at = self.settings.outcomes_need_acknowledgement.then_some(heard_at);
                 }
                 self.forget_if_over(message.0);
             }
-            Action::StopAttempt { message, .. } => {
+            Action::CancelAttempt { message, .. } => {
                 let soon = self.now + ms(self.chance(message.0) % 3);
                 if let Some(out) = self.out.get_mut(&message.0).filter(|out| out.ends > soon) {
-                    (out.ends, out.outcome, out.allowance) = (soon, Outcome::Cancelled, None);
+                    (out.ends, out.outcome, out.load_report) = (soon, AttemptOutcome::Cancelled, None);
                 }
             }
-            Action::KeepInformed { active: true } => self.watch_answer = Some(self.now + ms(30)),
+            Action::WatchEndpoints { active: true } => self.watch_answer = Some(self.now + ms(30)),
             _ => {}
         }
     }
@@ -651,14 +670,14 @@
         fastrand::Rng::with_seed(seed).u64(..)
     }
 
-    fn send(&mut self, message: MessageId, endpoint: EndpointId, try_for: Duration) {
+    fn send(&mut self, message: MessageId, endpoint: EndpointId, attempt_timeout: Duration) {
         let mood = self.moods.get(&endpoint.0).copied().unwrap_or(Mood::Well);
-        let (takes, outcome, allowance) = self.answer(mood, message.0, endpoint, Some(try_for));
+        let (takes, outcome, load_report) = self.answer(mood, message.0, endpoint, Some(attempt_timeout));
         if let Some(held) = self.held.get_mut(&message.0) {
             held.attempts += 1;
         }
         let (sent, ends) = (self.now, self.now + takes);
-        self.out.insert(message.0, Out { endpoint, sent, ends, outcome, allowance });
+        self.out.insert(message.0, Out { endpoint, sent, ends, outcome, load_report });
     }
 
     /// How long an endpoint takes in such a mood, and what it answers.
@@ -667,37 +686,39 @@
         mood: Mood,
         message: u32,
         endpoint: EndpointId,
-        try_for: Option<Duration>,
-    ) -> (Duration, Outcome, Option<Allowance>) {
+        attempt_timeout: Option<Duration>,
+    ) -> (Duration, AttemptOutcome, Option<LoadReport>) {
         let chance = self.chance(message);
         let weight = self.list.get(&endpoint.0).map_or(0.0, |e| e.weight);
         let soon = ms(15 + 5 * (chance % 8));
-        let patience = try_for.unwrap_or_default();
-        let allowance = |left: f64| Some(Allowance { left, limit: weight });
+        let patience = attempt_timeout.unwrap_or_default();
+        let load_report = |left: f64| Some(LoadReport { headroom: left, limit_per_sec: weight });
         match mood {
-            Mood::Well => (soon, Outcome::Ok, None),
-            Mood::Telling => (soon, Outcome::Ok, allowance((chance % 11) as f64 / 10.0)),
-            Mood::Limited if chance.is_multiple_of(3) => (soon, Outcome::Ok, None),
-            Mood::Limited => {
-                (soon, Outcome::Full(None), if chance.is_multiple_of(2) { allowance(0.0) } else { None })
-            }
-            Mood::Closed => (soon, Outcome::Full(None), allowance(0.8)),
-            Mood::Waiting(wait) => (soon, Outcome::Full(Some(ms(wait))), None),
-            Mood::Down => (ms(1), Outcome::ConnectFailed, None),
-            Mood::Slow(takes) if patience > ms(takes) => (ms(takes), Outcome::Ok, None),
-            Mood::Hung | Mood::Slow(_) => (patience, Outcome::Timeout, None),
-            Mood::Lossy if chance.is_multiple_of(2) => (soon, Outcome::Reset, None),
-            Mood::Lossy => (soon, Outcome::Ok, None),
-            Mood::Erring => (soon, Outcome::Error, None),
+            Mood::Well => (soon, AttemptOutcome::Delivered, None),
+            Mood::Telling => (soon, AttemptOutcome::Delivered, load_report((chance % 11) as f64 / 10.0)),
+            Mood::Limited if chance.is_multiple_of(3) => (soon, AttemptOutcome::Delivered, None),
+            Mood::Limited => (
+                soon,
+                AttemptOutcome::Rejected(None),
+                if chance.is_multiple_of(2) { load_report(0.0) } else { None },
+            ),
+            Mood::Closed => (soon, AttemptOutcome::Rejected(None), load_report(0.8)),
+            Mood::Waiting(wait) => (soon, AttemptOutcome::Rejected(Some(ms(wait))), None),
+            Mood::Down => (ms(1), AttemptOutcome::ConnectFailed, None),
+            Mood::Slow(takes) if patience > ms(takes) => (ms(takes), AttemptOutcome::Delivered, None),
+            Mood::Hung | Mood::Slow(_) => (patience, AttemptOutcome::Timeout, None),
+            Mood::Lossy if chance.is_multiple_of(2) => (soon, AttemptOutcome::Reset, None),
+            Mood::Lossy => (soon, AttemptOutcome::Delivered, None),
+            Mood::Erring => (soon, AttemptOutcome::ErrorResponse, None),
             Mood::Odd => {
                 let odd = [
-                    Outcome::Spoilt,
-                    Outcome::Crowded,
-                    Outcome::Moot,
-                    Outcome::NotMade,
-                    Outcome::Spent,
-                    Outcome::Cancelled,
-                    Outcome::Full(Some(Duration::ZERO)),
+                    AttemptOutcome::MalformedResponse,
+                    AttemptOutcome::TooManyConnections,
+                    AttemptOutcome::NotSent,
+                    AttemptOutcome::LocalFailure,
+                    AttemptOutcome::AttemptsExhausted,
+                    AttemptOutcome::Cancelled,
+                    AttemptOutcome::Rejected(Some(Duration::ZERO)),
                 ];
                 (soon, odd[(chance % odd.len() as u64) as usize], None)
             }
@@ -710,45 +731,49 @@
         let zone = self.list.get(&out.endpoint.0).map_or(ZoneId(0), |e| e.zone);
         let attempts = self.held.get(&message).map_or(1, |held| held.attempts);
         reached(match out.outcome {
-            Outcome::Ok => "outcome Ok",
-            Outcome::Error => "outcome Error",
-            Outcome::Full(None) => "outcome Full",
-            Outcome::Full(Some(wait)) if wait > self.settings.rules.fall.mul_f64(0.6) => "told a long wait",
-            Outcome::Full(Some(_)) => "told a short wait",
-            Outcome::Timeout => "outcome Timeout",
-            Outcome::ConnectFailed => "outcome ConnectFailed",
-            Outcome::Reset => "outcome Reset",
-            Outcome::Spoilt => "outcome Spoilt",
-            Outcome::Cancelled => "outcome Cancelled",
-            Outcome::Moot => "outcome Moot",
-            Outcome::Spent => "outcome Spent",
-            Outcome::Crowded => "outcome Crowded",
-            Outcome::NotMade => "outcome NotMade",
+            AttemptOutcome::Delivered => "outcome Ok",
+            AttemptOutcome::ErrorResponse => "outcome Error",
+            AttemptOutcome::Rejected(None) => "outcome Full",
+            AttemptOutcome::Rejected(Some(wait))
+                if wait > self.settings.limits.overload_window.mul_f64(0.6) =>
+            {
+                "told a long wait"
+            }
+            AttemptOutcome::Rejected(Some(_)) => "told a short wait",
+            AttemptOutcome::Timeout => "outcome Timeout",
+            AttemptOutcome::ConnectFailed => "outcome ConnectFailed",
+            AttemptOutcome::Reset => "outcome Reset",
+            AttemptOutcome::MalformedResponse => "outcome Spoilt",
+            AttemptOutcome::Cancelled => "outcome Cancelled",
+            AttemptOutcome::NotSent => "outcome Moot",
+            AttemptOutcome::AttemptsExhausted => "outcome Spent",
+            AttemptOutcome::TooManyConnections => "outcome Crowded",
+            AttemptOutcome::LocalFailure => "outcome NotMade",
         });
-        if out.allowance.is_some() {
+        if out.load_report.is_some() {
             reached("allowance told");
         }
-        if let Outcome::Full(Some(wait)) = out.outcome {
+        if let AttemptOutcome::Rejected(Some(wait)) = out.outcome {
             self.told_waits.insert(self.now + wait);
         }
-        let complete = out.outcome == Outcome::Ok;
+        let complete = out.outcome == AttemptOutcome::Delivered;
         if let Some(held) = self.held.get_mut(&message) {
             held.closed |= complete;
-            if !out.outcome.never_ran() {
-                held.maybe_ran.get_or_insert((out.sent, zone));
+            if !out.outcome.was_not_processed() {
+                held.first_uncertain_attempt.get_or_insert((out.sent, zone));
             }
-            if out.outcome == Outcome::Spent {
-                held.attempts = self.settings.send_cap;
+            if out.outcome == AttemptOutcome::AttemptsExhausted {
+                held.attempts = self.settings.max_attempts;
             }
         }
-        self.tell(Event::Finished(Finished {
+        self.tell(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(message),
             endpoint: out.endpoint,
             attempt: attempts.saturating_sub(1) as u16,
             outcome: out.outcome,
             latency: self.now - out.sent,
             complete,
-            allowance: out.allowance,
+            load_report: out.load_report,
         }));
         self.forget_if_over(message);
     }
@@ -804,18 +829,18 @@
         for message in self.held.iter().filter_map(heard).collect::<Vec<_>>() {
             self.held.get_mut(&message).expect("held").heard_at = None;
             reached("heard");
-            self.tell(Event::Heard(MessageId(message)));
+            self.tell(Event::OutcomeAcknowledged(MessageId(message)));
             self.forget_if_over(message);
         }
         if self.watch_answer.take_if(|at| *at <= now).is_some() {
-            self.tell(Event::Watching);
+            self.tell(Event::WatchEstablished);
         }
         if !late && self.wake_times().is_some_and(|(_, last)| last <= now) {
             let [product, reference] = std::mem::take(&mut self.wakes);
             self.told.push("TickDue".to_owned());
             if let (Some((_, product)), Some((_, reference))) = (product, reference) {
-                self.both.product.handle(now, Event::TickDue(product));
-                self.both.reference.handle(now, Event::TickDue(reference));
+                self.both.product.handle(now, Event::TimerFired(product));
+                self.both.reference.handle(now, Event::TimerFired(reference));
             }
         }
         self.told_waits.retain(|until| *until > now);
@@ -837,8 +862,8 @@
                 }
             }
             Step::ToWaitEnd(which, beside) => {
-                let waits: Vec<Time> = self.told_waits.iter().copied().collect();
-                if let Some(at) = pick(&waits, which) {
+                let retry_after_delays: Vec<Time> = self.told_waits.iter().copied().collect();
+                if let Some(at) = pick(&retry_after_delays, which) {
                     reached(match beside.0 {
                         0 => "at the end of a told wait",
                         ..0 => "just before the end of a told wait",
@@ -868,10 +893,10 @@
             Step::Finish { which, mood } => {
                 let ids: Vec<u32> = self.out.keys().copied().collect();
                 if let Some(&message) = pick(&ids, which) {
-                    let (_, outcome, allowance) =
+                    let (_, outcome, load_report) =
                         self.answer(mood, message, self.out[&message].endpoint, None);
                     let out = self.out.get_mut(&message).expect("out");
-                    (out.outcome, out.allowance) = (outcome, allowance);
+                    (out.outcome, out.load_report) = (outcome, load_report);
                     self.finish(message);
                 }
             }
@@ -879,33 +904,33 @@
                 if let Some(id) = self.listed(which) {
                     reached("told to wait by an answer");
                     self.told_waits.insert(self.now + ms(wait));
-                    self.tell(Event::ToldWait { endpoint: EndpointId(id), wait: ms(wait) });
+                    self.tell(Event::RetryAfter { endpoint: EndpointId(id), delay: ms(wait) });
                 }
             }
-            Step::Gone(which) => {
+            Step::Removed(which) => {
                 let open: Vec<u32> = self.held.iter().filter(|(_, h)| !h.closed).map(|(id, _)| *id).collect();
                 if let Some(&message) = pick(&open, which) {
                     reached("withdrawn by the client");
                     self.held.get_mut(&message).expect("held").closed = true;
-                    self.tell(Event::ClientGone(MessageId(message)));
+                    self.tell(Event::MessageAbandoned(MessageId(message)));
                     self.forget_if_over(message);
                 }
             }
-            Step::Mode(which, mode) => {
+            Step::Availability(which, mode) => {
                 if let Some(id) = self.listed(which) {
                     match mode {
-                        Mode::Ready => {}
-                        Mode::Draining => reached("endpoint drained"),
-                        Mode::Gone => reached("endpoint deleted"),
+                        Availability::Ready => {}
+                        Availability::Draining => reached("endpoint drained"),
+                        Availability::Removed => reached("endpoint deleted"),
                     }
                     self.change(id, |entry| entry.mode = mode);
                 }
             }
             Step::Reopen(which) => {
-                let drained = self.list.values().filter(|e| e.mode == Mode::Draining);
+                let drained = self.list.values().filter(|e| e.mode == Availability::Draining);
                 let ids: Vec<u32> = drained.map(|e| e.id.0).collect();
                 if let Some(&id) = pick(&ids, which) {
-                    self.change(id, |entry| entry.mode = Mode::Ready);
+                    self.change(id, |entry| entry.mode = Availability::Ready);
                 }
             }
             Step::Reweigh(which, weight) => {
@@ -916,17 +941,17 @@
             Step::NewEndpoint(which) => {
                 // Every other time one that is gone, if there is any.
                 let all: Vec<u32> = self.list.keys().copied().collect();
-                let is_gone = |id: &u32| self.list[id].mode == Mode::Gone;
+                let is_gone = |id: &u32| self.list[id].mode == Availability::Removed;
                 let gone: Vec<u32> = all.iter().copied().filter(is_gone).collect();
                 let ids = if which % 2 == 0 && !gone.is_empty() { gone } else { all };
                 if let Some(old) = pick(&ids, which).map(|id| self.list[id].clone()) {
-                    if old.mode == Mode::Gone {
+                    if old.mode == Availability::Removed {
                         reached("endpoint back under a new id");
                         self.list.remove(&old.id.0);
                     }
                     self.last_endpoint += 1;
                     let id = self.last_endpoint;
-                    self.list.insert(id, Endpoint { id: EndpointId(id), mode: Mode::Ready, ..old });
+                    self.list.insert(id, Endpoint { id: EndpointId(id), mode: Availability::Ready, ..old });
                     self.change(id, |_| ());
                 }
             }
@@ -934,26 +959,30 @@
                 reached("whole list");
                 let entries = self.list.values_mut().enumerate();
                 for (_, entry) in entries.filter(|(at, _)| without.is_some_and(|every| at % every == 1)) {
-                    entry.mode = Mode::Gone;
+                    entry.mode = Availability::Removed;
                 }
                 self.tell_whole_list();
             }
             Step::NoList { refused } => {
                 reached(if refused { "list refused" } else { "list failed" });
-                self.tell(Event::Listed(if refused { Listing::Refused } else { Listing::Failed }));
+                self.tell(Event::EndpointsUpdated(if refused {
+                    EndpointUpdate::WatchRejected
+                } else {
+                    EndpointUpdate::WatchFailed
+                }));
             }
             Step::Detach(which) => {
                 if let Some(id) = self.listed(which) {
                     reached("detached");
                     self.detached.insert(id);
-                    self.tell(Event::Detach(EndpointId(id)));
+                    self.tell(Event::EndpointDisabled(EndpointId(id)));
                 }
             }
             Step::Attach(which) => {
                 let ids: Vec<u32> = self.detached.iter().copied().collect();
                 if let Some(&id) = pick(&ids, which) {
                     self.detached.remove(&id);
-                    self.tell(Event::Attach(EndpointId(id)));
+                    self.tell(Event::EndpointEnabled(EndpointId(id)));
                 }
             }
             Step::LameDuck(on) => {
@@ -965,7 +994,7 @@
                     reached("closing never");
                 }
                 let at = within.map_or(Time(u64::MAX), |within| self.now + ms(within));
-                self.tell(Event::Closing(at));
+                self.tell(Event::ShutdownScheduled(at));
             }
             Step::Restart => self.restart()?,
             Step::HandOver => {
@@ -993,7 +1022,7 @@
         let Some(entry) = self.list.get_mut(&id) else { return };
         change(entry);
         let entry = entry.clone();
-        self.tell(Event::Listed(Listing::Changes(vec![entry])));
+        self.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     }
 
     fn accept(
@@ -1006,48 +1035,52 @@
         dead: bool,
     ) -> Result<(), TestCaseError> {
         let destination = destination % self.world.destinations;
-        if self.held.values().filter(|held| !held.closed).count() >= self.settings.most_held {
+        if self.held.values().filter(|held| !held.closed).count() >= self.settings.max_pending_messages {
             return self.ask(destination);
         }
         self.last_message += 1;
         let id = self.last_message;
         let rules = &self.settings.classes[class];
-        let taken = Accepted {
+        let taken = AcceptedMessage {
             id: MessageId(id),
             class: ClassId(class as u8),
             destination: DestinationId(destination.into()),
-            key: (key > 0).then_some(OrderKey(key)),
+            key: (key > 0).then_some(OrderingKey(key)),
             deadline: self.now + rules.deadline.mul_f64(left),
-            from_dead_courier: dead,
+            redelivered: dead,
             tenant: TenantId(tenant),
         };
-        let product = self.both.product.takes_on(self.now, &taken);
-        let reference = self.both.reference.takes_on(self.now, &taken);
+        let product = self.both.product.admits(self.now, &taken);
+        let reference = self.both.reference.admits(self.now, &taken);
         if product != reference {
             return Err(self.differ("what is taken on", &(&taken, product), &reference));
         }
         if !reference {
             return self.ask(destination);
         }
-        let (attempts, maybe_ran, closed, heard_at) = (0, None, false, None);
+        let (attempts, first_uncertain_attempt, closed, heard_at) = (0, None, false, None);
         let order = id as usize;
-        self.held.insert(id, Held { taken: taken.clone(), order, attempts, maybe_ran, closed, heard_at });
-        self.tell(Event::Accept(taken));
+        self.held.insert(
+            id,
+            Held { taken: taken.clone(), order, attempts, first_uncertain_attempt, closed, heard_at },
+        );
+        self.tell(Event::MessageAccepted(taken));
         Ok(())
     }
 
     /// All that can be asked beside the actions.
     fn ask(&mut self, destination: u8) -> Result<(), TestCaseError> {
         let (now, to) = (self.now, DestinationId(destination.into()));
-        let product = self.both.product.come_back(now, to);
-        let reference = self.both.reference.come_back(now, to);
+        let product = self.both.product.suggested_retry_after(now, to);
+        let reference = self.both.reference.suggested_retry_after(now, to);
         if !near(product, reference) {
             return Err(self.differ("times to come back", &(to, product), &reference));
         }
         let product = self.both.product.longest_queue(now);
         let reference = self.both.reference.longest_queue(now);
-        let near_state = |one: &RouteState, other: &RouteState| {
-            near_rate(one.pace, other.pace) && RouteState { pace: other.pace, ..*one } == *other
+        let near_state = |one: &RouteStatus, other: &RouteStatus| {
+            near_rate(one.rate_limit_per_sec, other.rate_limit_per_sec)
+                && RouteStatus { rate_limit_per_sec: other.rate_limit_per_sec, ..*one } == *other
         };
         if reference.as_ref().is_some_and(|(_, waiting, _)| *waiting > LONG_QUEUE) {
             reached("long queue");
@@ -1070,45 +1103,47 @@
     fn restart(&mut self) -> Result<(), TestCaseError> {
         reached("restart");
         self.decide()?;
-        let outages = self.compare_outages()?;
+        let circuit_records = self.compare_outages()?;
         for (message, out) in std::mem::take(&mut self.out) {
             let zone = self.list.get(&out.endpoint.0).map_or(ZoneId(0), |e| e.zone);
             if let Some(held) = self.held.get_mut(&message) {
-                held.maybe_ran.get_or_insert((out.sent, zone));
+                held.first_uncertain_attempt.get_or_insert((out.sent, zone));
             }
         }
         self.starts += 1;
         self.both = Both::new(&self.settings, self.world.seed ^ self.starts);
-        self.outages.clear();
+        self.circuit_records.clear();
         (self.wakes, self.watch_answer) = ([None; 2], None);
-        let product = self.both.product.first_watch();
-        let reference = self.both.reference.first_watch();
+        let product = self.both.product.initial_watch_delay();
+        let reference = self.both.reference.initial_watch_delay();
         if product != reference {
             return Err(self.differ("first watches", &product, &reference));
         }
         self.held.retain(|_, held| !held.closed || held.heard_at.is_some());
         let mut held: Vec<&Held> = self.held.values().collect();
         held.sort_by_key(|held| held.order);
-        let restored: Vec<Restored> = held
+        let restored: Vec<RestoredMessage> = held
             .into_iter()
-            .map(|held| Restored {
-                taken: held.taken.clone(),
+            .map(|held| RestoredMessage {
+                message: held.taken.clone(),
                 attempts: held.attempts,
-                maybe_ran: held.maybe_ran,
-                answered: held.closed,
+                first_uncertain_attempt: held
+                    .first_uncertain_attempt
+                    .map(|(sent_at, zone)| SentAttempt { sent_at, zone }),
+                outcome_recorded: held.closed,
             })
             .collect();
         for message in restored {
             reached("restored");
-            self.tell(Event::Restored(message));
+            self.tell(Event::MessageRestored(message));
         }
         self.tell_whole_list();
-        for outage in outages {
+        for outage in circuit_records {
             reached("outage recalled");
-            self.tell(Event::Recalled(outage));
+            self.tell(Event::CircuitRestored(outage));
         }
         for id in self.detached.clone() {
-            self.tell(Event::Detach(EndpointId(id)));
+            self.tell(Event::EndpointDisabled(EndpointId(id)));
         }
         Ok(())
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings mean the same as lines, on the bench's wire, and as nested JSON, in the courier's configuration.
 
-use delivery_gateway::{parse_settings, parse_settings_json, SettingError};
+use delivery_gateway::{settings_from_json, settings_from_lines, SettingError};
 use serde_json::json;
 
 const LINES: &str = "Balancers=3
@@ -43,17 +43,17 @@
         "Zones": ["kingston-dc"],
         "Unheard": {"Of": null},
     });
-    let (lines, json) = (parse_settings(LINES).unwrap(), parse_settings_json(&nested).unwrap());
+    let (lines, json) = (settings_from_lines(LINES).unwrap(), settings_from_json(&nested).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
-    assert_eq!(json.settings.most_held, 519);
+    assert_eq!(json.settings.max_pending_messages, 519);
     assert_eq!(json.class_names, ["pay-notice"]);
-    assert_eq!(json.settings.zone_fees, [0.0, 0.03]);
+    assert_eq!(json.settings.zone_costs, [0.0, 0.03]);
     assert_eq!(json.tenant_names, ["north"]);
-    assert!(json.settings.kinds[1].own_limits);
+    assert!(json.settings.destination_kinds[1].per_endpoint_limits);
 }
 
 #[test]
 fn a_bad_value_is_named() {
-    let error = parse_settings_json(&json!({"Permissions": {"MostHeld": "many"}})).unwrap_err();
+    let error = settings_from_json(&json!({"Permissions": {"MostHeld": "many"}})).unwrap_err();
     assert_eq!(error, SettingError::Value { path: "Permissions.MostHeld".into(), value: "many".into() });
 }
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -16,19 +16,20 @@
 
 /// A courier, its clock, and the number of the last message.
 struct Site {
-    courier: Courier,
+    courier: Scheduler,
     settings: Settings,
     now: Time,
     last: u32,
 }
 
 fn settings() -> Settings {
-    let class = Class { aim: LONG / 4, deadline: LONG, repeat_window: LONG, ..Class::default() };
+    let class =
+        Class { latency_objective: LONG / 4, deadline: LONG, idempotency_window: LONG, ..Class::default() };
     Settings {
         classes: vec![class],
-        couriers: 1,
-        call_slots: 1_000,
-        most_held: 4 * HELD,
+        fleet_size: 1,
+        max_in_flight_calls: 1_000,
+        max_pending_messages: 4 * HELD,
         ..Settings::default()
     }
 }
@@ -41,9 +42,9 @@
     Endpoint {
         id: EndpointId(number as u32),
         zone: ZoneId(0),
-        kind: KindId(0),
+        kind: DestinationKindId(0),
         destination: destination(number % DESTINATIONS),
-        mode: Mode::Ready,
+        mode: Availability::Ready,
         weight: 1e6,
     }
 }
@@ -55,10 +56,10 @@
 
     fn with(settings: Settings, endpoints: usize) -> Site {
         let now = Time::ZERO + Duration::from_secs(100);
-        let mut site = Site { courier: Courier::new(settings.clone(), 7), settings, now, last: 0 };
-        site.tell(Event::Listed(Listing::Whole((0..endpoints).map(endpoint).collect())));
+        let mut site = Site { courier: Scheduler::new(settings.clone(), 7), settings, now, last: 0 };
+        site.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot((0..endpoints).map(endpoint).collect())));
         site.step();
-        site.courier.changed_outages();
+        site.courier.take_circuit_changes();
         site
     }
 
@@ -69,13 +70,13 @@
     fn accept(&mut self, to: usize) {
         self.last += 1;
         let deadline = self.now + self.settings.classes[0].deadline;
-        self.tell(Event::Accept(Accepted {
+        self.tell(Event::MessageAccepted(AcceptedMessage {
             id: MessageId(self.last),
             class: ClassId(0),
             destination: destination(to),
             key: None,
             deadline,
-            from_dead_courier: false,
+            redelivered: false,
             tenant: TenantId(0),
         }));
     }
@@ -86,21 +87,21 @@
         let mut actions = Vec::new();
         self.courier.decide(self.now, &mut actions);
         let routed = |action: &Action| match action {
-            Action::Route { message, endpoint, .. } => Some((*message, *endpoint)),
+            Action::StartAttempt { message, endpoint, .. } => Some((*message, *endpoint)),
             _ => None,
         };
         actions.iter().filter_map(routed).collect()
     }
 
-    fn finish(&mut self, (message, endpoint): (MessageId, EndpointId), outcome: Outcome) {
-        self.tell(Event::Finished(Finished {
+    fn finish(&mut self, (message, endpoint): (MessageId, EndpointId), outcome: AttemptOutcome) {
+        self.tell(Event::AttemptFinished(FinishedAttempt {
             message,
             endpoint,
             attempt: 0,
             outcome,
             latency: Duration::from_millis(1),
-            complete: outcome == Outcome::Ok,
-            allowance: None,
+            complete: outcome == AttemptOutcome::Delivered,
+            load_report: None,
         }));
     }
 
@@ -108,7 +109,7 @@
     fn keep_waiting(&mut self, destinations: usize, messages: usize) {
         let told = DESTINATIONS - destinations..DESTINATIONS;
         for to in told.clone() {
-            self.tell(Event::ToldWait { endpoint: EndpointId(to as u32), wait: LONG });
+            self.tell(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: LONG });
         }
         told.cycle().take(messages).for_each(|to| self.accept(to));
         assert_eq!(self.step(), [], "told to wait");
@@ -121,22 +122,22 @@
     }
 
     /// What is looked at while messages for a few destinations are taken, sent and ended, one after the other.
-    fn looks(&mut self) -> Work {
+    fn looks(&mut self) -> WorkCounters {
         let before = self.courier.work();
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
             assert_eq!(sent.len(), 1, "what can go goes, and it alone");
-            self.finish(sent[0], Outcome::Ok);
+            self.finish(sent[0], AttemptOutcome::Delivered);
             assert_eq!(self.step(), []);
-            self.courier.changed_outages();
+            self.courier.take_circuit_changes();
         }
         since(before, self.courier.work())
     }
 }
 
-fn since(before: Work, after: Work) -> Work {
-    Work {
+fn since(before: WorkCounters, after: WorkCounters) -> WorkCounters {
+    WorkCounters {
         destinations: after.destinations - before.destinations,
         messages: after.messages - before.messages,
         calls: after.calls - before.calls,
@@ -145,15 +146,17 @@
     }
 }
 
-fn all(work: Work) -> u64 {
+fn all(work: WorkCounters) -> u64 {
     work.destinations + work.messages + work.calls + work.routes + work.endpoints
 }
 
 /// Not only the sum: nor may one kind of looks grow behind the others.
-fn assert_at_most(times: u64, of: Work, seen: Work) {
+fn assert_at_most(times: u64, of: WorkCounters, seen: WorkCounters) {
     assert!(all(of) > 0, "it counts");
-    let kinds = |w: Work| [all(w), w.destinations, w.messages, w.calls, w.routes, w.endpoints];
-    let in_bounds = kinds(of).into_iter().zip(kinds(seen)).all(|(of, seen)| seen <= times * of);
+    let destination_kinds =
+        |w: WorkCounters| [all(w), w.destinations, w.messages, w.calls, w.routes, w.endpoints];
+    let in_bounds =
+        destination_kinds(of).into_iter().zip(destination_kinds(seen)).all(|(of, seen)| seen <= times * of);
     assert!(in_bounds, "at most {times} times {of:?}, not {seen:?}");
 }
 
@@ -172,7 +175,7 @@
     let told = DESTINATIONS - WAITING..DESTINATIONS;
     for (place, to) in told.clone().enumerate() {
         let wait = Duration::from_millis(10 * (place as u64 + 1));
-        site.tell(Event::ToldWait { endpoint: EndpointId(to as u32), wait });
+        site.tell(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: wait });
         site.accept(to);
     }
     assert_eq!(site.step(), []);
@@ -209,7 +212,7 @@
         assert_eq!(sent.len(), calls);
         let before = site.courier.work();
         for call in sent.into_iter().rev().take(10) {
-            site.finish(call, Outcome::Ok);
+            site.finish(call, AttemptOutcome::Delivered);
             assert_eq!(site.step(), []);
         }
         since(before, site.courier.work())
@@ -222,13 +225,13 @@
 #[test]
 fn a_long_queue_is_not_gone_through_for_each_message() {
     let looks = |messages: usize| {
-        let mut site = Site::with(Settings { call_slots: 1, ..settings() }, SMALL);
+        let mut site = Site::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
         (0..messages).for_each(|_| site.accept(40));
         let mut sent = site.step();
         let before = site.courier.work();
         for _ in 0..ROUNDS {
             assert_eq!(sent.len(), 1);
-            site.finish(sent[0], Outcome::Ok);
+            site.finish(sent[0], AttemptOutcome::Delivered);
             sent = site.step();
         }
         since(before, site.courier.work())
@@ -240,30 +243,30 @@
 fn no_route_is_looked_at_for_outages_where_none_changed() {
     let mut site = Site::new(LARGE);
     for to in DESTINATIONS - WAITING..DESTINATIONS {
-        site.tell(Event::Recalled(Outage {
+        site.tell(Event::CircuitRestored(CircuitRecord {
             destination: destination(to),
             endpoint: None,
-            since: site.now,
-            evidence: 6,
-            lost: Some(true),
-            returned: None,
-            share: 0.0,
+            last_success_at: site.now,
+            failure_score: 6,
+            calls_lost: Some(true),
+            slow_start_since: None,
+            baseline_rate: 0.0,
         }));
     }
     assert_eq!(site.step(), []);
-    assert_eq!(site.courier.changed_outages().len(), WAITING, "all are told once");
+    assert_eq!(site.courier.take_circuit_changes().len(), WAITING, "all are told once");
     assert_eq!(site.looks().routes, 0);
-    assert_eq!(site.courier.changed_outages(), []);
+    assert_eq!(site.courier.take_circuit_changes(), []);
     // One that comes is told alone.
     site.accept(5);
     let sent = site.step();
-    site.finish(sent[0], Outcome::ConnectFailed);
+    site.finish(sent[0], AttemptOutcome::ConnectFailed);
     site.step();
     let before = site.courier.work();
-    let changed = site.courier.changed_outages();
+    let changed = site.courier.take_circuit_changes();
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
-    assert!(changed[0].outage.is_some_and(|outage| outage.lost == Some(true)));
+    assert!(changed[0].record.is_some_and(|outage| outage.calls_lost == Some(true)));
     assert_eq!(since(before, site.courier.work()).routes, 1);
 }
 
@@ -272,8 +275,9 @@
     let looks = |endpoints: usize| {
         let mut site = Site::new(endpoints);
         let before = site.courier.work();
-        for mode in [Mode::Draining, Mode::Ready, Mode::Gone, Mode::Ready] {
-            site.tell(Event::Listed(Listing::Changes(vec![Endpoint { mode, ..endpoint(3) }])));
+        for mode in [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
+        {
+            site.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(3) }])));
             assert_eq!(site.step(), []);
         }
         since(before, site.courier.work()).endpoints
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -13,7 +13,7 @@
 }
 
 /// Hands in a message that has 6 s, as much as it may take until a change counts as told; its call hangs.
-fn begin_six_seconds(world: &World, courier: &Courier, destination: u16) -> Call {
+fn begin_six_seconds(world: &World, courier: &Scheduler, destination: u16) -> Call {
     let fields = format!("c=salary,d=6000,dest={destination}");
     assert_eq!(courier.client().ask(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
     let call = world.call();
@@ -22,7 +22,7 @@
 }
 
 /// When the 6 s are over, a message for what drains is handed back; it would be sent if the drain was not known.
-fn knows_of_the_drain(world: &World, courier: &Courier, drained: u16) {
+fn knows_of_the_drain(world: &World, courier: &Scheduler, drained: u16) {
     assert_eq!(world.notice(), r#"{"id":"six","state":"failed"}"#);
     let fields = format!("c=salary,d=500,dest={drained}");
     assert_eq!(courier.client().ask(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
@@ -110,7 +110,7 @@
 #[test]
 fn with_a_full_journal_a_restart_is_ready_in_time_to_try_what_was_untried() {
     let mut world = apart(4);
-    world.most_held = 100_000;
+    world.max_pending_messages = 100_000;
     let courier = world.start();
     let mut client = courier.client();
     // Two that make room when they are over, as a full journal takes nothing on.
--- a/tests/terms_module.rs
+++ b/tests/terms_module.rs
@@ -13,15 +13,15 @@
 const FLEETS: [u32; 4] = [3, 30, 300, 6_900];
 
 /// From the last of so many refusals in a row to the next try; the term's time and a little more if there is none.
-fn gap_after(refusals: u32, couriers: u32, seed: u64, why: &Listing) -> Duration {
-    let mut courier = Courier::new(Settings { couriers, ..settings(vec![safe()]) }, seed);
+fn gap_after(refusals: u32, fleet_size: u32, seed: u64, why: &EndpointUpdate) -> Duration {
+    let mut courier = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
     let start = Time::ZERO + Duration::from_secs(100);
-    (0..refusals).for_each(|_| courier.handle(start, Event::Listed(why.clone())));
+    (0..refusals).for_each(|_| courier.handle(start, Event::EndpointsUpdated(why.clone())));
     let mut actions = Vec::new();
     let mut gap = Duration::ZERO;
     while gap <= COUNTS_AS_TOLD {
         courier.decide(start + gap, &mut actions);
-        if actions.contains(&Action::KeepInformed { active: true }) {
+        if actions.contains(&Action::WatchEndpoints { active: true }) {
             return gap;
         }
         gap += ms(20);
@@ -34,12 +34,13 @@
 #[test]
 fn a_refused_watch_is_asked_again_before_a_change_counts_as_told() {
     let mut late = Vec::new();
-    for couriers in FLEETS {
+    for fleet_size in FLEETS {
         for refusals in [1, 2, 4, 12] {
-            let gaps = (1..=20).map(|seed| gap_after(refusals, couriers, seed, &Listing::Refused));
+            let gaps =
+                (1..=20).map(|seed| gap_after(refusals, fleet_size, seed, &EndpointUpdate::WatchRejected));
             let count = gaps.filter(|gap| *gap > COUNTS_AS_TOLD).count();
             if count > 0 {
-                late.push(format!("{couriers} couriers, refusal {refusals}: {count} of 20 ask later"));
+                late.push(format!("{fleet_size} couriers, refusal {refusals}: {count} of 20 ask later"));
             }
         }
     }
@@ -50,13 +51,13 @@
 /// time too, whatever the fleet.
 #[test]
 fn a_failed_or_given_up_watch_is_asked_again_before_a_change_counts_as_told() {
-    for couriers in FLEETS {
+    for fleet_size in FLEETS {
         for failures in [1, 2, 12] {
             for seed in 1..=5 {
-                let gap = gap_after(failures, couriers, seed, &Listing::Failed);
+                let gap = gap_after(failures, fleet_size, seed, &EndpointUpdate::WatchFailed);
                 assert!(
-                    WATCH_PATIENCE + gap <= COUNTS_AS_TOLD,
-                    "{couriers} couriers, failure {failures}: {gap:?} after {WATCH_PATIENCE:?}"
+                    WATCH_RESPONSE_TIMEOUT + gap <= COUNTS_AS_TOLD,
+                    "{fleet_size} couriers, failure {failures}: {gap:?} after {WATCH_RESPONSE_TIMEOUT:?}"
                 );
             }
         }
@@ -67,12 +68,12 @@
 /// calls to what drains must stop, in the fleet to come too.
 #[test]
 fn the_first_watch_comes_in_time_in_every_fleet() {
-    let drain = Settings::default().rules.stop_sending;
-    for couriers in FLEETS {
+    let drain = Settings::default().limits.drain_grace;
+    for fleet_size in FLEETS {
         for seed in 0..500 {
-            let mut courier = Courier::new(Settings { couriers, ..settings(vec![safe()]) }, seed);
-            let first = courier.first_watch();
-            assert!(first <= drain / 2, "{couriers} couriers, seed {seed}: {first:?}");
+            let mut courier = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+            let first = courier.initial_watch_delay();
+            assert!(first <= drain / 2, "{fleet_size} couriers, seed {seed}: {first:?}");
         }
     }
 }
@@ -80,8 +81,8 @@
 /// How a partner is out, and what its callers are like.
 #[derive(Clone, Copy, Debug)]
 struct Throng {
-    outage: Outcome,
-    couriers: u32,
+    outage: AttemptOutcome,
+    fleet_size: u32,
     /// Calls a second that the warm partner takes, and messages a second over that.
     capacity: f64,
     load: f64,
@@ -93,41 +94,42 @@
 
 /// One process of a throng.
 struct Member {
-    courier: Courier,
+    courier: Scheduler,
     wake: Option<(Time, u64)>,
     touched: bool,
     /// Was told of the outage by a call that failed or was refused.
     told: bool,
     /// Attempts of each message, and what is known of its first that may have run.
-    held: BTreeMap<MessageId, (Accepted, u32)>,
+    held: BTreeMap<MessageId, (AcceptedMessage, u32)>,
 }
 
 /// An outcome on its way: who is told, of which attempt, since when it was out.
-type Coming = (usize, MessageId, u16, Outcome, Time);
+type Coming = (usize, MessageId, u16, AttemptOutcome, Time);
 
 /// What was seen of a return.
 struct Return {
     /// The first fall, if there is one: calls in the window, those of members that had been told, and N.
-    fall: Option<(usize, usize, f64)>,
+    overload_window: Option<(usize, usize, f64)>,
     /// Calls served, over what the partner could have.
     served: f64,
 }
 
 fn live_through(throng: Throng, seed: u64) -> Return {
-    let Throng { outage, couriers, capacity, load, batch, killed } = throng;
-    let rules = Rules {
-        cold_from: 0.18,
-        cold: Duration::from_secs(10),
-        tip_multiple: 2.0,
-        fall: Duration::from_secs(2),
-        ..Settings::default().rules
+    let Throng { outage, fleet_size, capacity, load, batch, killed } = throng;
+    let rules = DeliveryLimits {
+        cold_capacity_ratio: 0.18,
+        warm_up: Duration::from_secs(10),
+        overload_multiple: 2.0,
+        overload_window: Duration::from_secs(2),
+        ..Settings::default().limits
     };
-    let class = Class { aim: Duration::from_secs(2), deadline: Duration::from_secs(12), ..safe() };
+    let class =
+        Class { latency_objective: Duration::from_secs(2), deadline: Duration::from_secs(12), ..safe() };
     let settings = Settings {
         classes: vec![class.clone()],
-        couriers,
-        kinds: vec![Kind { batch, own_limits: false }],
-        rules: rules.clone(),
+        fleet_size,
+        destination_kinds: vec![DestinationKind { batch, per_endpoint_limits: false }],
+        limits: rules.clone(),
         ..Settings::default()
     };
     let listed = Endpoint { weight: capacity, ..endpoint(7, 1) };
@@ -135,11 +137,11 @@
     let (out_from, back) = (now + Duration::from_secs(5), now + Duration::from_secs(15));
     let mut chance = fastrand::Rng::with_seed(seed);
     let fresh = |seed: u64, now: Time| {
-        let mut courier = Courier::new(settings.clone(), seed);
-        courier.handle(now, Event::Listed(Listing::Whole(vec![listed.clone()])));
+        let mut courier = Scheduler::new(settings.clone(), seed);
+        courier.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
         courier
     };
-    let mut members: Vec<Member> = (0..u64::from(couriers))
+    let mut members: Vec<Member> = (0..u64::from(fleet_size))
         .map(|n| Member {
             courier: fresh(seed * 1000 + n, now),
             wake: None,
@@ -153,47 +155,59 @@
     let mut calls: Vec<(Time, bool)> = Vec::new();
     let (mut last, mut count, mut room) = (0, 0, 1.0);
     let (mut served, mut could) = (0.0, 0.0);
-    while now < back + rules.cold {
+    while now < back + rules.warm_up {
         now = now + ms(5);
         let (out, returned) = (now >= out_from && now < back, now >= back);
-        let warmth = ((now - back).as_secs_f64() / rules.cold.as_secs_f64()).min(1.0);
-        let can = capacity * if returned { rules.cold_from + (1.0 - rules.cold_from) * warmth } else { 1.0 };
+        let warmth = ((now - back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
+        let can = capacity
+            * if returned {
+                rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * warmth
+            } else {
+                1.0
+            };
         room = f64::min(room + can * 0.005, can / 2.0 + 1.0);
         if killed && returned && now - back < ms(5) {
             for (number, member) in members.iter_mut().enumerate() {
-                let outages: Vec<Outage> = member.courier.outages().collect();
+                let circuit_records: Vec<CircuitRecord> = member.courier.circuit_records().collect();
                 member.courier = fresh(seed * 1000 + 500 + number as u64, now);
-                outages.into_iter().for_each(|seen| member.courier.handle(now, Event::Recalled(seen)));
+                circuit_records
+                    .into_iter()
+                    .for_each(|seen| member.courier.handle(now, Event::CircuitRestored(seen)));
                 for (taken, attempts) in member.held.values() {
                     let (taken, attempts) = (taken.clone(), *attempts);
-                    let restored = Restored { taken, attempts, maybe_ran: None, answered: false };
-                    member.courier.handle(now, Event::Restored(restored));
+                    let restored = RestoredMessage {
+                        message: taken,
+                        attempts,
+                        first_uncertain_attempt: None,
+                        outcome_recorded: false,
+                    };
+                    member.courier.handle(now, Event::MessageRestored(restored));
                 }
                 (member.wake, member.touched) = (None, true);
             }
             coming.clear();
         }
         for member in &mut members {
-            if chance.f64() < capacity * load * 0.005 / f64::from(couriers) {
+            if chance.f64() < capacity * load * 0.005 / f64::from(fleet_size) {
                 last += 1;
                 let taken = accepted(now, last, (ClassId(0), &class), 1, None);
                 member.held.insert(taken.id, (taken.clone(), 0));
-                member.courier.handle(now, Event::Accept(taken));
+                member.courier.handle(now, Event::MessageAccepted(taken));
                 member.touched = true;
             }
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= now) {
-                member.courier.handle(now, Event::TickDue(token));
+                member.courier.handle(now, Event::TimerFired(token));
                 member.touched = true;
             }
         }
         while let Some(entry) = coming.first_entry().filter(|entry| entry.key().0 <= now) {
             let (number, message, attempt, outcome, sent) = entry.remove();
-            let (complete, latency) = (outcome == Outcome::Ok, now - sent);
+            let (complete, latency) = (outcome == AttemptOutcome::Delivered, now - sent);
             let member = &mut members[number];
             let endpoint = EndpointId(7);
             let finished =
-                Finished { message, endpoint, attempt, outcome, latency, complete, allowance: None };
-            member.courier.handle(now, Event::Finished(finished));
+                FinishedAttempt { message, endpoint, attempt, outcome, latency, complete, load_report: None };
+            member.courier.handle(now, Event::AttemptFinished(finished));
             member.told |= out && !complete;
             member.touched = true;
             if complete {
@@ -208,8 +222,8 @@
             let (mut fate, mut carried) = (None, 0);
             for action in actions {
                 match action {
-                    Action::Wake { after, token } => member.wake = Some((now + after, token)),
-                    Action::Route { message, try_for, .. } => {
+                    Action::SetTimer { after, token } => member.wake = Some((now + after, token)),
+                    Action::StartAttempt { message, attempt_timeout, .. } => {
                         if carried == batch {
                             (fate, carried) = (None, 0);
                         }
@@ -219,13 +233,16 @@
                                 calls.push((now, member.told));
                             }
                             if out {
-                                (outage, if outage == Outcome::Timeout { try_for } else { ms(50) })
+                                (
+                                    outage,
+                                    if outage == AttemptOutcome::Timeout { attempt_timeout } else { ms(50) },
+                                )
                             } else if room < 1.0 {
-                                (Outcome::Full(None), ms(50))
+                                (AttemptOutcome::Rejected(None), ms(50))
                             } else {
                                 room -= 1.0;
                                 served += f64::from(u8::from(returned));
-                                (Outcome::Ok, ms(200))
+                                (AttemptOutcome::Delivered, ms(200))
                             }
                         });
                         count += 1;
@@ -236,7 +253,7 @@
                         *attempts += 1;
                         coming.insert((now + after, count), (number, message, attempt, outcome, now));
                     }
-                    Action::Busy { message, .. } | Action::ReportFailure { message } => {
+                    Action::Reject { message, .. } | Action::ReportFailure { message } => {
                         member.held.remove(&message);
                     }
                     _ => {}
@@ -245,15 +262,15 @@
         }
         if returned {
             could += can * 0.005;
-            let recent = || calls.iter().filter(|(at, _)| now - *at < rules.fall);
+            let recent = || calls.iter().filter(|(at, _)| now - *at < rules.overload_window);
             let (all, told) = (recent().count(), recent().filter(|(_, told)| *told).count());
-            let allowed = rules.tip_multiple * can * rules.fall.as_secs_f64();
+            let allowed = rules.overload_multiple * can * rules.overload_window.as_secs_f64();
             if all as f64 > allowed + 2.0 * allowed.sqrt() + 2.0 {
-                return Return { fall: Some((all, told, allowed)), served: served / could };
+                return Return { overload_window: Some((all, told, allowed)), served: served / could };
             }
         }
     }
-    Return { fall: None, served: served / could }
+    Return { overload_window: None, served: served / could }
 }
 
 /// Cold partners fall under the sum of what all processes send: with twenty and thirty of them, none may fall by more
@@ -261,16 +278,22 @@
 /// N + 2 beyond it are chance.
 fn holds_for_the_sum(killed: bool) {
     let mut broken = Vec::new();
-    let shut = [Outcome::Full(None), Outcome::Full(Some(Duration::from_secs(1)))];
-    for outage in [Outcome::ConnectFailed, Outcome::Timeout, Outcome::Error, shut[0], shut[1]] {
-        for (couriers, capacity) in [(20, 6.0), (20, 20.0), (20, 60.0), (30, 6.0), (30, 20.0), (30, 60.0)] {
+    let shut = [AttemptOutcome::Rejected(None), AttemptOutcome::Rejected(Some(Duration::from_secs(1)))];
+    for outage in [
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Timeout,
+        AttemptOutcome::ErrorResponse,
+        shut[0],
+        shut[1],
+    ] {
+        for (fleet_size, capacity) in [(20, 6.0), (20, 20.0), (20, 60.0), (30, 6.0), (30, 20.0), (30, 60.0)] {
             for (load, batch) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
                 for seed in 1..=3 {
-                    let throng = Throng { outage, couriers, capacity, load, batch, killed };
+                    let throng = Throng { outage, fleet_size, capacity, load, batch, killed };
                     let seen = live_through(throng, seed);
                     // Nor is it held by sending next to nothing.
                     assert!(seen.served > 0.2, "{throng:?}, seed {seed}: {:.2} served", seen.served);
-                    if let Some((all, told, allowed)) = seen.fall {
+                    if let Some((all, told, allowed)) = seen.overload_window {
                         if told * 3 > all * 2 {
                             broken.push(format!(
                                 "{throng:?}, seed {seed}: {told} of {all} calls, N {allowed:.1}"
@@ -300,11 +323,16 @@
 #[test]
 fn nothing_leaves_outside_a_window_of_a_second_over_kills() {
     let window = Duration::from_secs(1);
-    let class = Class { repeat_window: window, aim: ms(700), deadline: Duration::from_secs(6), ..keyed() };
+    let class = Class {
+        idempotency_window: window,
+        latency_objective: ms(700),
+        deadline: Duration::from_secs(6),
+        ..keyed()
+    };
     let mut resent = 0;
     for passed in (0..1_200).step_by(40) {
         for seed in 1..=4 {
-            let settings = Settings { answers_take_time: true, ..settings(vec![class.clone()]) };
+            let settings = Settings { outcomes_need_acknowledgement: true, ..settings(vec![class.clone()]) };
             let mut bench = Bench::new(settings.clone(), vec![endpoint(11, 3)]);
             let first = bench.now;
             bench.now = first + ms(passed);
@@ -313,18 +341,24 @@
             for life in 0..3 {
                 bench.restart(settings.clone(), seed * 10 + life, vec![endpoint(11, 3)]);
                 let class = (ClassId(0), &settings.classes[0]);
-                let taken = Accepted {
+                let taken = AcceptedMessage {
                     deadline: first + settings.classes[0].deadline,
                     ..accepted(first, 1, class, 3, None)
                 };
-                let maybe_ran = Some((first, ZoneId(0)));
-                bench.tell(Event::Restored(Restored { taken, attempts, maybe_ran, answered: false }));
+                let first_uncertain_attempt = Some((first, ZoneId(0)));
+                bench.tell(Event::MessageRestored(RestoredMessage {
+                    message: taken,
+                    attempts,
+                    first_uncertain_attempt: first_uncertain_attempt
+                        .map(|(sent_at, zone)| SentAttempt { sent_at, zone }),
+                    outcome_recorded: false,
+                }));
                 let mut over = false;
                 for _ in 0..60 {
                     for action in bench.decide() {
                         match action {
-                            Action::Route { leave_within, .. } => {
-                                let leaves = bench.now + leave_within;
+                            Action::StartAttempt { send_within, .. } => {
+                                let leaves = bench.now + send_within;
                                 assert!(!over, "sent after its end");
                                 assert!(
                                     leaves <= first + window,
@@ -333,21 +367,24 @@
                                 );
                                 (attempts, resent) = (attempts + 1, resent + 1);
                                 // Refused or broken, it may go once more in the same life.
-                                let outcome =
-                                    if seed % 2 == 0 { Outcome::ConnectFailed } else { Outcome::Reset };
-                                let finished = Finished {
+                                let outcome = if seed % 2 == 0 {
+                                    AttemptOutcome::ConnectFailed
+                                } else {
+                                    AttemptOutcome::Reset
+                                };
+                                let finished = FinishedAttempt {
                                     message: MessageId(1),
                                     endpoint: EndpointId(11),
                                     attempt: (attempts - 1) as u16,
                                     outcome,
                                     latency: ms(5),
                                     complete: false,
-                                    allowance: None,
+                                    load_report: None,
                                 };
-                                bench.tell(Event::Finished(finished));
+                                bench.tell(Event::AttemptFinished(finished));
                             }
                             Action::ReportFailure { .. } => over = true,
-                            Action::Busy { .. } => panic!("it may have run and cannot be handed back"),
+                            Action::Reject { .. } => panic!("it may have run and cannot be handed back"),
                             _ => {}
                         }
                     }
@@ -367,7 +404,7 @@
 #[test]
 fn what_a_restart_finds_untried_is_tried() {
     let classes = vec![keyed(), unsafe_class(), safe()];
-    let settings = Settings { answers_take_time: true, couriers: 300, ..settings(classes) };
+    let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
     // Ten messages for each destination, and a part of its rate for them all: 1.3 calls a second, for 10 s.
     let listed = |n: u16| Endpoint { weight: 400.0, ..endpoint(u32::from(n), n) };
     let endpoints: Vec<Endpoint> = (1..=40).map(listed).collect();
@@ -376,26 +413,31 @@
         bench.restart(settings.clone(), seed, endpoints.clone());
         // A quarter of the destinations was out when the process died.
         for destination in (1..=40).step_by(4) {
-            bench.tell(Event::Recalled(Outage {
+            bench.tell(Event::CircuitRestored(CircuitRecord {
                 destination: DestinationId(destination),
                 endpoint: None,
-                since: bench.now - Duration::from_secs(5),
-                evidence: 6,
-                lost: Some(true),
-                returned: None,
-                share: 0.3,
+                last_success_at: bench.now - Duration::from_secs(5),
+                failure_score: 6,
+                calls_lost: Some(true),
+                slow_start_since: None,
+                baseline_rate: 0.3,
             }));
         }
-        let all = settings.most_held as u32;
+        let all = settings.max_pending_messages as u32;
         let half = settings.classes[0].deadline / 2;
         for id in 0..all {
             let class = ClassId((id % 3) as u8);
             let rules = &settings.classes[usize::from(class.0)];
-            let taken = Accepted {
+            let taken = AcceptedMessage {
                 deadline: bench.now + half,
                 ..accepted(bench.now, id, (class, rules), (id % 40 + 1) as u16, None)
             };
-            bench.tell(Event::Restored(Restored { taken, attempts: 0, maybe_ran: None, answered: false }));
+            bench.tell(Event::MessageRestored(RestoredMessage {
+                message: taken,
+                attempts: 0,
+                first_uncertain_attempt: None,
+                outcome_recorded: false,
+            }));
         }
         let end = bench.now + half;
         let mut tried = vec![false; all as usize];
@@ -404,11 +446,11 @@
         while bench.now < end {
             for action in bench.decide() {
                 match action {
-                    Action::Route { message, endpoint, .. } => {
+                    Action::StartAttempt { message, endpoint, .. } => {
                         tried[message.0 as usize] = true;
-                        bench.finish(message.0, endpoint.0, Outcome::Ok, ms(40));
+                        bench.finish(message.0, endpoint.0, AttemptOutcome::Delivered, ms(40));
                     }
-                    Action::Busy { message, .. } | Action::ReportFailure { message }
+                    Action::Reject { message, .. } | Action::ReportFailure { message }
                         if !tried[message.0 as usize] =>
                     {
                         early[message.0 as usize % 3] += 1;
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -197,8 +197,8 @@
 /// The default experiment's sizes span a factor of 100, and the small one has the same sweeps.
 #[test]
 fn the_experiments_have_the_same_sweeps() {
-    let kinds = |text| sweeps(text).into_iter().map(|(kind, _)| kind).collect::<Vec<_>>();
-    assert_eq!(kinds(SCALE), kinds(SMALL));
+    let destination_kinds = |text| sweeps(text).into_iter().map(|(kind, _)| kind).collect::<Vec<_>>();
+    assert_eq!(destination_kinds(SCALE), destination_kinds(SMALL));
     for (kind, sizes) in sweeps(SCALE).into_iter().chain(sweeps(SMALL)) {
         assert!(sizes.len() >= 4 && sizes[sizes.len() - 1] >= 100 * sizes[0], "{kind}: {sizes:?}");
     }
@@ -253,9 +253,9 @@
     let output = place.run(SMALL, nowhere, &["--only", "calls-out", "--only", "endpoints"]);
     assert!(output.status.success());
     let report = place.json();
-    let kinds: Vec<&Value> =
+    let destination_kinds: Vec<&Value> =
         report["sweeps"].as_array().unwrap().iter().map(|sweep| &sweep["kind"]).collect();
-    assert_eq!(kinds, ["endpoints", "calls-out"]);
+    assert_eq!(destination_kinds, ["endpoints", "calls-out"]);
 }
 
 /// Figures of one sweep that no clock has part in.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -88,7 +88,7 @@
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
     assert_eq!(records[0], Record::Sheet { slot: 0, entries });
     assert_eq!(records[1], Record::Members { who: 3, slot: 0, generation: 41, kind: 2 });
-    let Record::Finished(finished) = &records[2] else { panic!("{records:?}") };
+    let Record::FinishedAttempt(finished) = &records[2] else { panic!("{records:?}") };
     assert_eq!((finished.code, finished.delay, finished.complete), (100, 18_500_000, true));
     assert_eq!(finished.report, [0.4, 1.25]);
 }
@@ -97,7 +97,7 @@
 fn actions_of_the_wire_page() {
     let words = "two servers known".to_owned();
     let replies = [
-        Reply::Route { who: 3, call: 0x5d3a_91c4, endpoint: 0x0312_4a07, try_for: 80_000_000 },
+        Reply::Route { who: 3, call: 0x5d3a_91c4, endpoint: 0x0312_4a07, attempt_timeout: 80_000_000 },
         Reply::After { who: 3, after: 500_000_000, cookie: 77 },
         Reply::Log { who: 5, words },
         Reply::Tell { who: 3, peer: 0xffff, msg: b"hi 7".to_vec() },
@@ -190,9 +190,9 @@
 fn unknown_settings_are_skipped_and_lists_follow_their_sheet() {
     let config =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
-    let parsed = delivery_gateway::parse_settings(config).unwrap();
-    assert_eq!(parsed.settings.couriers, 3);
-    assert_eq!(parsed.settings.kinds[1].batch, 4);
+    let parsed = delivery_gateway::settings_from_lines(config).unwrap();
+    assert_eq!(parsed.settings.fleet_size, 3);
+    assert_eq!(parsed.settings.destination_kinds[1].batch, 4);
     // A sheet's number taken over later in a batch does not touch what referred to it before.
     let sheet = |endpoint| {
         let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
--- a/tests/world/life.rs
+++ b/tests/world/life.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use super::{Call, Courier, Seen, World};
+use super::{Call, Scheduler, Seen, World};
 
 /// Longer than a courier takes for anything here; clients wait shorter, but the machine may be busy.
 const ANSWER: Duration = Duration::from_secs(3);
@@ -47,7 +47,7 @@
     }
 
     /// Hands in a message of an id, again on a new connection where the last one was closed before its answer.
-    pub fn hand_in(&mut self, courier: &Courier, id: &str, is_unsafe: bool, clients: Clients) {
+    pub fn hand_in(&mut self, courier: &Scheduler, id: &str, is_unsafe: bool, clients: Clients) {
         let class = if is_unsafe { "salary" } else { "notice,k=aa" };
         let mut message = Message { is_unsafe, ..Message::default() };
         let ask = || -> io::Result<String> {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -113,15 +113,15 @@
     seen: Receiver<Seen>,
     send: Sender<Seen>,
     /// Seconds in which a message is worth all; it may be delivered for eight times as long.
-    pub aim: u64,
-    pub most_held: u32,
+    pub latency_objective: u64,
+    pub max_pending_messages: u32,
     pub slots: u32,
     /// Messages that one call may carry.
     pub batch: u32,
     pub sockets: u32,
     pub memory_mb: u32,
     /// Couriers that the settings tell of, and calls a second that all may make to an endpoint.
-    pub couriers: u32,
+    pub fleet_size: u32,
     pub rate: f64,
     /// Each endpoint has a destination of its own, from 1 on.
     pub apart: bool,
@@ -180,13 +180,13 @@
             discovery,
             seen,
             send,
-            aim: 3,
-            most_held: 400,
+            latency_objective: 3,
+            max_pending_messages: 400,
             slots: 16,
             batch: 1,
             sockets: 1024,
             memory_mb: 192,
-            couriers: 1,
+            fleet_size: 1,
             rate: 1000.0,
             apart: false,
             destinations: Vec::new(),
@@ -248,7 +248,7 @@
 
     /// A world in which the module waits long before it gives anything up.
     pub fn patient(endpoints: usize, disk_mb: f64) -> Self {
-        World { aim: 100, ..World::new(endpoints, disk_mb) }
+        World { latency_objective: 100, ..World::new(endpoints, disk_mb) }
     }
 
     /// As many endpoints in all, with one address for those that are new.
@@ -313,7 +313,7 @@
         target(&format!("s-{endpoint}"), self.endpoints[endpoint], destination, state, self.rate)
     }
 
-    pub fn start(&self) -> Courier<'_> {
+    pub fn start(&self) -> Scheduler<'_> {
         self.start_beside().listening()
     }
 
@@ -339,25 +339,25 @@
     }
 
     /// Starts a process that may have to wait for another one.
-    pub fn start_beside(&self) -> Courier<'_> {
+    pub fn start_beside(&self) -> Scheduler<'_> {
         self.start_process().with_door()
     }
 
     /// Starts a process that may end at any time.
-    pub fn start_process(&self) -> Courier<'_> {
+    pub fn start_process(&self) -> Scheduler<'_> {
         self.configure(&self.discovery);
-        Courier::start(self)
+        Scheduler::start(self)
     }
 
     /// Starts a courier whose log goes elsewhere, at an address that the world has told.
-    pub fn start_logging_to(&self, log: Stdio) -> Courier<'_> {
+    pub fn start_logging_to(&self, log: Stdio) -> Scheduler<'_> {
         let (_socket, address) = bound();
         drop(_socket);
         self.listen.set(address);
         self.configure(&self.discovery);
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_logging_to(binary, &self.folder, &self.fault_variables(), log).unwrap();
-        let courier = Courier { world: self, process, address, admin: address };
+        let courier = Scheduler { world: self, process, address, admin: address };
         let end = Instant::now() + PATIENCE;
         while courier.try_client(PATIENCE).is_err() {
             assert!(Instant::now() < end, "the courier never listens");
@@ -385,9 +385,9 @@
         let known = self.endpoints.len().min(self.known.get());
         let targets: Vec<Value> = (0..known).map(|at| self.target(at, "SERVING")).collect();
         let classes = [
-            class(self.aim, "notice", "idempotency_key", 10_000, true),
-            class(self.aim, "brief", "idempotency_key", BRIEF_WINDOW.as_millis() as u64, true),
-            class(self.aim, "salary", "non_idempotent", 0, false),
+            class(self.latency_objective, "notice", "idempotency_key", 10_000, true),
+            class(self.latency_objective, "brief", "idempotency_key", BRIEF_WINDOW.as_millis() as u64, true),
+            class(self.latency_objective, "salary", "non_idempotent", 0, false),
         ];
         let configuration = Configuration {
             listen: self.listen.get(),
@@ -396,12 +396,12 @@
             sockets: self.sockets,
             disk_mb: self.disk_mb,
             targets: &targets,
-            couriers: self.couriers,
+            couriers: self.fleet_size,
             classes: &classes,
             zone: self.zone.get(),
             slots: self.slots,
             batch: self.batch,
-            most_held: self.most_held,
+            max_pending_messages: self.max_pending_messages,
         };
         configuration.write(&self.folder).unwrap();
     }
@@ -546,19 +546,19 @@
 }
 
 /// A running courier; it is killed when dropped.
-pub struct Courier<'a> {
+pub struct Scheduler<'a> {
     world: &'a World,
     process: Process,
     address: SocketAddr,
     admin: SocketAddr,
 }
 
-impl<'a> Courier<'a> {
+impl<'a> Scheduler<'a> {
     fn start(world: &'a World) -> Self {
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_with(binary, &world.folder, &world.fault_variables()).unwrap();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Courier { world, process, address: nowhere, admin: nowhere }
+        Scheduler { world, process, address: nowhere, admin: nowhere }
     }
 
     /// Waits until operators may call it.
@@ -633,7 +633,7 @@
         Stopped { world: self.world }
     }
 
-    pub fn kill_and_restart(self) -> Courier<'a> {
+    pub fn kill_and_restart(self) -> Scheduler<'a> {
         self.kill().restart()
     }
 
@@ -700,8 +700,8 @@
 }
 
 impl<'a> Stopped<'a> {
-    pub fn restart(self) -> Courier<'a> {
-        Courier::start(self.world).with_door().listening()
+    pub fn restart(self) -> Scheduler<'a> {
+        Scheduler::start(self.world).with_door().listening()
     }
 }
 
