--- a/src/bin/delivery-gateway/admin/mod.rs
+++ b/src/bin/delivery-gateway/admin/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' door: HTTP/1.1 with one call a connection. It decides nothing; what is asked goes to the driver.
 
 use delivery_gateway::socket::{send_at_once, SteadyStream};
-use serde::{Deserialize, Serialize};
+
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -14,8 +14,8 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-use crate::event_loop::{Input, Phase};
-use crate::rate_limited_log::Seldom;
+use crate::events::{AdminOperation, AdminResult, GatewayEvent, ServicePhase};
+use crate::rate_limited_log::RateLimitedLog;
 
 /// Callers at a time; one more takes the place of the one that has been slow for longest ...
 const CALLERS: usize = 8;
@@ -31,52 +31,33 @@
 /// What the caller still sends is read for so long: closing before would destroy the answer on its way.
 const DRAIN: Duration = Duration::from_millis(500);
 
-/// What operators ask of the driver.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Operation {
-    /// Leave an endpoint out, by its uid.
-    Detach(String),
-    Attach(String),
-    LameDuck(bool),
-}
-
-/// What became of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Done {
-    Yes,
-    /// Nobody has that id.
-    Unknown,
-    /// It could not be written down, so that it would not hold.
-    Failed,
-}
-
 /// Where calls go once the courier is ready.
 #[derive(Default)]
-pub struct Door {
-    behind: RefCell<Option<(UnboundedSender<Input>, watch::Receiver<Phase>)>>,
+pub struct AdminEndpoint {
+    behind: RefCell<Option<(UnboundedSender<GatewayEvent>, watch::Receiver<ServicePhase>)>>,
 }
 
-impl Door {
+impl AdminEndpoint {
     /// The courier is ready to serve.
-    pub fn open(&self, driver: UnboundedSender<Input>, phase: watch::Receiver<Phase>) {
+    pub fn open(&self, driver: UnboundedSender<GatewayEvent>, phase: watch::Receiver<ServicePhase>) {
         self.behind.replace(Some((driver, phase)));
     }
 
     fn is_ready(&self) -> bool {
-        self.behind.borrow().as_ref().is_some_and(|(_, phase)| *phase.borrow() == Phase::Serving)
+        self.behind.borrow().as_ref().is_some_and(|(_, phase)| *phase.borrow() == ServicePhase::Serving)
     }
 
-    async fn operate(&self, operation: Operation) -> Status {
+    async fn operate(&self, operation: AdminOperation) -> Status {
         let (done, answer) = oneshot::channel();
         let driver = self.behind.borrow().as_ref().map(|(driver, _)| driver.clone());
-        let sent = driver.is_some_and(|driver| driver.send(Input::Operate(operation, done)).is_ok());
+        let sent = driver.is_some_and(|driver| driver.send(GatewayEvent::Admin(operation, done)).is_ok());
         if !sent {
             return NOT_READY;
         }
         match timeout(ANSWER, answer).await {
-            Ok(Ok(Done::Yes)) => YES,
-            Ok(Ok(Done::Unknown)) => UNKNOWN,
-            Ok(Ok(Done::Failed)) => FAILED,
+            Ok(Ok(AdminResult::Done)) => YES,
+            Ok(Ok(AdminResult::UnknownEndpoint)) => UNKNOWN,
+            Ok(Ok(AdminResult::NotRecorded)) => FAILED,
             Ok(Err(_)) | Err(_) => NOT_READY,
         }
     }
@@ -94,14 +75,16 @@
         match path {
             "/_ready" if self.is_ready() => YES,
             "/_ready" => NOT_READY,
-            "/_lameduck/on" => self.operate(Operation::LameDuck(true)).await,
-            "/_lameduck/off" => self.operate(Operation::LameDuck(false)).await,
+            "/_lameduck/on" => self.operate(AdminOperation::LameDuck(true)).await,
+            "/_lameduck/off" => self.operate(AdminOperation::LameDuck(false)).await,
             _ => {
                 let fields = form_urlencoded::parse(query.as_bytes());
                 let mut ids = fields.filter(|(name, _)| name == "id").map(|(_, id)| id.into_owned());
                 match (ids.next(), ids.next()) {
-                    (Some(id), None) if path.ends_with("detach") => self.operate(Operation::Detach(id)).await,
-                    (Some(id), None) => self.operate(Operation::Attach(id)).await,
+                    (Some(id), None) if path.ends_with("detach") => {
+                        self.operate(AdminOperation::DisableEndpoint(id)).await
+                    }
+                    (Some(id), None) => self.operate(AdminOperation::EnableEndpoint(id)).await,
                     _ => NO_ID,
                 }
             }
@@ -131,10 +114,10 @@
 }
 
 /// Answers calls until the task is dropped.
-pub async fn serve(listener: TcpListener, door: Rc<Door>) {
+pub async fn serve(listener: TcpListener, door: Rc<AdminEndpoint>) {
     let callers = Rc::new(Callers::default());
     let places = Arc::new(Semaphore::new(CONNECTIONS));
-    let mut failures = Seldom::default();
+    let mut failures = RateLimitedLog::default();
     while let Ok(place) = places.clone().acquire_owned().await {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -168,7 +151,7 @@
     }
 }
 
-async fn talk(stream: TcpStream, door: &Door, give_way: Rc<Notify>) -> io::Result<()> {
+async fn talk(stream: TcpStream, door: &AdminEndpoint, give_way: Rc<Notify>) -> io::Result<()> {
     send_at_once(&stream);
     let mut stream = SteadyStream(stream);
     let mut evicted = false;
--- a/src/bin/delivery-gateway/completed_messages.rs
+++ b/src/bin/delivery-gateway/completed_messages.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-use crate::journal::Taken;
-use crate::resp2::Enqueue;
+use crate::events::EnqueueRequest;
+use crate::journal::AcceptedRecord;
 
 /// Ids that are remembered at most, each in some 50 bytes.
 const MOST: usize = 8192;
 
 /// What is remembered of messages that are over, for as long as one lives at most.
-pub struct Past {
+pub struct CompletedMessages {
     keep: Duration,
     hashes: RandomState,
     /// The oldest first, by the hashes of their ids.
@@ -23,19 +23,19 @@
     prints: HashMap<u64, u64>,
 }
 
-impl Past {
+impl CompletedMessages {
     pub fn new(keep: Duration) -> Self {
-        Past { keep, hashes: RandomState::new(), order: VecDeque::new(), prints: HashMap::new() }
+        CompletedMessages { keep, hashes: RandomState::new(), order: VecDeque::new(), prints: HashMap::new() }
     }
 
     /// A message is over.
-    pub fn add(&mut self, taken: &Taken) {
+    pub fn add(&mut self, taken: &AcceptedRecord) {
         while self.order.len() >= MOST || self.order.front().is_some_and(|(at, _)| at.elapsed() > self.keep) {
             if let Some((_, id)) = self.order.pop_front() {
                 self.prints.remove(&id);
             }
         }
-        let Taken { id, key, class, destination, idempotency_key, body, .. } = taken;
+        let AcceptedRecord { id, key, class, destination, idempotency_key, body, .. } = taken;
         let print = self.hashes.hash_one((key, class, destination, idempotency_key, body));
         let id = self.hashes.hash_one(id);
         if self.prints.insert(id, print).is_none() {
@@ -44,8 +44,8 @@
     }
 
     /// Whether the message of this id that is over was this one; none if none is.
-    pub fn was(&self, enqueue: &Enqueue) -> Option<bool> {
-        let Enqueue { id, key, class, destination, idempotency_key, body, .. } = enqueue;
+    pub fn was(&self, enqueue: &EnqueueRequest) -> Option<bool> {
+        let EnqueueRequest { id, key, class, destination, idempotency_key, body, .. } = enqueue;
         let print = self.prints.get(&self.hashes.hash_one(id))?;
         Some(*print == self.hashes.hash_one((key, class, destination, idempotency_key, body)))
     }
@@ -56,8 +56,8 @@
     use super::*;
     use bytes::Bytes;
 
-    fn taken(number: usize) -> Taken {
-        Taken {
+    fn taken(number: usize) -> AcceptedRecord {
+        AcceptedRecord {
             id: format!("m{number}"),
             key: 0,
             class: "notice".to_owned(),
@@ -72,10 +72,10 @@
 
     #[test]
     fn what_is_remembered_is_bounded_in_number_and_time() {
-        let mut past = Past::new(Duration::from_secs(3600));
+        let mut past = CompletedMessages::new(Duration::from_secs(3600));
         (0..3 * MOST).for_each(|number| past.add(&taken(number)));
         assert_eq!((past.order.len(), past.prints.len()), (MOST, MOST));
-        let mut past = Past::new(Duration::ZERO);
+        let mut past = CompletedMessages::new(Duration::ZERO);
         (0..10).for_each(|number| past.add(&taken(number)));
         assert!(past.order.len() < 10 && past.order.len() == past.prints.len(), "{}", past.order.len());
     }
--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -13,17 +13,19 @@
 use tokio::time::{interval, sleep_until, timeout, timeout_at, Instant};
 use tracing::{debug, error, info, warn};
 
-use crate::admin::{Done, Operation};
 use crate::clock::Clock;
-use crate::completed_messages::Past;
+use crate::completed_messages::CompletedMessages;
+use crate::events::{
+    AdminOperation, AdminResult, AttemptResult, CallResult, Channels, EnqueueReply, EnqueueRequest,
+    GatewayEvent, OutcomeNotification, ServicePhase, StopReason,
+};
 use crate::http_client::connection::Descriptor;
-use crate::http_client::{Call, CallEnded, Ended, Load, Pool, Stop};
+use crate::http_client::{Call, OutgoingMessage, Pool};
 use crate::journal::{
-    ClockReading, Held, Journal, JournalError, OutageChange, OutageKey, OutageNote, Taken, Verdict,
+    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, Journal,
+    JournalError, PendingMessage,
 };
-use crate::notifications::Notice;
-use crate::rate_limited_log::Seldom;
-use crate::resp2::{Answer, Enqueue};
+use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
 
 /// Events that one decision takes in at most.
@@ -51,37 +53,9 @@
 /// Longest body of a call.
 const LONGEST_BODY: usize = 64 << 10;
 
-/// What happens, from all the other parts.
-pub enum Input {
-    Enqueue(Enqueue, oneshot::Sender<Answer>),
-    /// A client was gone before it could be told that its message was taken on, by its own hand-in.
-    Unheard(MessageId),
-    /// News of the list of endpoints, or of the watch on it.
-    List(WatchEvent),
-    /// What became of the messages of one call.
-    Ended(EndpointId, Vec<MessageId>, CallEnded),
-    /// The platform has these notices.
-    Heard(Vec<MessageId>),
-    /// A call of the operators, and where its answer goes.
-    Operate(Operation, oneshot::Sender<Done>),
-    Terminate,
-}
-
-/// How the courier stands to its clients.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    Serving,
-    /// Operators are emptying it: `PING` is answered no, connections end between two requests.
-    LameDuck,
-    /// The process is about to end: connections end between two requests.
-    Closing,
-    /// Another process takes its place: connections move there between two bytes.
-    Moving,
-}
-
 /// A call that is out, in terms that the next process knows.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct CallAway {
+pub struct InFlightCall {
     endpoint: EndpointId,
     messages: Vec<MessageId>,
     sent: bool,
@@ -95,7 +69,7 @@
     lame: bool,
 }
 
-impl Baton {
+impl HandoverSnapshot {
     /// The messages of each call that stays out, and where it went.
     pub fn away(&self) -> impl Iterator<Item = (EndpointId, Vec<MessageId>)> + '_ {
         self.calls.iter().map(|call| (call.endpoint, call.messages.clone()))
@@ -104,7 +78,7 @@
 
 /// All that the next process needs beside the journal to go on as the same courier.
 #[derive(Serialize, Deserialize)]
-pub struct Baton {
+pub struct HandoverSnapshot {
     courier: Scheduler,
     /// Time since the module's clock began, when the clock was read.
     passed: Duration,
@@ -113,22 +87,11 @@
     /// Messages that were handed in more than once.
     shared: Vec<MessageId>,
     /// Calls that stay out in the process before.
-    calls: Vec<CallAway>,
-}
-
-/// Where the other parts are reached.
-#[derive(Clone)]
-pub struct Ends {
-    /// What happens to this part, also by its own doing.
-    pub inputs: UnboundedSender<Input>,
-    pub notices: UnboundedSender<Notice>,
-    /// The list is to be watched again.
-    pub watch: watch::Sender<()>,
-    pub phase: watch::Sender<Phase>,
+    calls: Vec<InFlightCall>,
 }
 
 /// A message that is held.
-struct Known {
+struct PendingEntry {
     number: u32,
     /// A hand-in after the first one was told that it is held: the first can withdraw it no more.
     shared: bool,
@@ -142,7 +105,7 @@
 
 /// A call that is out, which its messages share.
 struct CallOut {
-    stop: Cell<Option<oneshot::Sender<Stop>>>,
+    stop: Cell<Option<oneshot::Sender<StopReason>>>,
     /// Its first byte has gone.
     sent: Rc<Cell<bool>>,
     /// Of a call that another process has out: the descriptor that it holds there.
@@ -150,7 +113,7 @@
 }
 
 impl CallOut {
-    fn stop(&self, reason: Stop) {
+    fn stop(&self, reason: StopReason) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(reason);
         }
@@ -158,17 +121,17 @@
 }
 
 /// An attempt that was not made, as its time to leave had passed.
-const TOO_LATE: Ended = not_sent(AttemptOutcome::NotSent);
+const TOO_LATE: AttemptResult = not_sent(AttemptOutcome::NotSent);
 /// An attempt that was not made, as it could not be written down.
-const NOT_WRITTEN: Ended = not_sent(AttemptOutcome::LocalFailure);
+const NOT_WRITTEN: AttemptResult = not_sent(AttemptOutcome::LocalFailure);
 
-const fn not_sent(outcome: AttemptOutcome) -> Ended {
-    Ended { outcome, latency: Duration::ZERO, complete: false, load_report: None }
+const fn not_sent(outcome: AttemptOutcome) -> AttemptResult {
+    AttemptResult { outcome, latency: Duration::ZERO, complete: false, load_report: None }
 }
 
 /// What the log tells of the load.
 #[derive(Default)]
-struct Counts {
+struct Counters {
     taken: u32,
     busy: u32,
     delivered: u32,
@@ -178,7 +141,7 @@
     latest: Duration,
 }
 
-pub struct Driver {
+pub struct EventLoop {
     courier: Scheduler,
     clock: Clock,
     journal: Journal,
@@ -191,42 +154,42 @@
     classes: Vec<Class>,
     max_pending_messages: usize,
     /// The messages held, by their ids.
-    known: HashMap<String, Known>,
-    past: Past,
+    known: HashMap<String, PendingEntry>,
+    past: CompletedMessages,
     out: HashMap<MessageId, Out>,
-    inputs: UnboundedSender<Input>,
-    notices: UnboundedSender<Notice>,
+    inputs: UnboundedSender<GatewayEvent>,
+    notifications: UnboundedSender<OutcomeNotification>,
     watch: watch::Sender<()>,
-    phase: watch::Sender<Phase>,
+    phase: watch::Sender<ServicePhase>,
     ends: Option<(Instant, Instant)>,
     wake: Option<(Instant, u64)>,
     actions: Vec<Action>,
-    counts: Counts,
+    counts: Counters,
     /// What of outages has changed and is not in the journal yet; none where nothing is remembered any more.
-    unnoted: BTreeMap<OutageKey, Option<OutageNote>>,
+    unnoted: BTreeMap<CircuitKey, Option<CircuitNote>>,
     /// Names of endpoints with outages: their ends come when the list may have forgotten them.
     outage_uids: HashMap<EndpointId, String>,
-    journal_errors: Seldom,
-    late: Seldom,
-    outage_lines: Seldom,
-    wait_lines: Seldom,
+    journal_errors: RateLimitedLog,
+    late: RateLimitedLog,
+    outage_lines: RateLimitedLog,
+    wait_lines: RateLimitedLog,
     /// Final outcomes whose records could not be written yet, and until when each may stay untold.
-    untold: Vec<(Notice, Instant)>,
+    untold: Vec<(OutcomeNotification, Instant)>,
     /// Looks at each attempt once more before it is made.
     guard: SendGuard,
-    breach_lines: Seldom,
+    breach_lines: RateLimitedLog,
     /// When it is next tried to write what could not be written.
     settle_at: Option<Instant>,
 }
 
-impl Driver {
+impl EventLoop {
     /// A courier that has yet to take up what there is.
     pub fn new(
         mut parsed: Parsed,
         seed: u64,
         mut journal: Journal,
         endpoint_sockets: usize,
-        Ends { inputs, notices, watch, phase }: Ends,
+        Channels { inputs, notifications, watch, phase }: Channels,
     ) -> Self {
         parsed.settings.outcomes_need_acknowledgement = true;
         let directory = EndpointDirectory::new(&parsed);
@@ -247,12 +210,14 @@
             endpoint_sockets,
             idle,
         ));
-        Driver {
+        EventLoop {
             class_names: parsed.class_names,
             tenant_names: parsed.tenant_names,
             classes: settings.classes.clone(),
             max_pending_messages: settings.max_pending_messages,
-            past: Past::new(settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()),
+            past: CompletedMessages::new(
+                settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
+            ),
             courier: Scheduler::new(settings, seed),
             clock,
             journal,
@@ -262,31 +227,35 @@
             known: HashMap::new(),
             out: HashMap::new(),
             inputs,
-            notices,
+            notifications,
             watch,
             phase,
             ends: None,
             wake: None,
             actions: Vec::new(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             unnoted: BTreeMap::new(),
             outage_uids: HashMap::new(),
-            journal_errors: Seldom::default(),
-            late: Seldom::default(),
-            outage_lines: Seldom::default(),
-            wait_lines: Seldom::default(),
+            journal_errors: RateLimitedLog::default(),
+            late: RateLimitedLog::default(),
+            outage_lines: RateLimitedLog::default(),
+            wait_lines: RateLimitedLog::default(),
             untold: Vec::new(),
             guard,
-            breach_lines: Seldom::default(),
+            breach_lines: RateLimitedLog::default(),
             settle_at: None,
         }
     }
 
     /// Goes on where another process stopped, with the calls that it still has out. `stop` tells it to end one.
-    pub fn resume(&mut self, baton: Baton, stop: impl Fn(MessageId, Stop) + Clone + 'static) {
-        let Baton { courier, passed, clock, numbers, shared, calls } = baton;
+    pub fn resume(
+        &mut self,
+        baton: HandoverSnapshot,
+        stop: impl Fn(MessageId, StopReason) + Clone + 'static,
+    ) {
+        let HandoverSnapshot { courier, passed, clock, numbers, shared, calls } = baton;
         self.courier = courier.resumed(std::mem::take(&mut self.courier));
-        let phase = if self.courier.is_lame_duck() { Phase::LameDuck } else { Phase::Serving };
+        let phase = if self.courier.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
         self.phase.send_replace(phase);
         self.clock = Clock::resumed(passed, clock);
         self.directory.renumber(numbers);
@@ -297,15 +266,19 @@
         }
         for (number, held) in &image.held {
             let shared = shared.contains(&MessageId(*number));
-            self.known.insert(held.taken.id.clone(), Known { number: *number, shared });
-            if let Some(verdict) = held.verdict {
+            self.known.insert(held.taken.id.clone(), PendingEntry { number: *number, shared });
+            if let Some(final_outcome) = held.final_outcome {
                 // It may have been told already; a notice that comes twice does no harm.
-                let notice = Notice { message: MessageId(*number), id: held.taken.id.clone(), verdict };
-                let _ = self.notices.send(notice);
+                let notification = OutcomeNotification {
+                    message: MessageId(*number),
+                    id: held.taken.id.clone(),
+                    final_outcome,
+                };
+                let _ = self.notifications.send(notification);
             }
         }
         self.note_all_outages();
-        for CallAway { endpoint, messages, sent } in calls {
+        for InFlightCall { endpoint, messages, sent } in calls {
             let (reason, stopped) = oneshot::channel();
             let call = Rc::new(CallOut {
                 stop: Cell::new(Some(reason)),
@@ -326,18 +299,18 @@
 
     /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
     pub fn baton(&mut self) -> Result<Vec<u8>, postcard::Error> {
-        let mut calls: Vec<(&Rc<CallOut>, CallAway)> = Vec::new();
+        let mut calls: Vec<(&Rc<CallOut>, InFlightCall)> = Vec::new();
         for (message, out) in &self.out {
             match calls.iter_mut().find(|(call, _)| Rc::ptr_eq(call, &out.call)) {
                 Some((_, away)) => away.messages.push(*message),
                 None => {
                     let (messages, sent) = (vec![*message], out.call.sent.get());
-                    calls.push((&out.call, CallAway { endpoint: out.endpoint, messages, sent }));
+                    calls.push((&out.call, InFlightCall { endpoint: out.endpoint, messages, sent }));
                 }
             }
         }
         let shared = self.known.values().filter(|known| known.shared);
-        let baton = Baton {
+        let baton = HandoverSnapshot {
             passed: self.clock.passed(),
             clock: self.clock.reading(),
             numbers: self.directory.numbers(),
@@ -368,7 +341,11 @@
                 self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
             }
         }
-        self.stand(if carried_over_constraints.lame { Phase::LameDuck } else { Phase::Serving });
+        self.stand(if carried_over_constraints.lame {
+            ServicePhase::LameDuck
+        } else {
+            ServicePhase::Serving
+        });
     }
 
     /// Begins no more calls.
@@ -382,7 +359,7 @@
     }
 
     /// Ends the calls that are out, and takes in what comes until all have ended.
-    pub async fn end_calls(&mut self, events: &mut UnboundedReceiver<Input>) {
+    pub async fn end_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         self.abandon();
         let end = Instant::now() + GIVING_UP;
         while self.has_calls() {
@@ -392,29 +369,32 @@
     }
 
     /// Takes in what has come, without deciding anything.
-    pub fn drain(&mut self, events: &mut UnboundedReceiver<Input>) {
+    pub fn drain(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         while let Ok(input) = events.try_recv() {
             self.handle(input);
         }
     }
 
     /// Ends a call that this process has out for the one that decides, as far as that is still wanted.
-    pub fn stop_call(&self, message: MessageId, reason: Stop) {
-        let out = self.out.get(&message).filter(|out| reason == Stop::CalledOff || !out.call.sent.get());
+    pub fn stop_call(&self, message: MessageId, reason: StopReason) {
+        let out =
+            self.out.get(&message).filter(|out| reason == StopReason::Cancelled || !out.call.sent.get());
         if let Some(out) = out {
             out.call.stop(reason);
         }
     }
 
     /// Gives up all calls, and waits until they have been let go of. The journal is another process's.
-    pub async fn give_up(&self, events: &mut UnboundedReceiver<Input>) {
+    pub async fn give_up(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
         self.abandon();
         let mut out = self.messages_out();
         let all = async {
             while !out.is_empty() {
                 match events.recv().await {
-                    Some(Input::Ended(_, messages, _)) => out.retain(|message| !messages.contains(message)),
-                    Some(Input::Enqueue(_, reply)) => drop(reply.send(Answer::Busy(None))),
+                    Some(GatewayEvent::CallEnded { messages, .. }) => {
+                        out.retain(|message| !messages.contains(message))
+                    }
+                    Some(GatewayEvent::Enqueue(_, reply)) => drop(reply.send(EnqueueReply::Rejected(None))),
                     Some(_) => {}
                     None => return,
                 }
@@ -424,9 +404,9 @@
     }
 
     /// Stands to its clients as it did before.
-    pub fn stand(&mut self, phase: Phase) {
+    pub fn stand(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
-        self.courier.handle(now, Event::LameDuck(phase == Phase::LameDuck));
+        self.courier.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
         self.courier.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
         self.phase.send_replace(phase);
     }
@@ -513,12 +493,12 @@
 
     fn restore_message(&mut self, now: Time, number: u32) {
         let Some(held) = self.journal.image.held.get(&number) else { return };
-        let Held { ref taken, attempts, first_uncertain_attempt, out, verdict } = *held;
+        let PendingMessage { ref taken, attempts, first_uncertain_attempt, out, final_outcome } = *held;
         let (message, id) = (MessageId(number), taken.id.clone());
-        self.known.insert(id.clone(), Known { number, shared: false });
+        self.known.insert(id.clone(), PendingEntry { number, shared: false });
         let Some(taken) = self.accepted(number, taken) else {
             warn!(class = taken.class, "a message of a class that is not known any more is given up");
-            self.owe(message, Verdict::Failed);
+            self.owe(message, FinalOutcome::Failed);
             return;
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
@@ -533,15 +513,15 @@
             message: taken,
             attempts,
             first_uncertain_attempt,
-            outcome_recorded: verdict.is_some(),
+            outcome_recorded: final_outcome.is_some(),
         };
         self.courier.handle(now, Event::MessageRestored(restored));
-        if let Some(verdict) = verdict {
-            let _ = self.notices.send(Notice { message, id, verdict });
+        if let Some(final_outcome) = final_outcome {
+            let _ = self.notifications.send(OutcomeNotification { message, id, final_outcome });
         }
     }
 
-    fn accepted(&self, number: u32, taken: &Taken) -> Option<AcceptedMessage> {
+    fn accepted(&self, number: u32, taken: &AcceptedRecord) -> Option<AcceptedMessage> {
         let class = self.class(&taken.class)?;
         Some(AcceptedMessage {
             id: MessageId(number),
@@ -565,7 +545,7 @@
     }
 
     /// Runs until the process is to end.
-    pub async fn run(&mut self, events: &mut UnboundedReceiver<Input>) {
+    pub async fn run(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         let mut sweep = interval(SWEEP);
         let mut sweeps = 0;
         let mut batch = Vec::with_capacity(BATCH);
@@ -619,14 +599,14 @@
             self.settle_at = (!self.journal.is_settled()).then_some(now + gap);
         }
         let written = self.journal.has_all_records();
-        for (notice, _) in self.untold.extract_if(.., |(_, until)| written || *until <= now) {
-            let _ = self.notices.send(notice);
+        for (notification, _) in self.untold.extract_if(.., |(_, until)| written || *until <= now) {
+            let _ = self.notifications.send(notification);
         }
     }
 
     /// Answers the requests that have been read but not answered: ending a connection before would lose their
     /// messages. The next process finds them in the journal.
-    async fn finish(&mut self, events: &mut UnboundedReceiver<Input>) {
+    async fn finish(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         for _ in 0..LAST_ROUNDS {
             while let Ok(input) = events.try_recv() {
                 self.handle(input);
@@ -656,71 +636,78 @@
         now >= last || (now >= least && idle)
     }
 
-    pub fn handle(&mut self, input: Input) {
+    pub fn handle(&mut self, input: GatewayEvent) {
         let now = self.clock.now();
         match input {
-            Input::Enqueue(enqueue, reply) => {
+            GatewayEvent::Enqueue(enqueue, reply) => {
                 let id = enqueue.id.clone();
                 let answer = self.enqueue(now, enqueue);
                 debug!(id, ?answer, "a message was handed in");
-                if let Err(Answer::Taken(message)) = reply.send(answer) {
+                if let Err(EnqueueReply::Accepted(message)) = reply.send(answer) {
                     self.unheard(now, message);
                 }
             }
-            Input::Unheard(message) => self.unheard(now, message),
-            Input::List(WatchEvent::Updated(update)) => self.listed(now, update),
-            Input::List(WatchEvent::Established) => self.courier.handle(now, Event::WatchEstablished),
-            Input::List(WatchEvent::Broken(why)) => self.courier.handle(now, Event::EndpointsUpdated(why)),
-            Input::Ended(endpoint, messages, ended) => self.call_ended(now, endpoint, &messages, &ended),
-            Input::Heard(messages) => {
+            GatewayEvent::AcceptanceNotReceived(message) => self.unheard(now, message),
+            GatewayEvent::Discovery(WatchEvent::Updated(update)) => self.listed(now, update),
+            GatewayEvent::Discovery(WatchEvent::Established) => {
+                self.courier.handle(now, Event::WatchEstablished)
+            }
+            GatewayEvent::Discovery(WatchEvent::Broken(why)) => {
+                self.courier.handle(now, Event::EndpointsUpdated(why))
+            }
+            GatewayEvent::CallEnded { endpoint, messages, result: ended } => {
+                self.call_ended(now, endpoint, &messages, &ended)
+            }
+            GatewayEvent::OutcomesAcknowledged(messages) => {
                 for message in messages {
                     debug!(number = message.0, "a notice was answered");
                     self.over(message);
                     self.courier.handle(now, Event::OutcomeAcknowledged(message));
                 }
             }
-            Input::Operate(operation, done) => {
+            GatewayEvent::Admin(operation, done) => {
                 let _ = done.send(self.operate(now, &operation));
             }
-            Input::Terminate if self.ends.is_some() => {}
-            Input::Terminate => {
+            GatewayEvent::Terminate if self.ends.is_some() => {}
+            GatewayEvent::Terminate => {
                 let begun = Instant::now();
                 info!(held = self.journal.image.held.len(), out = self.out.len(), "told to end");
                 self.ends = Some((begun + CLOSING_LEAST, begun + CLOSING));
                 self.courier.handle(now, Event::ShutdownScheduled(now + CLOSING));
                 // What moves to another process is in better hands there.
-                if *self.phase.borrow() != Phase::Moving {
-                    self.phase.send_replace(Phase::Closing);
+                if *self.phase.borrow() != ServicePhase::HandingOver {
+                    self.phase.send_replace(ServicePhase::ShuttingDown);
                 }
             }
         }
     }
 
     /// Does what operators ask. The yes is true from then on, also for the next process.
-    fn operate(&mut self, now: Time, operation: &Operation) -> Done {
+    fn operate(&mut self, now: Time, operation: &AdminOperation) -> AdminResult {
         match operation {
-            Operation::Detach(uid) | Operation::Attach(uid) => {
-                let out = matches!(operation, Operation::Detach(_));
+            AdminOperation::DisableEndpoint(uid) | AdminOperation::EnableEndpoint(uid) => {
+                let out = matches!(operation, AdminOperation::DisableEndpoint(_));
                 let was_out = self.journal.image.detached.contains(uid);
                 if !was_out && !self.journal.image.targets.contains_key(uid) {
-                    return Done::Unknown;
+                    return AdminResult::UnknownEndpoint;
                 }
                 if out == was_out {
-                    return Done::Yes;
+                    return AdminResult::Done;
                 }
                 if let Err(error) = self.journal.detached(uid, out) {
                     self.note(Err(error));
-                    return Done::Failed;
+                    return AdminResult::NotRecorded;
                 }
                 info!(uid, out, "operators have changed what is left out");
                 self.detach(now, uid, out);
             }
-            Operation::LameDuck(on) => {
+            AdminOperation::LameDuck(on) => {
                 info!(on, held = self.journal.image.held.len(), "operators have told to empty, or not to");
                 self.courier.handle(now, Event::LameDuck(*on));
-                let phase = if *on { Phase::LameDuck } else { Phase::Serving };
+                let phase = if *on { ServicePhase::LameDuck } else { ServicePhase::Serving };
                 self.phase.send_if_modified(|known| {
-                    let other = *known != phase && !matches!(*known, Phase::Closing | Phase::Moving);
+                    let other = *known != phase
+                        && !matches!(*known, ServicePhase::ShuttingDown | ServicePhase::HandingOver);
                     if other {
                         *known = phase;
                     }
@@ -728,7 +715,7 @@
                 });
             }
         }
-        Done::Yes
+        AdminResult::Done
     }
 
     fn detach(&mut self, now: Time, uid: &str, out: bool) {
@@ -741,32 +728,32 @@
         self.forget_gone();
     }
 
-    fn enqueue(&mut self, now: Time, enqueue: Enqueue) -> Answer {
-        let Some(class) = self.class(&enqueue.class) else { return Answer::Error("unknown class") };
+    fn enqueue(&mut self, now: Time, enqueue: EnqueueRequest) -> EnqueueReply {
+        let Some(class) = self.class(&enqueue.class) else { return EnqueueReply::Error("unknown class") };
         if let Some(known) = self.known.get_mut(&enqueue.id) {
             // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
             let held = self.journal.image.held.get(&known.number);
             if !held.is_some_and(|held| enqueue.is_same(&held.taken)) {
-                return Answer::Error("the id is in use for another message");
+                return EnqueueReply::Error("the id is in use for another message");
             }
             known.shared = true;
-            return Answer::Held;
+            return EnqueueReply::AlreadyAccepted;
         }
         match self.past.was(&enqueue) {
-            Some(true) => return Answer::Held,
-            Some(false) => return Answer::Error("the id was that of another message"),
+            Some(true) => return EnqueueReply::AlreadyAccepted,
+            Some(false) => return EnqueueReply::Error("the id was that of another message"),
             None => {}
         }
         let destination = DestinationId(enqueue.destination);
         if !self.journal.image.destinations.contains(&enqueue.destination) {
-            return Answer::Error("unknown destination");
+            return EnqueueReply::Error("unknown destination");
         }
         let class = &self.classes[usize::from(class.0)];
         if class.idempotency == Idempotency::IdempotentWithKey && enqueue.idempotency_key.is_none() {
-            return Answer::Error("k is missing");
+            return EnqueueReply::Error("k is missing");
         }
         let most = class.deadline;
-        let taken = Taken {
+        let taken = AcceptedRecord {
             id: enqueue.id,
             key: enqueue.key,
             class: enqueue.class,
@@ -780,28 +767,28 @@
         let full = self.journal.image.held.len() >= self.max_pending_messages;
         if full || !self.accepted(0, &taken).is_some_and(|new| self.courier.admits(now, &new)) {
             self.counts.busy += 1;
-            return Answer::Busy(Some(self.courier.suggested_retry_after(now, destination)));
+            return EnqueueReply::Rejected(Some(self.courier.suggested_retry_after(now, destination)));
         }
         let id = taken.id.clone();
         match self.journal.take(taken) {
             Ok(number) => {
                 self.counts.taken += 1;
-                self.known.insert(id, Known { number, shared: false });
+                self.known.insert(id, PendingEntry { number, shared: false });
                 let taken = self.journal.image.held.get(&number).map(|held| &held.taken);
                 if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
                     self.courier.handle(now, Event::MessageAccepted(accepted));
                 }
-                Answer::Taken(MessageId(number))
+                EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
                 let is_written = !matches!(error, JournalError::Unclean) && self.journal.tail_is_unclean();
                 self.note(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
-                    return Answer::Error("the disk fails");
+                    return EnqueueReply::Error("the disk fails");
                 }
                 self.counts.busy += 1;
-                Answer::Busy(Some(self.courier.suggested_retry_after(now, destination)))
+                EnqueueReply::Rejected(Some(self.courier.suggested_retry_after(now, destination)))
             }
         }
     }
@@ -845,18 +832,19 @@
     fn withdraw(&mut self, which: impl Fn(EndpointId, &EndpointDirectory) -> bool) {
         let unsent = |out: &&Out| !out.call.sent.get() && which(out.endpoint, &self.directory);
         for out in self.out.values().filter(unsent) {
-            out.call.stop(Stop::Withdrawn);
+            out.call.stop(StopReason::Withdrawn);
         }
     }
 
-    fn call_ended(&mut self, now: Time, endpoint: EndpointId, messages: &[MessageId], ended: &CallEnded) {
-        let CallEnded { each, wait } = ended;
+    fn call_ended(&mut self, now: Time, endpoint: EndpointId, messages: &[MessageId], ended: &CallResult) {
+        let CallResult { attempts: each, retry_after: wait } = ended;
         if let Some(wait) = *wait {
             self.told_to_wait(endpoint, wait);
             self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
         }
         // The module judges an endpoint by the last outcome of a call: those that say nothing of it come first.
-        let mut each: Vec<(MessageId, Ended)> = messages.iter().copied().zip(each.iter().copied()).collect();
+        let mut each: Vec<(MessageId, AttemptResult)> =
+            messages.iter().copied().zip(each.iter().copied()).collect();
         each.sort_by_key(|(_, ended)| {
             !matches!(ended.outcome, AttemptOutcome::NotSent | AttemptOutcome::AttemptsExhausted)
         });
@@ -876,7 +864,7 @@
         self.withdraw(|other, directory| directory.destination(other) == destination);
     }
 
-    fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: Ended) {
+    fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
         let Some(out) = self.out.remove(&message) else { return };
         if let Some(held) = self.journal.image.held.get(&message.0) {
             let (id, outcome, latency) = (&held.taken.id, ended.outcome, ended.latency);
@@ -965,16 +953,16 @@
             Action::CancelAttempt { message, .. } => {
                 // A message has one attempt out at most. The others of its call end with it.
                 if let Some(out) = self.out.get(&message) {
-                    out.call.stop(Stop::CalledOff);
+                    out.call.stop(StopReason::Cancelled);
                 }
             }
             Action::Reject { message, retry_after } => {
                 self.counts.returned += 1;
-                self.owe(message, Verdict::Returned { after_ms: retry_after.as_millis() as u64 });
+                self.owe(message, FinalOutcome::Returned { after_ms: retry_after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
                 self.counts.failed += 1;
-                self.owe(message, Verdict::Failed);
+                self.owe(message, FinalOutcome::Failed);
             }
             Action::SetTimer { after, token } => self.wake = Some((self.clock.instant(now + after), token)),
             Action::CloseIdleConnections { endpoint } => self.pool.close(endpoint),
@@ -997,7 +985,7 @@
         let decided = self.clock.instant(now);
         for route in routes {
             let Action::StartAttempt { message, attempt_timeout, send_within, .. } = *route else { continue };
-            let load = self.journal.image.held.get(&message.0).map(|held| Load {
+            let load = self.journal.image.held.get(&message.0).map(|held| OutgoingMessage {
                 message,
                 leave_by: decided + send_within,
                 over: self.clock.instant(self.clock.of_journal(held.taken.deadline_ms)),
@@ -1047,7 +1035,7 @@
         let attempt = Attempt {
             class,
             already_out: self.out.contains_key(&message),
-            ended: held.verdict.is_some(),
+            ended: held.final_outcome.is_some(),
             deadline,
             attempts: held.attempts,
             may_have_run: elsewhere.or(first),
@@ -1078,11 +1066,12 @@
         }
     }
 
-    fn not_made(&mut self, message: MessageId, endpoint: EndpointId, ended: Ended) {
+    fn not_made(&mut self, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
         let call = CallOut { stop: Cell::default(), sent: Rc::default(), _elsewhere: None };
         self.take_out(message, endpoint, &Rc::new(call));
-        let ended = CallEnded { each: vec![ended], wait: None };
-        let _ = self.inputs.send(Input::Ended(endpoint, vec![message], ended));
+        let ended = CallResult { attempts: vec![ended], retry_after: None };
+        let _ =
+            self.inputs.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result: ended });
     }
 
     fn take_out(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallOut>) {
@@ -1091,14 +1080,14 @@
         self.out.insert(message, Out { endpoint, call: call.clone(), attempt });
     }
 
-    fn call(&mut self, endpoint: EndpointId, address: SocketAddr, carried: Vec<(Load, Duration)>) {
+    fn call(&mut self, endpoint: EndpointId, address: SocketAddr, carried: Vec<(OutgoingMessage, Duration)>) {
         let (stop, stopped) = oneshot::channel();
         let sent = Rc::new(Cell::new(false));
         let out = Rc::new(CallOut { stop: Cell::new(Some(stop)), sent: sent.clone(), _elsewhere: None });
         // One call waits once: for as long as any of its messages may.
         let attempt_timeout =
             carried.iter().map(|(_, attempt_timeout)| *attempt_timeout).max().unwrap_or_default();
-        let loads: Vec<Load> = carried.into_iter().map(|(load, _)| load).collect();
+        let loads: Vec<OutgoingMessage> = carried.into_iter().map(|(load, _)| load).collect();
         loads.iter().for_each(|load| self.take_out(load.message, endpoint, &out));
         self.counts.calls += 1;
         for load in &loads {
@@ -1114,30 +1103,30 @@
         let (pool, inputs) = (self.pool.clone(), self.inputs.clone());
         tokio::task::spawn_local(async move {
             let too_late = |messages: Vec<MessageId>| {
-                let ended = CallEnded { each: vec![TOO_LATE; messages.len()], wait: None };
-                let _ = inputs.send(Input::Ended(endpoint, messages, ended));
+                let ended = CallResult { attempts: vec![TOO_LATE; messages.len()], retry_after: None };
+                let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
             };
             let ended = pool.call(&mut call, stopped, sent, too_late).await;
             let messages = call.loads.iter().map(|load| load.message).collect();
-            let _ = inputs.send(Input::Ended(endpoint, messages, ended));
+            let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
         });
     }
 
     /// Gives a message its end. It is in the journal before it is told: who was told that a message came back
     /// may hand it in again, and it must not be sent after that.
-    fn owe(&mut self, message: MessageId, verdict: Verdict) {
-        let written = self.journal.owe(message.0, verdict);
+    fn owe(&mut self, message: MessageId, final_outcome: FinalOutcome) {
+        let written = self.journal.owe(message.0, final_outcome);
         let is_written = written.is_ok();
         self.note(written);
         let Some(held) = self.journal.image.held.get(&message.0) else { return };
-        debug!(id = held.taken.id, ?verdict, is_written, "a message has its final outcome");
-        let notice = Notice { message, id: held.taken.id.clone(), verdict };
+        debug!(id = held.taken.id, ?final_outcome, is_written, "a message has its final outcome");
+        let notification = OutcomeNotification { message, id: held.taken.id.clone(), final_outcome };
         if is_written {
-            let _ = self.notices.send(notice);
+            let _ = self.notifications.send(notification);
         } else {
             // Once its time is over no process sends it any more, whatever the file says.
             let over = self.clock.instant(self.clock.of_journal(held.taken.deadline_ms));
-            self.untold.push((notice, over));
+            self.untold.push((notification, over));
         }
     }
 
@@ -1179,7 +1168,7 @@
                 None => drop(self.outage_uids.remove(&id)),
             }
         }
-        let note = outage.map(|outage| OutageNote::new(outage, uid.clone(), |at| self.clock.to_journal(at)));
+        let note = outage.map(|outage| CircuitNote::new(outage, uid.clone(), |at| self.clock.to_journal(at)));
         self.unnoted.insert((to.0, uid), note);
     }
 
@@ -1191,8 +1180,8 @@
             return;
         }
         let changes = self.unnoted.iter().map(|(key, note)| match note {
-            Some(note) => OutageChange::Noted(note.clone()),
-            None => OutageChange::Over(key.clone()),
+            Some(note) => CircuitNoteChange::Noted(note.clone()),
+            None => CircuitNoteChange::Over(key.clone()),
         });
         let before = noted.out();
         let written = self.journal.circuit_records(&changes.collect::<Vec<_>>());
@@ -1217,7 +1206,7 @@
     }
 
     fn report(&mut self) {
-        let Counts { taken, busy, delivered, failed, returned, calls, latest } =
+        let Counters { taken, busy, delivered, failed, returned, calls, latest } =
             std::mem::take(&mut self.counts);
         let (held, out) = (self.journal.image.held.len(), self.out.len());
         let connections = self.pool.take_used();
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -27,10 +27,11 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 use tracing::{info, warn};
 
-use crate::admin::{Done, Operation};
-use crate::event_loop::{Baton, CarriedOverConstraints, Driver, Input};
-use crate::http_client::{CallEnded, Ended, Stop};
-use crate::resp2::{Answer, Clients, Moved};
+use crate::event_loop::{CarriedOverConstraints, EventLoop, HandoverSnapshot};
+use crate::events::{
+    AdminOperation, AdminResult, AttemptResult, CallResult, EnqueueReply, GatewayEvent, StopReason,
+};
+use crate::resp2::{ClientServer, TransferredConnection};
 
 /// To be raised with every change to what goes over the socket.
 const FORMAT: u32 = 1;
@@ -63,18 +64,18 @@
 
 /// What the new process says.
 #[derive(Serialize, Deserialize)]
-enum ToOld {
+enum ToPredecessor {
     /// It wants the courier, speaks this format, and has this kind of memory.
     Hello(u32, u32),
     /// A call is to be ended, named by one of its messages.
-    Stop(MessageId, Stop),
+    CancelCall(MessageId, StopReason),
     /// What became of a call of the operators.
-    Done(u64, Done),
+    AdminResult(u64, AdminResult),
 }
 
 /// What the old process says.
 #[derive(Serialize, Deserialize)]
-enum ToNew {
+enum ToSuccessor {
     No,
     /// The courier is yours: its memory if you share it, the rules if not, and as descriptors the listener and
     /// the lock.
@@ -85,11 +86,11 @@
         served: bool,
         left: Duration,
     },
-    Ended(EndpointId, Vec<MessageId>, CallEnded),
+    CallEnded(EndpointId, Vec<MessageId>, CallResult),
     /// A client never heard that its message was taken on.
     Unheard(MessageId),
     /// A call of the operators that came to the old door.
-    Operate(u64, Operation),
+    Operate(u64, AdminOperation),
 }
 
 /// The kind of memory that a process has: both must mean the same by each number of a class, a tenant, a kind and
@@ -246,16 +247,16 @@
 // ---- The new process ----
 
 /// What the old process gave.
-pub struct Begun {
+pub struct HandedOver {
     /// Its memory, or the rules alone where this process has another kind.
-    pub memory: Result<Baton, CarriedOverConstraints>,
+    pub memory: Result<HandoverSnapshot, CarriedOverConstraints>,
     pub listener: TcpListener,
     pub lock: File,
-    pub old: Old,
+    pub old: Predecessor,
 }
 
 /// The process that had the courier before, as long as it has calls out for it.
-pub struct Old {
+pub struct Predecessor {
     reader: Reader,
     writer: Writer,
     /// Its calls, by their messages, and where they went.
@@ -263,7 +264,7 @@
 }
 
 /// Becomes the owner of the folder: at once if nobody is, else as soon as the owner hands it over or ends.
-pub async fn own(lock: &File, socket: &Path, memory: u32) -> io::Result<Option<Begun>> {
+pub async fn own(lock: &File, socket: &Path, memory: u32) -> io::Result<Option<HandedOver>> {
     let mut waiting = false;
     loop {
         match lock.try_lock() {
@@ -296,9 +297,9 @@
 async fn ask(socket: &Path, memory: u32) -> io::Result<(Asked, Reader, Writer)> {
     let stream = Rc::new(UnixStream::connect(socket).await?);
     let (mut reader, writer) = (Reader::new(stream.clone()), Writer::new(stream));
-    say(&writer.frames, &ToOld::Hello(FORMAT, memory), Vec::new());
+    say(&writer.frames, &ToPredecessor::Hello(FORMAT, memory), Vec::new());
     match timeout(FINISH + ANSWER, reader.next()).await? {
-        Some((ToNew::Begin(memory), descriptors)) => Ok((Some((memory, descriptors)), reader, writer)),
+        Some((ToSuccessor::Begin(memory), descriptors)) => Ok((Some((memory, descriptors)), reader, writer)),
         Some(_) => Err(io::Error::other("refused")),
         None => Err(io::ErrorKind::UnexpectedEof.into()),
     }
@@ -309,60 +310,62 @@
     descriptors: Vec<OwnedFd>,
     reader: Reader,
     writer: Writer,
-) -> io::Result<Begun> {
+) -> io::Result<HandedOver> {
     let mut descriptors = descriptors.into_iter();
     let (Some(listener), Some(lock)) = (descriptors.next(), descriptors.next()) else {
         return Err(io::Error::other("descriptors are missing"));
     };
     let memory = match memory {
-        Ok(bytes) => Ok(postcard::from_bytes::<Baton>(&bytes).map_err(io::Error::other)?),
+        Ok(bytes) => Ok(postcard::from_bytes::<HandoverSnapshot>(&bytes).map_err(io::Error::other)?),
         Err(carried_over_constraints) => Err(carried_over_constraints),
     };
-    let away = memory.iter().flat_map(Baton::away);
+    let away = memory.iter().flat_map(HandoverSnapshot::away);
     let away = away.flat_map(|(to, messages)| messages.into_iter().map(move |m| (m, to))).collect();
     let listener = TcpListener::from_std(listener.into())?;
-    let old = Old { reader, writer, away: Rc::new(RefCell::new(away)) };
-    Ok(Begun { memory, listener, lock: lock.into(), old })
+    let old = Predecessor { reader, writer, away: Rc::new(RefCell::new(away)) };
+    Ok(HandedOver { memory, listener, lock: lock.into(), old })
 }
 
-impl Old {
+impl Predecessor {
     /// Tells it to end a call.
-    pub fn stop(&self) -> impl Fn(MessageId, Stop) + Clone + 'static {
+    pub fn stop(&self) -> impl Fn(MessageId, StopReason) + Clone + 'static {
         let frames = self.writer.frames.clone();
-        move |message, reason| say(&frames, &ToOld::Stop(message, reason), Vec::new())
+        move |message, reason| say(&frames, &ToPredecessor::CancelCall(message, reason), Vec::new())
     }
 
     /// Takes over what the old process still has until it has gone. What was out there then may have run.
-    pub async fn follow(mut self, inputs: UnboundedSender<Input>, clients: Clients) {
+    pub async fn follow(mut self, inputs: UnboundedSender<GatewayEvent>, clients: ClientServer) {
         while let Some((word, descriptors)) = self.reader.next().await {
             match word {
-                ToNew::Client { buffer, served, left } => {
+                ToSuccessor::Client { buffer, served, left } => {
                     for stream in descriptors {
                         match TcpStream::from_std(stream.into()) {
                             Ok(stream) => {
                                 let (buffer, waited) = (buffer.clone(), Duration::ZERO);
-                                clients.adopt(Moved { stream, buffer, served, left, waited });
+                                clients.adopt(TransferredConnection { stream, buffer, served, left, waited });
                             }
                             Err(error) => warn!(%error, "a client's connection did not come over"),
                         }
                     }
                 }
-                ToNew::Ended(endpoint, messages, ended) => {
+                ToSuccessor::CallEnded(endpoint, messages, ended) => {
                     self.away.borrow_mut().retain(|message, _| !messages.contains(message));
-                    let _ = inputs.send(Input::Ended(endpoint, messages, ended));
+                    let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
+                }
+                ToSuccessor::Unheard(message) => {
+                    drop(inputs.send(GatewayEvent::AcceptanceNotReceived(message)))
                 }
-                ToNew::Unheard(message) => drop(inputs.send(Input::Unheard(message))),
-                ToNew::Operate(number, operation) => {
+                ToSuccessor::Operate(number, operation) => {
                     let (done, answer) = oneshot::channel();
-                    let _ = inputs.send(Input::Operate(operation, done));
+                    let _ = inputs.send(GatewayEvent::Admin(operation, done));
                     let frames = self.writer.frames.clone();
                     tokio::task::spawn_local(async move {
                         if let Ok(done) = answer.await {
-                            say(&frames, &ToOld::Done(number, done), Vec::new());
+                            say(&frames, &ToPredecessor::AdminResult(number, done), Vec::new());
                         }
                     });
                 }
-                ToNew::No | ToNew::Begin(_) => {}
+                ToSuccessor::No | ToSuccessor::Begin(_) => {}
             }
         }
         sleep(GONE).await;
@@ -370,8 +373,12 @@
         info!(broken = broken.len(), "the process before has gone");
         for (message, endpoint) in broken {
             let (outcome, latency) = (AttemptOutcome::Reset, Duration::ZERO);
-            let each = vec![Ended { outcome, latency, complete: false, load_report: None }];
-            let _ = inputs.send(Input::Ended(endpoint, vec![message], CallEnded { each, wait: None }));
+            let each = vec![AttemptResult { outcome, latency, complete: false, load_report: None }];
+            let _ = inputs.send(GatewayEvent::CallEnded {
+                endpoint,
+                messages: vec![message],
+                result: CallResult { attempts: each, retry_after: None },
+            });
         }
     }
 }
@@ -379,13 +386,13 @@
 // ---- The old process ----
 
 /// Where another process may ask for the courier.
-pub struct Offer {
+pub struct HandoverListener {
     path: PathBuf,
     listener: OnceCell<UnixListener>,
 }
 
 /// Another process that wants the courier.
-pub struct Next {
+pub struct Successor {
     /// It can go on with the module's memory, and with calls that are out here.
     pub shares_memory: bool,
     reader: Reader,
@@ -393,19 +400,19 @@
 }
 
 /// How a hand-over ended for the process that handed over.
-pub enum Given {
+pub enum HandoverResult {
     /// It was not handed over: this process goes on, and the other one asks again.
     Refused,
     /// This process is done.
-    Over,
+    Completed,
     /// The other one has gone before this one was told to end; what happened here meanwhile.
-    Back(Vec<Input>),
+    TakenBack(Vec<GatewayEvent>),
 }
 
-impl Offer {
+impl HandoverListener {
     /// A courier that cannot be asked serves all the same; it is tried again.
     pub fn new(path: &Path) -> Self {
-        let offer = Offer { path: path.to_owned(), listener: OnceCell::new() };
+        let offer = HandoverListener { path: path.to_owned(), listener: OnceCell::new() };
         if let Err(error) = offer.listen() {
             warn!(%error, ?path, "no hand-over is possible");
         }
@@ -432,7 +439,7 @@
     }
 
     /// Waits for a process that wants the courier.
-    pub async fn asked(&self, memory: u32) -> Next {
+    pub async fn asked(&self, memory: u32) -> Successor {
         let listener = self.listener().await;
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -442,12 +449,12 @@
             let stream = Rc::new(stream);
             let (mut reader, writer) = (Reader::new(stream.clone()), Writer::new(stream));
             match timeout(ANSWER, reader.next()).await {
-                Ok(Some((ToOld::Hello(FORMAT, other), _))) => {
-                    return Next { shares_memory: other == memory, reader, writer };
+                Ok(Some((ToPredecessor::Hello(FORMAT, other), _))) => {
+                    return Successor { shares_memory: other == memory, reader, writer };
                 }
                 Ok(Some(_)) => {
                     warn!("another process wants the courier, in words that this one does not know");
-                    Next { shares_memory: false, reader, writer }.refuse().await;
+                    Successor { shares_memory: false, reader, writer }.refuse().await;
                 }
                 Ok(None) | Err(_) => {}
             }
@@ -455,9 +462,9 @@
     }
 }
 
-impl Next {
+impl Successor {
     pub async fn refuse(self) {
-        say(&self.writer.frames, &ToNew::No, Vec::new());
+        say(&self.writer.frames, &ToSuccessor::No, Vec::new());
         self.writer.finish().await;
     }
 
@@ -465,12 +472,12 @@
     /// The driver must have been drained, and decides nothing meanwhile.
     pub async fn give(
         mut self,
-        driver: &mut Driver,
-        events: &mut UnboundedReceiver<Input>,
-        moved: &mut UnboundedReceiver<Moved>,
+        driver: &mut EventLoop,
+        events: &mut UnboundedReceiver<GatewayEvent>,
+        moved: &mut UnboundedReceiver<TransferredConnection>,
         listener: &TcpListener,
         lock: &File,
-    ) -> Given {
+    ) -> HandoverResult {
         let descriptors =
             || Ok::<_, io::Error>(vec![listener.as_fd().try_clone_to_owned()?, lock.try_clone()?.into()]);
         let memory = match self.shares_memory {
@@ -480,16 +487,16 @@
         let begun = memory.and_then(|memory| Ok((memory, descriptors()?)));
         let frames = self.writer.frames.clone();
         match begun {
-            Ok((memory, descriptors)) => say(&frames, &ToNew::Begin(memory), descriptors),
+            Ok((memory, descriptors)) => say(&frames, &ToSuccessor::Begin(memory), descriptors),
             Err(error) => {
                 warn!(%error, "the courier cannot be handed over");
-                return Given::Back(Vec::new());
+                return HandoverResult::TakenBack(Vec::new());
             }
         }
         driver.rest(true);
         info!("the courier is handed over to another process");
         let mut kept = Vec::new();
-        let mut asked: HashMap<u64, oneshot::Sender<Done>> = HashMap::new();
+        let mut asked: HashMap<u64, oneshot::Sender<AdminResult>> = HashMap::new();
         let mut last = 0;
         let mut out = driver.messages_out();
         let mut abandoned = false;
@@ -498,56 +505,56 @@
             if end.is_some_and(|end| out.is_empty() || Instant::now() > end + LAST_WORDS) {
                 drop(frames);
                 self.writer.finish().await;
-                return Given::Over;
+                return HandoverResult::Completed;
             }
             let next = end.map(|end| if abandoned { end + LAST_WORDS } else { end });
             let never = Instant::now() + ANSWER;
             tokio::select! {
                 biased;
                 word = self.reader.next() => match word {
-                    Some((ToOld::Stop(message, reason), _)) => driver.stop_call(message, reason),
-                    Some((ToOld::Done(number, done), _)) => {
+                    Some((ToPredecessor::CancelCall(message, reason), _)) => driver.stop_call(message, reason),
+                    Some((ToPredecessor::AdminResult(number, done), _)) => {
                         if let Some(answer) = asked.remove(&number) {
                             let _ = answer.send(done);
                         }
                     }
-                    Some((ToOld::Hello(..), _)) => {}
-                    None if end.is_some() => return Given::Over,
+                    Some((ToPredecessor::Hello(..), _)) => {}
+                    None if end.is_some() => return HandoverResult::Completed,
                     None => {
                         // All of its connections are closed by then.
                         sleep(GONE).await;
-                        return Given::Back(kept);
+                        return HandoverResult::TakenBack(kept);
                     }
                 },
-                Some(Moved { stream, buffer, served, left, .. }) = moved.recv() => {
+                Some(TransferredConnection { stream, buffer, served, left, .. }) = moved.recv() => {
                     match stream.into_std() {
                         Ok(stream) => {
-                            say(&frames, &ToNew::Client { buffer, served, left }, vec![stream.into()]);
+                            say(&frames, &ToSuccessor::Client { buffer, served, left }, vec![stream.into()]);
                         }
                         Err(error) => warn!(%error, "a client's connection cannot be handed over"),
                     }
                 }
                 Some(input) = events.recv() => match input {
                     // Its connection could not move in time. Nothing was taken on: it may come again at once.
-                    Input::Enqueue(_, reply) => drop(reply.send(Answer::Busy(None))),
-                    Input::Ended(endpoint, messages, ended) => {
-                        say(&frames, &ToNew::Ended(endpoint, messages.clone(), ended.clone()), Vec::new());
+                    GatewayEvent::Enqueue(_, reply) => drop(reply.send(EnqueueReply::Rejected(None))),
+                    GatewayEvent::CallEnded { endpoint, messages, result: ended } => {
+                        say(&frames, &ToSuccessor::CallEnded(endpoint, messages.clone(), ended.clone()), Vec::new());
                         out.retain(|message| !messages.contains(message));
-                        kept.push(Input::Ended(endpoint, messages, ended));
+                        kept.push(GatewayEvent::CallEnded { endpoint, messages, result: ended });
                     }
-                    Input::Unheard(message) => {
-                        say(&frames, &ToNew::Unheard(message), Vec::new());
-                        kept.push(Input::Unheard(message));
+                    GatewayEvent::AcceptanceNotReceived(message) => {
+                        say(&frames, &ToSuccessor::Unheard(message), Vec::new());
+                        kept.push(GatewayEvent::AcceptanceNotReceived(message));
                     }
-                    Input::Heard(messages) => kept.push(Input::Heard(messages)),
-                    Input::Operate(operation, done) => {
+                    GatewayEvent::OutcomesAcknowledged(messages) => kept.push(GatewayEvent::OutcomesAcknowledged(messages)),
+                    GatewayEvent::Admin(operation, done) => {
                         last += 1;
                         asked.retain(|_, answer| !answer.is_closed());
                         asked.insert(last, done);
-                        say(&frames, &ToNew::Operate(last, operation), Vec::new());
+                        say(&frames, &ToSuccessor::Operate(last, operation), Vec::new());
                     }
-                    Input::Terminate => driver.handle(Input::Terminate),
-                    Input::List(_) => {}
+                    GatewayEvent::Terminate => driver.handle(GatewayEvent::Terminate),
+                    GatewayEvent::Discovery(_) => {}
                 },
                 () = sleep_until(next.unwrap_or(never)), if next.is_some() => {
                     abandoned = true;
--- a/src/bin/delivery-gateway/http_client/mod.rs
+++ b/src/bin/delivery-gateway/http_client/mod.rs
@@ -11,7 +11,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use serde::{Deserialize, Serialize};
+use serde::Deserialize;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,8 +25,9 @@
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 use tracing::info;
 
+use crate::events::{AttemptResult, CallResult, StopReason};
 use crate::http_client::connection::{Descriptor, Wire, WireStream};
-use crate::rate_limited_log::Seldom;
+use crate::rate_limited_log::RateLimitedLog;
 
 /// Idle connections are closed after this part of the endpoint's own limit, so that no call meets its closing.
 const IDLE_PART: f64 = 0.7;
@@ -52,7 +53,7 @@
 
 /// A message on its way.
 #[derive(Clone)]
-pub struct Load {
+pub struct OutgoingMessage {
     pub message: MessageId,
     /// Its first byte leaves before this, or it is not sent.
     pub leave_by: Instant,
@@ -63,7 +64,7 @@
     pub body: Bytes,
 }
 
-impl Load {
+impl OutgoingMessage {
     /// What it adds to the body of a call for several, at most.
     pub fn batched_size(&self) -> usize {
         let key = self.idempotency_key.as_ref().map_or(0, String::len);
@@ -75,36 +76,10 @@
 pub struct Call {
     pub endpoint: EndpointId,
     pub address: SocketAddr,
-    pub loads: Vec<Load>,
+    pub loads: Vec<OutgoingMessage>,
     pub attempt_timeout: Duration,
 }
 
-/// Why a call is stopped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stop {
-    /// The module has called it off.
-    CalledOff,
-    /// It must not be sent any more, and had not been.
-    Withdrawn,
-}
-
-/// How a call ended for one of its messages.
-#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Ended {
-    pub outcome: AttemptOutcome,
-    pub latency: Duration,
-    /// The message is over.
-    pub complete: bool,
-    pub load_report: Option<LoadReport>,
-}
-
-/// How a call ended: for each of its messages, in their order, and the wait that a whole answer told beside them.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CallEnded {
-    pub each: Vec<Ended>,
-    pub wait: Option<Duration>,
-}
-
 type Sender = SendRequest<Full<Bytes>>;
 
 /// An open connection. Dropping it closes it.
@@ -154,8 +129,8 @@
     /// None while another process makes the calls.
     most_idle: Cell<usize>,
     used: RefCell<Used>,
-    resets: RefCell<Seldom>,
-    too_late: RefCell<Seldom>,
+    resets: RefCell<RateLimitedLog>,
+    too_late: RefCell<RateLimitedLog>,
 }
 
 impl Pool {
@@ -331,16 +306,17 @@
     pub async fn call(
         self: &Rc<Self>,
         call: &mut Call,
-        mut stop: oneshot::Receiver<Stop>,
+        mut stop: oneshot::Receiver<StopReason>,
         sent: Rc<Cell<bool>>,
         too_late: impl Fn(Vec<MessageId>),
-    ) -> CallEnded {
+    ) -> CallResult {
         let start = Instant::now();
         let end = start + call.attempt_timeout;
         let ended = |call: &Call, outcome| {
             let (latency, complete) = (start.elapsed(), outcome == AttemptOutcome::Delivered);
-            let each = vec![Ended { outcome, latency, complete, load_report: None }; call.loads.len()];
-            CallEnded { each, wait: None }
+            let each =
+                vec![AttemptResult { outcome, latency, complete, load_report: None }; call.loads.len()];
+            CallResult { attempts: each, retry_after: None }
         };
         loop {
             let until = end.min(start + self.connect_timeout);
@@ -430,15 +406,16 @@
         (connection, fresh): (Connection, bool),
         response: Response<Incoming>,
         (start, end): (Instant, Instant),
-    ) -> CallEnded {
+    ) -> CallResult {
         let several = call.loads.len() > 1;
         let ended = read_answer(&response, start.elapsed(), several, fresh);
-        let all = |ended: Ended| CallEnded { each: vec![ended; call.loads.len()], wait: None };
+        let all =
+            |ended: AttemptResult| CallResult { attempts: vec![ended; call.loads.len()], retry_after: None };
         let delivered = ended.outcome == AttemptOutcome::Delivered;
         let wait = told_wait(&response);
         // Behind a step that took long an answer may have come after the end: it delivers nothing then. That a call
         // never ran, and a wait, stay true.
-        let too_late = Ended { outcome: AttemptOutcome::Timeout, complete: false, ..ended };
+        let too_late = AttemptResult { outcome: AttemptOutcome::Timeout, complete: false, ..ended };
         let served = call.loads.iter().all(|load| connection.wire.is_served(load.over));
         let rest = finish(self.clone(), call.endpoint, connection, response);
         if ended.outcome == AttemptOutcome::ErrorResponse || (delivered && !several) {
@@ -448,22 +425,25 @@
         // The answer for several is the whole of it.
         let by = if delivered { end } else { Instant::now() + DRAIN };
         match timeout_at(by, rest).await {
-            Ok(Some(_)) | Err(_) if delivered && Instant::now() >= end => CallEnded { wait, ..all(too_late) },
+            Ok(Some(_)) | Err(_) if delivered && Instant::now() >= end => {
+                CallResult { retry_after: wait, ..all(too_late) }
+            }
             Ok(None) | Err(_) => {
-                let spoilt = Ended {
+                let spoilt = AttemptResult {
                     outcome: AttemptOutcome::MalformedResponse,
                     complete: false,
                     load_report: None,
                     ..ended
                 };
-                CallEnded { wait, ..all(spoilt) }
+                CallResult { retry_after: wait, ..all(spoilt) }
             }
             Ok(Some(body)) if delivered => {
                 let states: Vec<State> = serde_json::from_slice(&body).unwrap_or_default();
-                let state = |load: &Load| state_of(&states, &load.id, wait);
+                let state = |load: &OutgoingMessage| state_of(&states, &load.id, wait);
                 let each = call.loads.iter().map(state);
-                let each = each.map(|(outcome, complete)| Ended { outcome, complete, ..ended }).collect();
-                CallEnded { each, wait }
+                let each =
+                    each.map(|(outcome, complete)| AttemptResult { outcome, complete, ..ended }).collect();
+                CallResult { attempts: each, retry_after: wait }
             }
             Ok(Some(_)) => all(ended),
         }
@@ -475,14 +455,14 @@
 enum End {
     Broken,
     TimedOut,
-    Stopped(Option<Stop>),
+    Stopped(Option<StopReason>),
 }
 
 /// A call that was stopped before its first byte never ran.
-fn never_sent(reason: Option<Stop>) -> AttemptOutcome {
+fn never_sent(reason: Option<StopReason>) -> AttemptOutcome {
     match reason {
-        Some(Stop::CalledOff) => AttemptOutcome::ConnectFailed,
-        Some(Stop::Withdrawn) | None => AttemptOutcome::NotSent,
+        Some(StopReason::Cancelled) => AttemptOutcome::ConnectFailed,
+        Some(StopReason::Withdrawn) | None => AttemptOutcome::NotSent,
     }
 }
 
@@ -516,7 +496,7 @@
 }
 
 /// Several messages in one body.
-fn batch_body(loads: &[Load]) -> Bytes {
+fn batch_body(loads: &[OutgoingMessage]) -> Bytes {
     let items = loads.iter().map(|load| {
         let mut item = json!({"id": load.id, "body": BASE64_STANDARD.encode(&load.body)});
         if let Some(key) = &load.idempotency_key {
@@ -558,7 +538,12 @@
     ms.filter(|ms| *ms > 0).map(|ms| Duration::from_millis(ms).min(LONGEST_WAIT))
 }
 
-fn read_answer(response: &Response<Incoming>, latency: Duration, several: bool, fresh: bool) -> Ended {
+fn read_answer(
+    response: &Response<Incoming>,
+    latency: Duration,
+    several: bool,
+    fresh: bool,
+) -> AttemptResult {
     let header = |name: &str| header(response, name);
     let (outcome, complete) = match response.status().as_u16() {
         200 => (AttemptOutcome::Delivered, true),
@@ -580,7 +565,7 @@
         // An error, or an answer that nobody knows: it may have run.
         _ => (AttemptOutcome::ErrorResponse, false),
     };
-    Ended { outcome, latency, complete, load_report: header("X-Load-Report").and_then(read_report) }
+    AttemptResult { outcome, latency, complete, load_report: header("X-Load-Report").and_then(read_report) }
 }
 
 fn read_report(text: &str) -> Option<LoadReport> {
@@ -652,15 +637,15 @@
     use super::*;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    fn load(number: u32, leave_by: Instant, over: Instant) -> Load {
+    fn load(number: u32, leave_by: Instant, over: Instant) -> OutgoingMessage {
         let (id, idempotency_key, body) = (format!("m{number}"), None, Bytes::new());
-        Load { message: MessageId(number), leave_by, over, id, idempotency_key, body }
+        OutgoingMessage { message: MessageId(number), leave_by, over, id, idempotency_key, body }
     }
 
     /// Makes a call to an endpoint that answers with this, and holds this thread up until some time after. What it
     /// was asked, what left too late, and how the call ended for each message.
     async fn call_answered(
-        loads: Vec<Load>,
+        loads: Vec<OutgoingMessage>,
         answer: &'static [u8],
         held_up: Option<Instant>,
     ) -> (String, Vec<MessageId>, Vec<(MessageId, AttemptOutcome)>) {
@@ -687,7 +672,7 @@
         let too_late = |messages| late.borrow_mut().extend::<Vec<MessageId>>(messages);
         let ended = pool.call(&mut call, stopped, Rc::default(), too_late).await;
         drop(pool);
-        let outcomes = ended.each.iter().map(|ended| ended.outcome);
+        let outcomes = ended.attempts.iter().map(|ended| ended.outcome);
         let each = call.loads.iter().map(|load| load.message).zip(outcomes).collect();
         (asked.await.unwrap(), late.take(), each)
     }
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -20,9 +20,12 @@
 use thiserror::Error;
 
 use frame::{frame, list_records, pieces, read_frame, FRAME};
-use record::{Image, Record};
+use record::{JournalState, Record};
 
-pub use record::{ClockReading, Held, OutageChange, OutageKey, OutageNote, Sent, Taken, Verdict};
+pub use record::{
+    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, PendingMessage,
+    Sent,
+};
 
 /// Messages are taken on only while what is live fits into this part of the disk ...
 const LIVE_PART: f64 = 0.43;
@@ -61,7 +64,7 @@
     /// Bytes that a compacted file would need at most.
     live: u64,
     disk: u64,
-    pub image: Image,
+    pub image: JournalState,
     /// Records that the image holds and the file does not, the oldest first.
     unwritten: VecDeque<Record>,
     /// The list in the file is older than that of the image.
@@ -87,7 +90,7 @@
         let disk = disk.saturating_sub(CLOCK_FILE);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
         let end = file.metadata()?.len();
-        let mut image = Image::default();
+        let mut image = JournalState::default();
         // One record at a time: a file may be larger than the memory.
         let mut reader = BufReader::new(&file);
         let mut size = 0;
@@ -180,7 +183,7 @@
     }
 
     /// Takes a message on and gives it its number; after this it outlasts the process.
-    pub fn take(&mut self, taken: Taken) -> Result<u32, JournalError> {
+    pub fn take(&mut self, taken: AcceptedRecord) -> Result<u32, JournalError> {
         if self.tail_unclean {
             self.clean_tail();
         }
@@ -209,7 +212,7 @@
 
     /// The attempt that was out has ended.
     pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::AttemptOutcome(number, may_have_run), number)
+        self.tell_of_attempt(Record::Outcome(number, may_have_run), number)
     }
 
     /// The attempt that was out was not made after all, and is none of those that the message has.
@@ -218,8 +221,8 @@
     }
 
     /// A message has its final outcome, which nobody has been told yet.
-    pub fn owe(&mut self, number: u32, verdict: Verdict) -> Result<(), JournalError> {
-        self.tell(Record::Owe(number, verdict))
+    pub fn owe(&mut self, number: u32, final_outcome: FinalOutcome) -> Result<(), JournalError> {
+        self.tell(Record::Owe(number, final_outcome))
     }
 
     /// A message has its end: it was delivered, its notice was answered, or nobody wants it.
@@ -250,9 +253,9 @@
         self.write(&bytes)
     }
 
-    pub fn circuit_records(&mut self, changes: &[OutageChange]) -> Result<(), JournalError> {
+    pub fn circuit_records(&mut self, changes: &[CircuitNoteChange]) -> Result<(), JournalError> {
         for piece in pieces(changes)? {
-            self.promise(Record::OutageChanges(piece.into_iter().cloned().collect()))?;
+            self.promise(Record::CircuitChanges(piece.into_iter().cloned().collect()))?;
         }
         Ok(())
     }
@@ -391,8 +394,8 @@
             write(Record::Destinations(piece.into_iter().copied().collect()))?;
         }
         for piece in pieces(self.image.circuit_records.notes())? {
-            let noted = |note: &OutageNote| OutageChange::Noted(note.clone());
-            write(Record::OutageChanges(piece.into_iter().map(noted).collect()))?;
+            let noted = |note: &CircuitNote| CircuitNoteChange::Noted(note.clone());
+            write(Record::CircuitChanges(piece.into_iter().map(noted).collect()))?;
         }
         for uid in &self.image.detached {
             write(Record::Detached(uid.clone(), true))?;
@@ -422,12 +425,12 @@
     }
 }
 
-fn taken_cost(taken: &Taken) -> u64 {
+fn taken_cost(taken: &AcceptedRecord) -> u64 {
     let key = taken.idempotency_key.as_ref().map_or(0, String::len);
     let texts = taken.id.len() + taken.class.len() + taken.tenant.len() + key;
     (taken.body.len() + texts) as u64 + PER_MESSAGE
 }
 
-fn cost(held: &Held) -> u64 {
+fn cost(held: &PendingMessage) -> u64 {
     taken_cost(&held.taken)
 }
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -9,7 +9,7 @@
 
 /// A message as it was taken on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedRecord {
     pub id: String,
     /// Zero in classes without order.
     pub key: u64,
@@ -28,7 +28,7 @@
 
 /// How a message ends that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum FinalOutcome {
     Failed,
     Returned { after_ms: u64 },
 }
@@ -38,14 +38,14 @@
 
 /// A message that the courier still owes its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Held {
-    pub taken: Taken,
+pub struct PendingMessage {
+    pub taken: AcceptedRecord,
     pub attempts: u32,
     /// The first attempt that may have run.
     pub first_uncertain_attempt: Option<Sent>,
     /// The attempt that has no outcome yet: after a restart it may have run.
     pub out: Option<Sent>,
-    pub verdict: Option<Verdict>,
+    pub final_outcome: Option<FinalOutcome>,
 }
 
 /// Journal time at a moment, and what the machine's monotonic clock said then: the next process goes on from it.
@@ -60,7 +60,7 @@
 
 /// An [`CircuitRecord`] in terms that mean the same to the next process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OutageNote {
+pub struct CircuitNote {
     pub destination: u32,
     pub uid: Option<String>,
     pub since_ms: u64,
@@ -71,18 +71,18 @@
 }
 
 /// What an outage is of: a destination, or the endpoint of this uid where endpoints are separate routes.
-pub type OutageKey = (u32, Option<String>);
+pub type CircuitKey = (u32, Option<String>);
 
 /// What has changed of the outages that are remembered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum OutageChange {
+pub enum CircuitNoteChange {
     /// In the place of what was noted of it before.
-    Noted(OutageNote),
-    Over(OutageKey),
+    Noted(CircuitNote),
+    Over(CircuitKey),
 }
 
-impl OutageNote {
-    pub fn key(&self) -> OutageKey {
+impl CircuitNote {
+    pub fn key(&self) -> CircuitKey {
         (self.destination, self.uid.clone())
     }
 
@@ -92,7 +92,7 @@
         uid: Option<String>,
         wall: impl Fn(delivery_gateway::Time) -> u64,
     ) -> Self {
-        OutageNote {
+        CircuitNote {
             destination: outage.destination.0,
             uid,
             since_ms: wall(outage.last_success_at),
@@ -107,18 +107,18 @@
 /// One change of the image.
 #[derive(Clone, Serialize, Deserialize)]
 pub enum Record {
-    Take(u32, Taken),
+    Take(u32, AcceptedRecord),
     Start(u32, Sent),
     /// The outcome of the attempt that was out; whether it may have run.
-    AttemptOutcome(u32, bool),
-    Owe(u32, Verdict),
+    Outcome(u32, bool),
+    Owe(u32, FinalOutcome),
     Over(u32),
     /// A message with all that is known of it; compaction writes these.
-    Whole(u32, Held),
+    Whole(u32, PendingMessage),
     /// The list of endpoints as it was told, or what has changed of it.
     Targets(DiscoveryUpdate),
     /// All outages that are remembered now. Older builds wrote them whole at each change.
-    Outages(Vec<OutageNote>),
+    Circuits(Vec<CircuitNote>),
     /// Destinations that were listed at some time.
     Destinations(Vec<u32>),
     /// Whose message it is.
@@ -126,7 +126,7 @@
     /// An endpoint that operators leave out from now on, or use again.
     Detached(String, bool),
     /// Outages that are remembered from now on, or not any more.
-    OutageChanges(Vec<OutageChange>),
+    CircuitChanges(Vec<CircuitNoteChange>),
     /// One of some parts that are the list together: its place from 0, and how many there are. Nothing of them counts
     /// until the last one is there.
     TargetsPart(u32, u32, DiscoveryUpdate),
@@ -136,22 +136,22 @@
 
 /// The outages that are remembered.
 #[derive(Default)]
-pub struct Outages {
-    notes: BTreeMap<OutageKey, OutageNote>,
+pub struct CircuitNotes {
+    notes: BTreeMap<CircuitKey, CircuitNote>,
     /// Notes of what is held to be out.
     out: usize,
 }
 
-impl Outages {
-    pub fn get(&self, key: &OutageKey) -> Option<&OutageNote> {
+impl CircuitNotes {
+    pub fn get(&self, key: &CircuitKey) -> Option<&CircuitNote> {
         self.notes.get(key)
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = &OutageKey> {
+    pub fn keys(&self) -> impl Iterator<Item = &CircuitKey> {
         self.notes.keys()
     }
 
-    pub fn notes(&self) -> impl Iterator<Item = &OutageNote> {
+    pub fn notes(&self) -> impl Iterator<Item = &CircuitNote> {
         self.notes.values()
     }
 
@@ -160,14 +160,14 @@
         self.out
     }
 
-    pub fn change(&mut self, change: OutageChange) {
-        let out = |note: &OutageNote| usize::from(note.lost.is_some());
+    pub fn change(&mut self, change: CircuitNoteChange) {
+        let out = |note: &CircuitNote| usize::from(note.lost.is_some());
         let before = match change {
-            OutageChange::Noted(note) => {
+            CircuitNoteChange::Noted(note) => {
                 self.out += out(&note);
                 self.notes.insert(note.key(), note)
             }
-            OutageChange::Over(key) => self.notes.remove(&key),
+            CircuitNoteChange::Over(key) => self.notes.remove(&key),
         };
         self.out -= before.as_ref().map_or(0, out);
     }
@@ -175,29 +175,34 @@
 
 /// What the records add up to.
 #[derive(Default)]
-pub struct Image {
+pub struct JournalState {
     /// Messages by the number that they were given when taken on, so in that order.
-    pub held: BTreeMap<u32, Held>,
+    pub held: BTreeMap<u32, PendingMessage>,
     pub last: u32,
     pub rev: u64,
     pub targets: BTreeMap<String, DiscoveredEndpoint>,
     /// One that has no endpoints just now may get others.
     pub destinations: BTreeSet<u32>,
-    pub circuit_records: Outages,
+    pub circuit_records: CircuitNotes,
     /// Endpoints that operators leave out, by their uids, listed or not.
     pub detached: BTreeSet<String>,
     /// The parts so far of a list that is not whole yet.
     parts: Vec<DiscoveryUpdate>,
 }
 
-impl Image {
+impl JournalState {
     /// Takes one record in.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Take(number, taken) => {
                 self.last = self.last.max(number);
-                let held =
-                    Held { taken, attempts: 0, first_uncertain_attempt: None, out: None, verdict: None };
+                let held = PendingMessage {
+                    taken,
+                    attempts: 0,
+                    first_uncertain_attempt: None,
+                    out: None,
+                    final_outcome: None,
+                };
                 self.held.insert(number, held);
             }
             Record::Whole(number, held) => {
@@ -212,7 +217,7 @@
                     held.out = Some(sent);
                 }
             }
-            Record::AttemptOutcome(number, may_have_run) => {
+            Record::Outcome(number, may_have_run) => {
                 if let Some(held) = self.held.get_mut(&number) {
                     let sent = held.out.take().filter(|_| may_have_run);
                     held.first_uncertain_attempt = held.first_uncertain_attempt.or(sent);
@@ -224,9 +229,9 @@
                     held.out = None;
                 }
             }
-            Record::Owe(number, verdict) => {
+            Record::Owe(number, final_outcome) => {
                 if let Some(held) = self.held.get_mut(&number) {
-                    held.verdict = Some(verdict);
+                    held.final_outcome = Some(final_outcome);
                 }
             }
             Record::Over(number) => {
@@ -248,11 +253,13 @@
                     std::mem::take(&mut self.parts).into_iter().for_each(|part| self.list(part));
                 }
             }
-            Record::Outages(notes) => {
-                self.circuit_records = Outages::default();
-                notes.into_iter().for_each(|note| self.circuit_records.change(OutageChange::Noted(note)));
+            Record::Circuits(notes) => {
+                self.circuit_records = CircuitNotes::default();
+                notes
+                    .into_iter()
+                    .for_each(|note| self.circuit_records.change(CircuitNoteChange::Noted(note)));
             }
-            Record::OutageChanges(changes) => {
+            Record::CircuitChanges(changes) => {
                 changes.into_iter().for_each(|change| self.circuit_records.change(change));
             }
             Record::Tenant(number, tenant) => {
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -4,6 +4,7 @@
 mod clock;
 mod completed_messages;
 mod event_loop;
+mod events;
 mod handover;
 mod http_client;
 mod journal;
@@ -36,11 +37,12 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{error, info, warn};
 
-use crate::admin::Door;
-use crate::event_loop::{Driver, Ends, Input, Phase, IDLE_OF_SLOTS};
-use crate::handover::{Begun, Given, Offer};
+use crate::admin::AdminEndpoint;
+use crate::event_loop::{EventLoop, IDLE_OF_SLOTS};
+use crate::events::{Channels, GatewayEvent, ServicePhase};
+use crate::handover::{HandedOver, HandoverListener, HandoverResult};
 use crate::journal::{Journal, JournalError};
-use crate::resp2::{ClientLimits, Clients};
+use crate::resp2::{ClientLimits, ClientServer};
 use crate::signals::{Handlers, Signals};
 
 /// Descriptors kept for files, the runtime, the listener, discovery and notices.
@@ -172,7 +174,7 @@
 }
 
 /// Opens the operators' door as soon as its address can be had: a courier without one serves all the same.
-async fn open_door(address: String, door: Rc<Door>) {
+async fn open_door(address: String, door: Rc<AdminEndpoint>) {
     loop {
         match bind(&address).await {
             Ok((listener, address)) => {
@@ -192,14 +194,14 @@
     endpoint_sockets: usize,
     disk: u64,
     state: PathBuf,
-    ends: Ends,
+    ends: Channels,
 }
 
 impl Plan {
-    async fn driver(&self) -> Result<Driver, StartError> {
+    async fn driver(&self) -> Result<EventLoop, StartError> {
         let open = || async { Ok::<_, StartError>(Journal::open(&self.state, self.disk)?) };
         let journal = persistently("opening the journal", open).await?;
-        Ok(Driver::new(self.parsed.clone(), self.seed, journal, self.endpoint_sockets, self.ends.clone()))
+        Ok(EventLoop::new(self.parsed.clone(), self.seed, journal, self.endpoint_sockets, self.ends.clone()))
     }
 }
 
@@ -210,7 +212,7 @@
     let config = read_config(&path).await?;
     // First of all the door, which says that the courier is not ready yet.
     let admin = std::env::var("BALANCER_ADMIN_ADDR").ok().or(config.admin_addr).filter(|at| !at.is_empty());
-    let door = Rc::new(Door::default());
+    let door = Rc::new(AdminEndpoint::default());
     if let Some(admin) = admin {
         tokio::task::spawn_local(open_door(admin, door.clone()));
     }
@@ -248,8 +250,8 @@
     };
 
     let (inputs, mut events) = mpsc::unbounded_channel();
-    let (notices, owed) = mpsc::unbounded_channel();
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (notifications, owed) = mpsc::unbounded_channel();
+    let (phase, phases) = watch::channel(ServicePhase::Serving);
     let (watch, again) = watch::channel(());
     let sockets = Sockets::deal(config.limits.sockets, slots);
     let plan = Plan {
@@ -258,7 +260,7 @@
         endpoint_sockets: sockets.endpoints,
         disk: (config.limits.disk_mb * 1e6) as u64,
         state,
-        ends: Ends { inputs: inputs.clone(), notices, watch, phase: phase.clone() },
+        ends: Channels { inputs: inputs.clone(), notifications, watch, phase: phase.clone() },
     };
     let mut driver = plan.driver().await?;
     let limits = ClientLimits {
@@ -267,7 +269,7 @@
         long_requests: (config.limits.memory_mb * LONG_REQUESTS_PER_MB) as usize,
     };
     let (moving, mut moved) = mpsc::unbounded_channel();
-    let clients = Clients::new(limits, inputs.clone(), phases.clone(), moving);
+    let clients = ClientServer::new(limits, inputs.clone(), phases.clone(), moving);
     let known = config.known;
     // Clients may come once all that was taken on before has been taken up again.
     let mut first = Duration::ZERO;
@@ -277,7 +279,7 @@
             driver.restore(&known);
             bind(&config.listen).await?.0
         }
-        Some(Begun { memory, listener, lock: held, old }) => {
+        Some(HandedOver { memory, listener, lock: held, old }) => {
             lock = held;
             match memory {
                 Ok(baton) => driver.resume(baton, old.stop()),
@@ -299,7 +301,7 @@
     let terminated = inputs.clone();
     tokio::task::spawn_local(async move {
         while terminate.recv().await.is_some() {
-            let _ = terminated.send(Input::Terminate);
+            let _ = terminated.send(GatewayEvent::Terminate);
         }
     });
     door.open(inputs.clone(), phases);
@@ -308,15 +310,15 @@
         let watch = EndpointWatch { agent: agent.clone(), rev: driver.rev(), again: again.clone() };
         let first = std::mem::take(&mut first);
         let listed = inputs.clone();
-        let tell = move |news| drop(listed.send(Input::List(news)));
+        let tell = move |news| drop(listed.send(GatewayEvent::Discovery(news)));
         let watching = tokio::task::spawn_local(watch.run(first, tell));
-        let offer = Offer::new(&socket);
+        let offer = HandoverListener::new(&socket);
         let next = loop {
             let next = tokio::select! {
                 () = driver.run(&mut events) => return Ok(()),
                 next = offer.asked(memory) => next,
             };
-            if *phase.borrow() != Phase::Closing && driver.journal_is_settled() {
+            if *phase.borrow() != ServicePhase::ShuttingDown && driver.journal_is_settled() {
                 break next;
             }
             next.refuse().await;
@@ -333,7 +335,7 @@
             }
         }
         // Whoever can moves on; what is being answered is answered first.
-        let before = phase.send_replace(Phase::Moving);
+        let before = phase.send_replace(ServicePhase::HandingOver);
         watching.abort();
         let mut shut = tokio::task::spawn_local(gate.clone().acquire_owned());
         let settle = async {
@@ -356,12 +358,12 @@
             next.give(&mut driver, &mut events, &mut moved, &listener, &lock).await
         } else {
             next.refuse().await;
-            Given::Refused
+            HandoverResult::Refused
         };
         match given {
-            Given::Over => return Ok(()),
-            Given::Refused => driver.stand(before),
-            Given::Back(kept) => {
+            HandoverResult::Completed => return Ok(()),
+            HandoverResult::Refused => driver.stand(before),
+            HandoverResult::TakenBack(kept) => {
                 let untouched = driver.journal_is_untouched();
                 warn!(untouched, "the other process has gone before it was in service: this one goes on");
                 if untouched {
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -2,7 +2,6 @@
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
-use delivery_gateway::MessageId;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -13,8 +12,8 @@
 use tokio::time::timeout;
 use tracing::{error, warn};
 
-use crate::event_loop::Input;
-use crate::journal::Verdict;
+use crate::events::{GatewayEvent, OutcomeNotification};
+use crate::journal::FinalOutcome;
 
 /// Notices are answered at once. What is not in this time goes again on another connection, as this one may be dead
 /// while the agent lives; it gets twice as long each time. Both fit into the time that a final answer has at the end.
@@ -24,19 +23,11 @@
 /// Notices that go in one request at most.
 const NOTICES: usize = 200;
 
-/// The end of a message that was not delivered, on its way to the platform.
-#[derive(Debug)]
-pub struct Notice {
-    pub message: MessageId,
-    pub id: String,
-    pub verdict: Verdict,
-}
-
-impl Notice {
+impl OutcomeNotification {
     fn line(&self) -> String {
-        let mut value = match self.verdict {
-            Verdict::Failed => serde_json::json!({"id": self.id, "state": "failed"}),
-            Verdict::Returned { after_ms } => {
+        let mut value = match self.final_outcome {
+            FinalOutcome::Failed => serde_json::json!({"id": self.id, "state": "failed"}),
+            FinalOutcome::Returned { after_ms } => {
                 serde_json::json!({"id": self.id, "state": "returned", "after_ms": after_ms})
             }
         }
@@ -51,8 +42,8 @@
 /// While somebody else holds the gate, nothing is sent.
 pub async fn send_all(
     mut agent: AgentAddress,
-    mut queue: UnboundedReceiver<Notice>,
-    driver: UnboundedSender<Input>,
+    mut queue: UnboundedReceiver<OutcomeNotification>,
+    driver: UnboundedSender<GatewayEvent>,
     gate: Arc<Semaphore>,
 ) {
     let mut connection = None;
@@ -89,9 +80,10 @@
                         let _ = timeout(BACK_OFF, agent.changed()).await;
                     }
                     // What has come meanwhile does not wait for these.
-                    while let Some(notice) = (batch.len() < NOTICES).then(|| queue.try_recv().ok()).flatten()
+                    while let Some(notification) =
+                        (batch.len() < NOTICES).then(|| queue.try_recv().ok()).flatten()
                     {
-                        batch.push(notice);
+                        batch.push(notification);
                     }
                 }
             }
@@ -103,28 +95,28 @@
 async fn tell(
     agent: &str,
     connection: &mut Option<Connection>,
-    batch: &mut Vec<Notice>,
-    driver: &UnboundedSender<Input>,
+    batch: &mut Vec<OutcomeNotification>,
+    driver: &UnboundedSender<GatewayEvent>,
     patience: Duration,
 ) -> Result<(), DiscoveryError> {
-    match post(agent, connection, batch.iter().map(Notice::line).collect(), patience).await {
+    match post(agent, connection, batch.iter().map(OutcomeNotification::line).collect(), patience).await {
         // One bad line must not hold up the others: they go one by one, and it is let go.
         Err(DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {}
         result => {
             result?;
-            let heard = batch.drain(..).map(|notice| notice.message).collect();
-            let _ = driver.send(Input::Heard(heard));
+            let heard = batch.drain(..).map(|notification| notification.message).collect();
+            let _ = driver.send(GatewayEvent::OutcomesAcknowledged(heard));
             return Ok(());
         }
     }
-    while let Some(notice) = batch.last() {
-        match post(agent, connection, notice.line(), patience).await {
+    while let Some(notification) = batch.last() {
+        match post(agent, connection, notification.line(), patience).await {
             Err(refused @ DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {
-                error!(id = notice.id, %refused, "a notice is not understood");
+                error!(id = notification.id, %refused, "a notice is not understood");
             }
             result => result?,
         }
-        let _ = driver.send(Input::Heard(vec![notice.message]));
+        let _ = driver.send(GatewayEvent::OutcomesAcknowledged(vec![notification.message]));
         batch.pop();
     }
     Ok(())
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -2,7 +2,6 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use delivery_gateway::socket::{not_now, send_at_once, try_transfer, write_all, Transfer};
-use delivery_gateway::MessageId;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,9 +16,9 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
 
-use crate::event_loop::{Input, Phase};
-use crate::journal::Taken;
-use crate::rate_limited_log::Seldom;
+use crate::events::{EnqueueReply, EnqueueRequest, GatewayEvent, ServicePhase};
+use crate::journal::AcceptedRecord;
+use crate::rate_limited_log::RateLimitedLog;
 
 const MOST_WORDS: usize = 16;
 const LONGEST_BODY: usize = 64 << 10;
@@ -53,40 +52,13 @@
 /// While the courier ends or is emptied, a new connection may take this long to bring its request.
 const LAST_REQUEST: Duration = Duration::from_millis(400);
 
-/// A message that a client hands in.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Enqueue {
-    pub id: String,
-    pub key: u64,
-    pub class: String,
-    /// Empty where none is told.
-    pub tenant: String,
-    pub destination: u32,
-    /// How long it may still be delivered.
-    pub left: Duration,
-    pub idempotency_key: Option<String>,
-    pub again: bool,
-    pub body: Bytes,
-}
-
-/// What the client is told.
-#[derive(Debug)]
-pub enum Answer {
-    /// Taken on by this hand-in, which alone may withdraw it.
-    Taken(MessageId),
-    /// The same message is held already.
-    Held,
-    Busy(Option<Duration>),
-    Error(&'static str),
-}
-
-impl Answer {
+impl EnqueueReply {
     fn wire(&self) -> String {
         match self {
-            Answer::Taken(_) | Answer::Held => "+OK\r\n".to_owned(),
-            Answer::Busy(None) => "-BUSY\r\n".to_owned(),
-            Answer::Busy(Some(after)) => format!("-BUSY {}\r\n", after.as_millis()),
-            Answer::Error(text) => format!("-ERR {text}\r\n"),
+            EnqueueReply::Accepted(_) | EnqueueReply::AlreadyAccepted => "+OK\r\n".to_owned(),
+            EnqueueReply::Rejected(None) => "-BUSY\r\n".to_owned(),
+            EnqueueReply::Rejected(Some(after)) => format!("-BUSY {}\r\n", after.as_millis()),
+            EnqueueReply::Error(text) => format!("-ERR {text}\r\n"),
         }
     }
 }
@@ -103,7 +75,7 @@
 }
 
 /// A client's connection on its way to the next process: between two bytes, with nothing left to write.
-pub struct Moved {
+pub struct TransferredConnection {
     pub stream: TcpStream,
     /// What was read of its next request.
     pub buffer: Bytes,
@@ -117,30 +89,30 @@
 
 /// The clients of this process.
 #[derive(Clone)]
-pub struct Clients {
+pub struct ClientServer {
     places: Rc<Places>,
-    driver: UnboundedSender<Input>,
-    phase: watch::Receiver<Phase>,
-    moved: UnboundedSender<Moved>,
+    driver: UnboundedSender<GatewayEvent>,
+    phase: watch::Receiver<ServicePhase>,
+    moved: UnboundedSender<TransferredConnection>,
 }
 
-impl Clients {
+impl ClientServer {
     /// While the process is replaced, connections go out through `moved`.
     pub fn new(
         limits: ClientLimits,
-        driver: UnboundedSender<Input>,
-        phase: watch::Receiver<Phase>,
-        moved: UnboundedSender<Moved>,
+        driver: UnboundedSender<GatewayEvent>,
+        phase: watch::Receiver<ServicePhase>,
+        moved: UnboundedSender<TransferredConnection>,
     ) -> Self {
-        Clients { places: Rc::new(Places::new(limits)), driver, phase, moved }
+        ClientServer { places: Rc::new(Places::new(limits)), driver, phase, moved }
     }
 
     /// Accepts connections until the process is replaced; then gives the listener back, with those that wait.
     pub async fn serve(mut self, listener: TcpListener) -> TcpListener {
-        let mut failures = Seldom::default();
+        let mut failures = RateLimitedLog::default();
         let places = self.places.clone();
         loop {
-            if *self.phase.borrow_and_update() == Phase::Moving {
+            if *self.phase.borrow_and_update() == ServicePhase::HandingOver {
                 return listener;
             }
             let accepted = async {
@@ -157,7 +129,7 @@
             match accepted {
                 Ok((stream, waited)) => {
                     let (buffer, left) = (Bytes::new(), SILENT);
-                    self.adopt(Moved { stream, buffer, served: false, left, waited });
+                    self.adopt(TransferredConnection { stream, buffer, served: false, left, waited });
                 }
                 Err(error) => {
                     if let Some(more) = failures.due() {
@@ -170,7 +142,10 @@
     }
 
     /// Serves a connection from where it is.
-    pub fn adopt(&self, Moved { stream, buffer, served, left, waited }: Moved) {
+    pub fn adopt(
+        &self,
+        TransferredConnection { stream, buffer, served, left, waited }: TransferredConnection,
+    ) {
         let client = Client {
             stream,
             driver: self.driver.clone(),
@@ -349,15 +324,15 @@
 }
 
 struct Client {
-    moved: UnboundedSender<Moved>,
+    moved: UnboundedSender<TransferredConnection>,
     /// Requests answered.
     served: u32,
     /// What its next request may have waited unread before the connection was accepted.
     waited: Duration,
     // Before the place: the descriptor is closed by the time that the place is free.
     stream: TcpStream,
-    driver: UnboundedSender<Input>,
-    phase: watch::Receiver<Phase>,
+    driver: UnboundedSender<GatewayEvent>,
+    phase: watch::Receiver<ServicePhase>,
     buffer: BytesMut,
     out: Vec<u8>,
     place: Place,
@@ -413,10 +388,16 @@
                 Err(error) => return self.refuse(&error.to_string()).await,
             }
             self.flush().await?;
-            if *self.phase.borrow() == Phase::Moving {
+            if *self.phase.borrow() == ServicePhase::HandingOver {
                 let Client { stream, moved, buffer, served, place, waited, .. } = self;
                 let left = due.saturating_duration_since(Instant::now());
-                let client = Moved { stream, buffer: buffer.freeze(), served: served > 0, left, waited };
+                let client = TransferredConnection {
+                    stream,
+                    buffer: buffer.freeze(),
+                    served: served > 0,
+                    left,
+                    waited,
+                };
                 // Sent before its place is free, so that who waits for the last one finds it there.
                 let _ = moved.send(client);
                 drop(place);
@@ -446,10 +427,10 @@
     async fn read(&mut self, fresh: bool, due: Instant) -> io::Result<Come> {
         let between = self.buffer.is_empty();
         let phase = *self.phase.borrow_and_update();
-        if phase == Phase::Moving {
+        if phase == ServicePhase::HandingOver {
             return Ok(Come::Turned);
         }
-        if between && phase != Phase::Serving {
+        if between && phase != ServicePhase::Serving {
             if fresh {
                 if let Ok(come) = timeout(LAST_REQUEST, self.read_ready()).await {
                     return come;
@@ -556,40 +537,40 @@
         let command = words.first().map(|word| word.to_ascii_uppercase());
         let answer = match command.as_deref() {
             Some(b"PING") => {
-                let lame = *self.phase.borrow() == Phase::LameDuck;
+                let lame = *self.phase.borrow() == ServicePhase::LameDuck;
                 self.out.extend_from_slice(if lame { b"-ERR being emptied\r\n" } else { b"+PONG\r\n" });
                 return self.flush_long().await.map(Some);
             }
-            Some(b"ENQUEUE") => match Enqueue::read(words) {
+            Some(b"ENQUEUE") => match EnqueueRequest::read(words) {
                 Ok(mut enqueue) => {
                     enqueue.left = enqueue.left.saturating_sub(std::mem::take(&mut self.waited));
                     if !self.gone() {
                         return self.hand_in(enqueue).await;
                     }
                     // One that has only ended its sending still hears this.
-                    Answer::Busy(None)
+                    EnqueueReply::Rejected(None)
                 }
-                Err(text) => Answer::Error(text),
+                Err(text) => EnqueueReply::Error(text),
             },
-            _ => Answer::Error("unknown command"),
+            _ => EnqueueReply::Error("unknown command"),
         };
         self.out.extend_from_slice(answer.wire().as_bytes());
         self.flush_long().await.map(Some)
     }
 
-    async fn hand_in(&mut self, enqueue: Enqueue) -> io::Result<Option<()>> {
+    async fn hand_in(&mut self, enqueue: EnqueueRequest) -> io::Result<Option<()>> {
         // What was answered before must not be lost with this answer, nor this one with those.
         self.flush().await?;
         let (reply, answer) = oneshot::channel();
-        if self.driver.send(Input::Enqueue(enqueue, reply)).is_err() {
+        if self.driver.send(GatewayEvent::Enqueue(enqueue, reply)).is_err() {
             return Ok(None);
         }
         let Ok(answer) = answer.await else { return Ok(None) };
         self.out.extend_from_slice(answer.wire().as_bytes());
         let written = self.flush().await;
-        if let (Err(_), Answer::Taken(message)) = (&written, answer) {
+        if let (Err(_), EnqueueReply::Accepted(message)) = (&written, answer) {
             // The client never heard that it was taken on, and hands it in again under another id.
-            let _ = self.driver.send(Input::Unheard(message));
+            let _ = self.driver.send(GatewayEvent::AcceptanceNotReceived(message));
         }
         written.map(Some)
     }
@@ -648,9 +629,9 @@
     BIN.with_borrow_mut(|bin| try_transfer(|| stream.try_read(bin)))
 }
 
-impl Enqueue {
+impl EnqueueRequest {
     /// Whether a message that is held is this one. What is left of its time differs from try to try.
-    pub fn is_same(&self, held: &Taken) -> bool {
+    pub fn is_same(&self, held: &AcceptedRecord) -> bool {
         (self.key, &self.class, self.destination) == (held.key, &held.class, held.destination)
             && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
     }
@@ -682,7 +663,7 @@
         if idempotency_key.as_ref().is_some_and(|key| !token(key)) {
             return Err("k has other characters than a key may have");
         }
-        Ok(Enqueue {
+        Ok(EnqueueRequest {
             id,
             key,
             class: field("c").ok_or("c is missing")?.to_owned(),
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -17,7 +17,7 @@
     #[error("an attempt of it is out already")]
     AlreadyOut,
     #[error("it has its final outcome")]
-    Ended,
+    AttemptResult,
     #[error("its time is over")]
     DeadlinePassed,
     #[error("it has had all its attempts")]
@@ -107,7 +107,7 @@
             return Err(Breach::AlreadyOut);
         }
         if attempt.ended {
-            return Err(Breach::Ended);
+            return Err(Breach::AttemptResult);
         }
         if now >= attempt.deadline {
             return Err(Breach::DeadlinePassed);
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
-use journal::{Journal, OutageChange, OutageKey, OutageNote, Taken};
+use journal::{AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, Journal};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use world::*;
@@ -177,8 +177,8 @@
     }
 }
 
-fn outage(rng: &mut fastrand::Rng, (destination, uid): OutageKey) -> OutageNote {
-    OutageNote {
+fn outage(rng: &mut fastrand::Rng, (destination, uid): CircuitKey) -> CircuitNote {
+    CircuitNote {
         destination,
         uid,
         since_ms: rng.u64(..),
@@ -189,7 +189,7 @@
     }
 }
 
-fn assert_noted(journal: &Journal, known: &BTreeMap<OutageKey, OutageNote>) {
+fn assert_noted(journal: &Journal, known: &BTreeMap<CircuitKey, CircuitNote>) {
     let circuit_records = &journal.image.circuit_records;
     assert_eq!(circuit_records.notes().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
     assert_eq!(circuit_records.out(), known.values().filter(|note| note.lost.is_some()).count());
@@ -205,7 +205,7 @@
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut journal = folder.journal(DISK);
-        let mut known: BTreeMap<OutageKey, OutageNote> =
+        let mut known: BTreeMap<CircuitKey, CircuitNote> =
             journal.image.circuit_records.notes().map(|note| (note.key(), note.clone())).collect();
         for _ in 0..200 {
             let before = (folder.bytes(), known.clone());
@@ -214,10 +214,10 @@
             let change = if rng.u32(..3) > 0 {
                 let note = outage(&mut rng, key);
                 known.insert(note.key(), note.clone());
-                OutageChange::Noted(note)
+                CircuitNoteChange::Noted(note)
             } else {
                 known.remove(&key);
-                OutageChange::Over(key)
+                CircuitNoteChange::Over(key)
             };
             journal.circuit_records(&[change]).unwrap();
             assert_noted(&journal, &known);
@@ -247,12 +247,12 @@
     let folder = Folder::new("many-outages");
     let mut rng = fastrand::Rng::with_seed(7);
     let name = "a-name-that-is-as-long-as-those-that-are-in-use-in-the-field";
-    let known: BTreeMap<OutageKey, OutageNote> = (0..COUNT)
+    let known: BTreeMap<CircuitKey, CircuitNote> = (0..COUNT)
         .map(|to| outage(&mut rng, (to, Some(format!("{name}-{to}")))))
         .map(|note| (note.key(), note))
         .collect();
     let mut journal = folder.journal(DISK);
-    let all: Vec<OutageChange> = known.values().cloned().map(OutageChange::Noted).collect();
+    let all: Vec<CircuitNoteChange> = known.values().cloned().map(CircuitNoteChange::Noted).collect();
     journal.circuit_records(&all).unwrap();
     let whole = folder.bytes().len();
     assert!(whole > 4 << 20, "{whole} bytes would fit one record");
@@ -425,8 +425,8 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-fn taken(id: &str) -> Taken {
-    Taken {
+fn taken(id: &str) -> AcceptedRecord {
+    AcceptedRecord {
         id: id.to_owned(),
         key: 0,
         class: "notice".to_owned(),
