--- a/src/bin/delivery-gateway/clock.rs
+++ b/src/bin/delivery-gateway/clock.rs
@@ -63,7 +63,7 @@
     }
 
     /// Time since the module's clock began.
-    pub fn passed(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Journal time, in milliseconds, of the module's.
-    pub fn to_journal(&self, at: Time) -> u64 {
+    pub fn journal_ms(&self, at: Time) -> u64 {
         if at >= EPOCH {
             self.start_ms + as_ms(at - EPOCH)
         } else {
@@ -87,7 +87,7 @@
     }
 
     /// The module's time of the journal's.
-    pub fn of_journal(&self, ms: u64) -> Time {
+    pub fn scheduler_time(&self, ms: u64) -> Time {
         if ms >= self.start_ms {
             EPOCH + Duration::from_millis(ms - self.start_ms)
         } else {
--- a/src/bin/delivery-gateway/completed_messages.rs
+++ b/src/bin/delivery-gateway/completed_messages.rs
@@ -29,13 +29,13 @@
     }
 
     /// A message is over.
-    pub fn add(&mut self, taken: &AcceptedRecord) {
+    pub fn insert(&mut self, taken: &AcceptedRecord) {
         while self.order.len() >= MOST || self.order.front().is_some_and(|(at, _)| at.elapsed() > self.keep) {
             if let Some((_, id)) = self.order.pop_front() {
                 self.prints.remove(&id);
             }
         }
-        let AcceptedRecord { id, key, class, destination, idempotency_key, body, .. } = taken;
+        let AcceptedRecord { id, ordering_key: key, class, destination, idempotency_key, body, .. } = taken;
         let print = self.hashes.hash_one((key, class, destination, idempotency_key, body));
         let id = self.hashes.hash_one(id);
         if self.prints.insert(id, print).is_none() {
@@ -44,8 +44,8 @@
     }
 
     /// Whether the message of this id that is over was this one; none if none is.
-    pub fn was(&self, enqueue: &EnqueueRequest) -> Option<bool> {
-        let EnqueueRequest { id, key, class, destination, idempotency_key, body, .. } = enqueue;
+    pub fn matches(&self, enqueue: &EnqueueRequest) -> Option<bool> {
+        let EnqueueRequest { id, ordering_key: key, class, destination, idempotency_key, body, .. } = enqueue;
         let print = self.prints.get(&self.hashes.hash_one(id))?;
         Some(*print == self.hashes.hash_one((key, class, destination, idempotency_key, body)))
     }
@@ -59,12 +59,12 @@
     fn taken(number: usize) -> AcceptedRecord {
         AcceptedRecord {
             id: format!("m{number}"),
-            key: 0,
+            ordering_key: 0,
             class: "notice".to_owned(),
             destination: 1,
             idempotency_key: None,
             deadline_ms: 0,
-            again: false,
+            redelivered: false,
             body: Bytes::new(),
             tenant: String::new(),
         }
@@ -73,10 +73,10 @@
     #[test]
     fn what_is_remembered_is_bounded_in_number_and_time() {
         let mut past = CompletedMessages::new(Duration::from_secs(3600));
-        (0..3 * MOST).for_each(|number| past.add(&taken(number)));
+        (0..3 * MOST).for_each(|number| past.insert(&taken(number)));
         assert_eq!((past.order.len(), past.prints.len()), (MOST, MOST));
         let mut past = CompletedMessages::new(Duration::ZERO);
-        (0..10).for_each(|number| past.add(&taken(number)));
+        (0..10).for_each(|number| past.insert(&taken(number)));
         assert!(past.order.len() < 10 && past.order.len() == past.prints.len(), "{}", past.order.len());
     }
 }
--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -23,7 +23,7 @@
 use crate::http_client::{Call, OutgoingMessage, Pool};
 use crate::journal::{
     AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, Journal,
-    JournalError, PendingMessage,
+    JournalError, PendingMessage, SentRecord,
 };
 use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
@@ -199,10 +199,10 @@
             .min(endpoint_sockets.saturating_sub(settings.max_in_flight_calls))
             .max(1);
         let guard = SendGuard::new(&settings);
-        let clock = Clock::new(journal.clock());
-        if !journal.clock().is_some_and(|last| clock.continues(last)) {
+        let clock = Clock::new(journal.clock_reading());
+        if !journal.clock_reading().is_some_and(|last| clock.continues(last)) {
             // Where it cannot be written now it is written later; its errors are those of the next records.
-            let _ = journal.set_clock(clock.reading());
+            let _ = journal.record_clock(clock.reading());
         }
         let pool = Rc::new(Pool::new(
             settings.connect_timeout,
@@ -248,7 +248,7 @@
     }
 
     /// Goes on where another process stopped, with the calls that it still has out. `stop` tells it to end one.
-    pub fn resume(
+    pub fn resume_from(
         &mut self,
         baton: HandoverSnapshot,
         stop: impl Fn(MessageId, StopReason) + Clone + 'static,
@@ -258,20 +258,20 @@
         let phase = if self.courier.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
         self.phase.send_replace(phase);
         self.clock = Clock::resumed(passed, clock);
-        self.directory.renumber(numbers);
-        let image = &self.journal.image;
-        self.directory.apply_whole(image.targets.values());
-        for uid in &image.detached {
-            self.directory.detach(uid, true);
+        self.directory.adopt_ids(numbers);
+        let state = &self.journal.state;
+        self.directory.apply_snapshot(state.endpoints.values());
+        for uid in &state.disabled_endpoints {
+            self.directory.set_disabled(uid, true);
         }
-        for (number, held) in &image.held {
+        for (number, held) in &state.pending {
             let shared = shared.contains(&MessageId(*number));
-            self.known.insert(held.taken.id.clone(), PendingEntry { number: *number, shared });
+            self.known.insert(held.message.id.clone(), PendingEntry { number: *number, shared });
             if let Some(final_outcome) = held.final_outcome {
                 // It may have been told already; a notice that comes twice does no harm.
                 let notification = OutcomeNotification {
                     message: MessageId(*number),
-                    id: held.taken.id.clone(),
+                    id: held.message.id.clone(),
                     final_outcome,
                 };
                 let _ = self.notifications.send(notification);
@@ -283,7 +283,7 @@
             let call = Rc::new(CallOut {
                 stop: Cell::new(Some(reason)),
                 sent: Rc::new(Cell::new(sent)),
-                _elsewhere: Some(self.pool.held_elsewhere()),
+                _elsewhere: Some(self.pool.reserve_descriptor()),
             });
             messages.iter().for_each(|message| self.take_out(*message, endpoint, &call));
             let Some(first) = messages.first().copied() else { continue };
@@ -294,11 +294,16 @@
                 }
             });
         }
-        info!(held = self.known.len(), out = self.out.len(), rev = self.rev(), "the courier was handed over");
+        info!(
+            held = self.known.len(),
+            out = self.out.len(),
+            rev = self.endpoints_revision(),
+            "the courier was handed over"
+        );
     }
 
     /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
-    pub fn baton(&mut self) -> Result<Vec<u8>, postcard::Error> {
+    pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
         let mut calls: Vec<(&Rc<CallOut>, InFlightCall)> = Vec::new();
         for (message, out) in &self.out {
             match calls.iter_mut().find(|(call, _)| Rc::ptr_eq(call, &out.call)) {
@@ -311,9 +316,9 @@
         }
         let shared = self.known.values().filter(|known| known.shared);
         let baton = HandoverSnapshot {
-            passed: self.clock.passed(),
+            passed: self.clock.elapsed(),
             clock: self.clock.reading(),
-            numbers: self.directory.numbers(),
+            numbers: self.directory.id_table(),
             shared: shared.map(|known| MessageId(known.number)).collect(),
             calls: calls.into_iter().map(|(_, away)| away).collect(),
             courier: std::mem::take(&mut self.courier),
@@ -334,14 +339,14 @@
 
     /// Goes on where another process stopped whose memory means nothing to this one: by the journal, which has
     /// been replayed, and by the rules. It has no calls out any more.
-    pub fn obey(&mut self, carried_over_constraints: CarriedOverConstraints) {
+    pub fn apply_constraints(&mut self, carried_over_constraints: CarriedOverConstraints) {
         let now = self.clock.now();
         for (uid, wait) in carried_over_constraints.retry_after_delays {
-            if let Some(endpoint) = self.directory.number(&uid) {
+            if let Some(endpoint) = self.directory.endpoint_id(&uid) {
                 self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
             }
         }
-        self.stand(if carried_over_constraints.lame {
+        self.resume_phase(if carried_over_constraints.lame {
             ServicePhase::LameDuck
         } else {
             ServicePhase::Serving
@@ -349,34 +354,34 @@
     }
 
     /// Begins no more calls.
-    pub fn begin_nothing(&mut self) {
+    pub fn stop_starting_calls(&mut self) {
         let now = self.clock.now();
         self.courier.handle(now, Event::ShutdownScheduled(now));
     }
 
-    pub fn has_calls(&self) -> bool {
+    pub fn has_calls_in_flight(&self) -> bool {
         !self.out.is_empty()
     }
 
     /// Ends the calls that are out, and takes in what comes until all have ended.
-    pub async fn end_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.abandon();
+    pub async fn abort_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        self.drop_calls();
         let end = Instant::now() + GIVING_UP;
-        while self.has_calls() {
+        while self.has_calls_in_flight() {
             let Ok(Some(input)) = timeout_at(end, events.recv()).await else { return };
             self.handle(input);
         }
     }
 
     /// Takes in what has come, without deciding anything.
-    pub fn drain(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
+    pub fn process_queued(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         while let Ok(input) = events.try_recv() {
             self.handle(input);
         }
     }
 
     /// Ends a call that this process has out for the one that decides, as far as that is still wanted.
-    pub fn stop_call(&self, message: MessageId, reason: StopReason) {
+    pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
         let out =
             self.out.get(&message).filter(|out| reason == StopReason::Cancelled || !out.call.sent.get());
         if let Some(out) = out {
@@ -385,9 +390,9 @@
     }
 
     /// Gives up all calls, and waits until they have been let go of. The journal is another process's.
-    pub async fn give_up(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.abandon();
-        let mut out = self.messages_out();
+    pub async fn abandon_calls(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        self.drop_calls();
+        let mut out = self.in_flight_messages();
         let all = async {
             while !out.is_empty() {
                 match events.recv().await {
@@ -404,7 +409,7 @@
     }
 
     /// Stands to its clients as it did before.
-    pub fn stand(&mut self, phase: ServicePhase) {
+    pub fn resume_phase(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
         self.courier.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
         self.courier.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
@@ -412,27 +417,27 @@
     }
 
     /// Gives up all calls.
-    pub fn abandon(&self) {
+    pub fn drop_calls(&self) {
         self.out.values().for_each(|out| drop(out.call.stop.take()));
     }
 
-    pub fn messages_out(&self) -> HashSet<MessageId> {
+    pub fn in_flight_messages(&self) -> HashSet<MessageId> {
         self.out.keys().copied().collect()
     }
 
     /// When the process ends at the latest, once it was told to.
-    pub fn end(&self) -> Option<Instant> {
+    pub fn exit_deadline(&self) -> Option<Instant> {
         self.ends.map(|(_, last)| last)
     }
 
     /// Keeps no idle connections while another process makes the calls.
-    pub fn rest(&self, rest: bool) {
-        self.pool.keep_idle(if rest { 0 } else { self.idle });
+    pub fn pause_idle_connections(&self, rest: bool) {
+        self.pool.set_max_idle(if rest { 0 } else { self.idle });
     }
 
     /// Whether another process finds in the journal all that this one knows.
-    pub fn journal_is_settled(&self) -> bool {
-        self.journal.is_settled()
+    pub fn journal_is_flushed(&self) -> bool {
+        self.journal.is_flushed()
     }
 
     pub fn journal_is_untouched(&self) -> bool {
@@ -445,55 +450,62 @@
     }
 
     /// The version of the list that the courier has.
-    pub fn rev(&self) -> u64 {
-        self.journal.image.rev
+    pub fn endpoints_revision(&self) -> u64 {
+        self.journal.state.endpoints_revision
     }
 
     /// Takes up again all that the journal holds.
-    pub fn restore(&mut self, known: &DiscoveryUpdate) {
+    pub fn recover(&mut self, known: &DiscoveryUpdate) {
         let now = self.clock.now();
-        self.journal.image.destinations.extend(known.targets.iter().map(|target| target.pod_group));
-        let image = &self.journal.image;
+        self.journal.state.destinations.extend(known.endpoints.iter().map(|target| target.destination));
+        let state = &self.journal.state;
         // What was told before the restart counts as told: the list that comes with the start may be older.
-        if image.rev == 0 || image.rev < known.rev {
-            let listing = self.directory.apply_whole(&known.targets);
+        if state.endpoints_revision == 0 || state.endpoints_revision < known.revision {
+            let listing = self.directory.apply_snapshot(&known.endpoints);
             self.courier.handle(now, Event::EndpointsUpdated(listing));
-            let written = self.journal.targets(DiscoveryUpdate { all: true, ..known.clone() });
+            let written =
+                self.journal.record_endpoints(DiscoveryUpdate { is_snapshot: true, ..known.clone() });
             self.note(written);
         } else {
-            let listing = self.directory.apply_whole(image.targets.values());
+            let listing = self.directory.apply_snapshot(state.endpoints.values());
             self.courier.handle(now, Event::EndpointsUpdated(listing));
         }
-        for uid in self.journal.image.detached.clone() {
+        for uid in self.journal.state.disabled_endpoints.clone() {
             self.detach(now, &uid, true);
         }
-        for note in self.journal.image.circuit_records.notes() {
-            let endpoint = note.uid.as_ref().and_then(|uid| self.directory.number(uid));
+        for note in self.journal.state.circuits.notes() {
+            let endpoint = note.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
             }
             let outage = CircuitRecord {
                 destination: DestinationId(note.destination),
                 endpoint,
-                last_success_at: self.clock.of_journal(note.since_ms),
+                last_success_at: self.clock.scheduler_time(note.last_success_ms),
                 failure_score: note.failure_score,
-                calls_lost: note.lost,
-                slow_start_since: note.returned_ms.map(|ms| self.clock.of_journal(ms)),
-                baseline_rate: note.share,
+                calls_lost: note.calls_lost,
+                slow_start_since: note.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
+                baseline_rate: note.baseline_rate,
             };
             self.courier.handle(now, Event::CircuitRestored(outage));
         }
         self.note_all_outages();
-        let held: Vec<u32> = self.journal.image.held.keys().copied().collect();
+        let held: Vec<u32> = self.journal.state.pending.keys().copied().collect();
         for number in &held {
             self.restore_message(now, *number);
         }
-        info!(held = held.len(), rev = self.rev(), "the journal was replayed");
+        info!(held = held.len(), rev = self.endpoints_revision(), "the journal was replayed");
     }
 
     fn restore_message(&mut self, now: Time, number: u32) {
-        let Some(held) = self.journal.image.held.get(&number) else { return };
-        let PendingMessage { ref taken, attempts, first_uncertain_attempt, out, final_outcome } = *held;
+        let Some(held) = self.journal.state.pending.get(&number) else { return };
+        let PendingMessage {
+            message: ref taken,
+            attempts,
+            first_uncertain_attempt,
+            in_flight,
+            final_outcome,
+        } = *held;
         let (message, id) = (MessageId(number), taken.id.clone());
         self.known.insert(id.clone(), PendingEntry { number, shared: false });
         let Some(taken) = self.accepted(number, taken) else {
@@ -502,13 +514,12 @@
             return;
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
-        if out.is_some() {
-            let written = self.journal.outcome(number, true);
+        if in_flight.is_some() {
+            let written = self.journal.record_attempt_outcome(number, true);
             self.note(written);
         }
-        let first_uncertain_attempt = first_uncertain_attempt
-            .or(out)
-            .map(|(ms, zone)| SentAttempt { sent_at: self.clock.of_journal(ms), zone: ZoneId(zone) });
+        let first_uncertain_attempt =
+            first_uncertain_attempt.or(in_flight).map(|sent| self.sent_attempt(sent));
         let restored = RestoredMessage {
             message: taken,
             attempts,
@@ -521,15 +532,19 @@
         }
     }
 
+    fn sent_attempt(&self, sent: SentRecord) -> SentAttempt {
+        SentAttempt { sent_at: self.clock.scheduler_time(sent.sent_ms), zone: ZoneId(sent.zone) }
+    }
+
     fn accepted(&self, number: u32, taken: &AcceptedRecord) -> Option<AcceptedMessage> {
         let class = self.class(&taken.class)?;
         Some(AcceptedMessage {
             id: MessageId(number),
             class,
             destination: DestinationId(taken.destination),
-            key: (taken.key != 0).then_some(OrderingKey(taken.key)),
-            deadline: self.clock.of_journal(taken.deadline_ms),
-            redelivered: taken.again,
+            key: (taken.ordering_key != 0).then_some(OrderingKey(taken.ordering_key)),
+            deadline: self.clock.scheduler_time(taken.deadline_ms),
+            redelivered: taken.redelivered,
             tenant: self.tenant(&taken.tenant),
         })
     }
@@ -561,7 +576,7 @@
                 () = sleep_until(end.unwrap_or(never)), if end.is_some() => {}
                 () = sleep_until(self.settle_at.unwrap_or(never)), if self.settle_at.is_some() => {}
                 _ = sweep.tick() => {
-                    self.pool.sweep();
+                    self.pool.close_expired();
                     sweeps += 1;
                     if sweeps % REPORT_SWEEPS == 0 {
                         self.report();
@@ -589,14 +604,14 @@
     /// Writes down what could not be written, and tells the outcomes that waited for that.
     fn settle(&mut self) {
         let now = Instant::now();
-        if self.journal.is_settled() {
+        if self.journal.is_flushed() {
             self.settle_at = None;
         } else if self.settle_at.is_none_or(|at| at <= now) {
-            let written = self.journal.settle();
+            let written = self.journal.flush();
             self.note(written);
             // Nothing waits for the list, and a long one takes its time to write.
             let gap = if self.journal.has_all_records() { SWEEP } else { SETTLE_GAP };
-            self.settle_at = (!self.journal.is_settled()).then_some(now + gap);
+            self.settle_at = (!self.journal.is_flushed()).then_some(now + gap);
         }
         let written = self.journal.has_all_records();
         for (notification, _) in self.untold.extract_if(.., |(_, until)| written || *until <= now) {
@@ -614,9 +629,9 @@
             // The tasks of the connections write what they were given.
             tokio::task::yield_now().await;
         }
-        let written = self.journal.settle();
+        let written = self.journal.flush();
         self.note(written);
-        info!(held = self.journal.image.held.len(), out = self.out.len(), "the courier ends");
+        info!(held = self.journal.state.pending.len(), out = self.out.len(), "the courier ends");
     }
 
     fn lateness(&mut self, late: Duration, what: &str) {
@@ -632,7 +647,7 @@
         let Some((least, last)) = self.ends else { return false };
         let now = Instant::now();
         // The next process is to know all that this one does.
-        let idle = self.out.is_empty() && self.journal.image.held.is_empty() && self.journal.is_settled();
+        let idle = self.out.is_empty() && self.journal.state.pending.is_empty() && self.journal.is_flushed();
         now >= last || (now >= least && idle)
     }
 
@@ -671,7 +686,7 @@
             GatewayEvent::Terminate if self.ends.is_some() => {}
             GatewayEvent::Terminate => {
                 let begun = Instant::now();
-                info!(held = self.journal.image.held.len(), out = self.out.len(), "told to end");
+                info!(held = self.journal.state.pending.len(), out = self.out.len(), "told to end");
                 self.ends = Some((begun + CLOSING_LEAST, begun + CLOSING));
                 self.courier.handle(now, Event::ShutdownScheduled(now + CLOSING));
                 // What moves to another process is in better hands there.
@@ -687,14 +702,14 @@
         match operation {
             AdminOperation::DisableEndpoint(uid) | AdminOperation::EnableEndpoint(uid) => {
                 let out = matches!(operation, AdminOperation::DisableEndpoint(_));
-                let was_out = self.journal.image.detached.contains(uid);
-                if !was_out && !self.journal.image.targets.contains_key(uid) {
+                let was_out = self.journal.state.disabled_endpoints.contains(uid);
+                if !was_out && !self.journal.state.endpoints.contains_key(uid) {
                     return AdminResult::UnknownEndpoint;
                 }
                 if out == was_out {
                     return AdminResult::Done;
                 }
-                if let Err(error) = self.journal.detached(uid, out) {
+                if let Err(error) = self.journal.record_endpoint_disabled(uid, out) {
                     self.note(Err(error));
                     return AdminResult::NotRecorded;
                 }
@@ -702,7 +717,7 @@
                 self.detach(now, uid, out);
             }
             AdminOperation::LameDuck(on) => {
-                info!(on, held = self.journal.image.held.len(), "operators have told to empty, or not to");
+                info!(on, held = self.journal.state.pending.len(), "operators have told to empty, or not to");
                 self.courier.handle(now, Event::LameDuck(*on));
                 let phase = if *on { ServicePhase::LameDuck } else { ServicePhase::Serving };
                 self.phase.send_if_modified(|known| {
@@ -719,7 +734,7 @@
     }
 
     fn detach(&mut self, now: Time, uid: &str, out: bool) {
-        let endpoint = self.directory.detach(uid, out);
+        let endpoint = self.directory.set_disabled(uid, out);
         self.courier.handle(
             now,
             if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) },
@@ -732,20 +747,20 @@
         let Some(class) = self.class(&enqueue.class) else { return EnqueueReply::Error("unknown class") };
         if let Some(known) = self.known.get_mut(&enqueue.id) {
             // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
-            let held = self.journal.image.held.get(&known.number);
-            if !held.is_some_and(|held| enqueue.is_same(&held.taken)) {
+            let held = self.journal.state.pending.get(&known.number);
+            if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
                 return EnqueueReply::Error("the id is in use for another message");
             }
             known.shared = true;
             return EnqueueReply::AlreadyAccepted;
         }
-        match self.past.was(&enqueue) {
+        match self.past.matches(&enqueue) {
             Some(true) => return EnqueueReply::AlreadyAccepted,
             Some(false) => return EnqueueReply::Error("the id was that of another message"),
             None => {}
         }
         let destination = DestinationId(enqueue.destination);
-        if !self.journal.image.destinations.contains(&enqueue.destination) {
+        if !self.journal.state.destinations.contains(&enqueue.destination) {
             return EnqueueReply::Error("unknown destination");
         }
         let class = &self.classes[usize::from(class.0)];
@@ -755,33 +770,33 @@
         let most = class.deadline;
         let taken = AcceptedRecord {
             id: enqueue.id,
-            key: enqueue.key,
+            ordering_key: enqueue.ordering_key,
             class: enqueue.class,
             tenant: enqueue.tenant,
             destination: enqueue.destination,
             idempotency_key: enqueue.idempotency_key,
-            deadline_ms: self.clock.to_journal(now + enqueue.left.min(most)),
-            again: enqueue.again,
+            deadline_ms: self.clock.journal_ms(now + enqueue.time_left.min(most)),
+            redelivered: enqueue.redelivered,
             body: enqueue.body,
         };
-        let full = self.journal.image.held.len() >= self.max_pending_messages;
+        let full = self.journal.state.pending.len() >= self.max_pending_messages;
         if full || !self.accepted(0, &taken).is_some_and(|new| self.courier.admits(now, &new)) {
             self.counts.busy += 1;
             return EnqueueReply::Rejected(Some(self.courier.suggested_retry_after(now, destination)));
         }
         let id = taken.id.clone();
-        match self.journal.take(taken) {
+        match self.journal.accept(taken) {
             Ok(number) => {
                 self.counts.taken += 1;
                 self.known.insert(id, PendingEntry { number, shared: false });
-                let taken = self.journal.image.held.get(&number).map(|held| &held.taken);
+                let taken = self.journal.state.pending.get(&number).map(|held| &held.message);
                 if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
                     self.courier.handle(now, Event::MessageAccepted(accepted));
                 }
                 EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
-                let is_written = !matches!(error, JournalError::Unclean) && self.journal.tail_is_unclean();
+                let is_written = !matches!(error, JournalError::Unclean) && self.journal.has_unclean_tail();
                 self.note(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
@@ -796,7 +811,7 @@
     /// A message of which its client never heard that it was taken on: nobody waits for its end, unless another
     /// hand-in of it was answered meanwhile.
     fn unheard(&mut self, now: Time, message: MessageId) {
-        let id = self.journal.image.held.get(&message.0).map(|held| &held.taken.id);
+        let id = self.journal.state.pending.get(&message.0).map(|held| &held.message.id);
         if id.and_then(|id| self.known.get(id)).is_some_and(|known| !known.shared) {
             self.forget(message);
             self.courier.handle(now, Event::MessageAbandoned(message));
@@ -805,25 +820,25 @@
 
     fn listed(&mut self, now: Time, update: DiscoveryUpdate) {
         // A watch that begins anew often has nothing new to tell.
-        if update.targets.is_empty() && !update.all {
+        if update.endpoints.is_empty() && !update.is_snapshot {
             return;
         }
         let listing = self.directory.apply(&update);
         self.courier.handle(now, Event::EndpointsUpdated(listing));
-        let (rev, changed) = (update.rev, update.targets.len());
-        let written = self.journal.targets(update);
+        let (rev, changed) = (update.revision, update.endpoints.len());
+        let written = self.journal.record_endpoints(update);
         self.note(written);
         info!(rev, changed, "the list has changed");
-        self.pool.keep_only(|endpoint| self.directory.is_open(endpoint));
+        self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
         self.withdraw(|endpoint, directory| !directory.is_open(endpoint));
         self.forget_gone();
     }
 
     /// Forgets the endpoints that are gone, once none of their calls is out.
     fn forget_gone(&mut self) {
-        if self.directory.has_unlisted() {
+        if self.directory.has_removed() {
             let called: HashSet<EndpointId> = self.out.values().map(|out| out.endpoint).collect();
-            self.directory.forget_gone(|endpoint| called.contains(&endpoint));
+            self.directory.forget_removed(|endpoint| called.contains(&endpoint));
         }
     }
 
@@ -866,8 +881,8 @@
 
     fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
         let Some(out) = self.out.remove(&message) else { return };
-        if let Some(held) = self.journal.image.held.get(&message.0) {
-            let (id, outcome, latency) = (&held.taken.id, ended.outcome, ended.latency);
+        if let Some(held) = self.journal.state.pending.get(&message.0) {
+            let (id, outcome, latency) = (&held.message.id, ended.outcome, ended.latency);
             debug!(
                 id,
                 attempt = out.attempt,
@@ -885,8 +900,8 @@
             self.over(message);
         } else {
             let written = match ended.outcome {
-                AttemptOutcome::LocalFailure => self.journal.not_made(message.0),
-                outcome => self.journal.outcome(message.0, !outcome.was_not_processed()),
+                AttemptOutcome::LocalFailure => self.journal.record_local_failure(message.0),
+                outcome => self.journal.record_attempt_outcome(message.0, !outcome.was_not_processed()),
             };
             self.note(written);
         }
@@ -902,24 +917,24 @@
                 load_report: ended.load_report,
             }),
         );
-        if self.directory.is_gone(endpoint) {
+        if self.directory.is_removed(endpoint) {
             self.forget_gone();
         }
     }
 
     /// Nothing more is owed for a message.
     fn over(&mut self, message: MessageId) {
-        if let Some(held) = self.journal.image.held.get(&message.0) {
-            self.past.add(&held.taken);
+        if let Some(held) = self.journal.state.pending.get(&message.0) {
+            self.past.insert(&held.message);
         }
         self.forget(message);
     }
 
     /// It may come once more, as if it had not been taken on.
     fn forget(&mut self, message: MessageId) {
-        if let Some(held) = self.journal.image.held.get(&message.0) {
-            self.known.remove(&held.taken.id);
-            let written = self.journal.over(message.0);
+        if let Some(held) = self.journal.state.pending.get(&message.0) {
+            self.known.remove(&held.message.id);
+            let written = self.journal.remove(message.0);
             self.note(written);
         }
     }
@@ -936,7 +951,7 @@
         for group in actions.chunk_by(|a, b| target(a).is_some() && target(a) == target(b)) {
             match target(&group[0]) {
                 Some(endpoint) => {
-                    for call in group.chunks(self.directory.batch(endpoint)) {
+                    for call in group.chunks(self.directory.max_batch(endpoint)) {
                         self.route(now, endpoint, call);
                     }
                 }
@@ -965,7 +980,7 @@
                 self.owe(message, FinalOutcome::Failed);
             }
             Action::SetTimer { after, token } => self.wake = Some((self.clock.instant(now + after), token)),
-            Action::CloseIdleConnections { endpoint } => self.pool.close(endpoint),
+            Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
             Action::Log { ref text } => info!("{text}"),
             Action::WatchEndpoints { .. } => self.watch.send_replace(()),
             // Routes have gone out as calls. The deployment permits neither probes nor notes.
@@ -985,20 +1000,22 @@
         let decided = self.clock.instant(now);
         for route in routes {
             let Action::StartAttempt { message, attempt_timeout, send_within, .. } = *route else { continue };
-            let load = self.journal.image.held.get(&message.0).map(|held| OutgoingMessage {
+            let load = self.journal.state.pending.get(&message.0).map(|held| OutgoingMessage {
                 message,
                 leave_by: decided + send_within,
-                over: self.clock.instant(self.clock.of_journal(held.taken.deadline_ms)),
-                id: held.taken.id.clone(),
-                idempotency_key: held.taken.idempotency_key.clone(),
-                body: held.taken.body.clone(),
+                over: self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms)),
+                id: held.message.id.clone(),
+                idempotency_key: held.message.idempotency_key.clone(),
+                body: held.message.body.clone(),
             });
             if let Err(breach) = self.may_send(now, message, endpoint) {
                 self.forbid(message, endpoint, breach);
                 continue;
             }
             // An attempt that the next process would not know of is not made.
-            let written = self.journal.start(message.0, (self.clock.to_journal(now), zone));
+            let written = self
+                .journal
+                .record_attempt(message.0, SentRecord { sent_ms: self.clock.journal_ms(now), zone });
             let is_written = written.is_ok();
             self.note(written);
             let Some((load, address)) = load.zip(address).filter(|_| is_written) else {
@@ -1019,19 +1036,16 @@
 
     /// Whether an attempt may be made, by the rules alone; what the journal does not hold is seen to elsewhere.
     fn may_send(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> Result<(), Breach> {
-        let Some(held) = self.journal.image.held.get(&message.0) else { return Ok(()) };
-        let Some((class, to)) = self.class(&held.taken.class).zip(self.receiver(endpoint)) else {
+        let Some(held) = self.journal.state.pending.get(&message.0) else { return Ok(()) };
+        let Some((class, to)) = self.class(&held.message.class).zip(self.receiver(endpoint)) else {
             return Ok(());
         };
         let class = &self.classes[usize::from(class.0)];
-        let deadline = self.clock.of_journal(held.taken.deadline_ms);
+        let deadline = self.clock.scheduler_time(held.message.deadline_ms);
         // One of a courier that died may have run there at any time since it was handed in.
-        let again = held.taken.again && class.idempotency == Idempotency::IdempotentWithKey;
-        let elsewhere = again.then(|| (deadline - class.deadline, to.zone));
-        let first = held
-            .first_uncertain_attempt
-            .or(held.out)
-            .map(|(ms, zone)| (self.clock.of_journal(ms), ZoneId(zone)));
+        let again = held.message.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let elsewhere = again.then(|| SentAttempt { sent_at: deadline - class.deadline, zone: to.zone });
+        let first = held.first_uncertain_attempt.or(held.in_flight).map(|sent| self.sent_attempt(sent));
         let attempt = Attempt {
             class,
             already_out: self.out.contains_key(&message),
@@ -1050,14 +1064,14 @@
             destination: self.directory.destination(endpoint)?,
             zone: self.directory.zone(endpoint),
             is_open: self.directory.is_open(endpoint),
-            is_apart: self.directory.is_apart(endpoint),
+            is_apart: self.directory.has_own_limits(endpoint),
         })
     }
 
     /// Does not make an attempt that would break a rule.
     fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
         if let Some(more) = self.breach_lines.due() {
-            let id = self.journal.image.held.get(&message.0).map(|held| &held.taken.id);
+            let id = self.journal.state.pending.get(&message.0).map(|held| &held.message.id);
             error!(?id, endpoint = endpoint.0, %breach, more, "a rule would have been broken: not sent");
         }
         // One that is out has its outcome still to come.
@@ -1075,7 +1089,7 @@
     }
 
     fn take_out(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallOut>) {
-        let attempts = self.journal.image.held.get(&message.0).map_or(0, |held| held.attempts);
+        let attempts = self.journal.state.pending.get(&message.0).map_or(0, |held| held.attempts);
         let attempt = attempts.saturating_sub(1) as u16;
         self.out.insert(message, Out { endpoint, call: call.clone(), attempt });
     }
@@ -1115,24 +1129,24 @@
     /// Gives a message its end. It is in the journal before it is told: who was told that a message came back
     /// may hand it in again, and it must not be sent after that.
     fn owe(&mut self, message: MessageId, final_outcome: FinalOutcome) {
-        let written = self.journal.owe(message.0, final_outcome);
+        let written = self.journal.record_final_outcome(message.0, final_outcome);
         let is_written = written.is_ok();
         self.note(written);
-        let Some(held) = self.journal.image.held.get(&message.0) else { return };
-        debug!(id = held.taken.id, ?final_outcome, is_written, "a message has its final outcome");
-        let notification = OutcomeNotification { message, id: held.taken.id.clone(), final_outcome };
+        let Some(held) = self.journal.state.pending.get(&message.0) else { return };
+        debug!(id = held.message.id, ?final_outcome, is_written, "a message has its final outcome");
+        let notification = OutcomeNotification { message, id: held.message.id.clone(), final_outcome };
         if is_written {
             let _ = self.notifications.send(notification);
         } else {
             // Once its time is over no process sends it any more, whatever the file says.
-            let over = self.clock.instant(self.clock.of_journal(held.taken.deadline_ms));
+            let over = self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms));
             self.untold.push((notification, over));
         }
     }
 
     /// Takes over what is to be remembered of outages, in the place of what was remembered before the start.
     fn note_all_outages(&mut self) {
-        self.unnoted = self.journal.image.circuit_records.keys().map(|key| (key.clone(), None)).collect();
+        self.unnoted = self.journal.state.circuits.keys().map(|key| (key.clone(), None)).collect();
         let circuit_records: Vec<CircuitRecord> = self.courier.circuit_records().collect();
         for outage in circuit_records {
             self.outage_changed(outage.destination, outage.endpoint, Some(&outage));
@@ -1168,13 +1182,13 @@
                 None => drop(self.outage_uids.remove(&id)),
             }
         }
-        let note = outage.map(|outage| CircuitNote::new(outage, uid.clone(), |at| self.clock.to_journal(at)));
+        let note = outage.map(|outage| CircuitNote::new(outage, uid.clone(), |at| self.clock.journal_ms(at)));
         self.unnoted.insert((to.0, uid), note);
     }
 
     /// What cannot be written stays until the next step.
     fn write_outages(&mut self) {
-        let noted = &self.journal.image.circuit_records;
+        let noted = &self.journal.state.circuits;
         self.unnoted.retain(|key, note| noted.get(key) != note.as_ref());
         if self.unnoted.is_empty() {
             return;
@@ -1184,12 +1198,12 @@
             None => CircuitNoteChange::Over(key.clone()),
         });
         let before = noted.out();
-        let written = self.journal.circuit_records(&changes.collect::<Vec<_>>());
+        let written = self.journal.record_circuits(&changes.collect::<Vec<_>>());
         if written.is_ok() {
             self.unnoted.clear();
         }
         self.note(written);
-        let after = self.journal.image.circuit_records.out();
+        let after = self.journal.state.circuits.out();
         if before != after {
             if let Some(more) = self.outage_lines.due() {
                 info!(before, after, more, "destinations held to be out");
@@ -1208,8 +1222,8 @@
     fn report(&mut self) {
         let Counters { taken, busy, delivered, failed, returned, calls, latest } =
             std::mem::take(&mut self.counts);
-        let (held, out) = (self.journal.image.held.len(), self.out.len());
-        let connections = self.pool.take_used();
+        let (held, out) = (self.journal.state.pending.len(), self.out.len());
+        let connections = self.pool.take_counters();
         let forbidden = self.guard.take_breaches();
         info!(
             taken,
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -60,15 +60,15 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct EnqueueRequest {
     pub id: String,
-    pub key: u64,
+    pub ordering_key: u64,
     pub class: String,
     /// Empty where none is told.
     pub tenant: String,
     pub destination: u32,
     /// How long it may still be delivered.
-    pub left: Duration,
+    pub time_left: Duration,
     pub idempotency_key: Option<String>,
-    pub again: bool,
+    pub redelivered: bool,
     pub body: Bytes,
 }
 
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -481,7 +481,7 @@
         let descriptors =
             || Ok::<_, io::Error>(vec![listener.as_fd().try_clone_to_owned()?, lock.try_clone()?.into()]);
         let memory = match self.shares_memory {
-            true => driver.baton().map(Ok).map_err(io::Error::other),
+            true => driver.handover_snapshot().map(Ok).map_err(io::Error::other),
             false => Ok(Err(driver.carried_over_constraints())),
         };
         let begun = memory.and_then(|memory| Ok((memory, descriptors()?)));
@@ -493,15 +493,15 @@
                 return HandoverResult::TakenBack(Vec::new());
             }
         }
-        driver.rest(true);
+        driver.pause_idle_connections(true);
         info!("the courier is handed over to another process");
         let mut kept = Vec::new();
         let mut asked: HashMap<u64, oneshot::Sender<AdminResult>> = HashMap::new();
         let mut last = 0;
-        let mut out = driver.messages_out();
+        let mut out = driver.in_flight_messages();
         let mut abandoned = false;
         loop {
-            let end = driver.end();
+            let end = driver.exit_deadline();
             if end.is_some_and(|end| out.is_empty() || Instant::now() > end + LAST_WORDS) {
                 drop(frames);
                 self.writer.finish().await;
@@ -512,7 +512,7 @@
             tokio::select! {
                 biased;
                 word = self.reader.next() => match word {
-                    Some((ToPredecessor::CancelCall(message, reason), _)) => driver.stop_call(message, reason),
+                    Some((ToPredecessor::CancelCall(message, reason), _)) => driver.cancel_call(message, reason),
                     Some((ToPredecessor::AdminResult(number, done), _)) => {
                         if let Some(answer) = asked.remove(&number) {
                             let _ = answer.send(done);
@@ -558,7 +558,7 @@
                 },
                 () = sleep_until(next.unwrap_or(never)), if next.is_some() => {
                     abandoned = true;
-                    driver.abandon();
+                    driver.drop_calls();
                 }
             }
         }
--- a/src/bin/delivery-gateway/http_client/mod.rs
+++ b/src/bin/delivery-gateway/http_client/mod.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    pub fn take_used(&self) -> Used {
+    pub fn take_counters(&self) -> Used {
         self.used.take()
     }
 
@@ -173,18 +173,18 @@
     }
 
     /// Closes the idle connections to an endpoint, and those with a call as soon as it ends.
-    pub fn close(&self, endpoint: EndpointId) {
+    pub fn close_idle(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
         self.shut.borrow_mut().insert(endpoint, Instant::now());
     }
 
     /// Closes the idle connections to all endpoints but some.
-    pub fn keep_only(&self, which: impl Fn(EndpointId) -> bool) {
+    pub fn retain_endpoints(&self, which: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|endpoint, _| which(*endpoint));
     }
 
     /// Closes what has been idle for too long or was closed by the other side.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(|c| self.usable(c));
@@ -215,15 +215,15 @@
     }
 
     /// Keeps so many idle connections from now on, and gives the number before.
-    pub fn keep_idle(&self, most: usize) -> usize {
+    pub fn set_max_idle(&self, most: usize) -> usize {
         if most == 0 {
-            self.keep_only(|_| false);
+            self.retain_endpoints(|_| false);
         }
         self.most_idle.replace(most)
     }
 
     /// A descriptor that another process holds for a call of this courier.
-    pub fn held_elsewhere(&self) -> Descriptor {
+    pub fn reserve_descriptor(&self) -> Descriptor {
         Descriptor::new(&self.open, &self.closed)
     }
 
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -49,8 +49,11 @@
     }
     let of = runs.len() as u32;
     Ok((0..of).zip(runs).map(move |(place, run)| {
-        let update =
-            DiscoveryUpdate { rev, all: all && place == 0, targets: run.into_iter().cloned().collect() };
+        let update = DiscoveryUpdate {
+            revision: rev,
+            is_snapshot: all && place == 0,
+            endpoints: run.into_iter().cloned().collect(),
+        };
         if of == 1 {
             Record::Targets(update)
         } else {
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -24,7 +24,7 @@
 
 pub use record::{
     AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, PendingMessage,
-    Sent,
+    SentRecord,
 };
 
 /// Messages are taken on only while what is live fits into this part of the disk ...
@@ -64,10 +64,10 @@
     /// Bytes that a compacted file would need at most.
     live: u64,
     disk: u64,
-    pub image: JournalState,
+    pub state: JournalState,
     /// Records that the image holds and the file does not, the oldest first.
     unwritten: VecDeque<Record>,
-    /// The list in the file is older than that of the image.
+    /// The list in the file is older than that of the state.
     list_unwritten: bool,
     /// A failed write may have left bytes behind the end, which the next process could take for a record.
     tail_unclean: bool,
@@ -90,15 +90,15 @@
         let disk = disk.saturating_sub(CLOCK_FILE);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
         let end = file.metadata()?.len();
-        let mut image = JournalState::default();
+        let mut state = JournalState::default();
         // One record at a time: a file may be larger than the memory.
         let mut reader = BufReader::new(&file);
         let mut size = 0;
         while let Some((record, length)) = read_frame(&mut reader, end - size)? {
-            image.apply(record);
+            state.apply(record);
             size += length;
         }
-        let live = image.held.values().map(cost).sum();
+        let live = state.pending.values().map(cost).sum();
         let clock = read_clock(&path)?;
         let mut journal = Journal {
             path,
@@ -106,7 +106,7 @@
             size,
             live,
             disk,
-            image,
+            state,
             unwritten: VecDeque::new(),
             list_unwritten: false,
             tail_unclean: end > size,
@@ -123,12 +123,12 @@
     }
 
     /// Whether the file says all that the image does, and no more.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.has_all_records() && !self.list_unwritten && !self.clock_unwritten && !self.tail_unclean
     }
 
     /// Whether a failed write may have left a whole record behind, which the next process would believe.
-    pub fn tail_is_unclean(&self) -> bool {
+    pub fn has_unclean_tail(&self) -> bool {
         self.tail_unclean
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Writes what could not be written before.
-    pub fn settle(&mut self) -> Result<(), JournalError> {
+    pub fn flush(&mut self) -> Result<(), JournalError> {
         self.write_records()?;
         if self.list_unwritten {
             self.write_list()?;
@@ -165,10 +165,10 @@
     /// Writes the whole list, in the place of changes that could not be written.
     fn write_list(&mut self) -> Result<(), JournalError> {
         let mut bytes = Vec::new();
-        for piece in pieces(&self.image.destinations)? {
+        for piece in pieces(&self.state.destinations)? {
             bytes.extend(frame(&Record::Destinations(piece.into_iter().copied().collect()))?);
         }
-        for record in list_records(self.image.rev, true, self.image.targets.values())? {
+        for record in list_records(self.state.endpoints_revision, true, self.state.endpoints.values())? {
             bytes.extend(frame(&record)?);
         }
         self.write(&bytes)?;
@@ -183,14 +183,14 @@
     }
 
     /// Takes a message on and gives it its number; after this it outlasts the process.
-    pub fn take(&mut self, taken: AcceptedRecord) -> Result<u32, JournalError> {
+    pub fn accept(&mut self, taken: AcceptedRecord) -> Result<u32, JournalError> {
         if self.tail_unclean {
             self.clean_tail();
         }
         if self.tail_unclean {
             return Err(JournalError::Unclean);
         }
-        let number = self.image.last + 1;
+        let number = self.state.last_number + 1;
         let more = taken_cost(&taken);
         if self.live + more > self.part(LIVE_PART) {
             return Err(JournalError::Full);
@@ -206,71 +206,75 @@
     }
 
     /// An attempt is about to be made.
-    pub fn start(&mut self, number: u32, sent: Sent) -> Result<(), JournalError> {
+    pub fn record_attempt(&mut self, number: u32, sent: SentRecord) -> Result<(), JournalError> {
         self.promise(Record::Start(number, sent))
     }
 
     /// The attempt that was out has ended.
-    pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
+    pub fn record_attempt_outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
         self.tell_of_attempt(Record::Outcome(number, may_have_run), number)
     }
 
     /// The attempt that was out was not made after all, and is none of those that the message has.
-    pub fn not_made(&mut self, number: u32) -> Result<(), JournalError> {
+    pub fn record_local_failure(&mut self, number: u32) -> Result<(), JournalError> {
         self.tell_of_attempt(Record::NotMade(number), number)
     }
 
     /// A message has its final outcome, which nobody has been told yet.
-    pub fn owe(&mut self, number: u32, final_outcome: FinalOutcome) -> Result<(), JournalError> {
+    pub fn record_final_outcome(
+        &mut self,
+        number: u32,
+        final_outcome: FinalOutcome,
+    ) -> Result<(), JournalError> {
         self.tell(Record::Owe(number, final_outcome))
     }
 
     /// A message has its end: it was delivered, its notice was answered, or nobody wants it.
-    pub fn over(&mut self, number: u32) -> Result<(), JournalError> {
-        let Some(less) = self.image.held.get(&number).map(cost) else { return Ok(()) };
+    pub fn remove(&mut self, number: u32) -> Result<(), JournalError> {
+        let Some(less) = self.state.pending.get(&number).map(cost) else { return Ok(()) };
         self.live = self.live.saturating_sub(less);
         self.tell(Record::Over(number))
     }
 
     /// Writes all of an update or, as far as the next process is concerned, nothing of it: the whole list later.
-    pub fn targets(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
+    pub fn record_endpoints(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
         if self.list_unwritten {
-            self.image.list(update);
+            self.state.list(update);
             return self.write_list();
         }
         let written = self.write_update(&update);
-        self.image.list(update);
+        self.state.list(update);
         self.list_unwritten = written.is_err();
         written
     }
 
     fn write_update(&mut self, update: &DiscoveryUpdate) -> Result<(), JournalError> {
         let mut bytes = Vec::new();
-        for record in list_records(update.rev, update.all, &update.targets)? {
+        for record in list_records(update.revision, update.is_snapshot, &update.endpoints)? {
             bytes.extend(frame(&record)?);
         }
         // At once, as a compaction between two parts would lose the first.
         self.write(&bytes)
     }
 
-    pub fn circuit_records(&mut self, changes: &[CircuitNoteChange]) -> Result<(), JournalError> {
+    pub fn record_circuits(&mut self, changes: &[CircuitNoteChange]) -> Result<(), JournalError> {
         for piece in pieces(changes)? {
             self.promise(Record::CircuitChanges(piece.into_iter().cloned().collect()))?;
         }
         Ok(())
     }
 
-    pub fn detached(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
+    pub fn record_endpoint_disabled(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
         self.promise(Record::Detached(uid.to_owned(), out))
     }
 
     /// The last reading of the clock; none in a folder of an older build, whose journal counts in wall time.
-    pub fn clock(&self) -> Option<&ClockReading> {
+    pub fn clock_reading(&self) -> Option<&ClockReading> {
         self.clock.as_ref()
     }
 
     /// How journal time goes on from now.
-    pub fn set_clock(&mut self, reading: ClockReading) -> Result<(), JournalError> {
+    pub fn record_clock(&mut self, reading: ClockReading) -> Result<(), JournalError> {
         self.clock = Some(reading);
         self.clock_unwritten = true;
         self.write_clock()
@@ -294,7 +298,7 @@
     fn promise(&mut self, record: Record) -> Result<(), JournalError> {
         self.write_records()?;
         self.write(&frame(&record)?)?;
-        self.image.apply(record);
+        self.state.apply(record);
         Ok(())
     }
 
@@ -302,9 +306,9 @@
     fn tell(&mut self, record: Record) -> Result<(), JournalError> {
         let written = self.write_records().and_then(|()| self.write(&frame(&record)?));
         if written.is_ok() {
-            self.image.apply(record);
+            self.state.apply(record);
         } else {
-            self.image.apply(record.clone());
+            self.state.apply(record.clone());
             self.unwritten.push_back(record);
         }
         written
@@ -312,7 +316,7 @@
 
     /// The same of the attempt that is out; one that could not be written down never was.
     fn tell_of_attempt(&mut self, record: Record, number: u32) -> Result<(), JournalError> {
-        let is_out = self.image.held.get(&number).is_some_and(|held| held.out.is_some());
+        let is_out = self.state.pending.get(&number).is_some_and(|held| held.in_flight.is_some());
         if is_out {
             self.tell(record)
         } else {
@@ -389,21 +393,22 @@
             }
             Ok(file.write_all(&bytes)?)
         };
-        list_records(self.image.rev, true, self.image.targets.values())?.try_for_each(&mut write)?;
-        for piece in pieces(&self.image.destinations)? {
+        list_records(self.state.endpoints_revision, true, self.state.endpoints.values())?
+            .try_for_each(&mut write)?;
+        for piece in pieces(&self.state.destinations)? {
             write(Record::Destinations(piece.into_iter().copied().collect()))?;
         }
-        for piece in pieces(self.image.circuit_records.notes())? {
+        for piece in pieces(self.state.circuits.notes())? {
             let noted = |note: &CircuitNote| CircuitNoteChange::Noted(note.clone());
             write(Record::CircuitChanges(piece.into_iter().map(noted).collect()))?;
         }
-        for uid in &self.image.detached {
+        for uid in &self.state.disabled_endpoints {
             write(Record::Detached(uid.clone(), true))?;
         }
-        for (number, held) in &self.image.held {
+        for (number, held) in &self.state.pending {
             write(Record::Whole(*number, held.clone()))?;
-            if !held.taken.tenant.is_empty() {
-                write(Record::Tenant(*number, held.taken.tenant.clone()))?;
+            if !held.message.tenant.is_empty() {
+                write(Record::Tenant(*number, held.message.tenant.clone()))?;
             }
         }
         let file = file.into_inner().map_err(io::IntoInnerError::into_error)?;
@@ -432,5 +437,5 @@
 }
 
 fn cost(held: &PendingMessage) -> u64 {
-    taken_cost(&held.taken)
+    taken_cost(&held.message)
 }
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -12,14 +12,14 @@
 pub struct AcceptedRecord {
     pub id: String,
     /// Zero in classes without order.
-    pub key: u64,
+    pub ordering_key: u64,
     /// By name: its place in the settings may differ after a restart.
     pub class: String,
     pub destination: u32,
     pub idempotency_key: Option<String>,
     /// Journal time in milliseconds, as are all times here; see [`ClockReading`].
     pub deadline_ms: u64,
-    pub again: bool,
+    pub redelivered: bool,
     pub body: Bytes,
     /// By name; empty where none was told. In a record of its own, as older journals have none.
     #[serde(skip)]
@@ -33,18 +33,24 @@
     Returned { after_ms: u64 },
 }
 
-/// When an attempt was sent, and to which zone.
-pub type Sent = (u64, u8);
+/// When an attempt was sent, in journal time, and to which zone. Encoded as its fields, one after the other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SentRecord {
+    /// Journal time, in milliseconds.
+    pub sent_ms: u64,
+    /// The place of the zone in the settings.
+    pub zone: u8,
+}
 
 /// A message that the courier still owes its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PendingMessage {
-    pub taken: AcceptedRecord,
+    pub message: AcceptedRecord,
     pub attempts: u32,
     /// The first attempt that may have run.
-    pub first_uncertain_attempt: Option<Sent>,
+    pub first_uncertain_attempt: Option<SentRecord>,
     /// The attempt that has no outcome yet: after a restart it may have run.
-    pub out: Option<Sent>,
+    pub in_flight: Option<SentRecord>,
     pub final_outcome: Option<FinalOutcome>,
 }
 
@@ -63,11 +69,11 @@
 pub struct CircuitNote {
     pub destination: u32,
     pub uid: Option<String>,
-    pub since_ms: u64,
+    pub last_success_ms: u64,
     pub failure_score: u32,
-    pub lost: Option<bool>,
-    pub returned_ms: Option<u64>,
-    pub share: f64,
+    pub calls_lost: Option<bool>,
+    pub slow_start_ms: Option<u64>,
+    pub baseline_rate: f64,
 }
 
 /// What an outage is of: a destination, or the endpoint of this uid where endpoints are separate routes.
@@ -95,20 +101,20 @@
         CircuitNote {
             destination: outage.destination.0,
             uid,
-            since_ms: wall(outage.last_success_at),
+            last_success_ms: wall(outage.last_success_at),
             failure_score: outage.failure_score,
-            lost: outage.calls_lost,
-            returned_ms: outage.slow_start_since.map(wall),
-            share: outage.baseline_rate,
+            calls_lost: outage.calls_lost,
+            slow_start_ms: outage.slow_start_since.map(wall),
+            baseline_rate: outage.baseline_rate,
         }
     }
 }
 
-/// One change of the image.
+/// One change of the state.
 #[derive(Clone, Serialize, Deserialize)]
 pub enum Record {
     Take(u32, AcceptedRecord),
-    Start(u32, Sent),
+    Start(u32, SentRecord),
     /// The outcome of the attempt that was out; whether it may have run.
     Outcome(u32, bool),
     Owe(u32, FinalOutcome),
@@ -161,7 +167,7 @@
     }
 
     pub fn change(&mut self, change: CircuitNoteChange) {
-        let out = |note: &CircuitNote| usize::from(note.lost.is_some());
+        let out = |note: &CircuitNote| usize::from(note.calls_lost.is_some());
         let before = match change {
             CircuitNoteChange::Noted(note) => {
                 self.out += out(&note);
@@ -177,15 +183,15 @@
 #[derive(Default)]
 pub struct JournalState {
     /// Messages by the number that they were given when taken on, so in that order.
-    pub held: BTreeMap<u32, PendingMessage>,
-    pub last: u32,
-    pub rev: u64,
-    pub targets: BTreeMap<String, DiscoveredEndpoint>,
+    pub pending: BTreeMap<u32, PendingMessage>,
+    pub last_number: u32,
+    pub endpoints_revision: u64,
+    pub endpoints: BTreeMap<String, DiscoveredEndpoint>,
     /// One that has no endpoints just now may get others.
     pub destinations: BTreeSet<u32>,
-    pub circuit_records: CircuitNotes,
+    pub circuits: CircuitNotes,
     /// Endpoints that operators leave out, by their uids, listed or not.
-    pub detached: BTreeSet<String>,
+    pub disabled_endpoints: BTreeSet<String>,
     /// The parts so far of a list that is not whole yet.
     parts: Vec<DiscoveryUpdate>,
 }
@@ -195,47 +201,47 @@
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Take(number, taken) => {
-                self.last = self.last.max(number);
+                self.last_number = self.last_number.max(number);
                 let held = PendingMessage {
-                    taken,
+                    message: taken,
                     attempts: 0,
                     first_uncertain_attempt: None,
-                    out: None,
+                    in_flight: None,
                     final_outcome: None,
                 };
-                self.held.insert(number, held);
+                self.pending.insert(number, held);
             }
             Record::Whole(number, held) => {
-                self.last = self.last.max(number);
-                self.held.insert(number, held);
+                self.last_number = self.last_number.max(number);
+                self.pending.insert(number, held);
             }
             Record::Start(number, sent) => {
-                if let Some(held) = self.held.get_mut(&number) {
+                if let Some(held) = self.pending.get_mut(&number) {
                     held.attempts += 1;
                     // One that has no outcome may have run, also if another was begun after it.
-                    held.first_uncertain_attempt = held.first_uncertain_attempt.or(held.out.take());
-                    held.out = Some(sent);
+                    held.first_uncertain_attempt = held.first_uncertain_attempt.or(held.in_flight.take());
+                    held.in_flight = Some(sent);
                 }
             }
             Record::Outcome(number, may_have_run) => {
-                if let Some(held) = self.held.get_mut(&number) {
-                    let sent = held.out.take().filter(|_| may_have_run);
+                if let Some(held) = self.pending.get_mut(&number) {
+                    let sent = held.in_flight.take().filter(|_| may_have_run);
                     held.first_uncertain_attempt = held.first_uncertain_attempt.or(sent);
                 }
             }
             Record::NotMade(number) => {
-                if let Some(held) = self.held.get_mut(&number).filter(|held| held.out.is_some()) {
+                if let Some(held) = self.pending.get_mut(&number).filter(|held| held.in_flight.is_some()) {
                     held.attempts = held.attempts.saturating_sub(1);
-                    held.out = None;
+                    held.in_flight = None;
                 }
             }
             Record::Owe(number, final_outcome) => {
-                if let Some(held) = self.held.get_mut(&number) {
+                if let Some(held) = self.pending.get_mut(&number) {
                     held.final_outcome = Some(final_outcome);
                 }
             }
             Record::Over(number) => {
-                self.held.remove(&number);
+                self.pending.remove(&number);
             }
             Record::Targets(update) => {
                 self.parts.clear();
@@ -254,37 +260,35 @@
                 }
             }
             Record::Circuits(notes) => {
-                self.circuit_records = CircuitNotes::default();
-                notes
-                    .into_iter()
-                    .for_each(|note| self.circuit_records.change(CircuitNoteChange::Noted(note)));
+                self.circuits = CircuitNotes::default();
+                notes.into_iter().for_each(|note| self.circuits.change(CircuitNoteChange::Noted(note)));
             }
             Record::CircuitChanges(changes) => {
-                changes.into_iter().for_each(|change| self.circuit_records.change(change));
+                changes.into_iter().for_each(|change| self.circuits.change(change));
             }
             Record::Tenant(number, tenant) => {
-                if let Some(held) = self.held.get_mut(&number) {
-                    held.taken.tenant = tenant;
+                if let Some(held) = self.pending.get_mut(&number) {
+                    held.message.tenant = tenant;
                 }
             }
             Record::Destinations(destinations) => self.destinations.extend(destinations),
-            Record::Detached(uid, true) => drop(self.detached.insert(uid)),
-            Record::Detached(uid, false) => drop(self.detached.remove(&uid)),
+            Record::Detached(uid, true) => drop(self.disabled_endpoints.insert(uid)),
+            Record::Detached(uid, false) => drop(self.disabled_endpoints.remove(&uid)),
         }
     }
 
     /// Takes an update of the list in.
     pub fn list(&mut self, update: DiscoveryUpdate) {
-        self.rev = update.rev;
-        if update.all {
-            self.targets.clear();
+        self.endpoints_revision = update.revision;
+        if update.is_snapshot {
+            self.endpoints.clear();
         }
-        for target in update.targets {
-            self.destinations.insert(target.pod_group);
-            if target.is_gone() {
-                self.targets.remove(&target.uid);
+        for target in update.endpoints {
+            self.destinations.insert(target.destination);
+            if target.is_removed() {
+                self.endpoints.remove(&target.uid);
             } else {
-                self.targets.insert(target.uid.clone(), target);
+                self.endpoints.insert(target.uid.clone(), target);
             }
         }
     }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -276,16 +276,16 @@
     let mut listener = match begun {
         None => {
             first = driver.initial_watch_delay();
-            driver.restore(&known);
+            driver.recover(&known);
             bind(&config.listen).await?.0
         }
         Some(HandedOver { memory, listener, lock: held, old }) => {
             lock = held;
             match memory {
-                Ok(baton) => driver.resume(baton, old.stop()),
+                Ok(baton) => driver.resume_from(baton, old.stop()),
                 Err(carried_over_constraints) => {
-                    driver.restore(&known);
-                    driver.obey(carried_over_constraints);
+                    driver.recover(&known);
+                    driver.apply_constraints(carried_over_constraints);
                 }
             }
             tokio::task::spawn_local(old.follow(inputs.clone(), clients.clone()));
@@ -307,7 +307,8 @@
     door.open(inputs.clone(), phases);
     loop {
         let accepting = tokio::task::spawn_local(clients.clone().serve(listener));
-        let watch = EndpointWatch { agent: agent.clone(), rev: driver.rev(), again: again.clone() };
+        let watch =
+            EndpointWatch { agent: agent.clone(), rev: driver.endpoints_revision(), again: again.clone() };
         let first = std::mem::take(&mut first);
         let listed = inputs.clone();
         let tell = move |news| drop(listed.send(GatewayEvent::Discovery(news)));
@@ -318,16 +319,16 @@
                 () = driver.run(&mut events) => return Ok(()),
                 next = offer.asked(memory) => next,
             };
-            if *phase.borrow() != ServicePhase::ShuttingDown && driver.journal_is_settled() {
+            if *phase.borrow() != ServicePhase::ShuttingDown && driver.journal_is_flushed() {
                 break next;
             }
             next.refuse().await;
         };
         if !next.shares_memory {
             info!("calls end before the hand-over: the other process cannot go on with them");
-            driver.begin_nothing();
+            driver.stop_starting_calls();
             let end = Instant::now() + handover::FINISH;
-            while driver.has_calls() && Instant::now() < end {
+            while driver.has_calls_in_flight() && Instant::now() < end {
                 tokio::select! {
                     () = driver.run(&mut events) => return Ok(()),
                     () = sleep(LOOK) => {}
@@ -349,12 +350,12 @@
             settled = settle => settled,
         };
         listener = returned.map_err(std::io::Error::other).map_err(StartError::System)?;
-        driver.drain(&mut events);
+        driver.process_queued(&mut events);
         if !next.shares_memory {
-            driver.end_calls(&mut events).await;
+            driver.abort_calls(&mut events).await;
         }
         // What the journal does not hold yet would be lost to the other process.
-        let given = if driver.journal_is_settled() {
+        let given = if driver.journal_is_flushed() {
             next.give(&mut driver, &mut events, &mut moved, &listener, &lock).await
         } else {
             next.refuse().await;
@@ -362,20 +363,20 @@
         };
         match given {
             HandoverResult::Completed => return Ok(()),
-            HandoverResult::Refused => driver.stand(before),
+            HandoverResult::Refused => driver.resume_phase(before),
             HandoverResult::TakenBack(kept) => {
                 let untouched = driver.journal_is_untouched();
                 warn!(untouched, "the other process has gone before it was in service: this one goes on");
                 if untouched {
-                    driver.rest(false);
+                    driver.pause_idle_connections(false);
                     kept.into_iter().for_each(|input| driver.handle(input));
                 } else {
                     // What the other one did is in the journal alone, and so is what may have run there.
-                    driver.give_up(&mut events).await;
+                    driver.abandon_calls(&mut events).await;
                     driver = plan.driver().await?;
-                    driver.restore(&known);
+                    driver.recover(&known);
                 }
-                driver.stand(before);
+                driver.resume_phase(before);
             }
         }
         while let Ok(client) = moved.try_recv() {
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -543,7 +543,7 @@
             }
             Some(b"ENQUEUE") => match EnqueueRequest::read(words) {
                 Ok(mut enqueue) => {
-                    enqueue.left = enqueue.left.saturating_sub(std::mem::take(&mut self.waited));
+                    enqueue.time_left = enqueue.time_left.saturating_sub(std::mem::take(&mut self.waited));
                     if !self.gone() {
                         return self.hand_in(enqueue).await;
                     }
@@ -632,7 +632,8 @@
 impl EnqueueRequest {
     /// Whether a message that is held is this one. What is left of its time differs from try to try.
     pub fn is_same(&self, held: &AcceptedRecord) -> bool {
-        (self.key, &self.class, self.destination) == (held.key, &held.class, held.destination)
+        (self.ordering_key, &self.class, self.destination)
+            == (held.ordering_key, &held.class, held.destination)
             && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
     }
 
@@ -665,16 +666,16 @@
         }
         Ok(EnqueueRequest {
             id,
-            key,
+            ordering_key: key,
             class: field("c").ok_or("c is missing")?.to_owned(),
             tenant: field("t").unwrap_or_default().to_owned(),
             destination: field("dest").and_then(|v| v.parse().ok()).ok_or("dest is missing or no number")?,
-            left: field("d")
+            time_left: field("d")
                 .and_then(|v| v.parse().ok())
                 .map(Duration::from_millis)
                 .ok_or("d is missing or no number")?,
             idempotency_key,
-            again: field("again") == Some("1"),
+            redelivered: field("again") == Some("1"),
             // A copy of its own: a slice would keep all that was read with it.
             body: Bytes::copy_from_slice(body),
         })
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -5,7 +5,7 @@
 //! told in the log. It knows no pace, worth or health.
 
 use delivery_gateway::{
-    Class, DeduplicationScope, DestinationId, EndpointId, Idempotency, Settings, Time, ZoneId,
+    Class, DeduplicationScope, DestinationId, EndpointId, Idempotency, SentAttempt, Settings, Time, ZoneId,
 };
 use std::collections::HashMap;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     /// Attempts made so far.
     pub attempts: u32,
     /// When and where it was first sent, of the attempts that may have run.
-    pub may_have_run: Option<(Time, ZoneId)>,
+    pub may_have_run: Option<SentAttempt>,
     pub to: Receiver,
 }
 
@@ -117,11 +117,13 @@
         }
         match (class.idempotency, may_have_run) {
             (Idempotency::NonIdempotent, Some(_)) => Err(Breach::MayHaveRun),
-            (Idempotency::IdempotentWithKey, Some((first, _))) if now > *first + class.idempotency_window => {
+            (Idempotency::IdempotentWithKey, Some(first))
+                if now > first.sent_at + class.idempotency_window =>
+            {
                 Err(Breach::WindowOver)
             }
-            (Idempotency::IdempotentWithKey, Some((_, zone)))
-                if class.deduplication_scope == DeduplicationScope::Zone && *zone != attempt.to.zone =>
+            (Idempotency::IdempotentWithKey, Some(first))
+                if class.deduplication_scope == DeduplicationScope::Zone && first.zone != attempt.to.zone =>
             {
                 Err(Breach::OtherZone)
             }
--- a/src/bin/testbed/scheduler_sweeps.rs
+++ b/src/bin/testbed/scheduler_sweeps.rs
@@ -71,19 +71,22 @@
         let failed = |error| NotRun::failed("the list", error);
         let named = |entry: &Endpoint, state: &str| DiscoveredEndpoint {
             uid: format!("s-{:08x}", entry.id.0),
-            endpoint: "127.0.0.1:9".into(),
-            az: "kingston".into(),
-            model: "banks".into(),
-            pod_group: entry.destination.0,
+            address: "127.0.0.1:9".into(),
+            zone: "kingston".into(),
+            kind: "banks".into(),
+            destination: entry.destination.0,
             state: state.into(),
             capacity_hint: entry.weight,
         };
         let targets = endpoints.iter().map(|entry| named(entry, "SERVING")).collect();
-        let whole = serde_json::to_vec(&DiscoveryUpdate { rev: 1, all: true, targets }).map_err(failed)?;
+        let whole =
+            serde_json::to_vec(&DiscoveryUpdate { revision: 1, is_snapshot: true, endpoints: targets })
+                .map_err(failed)?;
         let mut changes = Vec::new();
         for state in ["DRAINING", "SERVING"] {
             for entry in endpoints.iter().step_by(endpoints.len().div_ceil(CHANGING)) {
-                let update = DiscoveryUpdate { rev: 2, all: false, targets: vec![named(entry, state)] };
+                let update =
+                    DiscoveryUpdate { revision: 2, is_snapshot: false, endpoints: vec![named(entry, state)] };
                 changes.push(serde_json::to_vec(&update).map_err(failed)?);
             }
         }
@@ -311,7 +314,7 @@
             let update: DiscoveryUpdate = serde_json::from_slice(&changes[self.at])
                 .map_err(|error| NotRun::failed("the list", error))?;
             self.hollow.tell(Event::EndpointsUpdated(directory.apply(&update)));
-            directory.forget_gone(|_| false);
+            directory.forget_removed(|_| false);
             self.at = (self.at + 1) % changes.len();
         } else {
             self.hollow.hand_in(self.worked[self.at]);
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -78,7 +78,7 @@
             match what {
                 Some(WatchEvent::Updated(update)) => {
                     self.hollow.tell(Event::EndpointsUpdated(self.directory.apply(&update)));
-                    let _ = heard.send(Heard::Has(update.rev));
+                    let _ = heard.send(Heard::Has(update.revision));
                 }
                 Some(WatchEvent::Established) => {
                     self.hollow.tell(Event::WatchEstablished);
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -15,13 +15,17 @@
     /// The endpoint's name. Another one in its place has another.
     pub uid: String,
     /// Its address, as `IP:port`.
-    pub endpoint: String,
+    #[serde(rename = "endpoint")]
+    pub address: String,
     /// The name of its zone.
-    pub az: String,
+    #[serde(rename = "az")]
+    pub zone: String,
     /// The name of its kind.
-    pub model: String,
+    #[serde(rename = "model")]
+    pub kind: String,
     /// The number of its destination.
-    pub pod_group: u32,
+    #[serde(rename = "pod_group")]
+    pub destination: u32,
     /// `SERVING`, `DRAINING` or `DELETED`; what else it may be counts as draining.
     pub state: String,
     /// See [`WeightSource`](crate::WeightSource).
@@ -30,7 +34,7 @@
 
 impl DiscoveredEndpoint {
     /// Whether the list holds the endpoint no more.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_removed(&self) -> bool {
         self.state == "DELETED"
     }
 }
@@ -39,11 +43,14 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DiscoveryUpdate {
     /// The version of the list that this leads to.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// The whole list: what it does not name is gone.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub is_snapshot: bool,
     /// The entries, or those that have changed.
-    pub targets: Vec<DiscoveredEndpoint>,
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
 /// The numbers that stand for names, for the next process: the module's memory is in terms of them.
@@ -99,7 +106,7 @@
     }
 
     /// What the next process needs to go on with the same numbers.
-    pub fn numbers(&self) -> EndpointIdTable {
+    pub fn id_table(&self) -> EndpointIdTable {
         EndpointIdTable {
             zones: self.zones.clone(),
             destination_kinds: self.destination_kinds.clone(),
@@ -109,7 +116,7 @@
     }
 
     /// Goes on with the numbers of another process.
-    pub fn renumber(&mut self, numbers: EndpointIdTable) {
+    pub fn adopt_ids(&mut self, numbers: EndpointIdTable) {
         (self.zones, self.destination_kinds, self.last) =
             (numbers.zones, numbers.destination_kinds, numbers.last);
         self.numbers = numbers.numbers.into_iter().collect();
@@ -128,12 +135,12 @@
     }
 
     /// Messages that one call to an endpoint may carry.
-    pub fn batch(&self, id: EndpointId) -> usize {
+    pub fn max_batch(&self, id: EndpointId) -> usize {
         self.entries.get(&id).map_or(1, |entry| entry.batch)
     }
 
     /// Whether its limits and waits are its own, and not its whole destination's.
-    pub fn is_apart(&self, id: EndpointId) -> bool {
+    pub fn has_own_limits(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.is_apart)
     }
 
@@ -148,7 +155,7 @@
     }
 
     /// The number of a name, if it has one.
-    pub fn number(&self, uid: &str) -> Option<EndpointId> {
+    pub fn endpoint_id(&self, uid: &str) -> Option<EndpointId> {
         self.numbers.get(uid).copied()
     }
 
@@ -159,7 +166,7 @@
     }
 
     /// Leaves an endpoint out, or uses it again, and gives its number. It need not be listed (any more).
-    pub fn detach(&mut self, uid: &str, out: bool) -> EndpointId {
+    pub fn set_disabled(&mut self, uid: &str, out: bool) -> EndpointId {
         let id = self.number_of(uid);
         if out {
             self.detached.insert(id);
@@ -173,18 +180,18 @@
     }
 
     /// Whether an endpoint is not listed any more, and not forgotten yet.
-    pub fn is_gone(&self, id: EndpointId) -> bool {
+    pub fn is_removed(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.mode == Availability::Removed)
     }
 
     /// Whether there are endpoints that are not listed and not forgotten.
-    pub fn has_unlisted(&self) -> bool {
+    pub fn has_removed(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
     /// Forgets the endpoints that are not listed any more, but those that are still needed. What operators leave out
     /// keeps its number. It looks at none that is listed.
-    pub fn forget_gone(&mut self, needed: impl Fn(EndpointId) -> bool) {
+    pub fn forget_removed(&mut self, needed: impl Fn(EndpointId) -> bool) {
         let EndpointDirectory { unlisted, entries, numbers, detached, .. } = self;
         unlisted.retain(|id, uid| {
             if needed(*id) {
@@ -201,15 +208,15 @@
 
     /// Takes news of the list in and words them for the module.
     pub fn apply(&mut self, update: &DiscoveryUpdate) -> EndpointUpdate {
-        if update.all {
-            self.apply_whole(&update.targets)
+        if update.is_snapshot {
+            self.apply_snapshot(&update.endpoints)
         } else {
-            EndpointUpdate::Delta(update.targets.iter().map(|target| self.entry(target)).collect())
+            EndpointUpdate::Delta(update.endpoints.iter().map(|target| self.entry(target)).collect())
         }
     }
 
     /// Takes a whole list in, and words it for the module.
-    pub fn apply_whole<'a>(
+    pub fn apply_snapshot<'a>(
         &mut self,
         targets: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
     ) -> EndpointUpdate {
@@ -232,18 +239,18 @@
 
     fn entry(&mut self, target: &DiscoveredEndpoint) -> Endpoint {
         let id = self.number_of(&target.uid);
-        let address = target.endpoint.parse().ok();
+        let address = target.address.parse().ok();
         if address.is_none() {
-            warn!(uid = target.uid, endpoint = target.endpoint, "an endpoint's address cannot be read");
+            warn!(uid = target.uid, endpoint = target.address, "an endpoint's address cannot be read");
         }
         let mode = match target.state.as_str() {
             "SERVING" if address.is_some() => Availability::Ready,
             "DELETED" => Availability::Removed,
             _ => Availability::Draining,
         };
-        let zone = ZoneId(place(&mut self.zones, &target.az));
-        let kind = DestinationKindId(place(&mut self.destination_kinds, &target.model).into());
-        let (uid, destination) = (target.uid.clone(), DestinationId(target.pod_group));
+        let zone = ZoneId(place(&mut self.zones, &target.zone));
+        let kind = DestinationKindId(place(&mut self.destination_kinds, &target.kind).into());
+        let (uid, destination) = (target.uid.clone(), DestinationId(target.destination));
         let batch = self.batches.get(usize::from(kind.0)).copied().unwrap_or(1);
         let is_apart = self.apart.get(usize::from(kind.0)).copied().unwrap_or_default();
         match mode {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -90,9 +90,9 @@
             let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
             let list = timeout(WATCH_RESPONSE_TIMEOUT, fetch(&mut connection, request)).await??;
             // An agent that has heard less than the one before must not take back a drain.
-            if list.rev >= self.rev {
-                self.rev = list.rev;
-                tell(WatchEvent::Updated(DiscoveryUpdate { all: true, ..list }));
+            if list.revision >= self.rev {
+                self.rev = list.revision;
+                tell(WatchEvent::Updated(DiscoveryUpdate { is_snapshot: true, ..list }));
             }
             *whole = false;
             timeout(ANSWER, connection.ready()).await??;
@@ -141,7 +141,7 @@
                 if !blank {
                     match serde_json::from_slice::<DiscoveryUpdate>(&buffer[..=end]) {
                         Ok(update) => {
-                            self.rev = update.rev;
+                            self.rev = update.revision;
                             tell(WatchEvent::Updated(update));
                         }
                         Err(error) if error.is_eof() => {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -18,17 +18,17 @@
 fn target(uid: &str, state: &str) -> DiscoveredEndpoint {
     DiscoveredEndpoint {
         uid: uid.to_owned(),
-        endpoint: "127.0.0.1:9".to_owned(),
-        az: "kingston".to_owned(),
-        model: "banks".to_owned(),
-        pod_group: 70_000,
+        address: "127.0.0.1:9".to_owned(),
+        zone: "kingston".to_owned(),
+        kind: "banks".to_owned(),
+        destination: 70_000,
         state: state.to_owned(),
         capacity_hint: 3.5,
     }
 }
 
 fn update(all: bool, targets: Vec<DiscoveredEndpoint>) -> DiscoveryUpdate {
-    DiscoveryUpdate { rev: 1, all, targets }
+    DiscoveryUpdate { revision: 1, is_snapshot: all, endpoints: targets }
 }
 
 fn entries(listing: EndpointUpdate) -> Vec<(u32, Availability)> {
@@ -51,7 +51,7 @@
     let next = directory.apply(&update(false, vec![target("c", "SERVING"), target("a", "DELETED")]));
     assert!(matches!(next, EndpointUpdate::Delta(_)));
     assert_eq!(entries(next), [(3, Availability::Ready), (1, Availability::Removed)]);
-    assert_eq!(directory.batch(EndpointId(3)), 20);
+    assert_eq!(directory.max_batch(EndpointId(3)), 20);
     assert_eq!(directory.address(EndpointId(3)), Some(([127, 0, 0, 1], 9).into()));
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn an_address_that_cannot_be_read_drains() {
     let mut directory = directory();
-    let target = DiscoveredEndpoint { endpoint: "nowhere".to_owned(), ..target("a", "SERVING") };
+    let target = DiscoveredEndpoint { address: "nowhere".to_owned(), ..target("a", "SERVING") };
     assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Availability::Draining)]);
     assert!(!directory.is_open(EndpointId(1)));
 }
@@ -70,20 +70,20 @@
     let mut directory = directory();
     let all = ["a", "b", "c", "d"].map(|uid| target(uid, "SERVING"));
     directory.apply(&update(true, all.to_vec()));
-    directory.detach("c", true);
+    directory.set_disabled("c", true);
     directory.apply(&update(true, vec![target("d", "SERVING")]));
     let gone = |directory: &EndpointDirectory| {
-        (1..=4).map(|id| directory.is_gone(EndpointId(id))).collect::<Vec<_>>()
+        (1..=4).map(|id| directory.is_removed(EndpointId(id))).collect::<Vec<_>>()
     };
     assert_eq!(gone(&directory), [true, true, true, false]);
-    directory.forget_gone(|id| id == EndpointId(2));
+    directory.forget_removed(|id| id == EndpointId(2));
     assert_eq!(gone(&directory), [false, true, false, false]);
-    let number = |directory: &EndpointDirectory, uid: &str| directory.number(uid).map(|id| id.0);
+    let number = |directory: &EndpointDirectory, uid: &str| directory.endpoint_id(uid).map(|id| id.0);
     assert_eq!(["a", "b", "c", "d"].map(|uid| number(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
-    directory.forget_gone(|_| false);
+    directory.forget_removed(|_| false);
     assert_eq!(number(&directory, "b"), None);
     let looked_at = std::cell::RefCell::new(Vec::new());
-    directory.forget_gone(|id| {
+    directory.forget_removed(|id| {
         looked_at.borrow_mut().push(id.0);
         false
     });
@@ -92,21 +92,21 @@
     directory.apply(&update(false, vec![target("a", "SERVING"), target("c", "SERVING")]));
     assert_eq!(["a", "c"].map(|uid| number(&directory, uid)), [Some(5), Some(3)]);
     assert!(directory.is_open(EndpointId(5)) && !directory.is_open(EndpointId(3)));
-    directory.detach("c", false);
-    assert!(directory.is_open(EndpointId(3)) && !directory.has_unlisted());
+    directory.set_disabled("c", false);
+    assert!(directory.is_open(EndpointId(3)) && !directory.has_removed());
     // Numbers of another process: those that the list does not name any more are forgotten, too.
     let mut next = self::directory();
-    next.renumber(directory.numbers());
-    next.apply_whole(&[target("d", "SERVING"), target("e", "SERVING")]);
-    next.forget_gone(|id| id == EndpointId(5));
+    next.adopt_ids(directory.id_table());
+    next.apply_snapshot(&[target("d", "SERVING"), target("e", "SERVING")]);
+    next.forget_removed(|id| id == EndpointId(5));
     assert_eq!(["a", "c", "d", "e"].map(|uid| number(&next, uid)), [Some(5), None, Some(4), Some(6)]);
     // What operators use again without its being listed leaves no number behind.
-    next.detach("f", true);
-    next.forget_gone(|_| false);
+    next.set_disabled("f", true);
+    next.forget_removed(|_| false);
     assert_eq!(number(&next, "f"), Some(7));
-    next.detach("f", false);
-    next.forget_gone(|_| false);
-    assert_eq!((number(&next, "f"), next.has_unlisted()), (None, false));
+    next.set_disabled("f", false);
+    next.forget_removed(|_| false);
+    assert_eq!((number(&next, "f"), next.has_removed()), (None, false));
 }
 
 /// The decisions know nothing of the list that discovery tells.
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
-use journal::{AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, Journal};
+use journal::{AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, Journal, SentRecord};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use world::*;
@@ -181,18 +181,18 @@
     CircuitNote {
         destination,
         uid,
-        since_ms: rng.u64(..),
+        last_success_ms: rng.u64(..),
         failure_score: rng.u32(..),
-        lost: [None, Some(false), Some(true)][rng.usize(..3)],
-        returned_ms: rng.bool().then(|| rng.u64(..)),
-        share: rng.f64(),
+        calls_lost: [None, Some(false), Some(true)][rng.usize(..3)],
+        slow_start_ms: rng.bool().then(|| rng.u64(..)),
+        baseline_rate: rng.f64(),
     }
 }
 
 fn assert_noted(journal: &Journal, known: &BTreeMap<CircuitKey, CircuitNote>) {
-    let circuit_records = &journal.image.circuit_records;
+    let circuit_records = &journal.state.circuits;
     assert_eq!(circuit_records.notes().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
-    assert_eq!(circuit_records.out(), known.values().filter(|note| note.lost.is_some()).count());
+    assert_eq!(circuit_records.out(), known.values().filter(|note| note.calls_lost.is_some()).count());
 }
 
 /// Outages that are noted one by one come back as they are, over kills and compactions, and a tail that is torn
@@ -206,7 +206,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut journal = folder.journal(DISK);
         let mut known: BTreeMap<CircuitKey, CircuitNote> =
-            journal.image.circuit_records.notes().map(|note| (note.key(), note.clone())).collect();
+            journal.state.circuits.notes().map(|note| (note.key(), note.clone())).collect();
         for _ in 0..200 {
             let before = (folder.bytes(), known.clone());
             let uid = rng.bool().then(|| format!("s-{}", rng.u32(..4)));
@@ -219,7 +219,7 @@
                 known.remove(&key);
                 CircuitNoteChange::Over(key)
             };
-            journal.circuit_records(&[change]).unwrap();
+            journal.record_circuits(&[change]).unwrap();
             assert_noted(&journal, &known);
             let now = folder.bytes();
             let grown = now.starts_with(&before.0);
@@ -253,13 +253,13 @@
         .collect();
     let mut journal = folder.journal(DISK);
     let all: Vec<CircuitNoteChange> = known.values().cloned().map(CircuitNoteChange::Noted).collect();
-    journal.circuit_records(&all).unwrap();
+    journal.record_circuits(&all).unwrap();
     let whole = folder.bytes().len();
     assert!(whole > 4 << 20, "{whole} bytes would fit one record");
     let mut size = whole;
     while folder.bytes().len() >= size {
         size = folder.bytes().len();
-        journal.circuit_records(&all).unwrap();
+        journal.record_circuits(&all).unwrap();
     }
     drop(journal);
     assert_noted(&folder.journal(DISK), &known);
@@ -295,20 +295,20 @@
 fn long_update(rev: u64, all: bool, count: u32) -> DiscoveryUpdate {
     let target = |number| DiscoveredEndpoint {
         uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{rev}-{number}"),
-        endpoint: "127.0.0.1:9".to_owned(),
-        az: "kingston".to_owned(),
-        model: "banks".to_owned(),
-        pod_group: number,
+        address: "127.0.0.1:9".to_owned(),
+        zone: "kingston".to_owned(),
+        kind: "banks".to_owned(),
+        destination: number,
         state: "SERVING".to_owned(),
         capacity_hint: 1.0,
     };
-    DiscoveryUpdate { rev, all, targets: (0..count).map(target).collect() }
+    DiscoveryUpdate { revision: rev, is_snapshot: all, endpoints: (0..count).map(target).collect() }
 }
 
 /// What a journal holds of the list: its version, how many endpoints, and their least uid.
 fn listed(journal: &Journal) -> (u64, usize, Option<&str>) {
-    let image = &journal.image;
-    (image.rev, image.targets.len(), image.targets.keys().next().map(String::as_str))
+    let state = &journal.state;
+    (state.endpoints_revision, state.endpoints.len(), state.endpoints.keys().next().map(String::as_str))
 }
 
 /// A list that no record can hold is there whole or not at all, wherever its tail is torn; what was left of it spoils
@@ -319,12 +319,12 @@
     const DISK: u64 = 100_000_000;
     let folder = Folder::new("long-list");
     let mut journal = folder.journal(DISK);
-    journal.targets(long_update(1, true, 3)).unwrap();
+    journal.record_endpoints(long_update(1, true, 3)).unwrap();
     let small = folder.bytes();
     let before = listed(&journal);
     assert_eq!((before.0, before.1), (1, 3));
     let mut whole = folder.journal(DISK);
-    whole.targets(long_update(2, true, MANY)).unwrap();
+    whole.record_endpoints(long_update(2, true, MANY)).unwrap();
     let bytes = folder.bytes();
     assert!(bytes.len() > small.len() + (4 << 20), "{} bytes would fit one record", bytes.len());
     drop(whole);
@@ -339,10 +339,10 @@
         // A change of what was known, and the same list once more.
         let again = rng.bool();
         if again {
-            folder.journal(DISK).targets(long_update(2, true, MANY)).unwrap();
+            folder.journal(DISK).record_endpoints(long_update(2, true, MANY)).unwrap();
             assert_eq!(listed(&folder.journal(DISK)), after, "torn at {torn}");
         } else {
-            folder.journal(DISK).targets(long_update(3, false, 2)).unwrap();
+            folder.journal(DISK).record_endpoints(long_update(3, false, 2)).unwrap();
             let (rev, count, _) = listed(&folder.journal(DISK));
             assert_eq!((rev, count), (3, 5), "torn at {torn}");
         }
@@ -358,21 +358,21 @@
     const FAR: u32 = 1 << 21;
     let folder = Folder::new("compacted-list");
     let mut journal = folder.journal(DISK);
-    journal.image.destinations.extend(FAR..FAR + (11 << 17));
+    journal.state.destinations.extend(FAR..FAR + (11 << 17));
     let mut size = 0;
     let mut rev = 0;
     while folder.bytes().len() >= size {
         size = folder.bytes().len();
         rev += 2;
-        journal.targets(long_update(rev, true, MANY)).unwrap();
-        journal.targets(long_update(rev + 1, false, MANY)).unwrap();
+        journal.record_endpoints(long_update(rev, true, MANY)).unwrap();
+        journal.record_endpoints(long_update(rev + 1, false, MANY)).unwrap();
     }
     let known = listed(&journal);
     assert_eq!((known.0, known.1), (rev + 1, 2 * MANY as usize));
     let again = folder.journal(DISK);
     assert_eq!(listed(&again), known);
-    assert!(again.image.targets.keys().eq(journal.image.targets.keys()));
-    assert_eq!(again.image.destinations, journal.image.destinations);
+    assert!(again.state.endpoints.keys().eq(journal.state.endpoints.keys()));
+    assert_eq!(again.state.destinations, journal.state.destinations);
 }
 
 /// So many endpoints that their list fits no record, first as the start knows them and then as the watch tells them: a
@@ -413,27 +413,27 @@
 fn an_attempt_whose_outcome_is_missing_may_have_run() {
     let folder = std::env::temp_dir().join(format!("delivery-gateway-journal-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let (first, second) = ((1_000, 1), (2_000, 2));
+    let (first, second) = (SentRecord { sent_ms: 1_000, zone: 1 }, SentRecord { sent_ms: 2_000, zone: 2 });
     let mut journal = Journal::open(&folder, 1 << 20).unwrap();
-    let number = journal.take(taken("m1")).unwrap();
-    journal.start(number, first).unwrap();
-    journal.start(number, second).unwrap();
-    journal.outcome(number, false).unwrap();
+    let number = journal.accept(taken("m1")).unwrap();
+    journal.record_attempt(number, first).unwrap();
+    journal.record_attempt(number, second).unwrap();
+    journal.record_attempt_outcome(number, false).unwrap();
     let journal = Journal::open(&folder, 1 << 20).unwrap();
-    let held = &journal.image.held[&number];
-    assert_eq!((held.attempts, held.first_uncertain_attempt, held.out), (2, Some(first), None));
+    let held = &journal.state.pending[&number];
+    assert_eq!((held.attempts, held.first_uncertain_attempt, held.in_flight), (2, Some(first), None));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 fn taken(id: &str) -> AcceptedRecord {
     AcceptedRecord {
         id: id.to_owned(),
-        key: 0,
+        ordering_key: 0,
         class: "notice".to_owned(),
         destination: 1,
         idempotency_key: None,
         deadline_ms: 0,
-        again: false,
+        redelivered: false,
         body: Bytes::new(),
         tenant: String::new(),
     }
@@ -471,19 +471,24 @@
     let mut journal = Journal::open(&folder, 20_000).unwrap();
     let target = |number: u32| DiscoveredEndpoint {
         uid: format!("s-{number}"),
-        endpoint: "127.0.0.1:1".to_owned(),
-        az: "kingston".to_owned(),
-        model: "banks".to_owned(),
-        pod_group: 1,
+        address: "127.0.0.1:1".to_owned(),
+        zone: "kingston".to_owned(),
+        kind: "banks".to_owned(),
+        destination: 1,
         state: "SERVING".to_owned(),
         capacity_hint: 1.0,
     };
     let targets = (0..1000).map(target).collect();
-    assert!(journal.targets(DiscoveryUpdate { rev: 2, all: true, targets }).is_err());
-    let number = journal.take(taken("m1")).unwrap();
-    journal.start(number, (1_000, 1)).unwrap();
-    journal.outcome(number, true).unwrap();
+    assert!(journal
+        .record_endpoints(DiscoveryUpdate { revision: 2, is_snapshot: true, endpoints: targets })
+        .is_err());
+    let number = journal.accept(taken("m1")).unwrap();
+    journal.record_attempt(number, SentRecord { sent_ms: 1_000, zone: 1 }).unwrap();
+    journal.record_attempt_outcome(number, true).unwrap();
     let journal = Journal::open(&folder, 20_000).unwrap();
-    assert_eq!(journal.image.held[&number].first_uncertain_attempt, Some((1_000, 1)));
+    assert_eq!(
+        journal.state.pending[&number].first_uncertain_attempt,
+        Some(SentRecord { sent_ms: 1_000, zone: 1 })
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
