--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -79,7 +79,7 @@
 /// All that the next process needs beside the journal to go on as the same courier.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverSnapshot {
-    courier: Scheduler,
+    scheduler: Scheduler,
     /// Time since the module's clock began, when the clock was read.
     passed: Duration,
     clock: ClockReading,
@@ -142,7 +142,7 @@
 }
 
 pub struct EventLoop {
-    courier: Scheduler,
+    scheduler: Scheduler,
     clock: Clock,
     journal: Journal,
     directory: EndpointDirectory,
@@ -154,17 +154,17 @@
     classes: Vec<Class>,
     max_pending_messages: usize,
     /// The messages held, by their ids.
-    known: HashMap<String, PendingEntry>,
-    past: CompletedMessages,
-    out: HashMap<MessageId, Out>,
-    inputs: UnboundedSender<GatewayEvent>,
+    pending: HashMap<String, PendingEntry>,
+    completed: CompletedMessages,
+    in_flight: HashMap<MessageId, Out>,
+    events: UnboundedSender<GatewayEvent>,
     notifications: UnboundedSender<OutcomeNotification>,
     watch: watch::Sender<()>,
     phase: watch::Sender<ServicePhase>,
-    ends: Option<(Instant, Instant)>,
-    wake: Option<(Instant, u64)>,
+    shutdown: Option<(Instant, Instant)>,
+    timer: Option<(Instant, u64)>,
     actions: Vec<Action>,
-    counts: Counters,
+    counters: Counters,
     /// What of outages has changed and is not in the journal yet; none where nothing is remembered any more.
     unnoted: BTreeMap<CircuitKey, Option<CircuitNote>>,
     /// Names of endpoints with outages: their ends come when the list may have forgotten them.
@@ -174,12 +174,12 @@
     outage_lines: RateLimitedLog,
     wait_lines: RateLimitedLog,
     /// Final outcomes whose records could not be written yet, and until when each may stay untold.
-    untold: Vec<(OutcomeNotification, Instant)>,
+    deferred_outcomes: Vec<(OutcomeNotification, Instant)>,
     /// Looks at each attempt once more before it is made.
     guard: SendGuard,
     breach_lines: RateLimitedLog,
     /// When it is next tried to write what could not be written.
-    settle_at: Option<Instant>,
+    flush_retry_at: Option<Instant>,
 }
 
 impl EventLoop {
@@ -189,7 +189,7 @@
         seed: u64,
         mut journal: Journal,
         endpoint_sockets: usize,
-        Channels { inputs, notifications, watch, phase }: Channels,
+        Channels { events, notifications, watch, phase }: Channels,
     ) -> Self {
         parsed.settings.outcomes_need_acknowledgement = true;
         let directory = EndpointDirectory::new(&parsed);
@@ -215,47 +215,48 @@
             tenant_names: parsed.tenant_names,
             classes: settings.classes.clone(),
             max_pending_messages: settings.max_pending_messages,
-            past: CompletedMessages::new(
+            completed: CompletedMessages::new(
                 settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
             ),
-            courier: Scheduler::new(settings, seed),
+            scheduler: Scheduler::new(settings, seed),
             clock,
             journal,
             directory,
             pool,
             idle,
-            known: HashMap::new(),
-            out: HashMap::new(),
-            inputs,
+            pending: HashMap::new(),
+            in_flight: HashMap::new(),
+            events,
             notifications,
             watch,
             phase,
-            ends: None,
-            wake: None,
+            shutdown: None,
+            timer: None,
             actions: Vec::new(),
-            counts: Counters::default(),
+            counters: Counters::default(),
             unnoted: BTreeMap::new(),
             outage_uids: HashMap::new(),
             journal_errors: RateLimitedLog::default(),
             late: RateLimitedLog::default(),
             outage_lines: RateLimitedLog::default(),
             wait_lines: RateLimitedLog::default(),
-            untold: Vec::new(),
+            deferred_outcomes: Vec::new(),
             guard,
             breach_lines: RateLimitedLog::default(),
-            settle_at: None,
+            flush_retry_at: None,
         }
     }
 
     /// Goes on where another process stopped, with the calls that it still has out. `stop` tells it to end one.
     pub fn resume_from(
         &mut self,
-        baton: HandoverSnapshot,
+        snapshot: HandoverSnapshot,
         stop: impl Fn(MessageId, StopReason) + Clone + 'static,
     ) {
-        let HandoverSnapshot { courier, passed, clock, numbers, shared, calls } = baton;
-        self.courier = courier.resumed(std::mem::take(&mut self.courier));
-        let phase = if self.courier.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
+        let HandoverSnapshot { scheduler, passed, clock, numbers, shared, calls } = snapshot;
+        self.scheduler = scheduler.resumed(std::mem::take(&mut self.scheduler));
+        let phase =
+            if self.scheduler.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
         self.phase.send_replace(phase);
         self.clock = Clock::resumed(passed, clock);
         self.directory.adopt_ids(numbers);
@@ -266,7 +267,7 @@
         }
         for (number, held) in &state.pending {
             let shared = shared.contains(&MessageId(*number));
-            self.known.insert(held.message.id.clone(), PendingEntry { number: *number, shared });
+            self.pending.insert(held.message.id.clone(), PendingEntry { number: *number, shared });
             if let Some(final_outcome) = held.final_outcome {
                 // It may have been told already; a notice that comes twice does no harm.
                 let notification = OutcomeNotification {
@@ -295,8 +296,8 @@
             });
         }
         info!(
-            held = self.known.len(),
-            out = self.out.len(),
+            held = self.pending.len(),
+            out = self.in_flight.len(),
             rev = self.endpoints_revision(),
             "the courier was handed over"
         );
@@ -305,7 +306,7 @@
     /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
     pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
         let mut calls: Vec<(&Rc<CallOut>, InFlightCall)> = Vec::new();
-        for (message, out) in &self.out {
+        for (message, out) in &self.in_flight {
             match calls.iter_mut().find(|(call, _)| Rc::ptr_eq(call, &out.call)) {
                 Some((_, away)) => away.messages.push(*message),
                 None => {
@@ -314,17 +315,17 @@
                 }
             }
         }
-        let shared = self.known.values().filter(|known| known.shared);
-        let baton = HandoverSnapshot {
+        let shared = self.pending.values().filter(|known| known.shared);
+        let snapshot = HandoverSnapshot {
             passed: self.clock.elapsed(),
             clock: self.clock.reading(),
             numbers: self.directory.id_table(),
             shared: shared.map(|known| MessageId(known.number)).collect(),
             calls: calls.into_iter().map(|(_, away)| away).collect(),
-            courier: std::mem::take(&mut self.courier),
+            scheduler: std::mem::take(&mut self.scheduler),
         };
-        let bytes = postcard::to_stdvec(&baton);
-        self.courier = baton.courier;
+        let bytes = postcard::to_stdvec(&snapshot);
+        self.scheduler = snapshot.scheduler;
         bytes
     }
 
@@ -332,8 +333,12 @@
     pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
         let wait = |(id, wait): (EndpointId, Duration)| Some((self.directory.uid(id)?.to_owned(), wait));
         CarriedOverConstraints {
-            retry_after_delays: self.courier.retry_after_delays(self.clock.now()).filter_map(wait).collect(),
-            lame: self.courier.is_lame_duck(),
+            retry_after_delays: self
+                .scheduler
+                .retry_after_delays(self.clock.now())
+                .filter_map(wait)
+                .collect(),
+            lame: self.scheduler.is_lame_duck(),
         }
     }
 
@@ -343,7 +348,7 @@
         let now = self.clock.now();
         for (uid, wait) in carried_over_constraints.retry_after_delays {
             if let Some(endpoint) = self.directory.endpoint_id(&uid) {
-                self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
+                self.scheduler.handle(now, Event::RetryAfter { endpoint, delay: wait });
             }
         }
         self.resume_phase(if carried_over_constraints.lame {
@@ -356,11 +361,11 @@
     /// Begins no more calls.
     pub fn stop_starting_calls(&mut self) {
         let now = self.clock.now();
-        self.courier.handle(now, Event::ShutdownScheduled(now));
+        self.scheduler.handle(now, Event::ShutdownScheduled(now));
     }
 
     pub fn has_calls_in_flight(&self) -> bool {
-        !self.out.is_empty()
+        !self.in_flight.is_empty()
     }
 
     /// Ends the calls that are out, and takes in what comes until all have ended.
@@ -382,8 +387,10 @@
 
     /// Ends a call that this process has out for the one that decides, as far as that is still wanted.
     pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
-        let out =
-            self.out.get(&message).filter(|out| reason == StopReason::Cancelled || !out.call.sent.get());
+        let out = self
+            .in_flight
+            .get(&message)
+            .filter(|out| reason == StopReason::Cancelled || !out.call.sent.get());
         if let Some(out) = out {
             out.call.stop(reason);
         }
@@ -411,23 +418,23 @@
     /// Stands to its clients as it did before.
     pub fn resume_phase(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
-        self.courier.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
-        self.courier.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
+        self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
+        self.scheduler.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
         self.phase.send_replace(phase);
     }
 
     /// Gives up all calls.
     pub fn drop_calls(&self) {
-        self.out.values().for_each(|out| drop(out.call.stop.take()));
+        self.in_flight.values().for_each(|out| drop(out.call.stop.take()));
     }
 
     pub fn in_flight_messages(&self) -> HashSet<MessageId> {
-        self.out.keys().copied().collect()
+        self.in_flight.keys().copied().collect()
     }
 
     /// When the process ends at the latest, once it was told to.
     pub fn exit_deadline(&self) -> Option<Instant> {
-        self.ends.map(|(_, last)| last)
+        self.shutdown.map(|(_, last)| last)
     }
 
     /// Keeps no idle connections while another process makes the calls.
@@ -446,7 +453,7 @@
 
     /// After how long to watch the list for the first time.
     pub fn initial_watch_delay(&mut self) -> Duration {
-        self.courier.initial_watch_delay()
+        self.scheduler.initial_watch_delay()
     }
 
     /// The version of the list that the courier has.
@@ -462,13 +469,13 @@
         // What was told before the restart counts as told: the list that comes with the start may be older.
         if state.endpoints_revision == 0 || state.endpoints_revision < known.revision {
             let listing = self.directory.apply_snapshot(&known.endpoints);
-            self.courier.handle(now, Event::EndpointsUpdated(listing));
+            self.scheduler.handle(now, Event::EndpointsUpdated(listing));
             let written =
                 self.journal.record_endpoints(DiscoveryUpdate { is_snapshot: true, ..known.clone() });
             self.note(written);
         } else {
             let listing = self.directory.apply_snapshot(state.endpoints.values());
-            self.courier.handle(now, Event::EndpointsUpdated(listing));
+            self.scheduler.handle(now, Event::EndpointsUpdated(listing));
         }
         for uid in self.journal.state.disabled_endpoints.clone() {
             self.detach(now, &uid, true);
@@ -487,7 +494,7 @@
                 slow_start_since: note.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
                 baseline_rate: note.baseline_rate,
             };
-            self.courier.handle(now, Event::CircuitRestored(outage));
+            self.scheduler.handle(now, Event::CircuitRestored(outage));
         }
         self.note_all_outages();
         let held: Vec<u32> = self.journal.state.pending.keys().copied().collect();
@@ -507,7 +514,7 @@
             final_outcome,
         } = *held;
         let (message, id) = (MessageId(number), taken.id.clone());
-        self.known.insert(id.clone(), PendingEntry { number, shared: false });
+        self.pending.insert(id.clone(), PendingEntry { number, shared: false });
         let Some(taken) = self.accepted(number, taken) else {
             warn!(class = taken.class, "a message of a class that is not known any more is given up");
             self.owe(message, FinalOutcome::Failed);
@@ -526,7 +533,7 @@
             first_uncertain_attempt,
             outcome_recorded: final_outcome.is_some(),
         };
-        self.courier.handle(now, Event::MessageRestored(restored));
+        self.scheduler.handle(now, Event::MessageRestored(restored));
         if let Some(final_outcome) = final_outcome {
             let _ = self.notifications.send(OutcomeNotification { message, id, final_outcome });
         }
@@ -566,15 +573,15 @@
         let mut batch = Vec::with_capacity(BATCH);
         self.decide();
         loop {
-            let wake = self.wake.map(|(at, _)| at);
+            let wake = self.timer.map(|(at, _)| at);
             let never = Instant::now() + SWEEP;
-            let end = self.ends.map(|(_, last)| last);
+            let end = self.shutdown.map(|(_, last)| last);
             tokio::select! {
                 biased;
                 _ = events.recv_many(&mut batch, BATCH) => {}
                 () = sleep_until(wake.unwrap_or(never)), if wake.is_some() => {}
                 () = sleep_until(end.unwrap_or(never)), if end.is_some() => {}
-                () = sleep_until(self.settle_at.unwrap_or(never)), if self.settle_at.is_some() => {}
+                () = sleep_until(self.flush_retry_at.unwrap_or(never)), if self.flush_retry_at.is_some() => {}
                 _ = sweep.tick() => {
                     self.pool.close_expired();
                     sweeps += 1;
@@ -587,10 +594,10 @@
             for input in batch.drain(..) {
                 self.handle(input);
             }
-            if let Some((at, token)) = self.wake.filter(|(at, _)| *at <= begun) {
-                self.wake = None;
+            if let Some((at, token)) = self.timer.filter(|(at, _)| *at <= begun) {
+                self.timer = None;
                 self.lateness(begun - at, "a timer was late");
-                self.courier.handle(self.clock.now(), Event::TimerFired(token));
+                self.scheduler.handle(self.clock.now(), Event::TimerFired(token));
             }
             self.decide();
             self.settle();
@@ -605,16 +612,17 @@
     fn settle(&mut self) {
         let now = Instant::now();
         if self.journal.is_flushed() {
-            self.settle_at = None;
-        } else if self.settle_at.is_none_or(|at| at <= now) {
+            self.flush_retry_at = None;
+        } else if self.flush_retry_at.is_none_or(|at| at <= now) {
             let written = self.journal.flush();
             self.note(written);
             // Nothing waits for the list, and a long one takes its time to write.
             let gap = if self.journal.has_all_records() { SWEEP } else { SETTLE_GAP };
-            self.settle_at = (!self.journal.is_flushed()).then_some(now + gap);
+            self.flush_retry_at = (!self.journal.is_flushed()).then_some(now + gap);
         }
         let written = self.journal.has_all_records();
-        for (notification, _) in self.untold.extract_if(.., |(_, until)| written || *until <= now) {
+        for (notification, _) in self.deferred_outcomes.extract_if(.., |(_, until)| written || *until <= now)
+        {
             let _ = self.notifications.send(notification);
         }
     }
@@ -631,11 +639,11 @@
         }
         let written = self.journal.flush();
         self.note(written);
-        info!(held = self.journal.state.pending.len(), out = self.out.len(), "the courier ends");
+        info!(held = self.journal.state.pending.len(), out = self.in_flight.len(), "the courier ends");
     }
 
     fn lateness(&mut self, late: Duration, what: &str) {
-        self.counts.latest = self.counts.latest.max(late);
+        self.counters.latest = self.counters.latest.max(late);
         if late > LATE {
             if let Some(more) = self.late.due() {
                 warn!(?late, more, "{what}");
@@ -644,10 +652,11 @@
     }
 
     fn may_end(&self) -> bool {
-        let Some((least, last)) = self.ends else { return false };
+        let Some((least, last)) = self.shutdown else { return false };
         let now = Instant::now();
         // The next process is to know all that this one does.
-        let idle = self.out.is_empty() && self.journal.state.pending.is_empty() && self.journal.is_flushed();
+        let idle =
+            self.in_flight.is_empty() && self.journal.state.pending.is_empty() && self.journal.is_flushed();
         now >= last || (now >= least && idle)
     }
 
@@ -665,10 +674,10 @@
             GatewayEvent::AcceptanceNotReceived(message) => self.unheard(now, message),
             GatewayEvent::Discovery(WatchEvent::Updated(update)) => self.listed(now, update),
             GatewayEvent::Discovery(WatchEvent::Established) => {
-                self.courier.handle(now, Event::WatchEstablished)
+                self.scheduler.handle(now, Event::WatchEstablished)
             }
             GatewayEvent::Discovery(WatchEvent::Broken(why)) => {
-                self.courier.handle(now, Event::EndpointsUpdated(why))
+                self.scheduler.handle(now, Event::EndpointsUpdated(why))
             }
             GatewayEvent::CallEnded { endpoint, messages, result: ended } => {
                 self.call_ended(now, endpoint, &messages, &ended)
@@ -677,18 +686,18 @@
                 for message in messages {
                     debug!(number = message.0, "a notice was answered");
                     self.over(message);
-                    self.courier.handle(now, Event::OutcomeAcknowledged(message));
+                    self.scheduler.handle(now, Event::OutcomeAcknowledged(message));
                 }
             }
             GatewayEvent::Admin(operation, done) => {
                 let _ = done.send(self.operate(now, &operation));
             }
-            GatewayEvent::Terminate if self.ends.is_some() => {}
+            GatewayEvent::Terminate if self.shutdown.is_some() => {}
             GatewayEvent::Terminate => {
                 let begun = Instant::now();
-                info!(held = self.journal.state.pending.len(), out = self.out.len(), "told to end");
-                self.ends = Some((begun + CLOSING_LEAST, begun + CLOSING));
-                self.courier.handle(now, Event::ShutdownScheduled(now + CLOSING));
+                info!(held = self.journal.state.pending.len(), out = self.in_flight.len(), "told to end");
+                self.shutdown = Some((begun + CLOSING_LEAST, begun + CLOSING));
+                self.scheduler.handle(now, Event::ShutdownScheduled(now + CLOSING));
                 // What moves to another process is in better hands there.
                 if *self.phase.borrow() != ServicePhase::HandingOver {
                     self.phase.send_replace(ServicePhase::ShuttingDown);
@@ -718,7 +727,7 @@
             }
             AdminOperation::LameDuck(on) => {
                 info!(on, held = self.journal.state.pending.len(), "operators have told to empty, or not to");
-                self.courier.handle(now, Event::LameDuck(*on));
+                self.scheduler.handle(now, Event::LameDuck(*on));
                 let phase = if *on { ServicePhase::LameDuck } else { ServicePhase::Serving };
                 self.phase.send_if_modified(|known| {
                     let other = *known != phase
@@ -735,7 +744,7 @@
 
     fn detach(&mut self, now: Time, uid: &str, out: bool) {
         let endpoint = self.directory.set_disabled(uid, out);
-        self.courier.handle(
+        self.scheduler.handle(
             now,
             if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) },
         );
@@ -745,7 +754,7 @@
 
     fn enqueue(&mut self, now: Time, enqueue: EnqueueRequest) -> EnqueueReply {
         let Some(class) = self.class(&enqueue.class) else { return EnqueueReply::Error("unknown class") };
-        if let Some(known) = self.known.get_mut(&enqueue.id) {
+        if let Some(known) = self.pending.get_mut(&enqueue.id) {
             // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
             let held = self.journal.state.pending.get(&known.number);
             if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
@@ -754,7 +763,7 @@
             known.shared = true;
             return EnqueueReply::AlreadyAccepted;
         }
-        match self.past.matches(&enqueue) {
+        match self.completed.matches(&enqueue) {
             Some(true) => return EnqueueReply::AlreadyAccepted,
             Some(false) => return EnqueueReply::Error("the id was that of another message"),
             None => {}
@@ -780,18 +789,18 @@
             body: enqueue.body,
         };
         let full = self.journal.state.pending.len() >= self.max_pending_messages;
-        if full || !self.accepted(0, &taken).is_some_and(|new| self.courier.admits(now, &new)) {
-            self.counts.busy += 1;
-            return EnqueueReply::Rejected(Some(self.courier.suggested_retry_after(now, destination)));
+        if full || !self.accepted(0, &taken).is_some_and(|new| self.scheduler.admits(now, &new)) {
+            self.counters.busy += 1;
+            return EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)));
         }
         let id = taken.id.clone();
         match self.journal.accept(taken) {
             Ok(number) => {
-                self.counts.taken += 1;
-                self.known.insert(id, PendingEntry { number, shared: false });
+                self.counters.taken += 1;
+                self.pending.insert(id, PendingEntry { number, shared: false });
                 let taken = self.journal.state.pending.get(&number).map(|held| &held.message);
                 if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
-                    self.courier.handle(now, Event::MessageAccepted(accepted));
+                    self.scheduler.handle(now, Event::MessageAccepted(accepted));
                 }
                 EnqueueReply::Accepted(MessageId(number))
             }
@@ -802,8 +811,8 @@
                     // The next process may find it accepted: who is refused would hand it in again.
                     return EnqueueReply::Error("the disk fails");
                 }
-                self.counts.busy += 1;
-                EnqueueReply::Rejected(Some(self.courier.suggested_retry_after(now, destination)))
+                self.counters.busy += 1;
+                EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)))
             }
         }
     }
@@ -812,9 +821,9 @@
     /// hand-in of it was answered meanwhile.
     fn unheard(&mut self, now: Time, message: MessageId) {
         let id = self.journal.state.pending.get(&message.0).map(|held| &held.message.id);
-        if id.and_then(|id| self.known.get(id)).is_some_and(|known| !known.shared) {
+        if id.and_then(|id| self.pending.get(id)).is_some_and(|known| !known.shared) {
             self.forget(message);
-            self.courier.handle(now, Event::MessageAbandoned(message));
+            self.scheduler.handle(now, Event::MessageAbandoned(message));
         }
     }
 
@@ -824,7 +833,7 @@
             return;
         }
         let listing = self.directory.apply(&update);
-        self.courier.handle(now, Event::EndpointsUpdated(listing));
+        self.scheduler.handle(now, Event::EndpointsUpdated(listing));
         let (rev, changed) = (update.revision, update.endpoints.len());
         let written = self.journal.record_endpoints(update);
         self.note(written);
@@ -837,7 +846,7 @@
     /// Forgets the endpoints that are gone, once none of their calls is out.
     fn forget_gone(&mut self) {
         if self.directory.has_removed() {
-            let called: HashSet<EndpointId> = self.out.values().map(|out| out.endpoint).collect();
+            let called: HashSet<EndpointId> = self.in_flight.values().map(|out| out.endpoint).collect();
             self.directory.forget_removed(|endpoint| called.contains(&endpoint));
         }
     }
@@ -846,7 +855,7 @@
     /// they would be new work for an endpoint that drains, or calls inside a told wait.
     fn withdraw(&mut self, which: impl Fn(EndpointId, &EndpointDirectory) -> bool) {
         let unsent = |out: &&Out| !out.call.sent.get() && which(out.endpoint, &self.directory);
-        for out in self.out.values().filter(unsent) {
+        for out in self.in_flight.values().filter(unsent) {
             out.call.stop(StopReason::Withdrawn);
         }
     }
@@ -855,7 +864,7 @@
         let CallResult { attempts: each, retry_after: wait } = ended;
         if let Some(wait) = *wait {
             self.told_to_wait(endpoint, wait);
-            self.courier.handle(now, Event::RetryAfter { endpoint, delay: wait });
+            self.scheduler.handle(now, Event::RetryAfter { endpoint, delay: wait });
         }
         // The module judges an endpoint by the last outcome of a call: those that say nothing of it come first.
         let mut each: Vec<(MessageId, AttemptResult)> =
@@ -880,7 +889,7 @@
     }
 
     fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
-        let Some(out) = self.out.remove(&message) else { return };
+        let Some(out) = self.in_flight.remove(&message) else { return };
         if let Some(held) = self.journal.state.pending.get(&message.0) {
             let (id, outcome, latency) = (&held.message.id, ended.outcome, ended.latency);
             debug!(
@@ -896,7 +905,7 @@
             self.told_to_wait(endpoint, wait);
         }
         if ended.complete {
-            self.counts.delivered += u32::from(ended.outcome == AttemptOutcome::Delivered);
+            self.counters.delivered += u32::from(ended.outcome == AttemptOutcome::Delivered);
             self.over(message);
         } else {
             let written = match ended.outcome {
@@ -905,7 +914,7 @@
             };
             self.note(written);
         }
-        self.courier.handle(
+        self.scheduler.handle(
             now,
             Event::AttemptFinished(FinishedAttempt {
                 message,
@@ -925,7 +934,7 @@
     /// Nothing more is owed for a message.
     fn over(&mut self, message: MessageId) {
         if let Some(held) = self.journal.state.pending.get(&message.0) {
-            self.past.insert(&held.message);
+            self.completed.insert(&held.message);
         }
         self.forget(message);
     }
@@ -933,7 +942,7 @@
     /// It may come once more, as if it had not been taken on.
     fn forget(&mut self, message: MessageId) {
         if let Some(held) = self.journal.state.pending.get(&message.0) {
-            self.known.remove(&held.message.id);
+            self.pending.remove(&held.message.id);
             let written = self.journal.remove(message.0);
             self.note(written);
         }
@@ -942,7 +951,7 @@
     fn decide(&mut self) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
-        self.courier.decide(now, &mut actions);
+        self.scheduler.decide(now, &mut actions);
         // What the module sends to one endpoint in one go shares calls.
         let target = |action: &Action| match action {
             Action::StartAttempt { endpoint, .. } => Some(*endpoint),
@@ -967,19 +976,19 @@
         match *action {
             Action::CancelAttempt { message, .. } => {
                 // A message has one attempt out at most. The others of its call end with it.
-                if let Some(out) = self.out.get(&message) {
+                if let Some(out) = self.in_flight.get(&message) {
                     out.call.stop(StopReason::Cancelled);
                 }
             }
             Action::Reject { message, retry_after } => {
-                self.counts.returned += 1;
+                self.counters.returned += 1;
                 self.owe(message, FinalOutcome::Returned { after_ms: retry_after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
-                self.counts.failed += 1;
+                self.counters.failed += 1;
                 self.owe(message, FinalOutcome::Failed);
             }
-            Action::SetTimer { after, token } => self.wake = Some((self.clock.instant(now + after), token)),
+            Action::SetTimer { after, token } => self.timer = Some((self.clock.instant(now + after), token)),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
             Action::Log { ref text } => info!("{text}"),
             Action::WatchEndpoints { .. } => self.watch.send_replace(()),
@@ -1048,7 +1057,7 @@
         let first = held.first_uncertain_attempt.or(held.in_flight).map(|sent| self.sent_attempt(sent));
         let attempt = Attempt {
             class,
-            already_out: self.out.contains_key(&message),
+            already_out: self.in_flight.contains_key(&message),
             ended: held.final_outcome.is_some(),
             deadline,
             attempts: held.attempts,
@@ -1085,13 +1094,13 @@
         self.take_out(message, endpoint, &Rc::new(call));
         let ended = CallResult { attempts: vec![ended], retry_after: None };
         let _ =
-            self.inputs.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result: ended });
+            self.events.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result: ended });
     }
 
     fn take_out(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallOut>) {
         let attempts = self.journal.state.pending.get(&message.0).map_or(0, |held| held.attempts);
         let attempt = attempts.saturating_sub(1) as u16;
-        self.out.insert(message, Out { endpoint, call: call.clone(), attempt });
+        self.in_flight.insert(message, Out { endpoint, call: call.clone(), attempt });
     }
 
     fn call(&mut self, endpoint: EndpointId, address: SocketAddr, carried: Vec<(OutgoingMessage, Duration)>) {
@@ -1103,7 +1112,7 @@
             carried.iter().map(|(_, attempt_timeout)| *attempt_timeout).max().unwrap_or_default();
         let loads: Vec<OutgoingMessage> = carried.into_iter().map(|(load, _)| load).collect();
         loads.iter().for_each(|load| self.take_out(load.message, endpoint, &out));
-        self.counts.calls += 1;
+        self.counters.calls += 1;
         for load in &loads {
             debug!(
                 id = load.id,
@@ -1114,7 +1123,7 @@
             );
         }
         let mut call = Call { endpoint, address, loads, attempt_timeout };
-        let (pool, inputs) = (self.pool.clone(), self.inputs.clone());
+        let (pool, inputs) = (self.pool.clone(), self.events.clone());
         tokio::task::spawn_local(async move {
             let too_late = |messages: Vec<MessageId>| {
                 let ended = CallResult { attempts: vec![TOO_LATE; messages.len()], retry_after: None };
@@ -1140,14 +1149,14 @@
         } else {
             // Once its time is over no process sends it any more, whatever the file says.
             let over = self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms));
-            self.untold.push((notification, over));
+            self.deferred_outcomes.push((notification, over));
         }
     }
 
     /// Takes over what is to be remembered of outages, in the place of what was remembered before the start.
     fn note_all_outages(&mut self) {
         self.unnoted = self.journal.state.circuits.keys().map(|key| (key.clone(), None)).collect();
-        let circuit_records: Vec<CircuitRecord> = self.courier.circuit_records().collect();
+        let circuit_records: Vec<CircuitRecord> = self.scheduler.circuit_records().collect();
         for outage in circuit_records {
             self.outage_changed(outage.destination, outage.endpoint, Some(&outage));
         }
@@ -1156,7 +1165,7 @@
 
     /// Writes down what has changed of what is to be remembered of outages.
     fn note_outages(&mut self) {
-        for CircuitChange { destination, endpoint, record: outage } in self.courier.take_circuit_changes() {
+        for CircuitChange { destination, endpoint, record: outage } in self.scheduler.take_circuit_changes() {
             self.outage_changed(destination, endpoint, outage.as_ref());
         }
         if !self.unnoted.is_empty() {
@@ -1221,8 +1230,8 @@
 
     fn report(&mut self) {
         let Counters { taken, busy, delivered, failed, returned, calls, latest } =
-            std::mem::take(&mut self.counts);
-        let (held, out) = (self.journal.state.pending.len(), self.out.len());
+            std::mem::take(&mut self.counters);
+        let (held, out) = (self.journal.state.pending.len(), self.in_flight.len());
         let connections = self.pool.take_counters();
         let forbidden = self.guard.take_breaches();
         info!(
@@ -1239,7 +1248,7 @@
             forbidden,
             "load"
         );
-        if let Some((to, waiting, routes)) = self.courier.longest_queue(self.clock.now()) {
+        if let Some((to, waiting, routes)) = self.scheduler.longest_queue(self.clock.now()) {
             info!(destination = to.0, waiting, ?routes, "the longest queue");
         }
     }
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -49,7 +49,7 @@
 #[derive(Clone)]
 pub struct Channels {
     /// What happens to this part, also by its own doing.
-    pub inputs: UnboundedSender<GatewayEvent>,
+    pub events: UnboundedSender<GatewayEvent>,
     pub notifications: UnboundedSender<OutcomeNotification>,
     /// The list is to be watched again.
     pub watch: watch::Sender<()>,
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -260,7 +260,7 @@
         endpoint_sockets: sockets.endpoints,
         disk: (config.limits.disk_mb * 1e6) as u64,
         state,
-        ends: Channels { inputs: inputs.clone(), notifications, watch, phase: phase.clone() },
+        ends: Channels { events: inputs.clone(), notifications, watch, phase: phase.clone() },
     };
     let mut driver = plan.driver().await?;
     let limits = ClientLimits {
