--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -1,29 +1,33 @@
 //! The one loop that owns the decision module: events in, actions out, timers. It waits for no socket.
 
-use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, EndpointIdTable, WatchEvent};
+use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, WatchEvent};
 use delivery_gateway::*;
-use serde::{Deserialize, Serialize};
 use std::cell::Cell;
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
-use tokio::sync::{oneshot, watch};
-use tokio::time::{interval, sleep_until, timeout, timeout_at, Instant};
+use tokio::sync::watch;
+use tokio::time::{interval, sleep_until, Instant};
 use tracing::{debug, error, info, warn};
 
+mod in_flight;
+mod takeover;
+
+pub use takeover::{CarriedOverConstraints, HandoverSnapshot};
+
+use self::in_flight::{CallHandle, InFlightAttempt, InFlightCalls};
 use crate::clock::Clock;
 use crate::completed_messages::CompletedMessages;
 use crate::events::{
     AdminOperation, AdminResult, AttemptResult, CallResult, Channels, EnqueueReply, EnqueueRequest,
     GatewayEvent, OutcomeNotification, ServicePhase, StopReason,
 };
-use crate::http_client::connection::Descriptor;
 use crate::http_client::{Call, OutgoingMessage, Pool};
 use crate::journal::{
-    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, Journal,
-    JournalError, PendingMessage, SentRecord,
+    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, FinalOutcome, Journal, JournalError,
+    PendingMessage, SentRecord,
 };
 use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
@@ -42,8 +46,6 @@
 
 /// Between tries to write down what could not be written.
 const SETTLE_GAP: Duration = Duration::from_millis(50);
-/// What a call may take at most to be given up.
-const GIVING_UP: Duration = Duration::from_secs(1);
 
 /// Idle connections that are kept, for each call slot: most endpoints have few calls out at a time, so that a
 /// courier needs far more connections than slots to keep one ready at each.
@@ -53,43 +55,6 @@
 /// Longest body of a call.
 const LONGEST_BODY: usize = 64 << 10;
 
-/// A call that is out, in terms that the next process knows.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct InFlightCall {
-    endpoint: EndpointId,
-    messages: Vec<MessageId>,
-    sent: bool,
-}
-
-/// What binds a process that does not share the module's memory.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct CarriedOverConstraints {
-    /// Waits that were told, by the uids of endpoints.
-    retry_after_delays: Vec<(String, Duration)>,
-    lame: bool,
-}
-
-impl HandoverSnapshot {
-    /// The messages of each call that stays out, and where it went.
-    pub fn away(&self) -> impl Iterator<Item = (EndpointId, Vec<MessageId>)> + '_ {
-        self.calls.iter().map(|call| (call.endpoint, call.messages.clone()))
-    }
-}
-
-/// All that the next process needs beside the journal to go on as the same courier.
-#[derive(Serialize, Deserialize)]
-pub struct HandoverSnapshot {
-    scheduler: Scheduler,
-    /// Time since the module's clock began, when the clock was read.
-    passed: Duration,
-    clock: ClockReading,
-    numbers: EndpointIdTable,
-    /// Messages that were handed in more than once.
-    shared: Vec<MessageId>,
-    /// Calls that stay out in the process before.
-    calls: Vec<InFlightCall>,
-}
-
 /// A message that is held.
 struct PendingEntry {
     number: u32,
@@ -97,29 +62,6 @@
     shared: bool,
 }
 
-struct Out {
-    endpoint: EndpointId,
-    call: Rc<CallOut>,
-    attempt: u16,
-}
-
-/// A call that is out, which its messages share.
-struct CallOut {
-    stop: Cell<Option<oneshot::Sender<StopReason>>>,
-    /// Its first byte has gone.
-    sent: Rc<Cell<bool>>,
-    /// Of a call that another process has out: the descriptor that it holds there.
-    _elsewhere: Option<Descriptor>,
-}
-
-impl CallOut {
-    fn stop(&self, reason: StopReason) {
-        if let Some(stop) = self.stop.take() {
-            let _ = stop.send(reason);
-        }
-    }
-}
-
 /// An attempt that was not made, as its time to leave had passed.
 const TOO_LATE: AttemptResult = not_sent(AttemptOutcome::NotSent);
 /// An attempt that was not made, as it could not be written down.
@@ -156,7 +98,7 @@
     /// The messages held, by their ids.
     pending: HashMap<String, PendingEntry>,
     completed: CompletedMessages,
-    in_flight: HashMap<MessageId, Out>,
+    in_flight: InFlightCalls,
     events: UnboundedSender<GatewayEvent>,
     notifications: UnboundedSender<OutcomeNotification>,
     watch: watch::Sender<()>,
@@ -225,7 +167,7 @@
             pool,
             idle,
             pending: HashMap::new(),
-            in_flight: HashMap::new(),
+            in_flight: InFlightCalls::default(),
             events,
             notifications,
             watch,
@@ -247,210 +189,6 @@
         }
     }
 
-    /// Goes on where another process stopped, with the calls that it still has out. `stop` tells it to end one.
-    pub fn resume_from(
-        &mut self,
-        snapshot: HandoverSnapshot,
-        stop: impl Fn(MessageId, StopReason) + Clone + 'static,
-    ) {
-        let HandoverSnapshot { scheduler, passed, clock, numbers, shared, calls } = snapshot;
-        self.scheduler = scheduler.resumed(std::mem::take(&mut self.scheduler));
-        let phase =
-            if self.scheduler.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
-        self.phase.send_replace(phase);
-        self.clock = Clock::resumed(passed, clock);
-        self.directory.adopt_ids(numbers);
-        let state = &self.journal.state;
-        self.directory.apply_snapshot(state.endpoints.values());
-        for uid in &state.disabled_endpoints {
-            self.directory.set_disabled(uid, true);
-        }
-        for (number, held) in &state.pending {
-            let shared = shared.contains(&MessageId(*number));
-            self.pending.insert(held.message.id.clone(), PendingEntry { number: *number, shared });
-            if let Some(final_outcome) = held.final_outcome {
-                // It may have been told already; a notice that comes twice does no harm.
-                let notification = OutcomeNotification {
-                    message: MessageId(*number),
-                    id: held.message.id.clone(),
-                    final_outcome,
-                };
-                let _ = self.notifications.send(notification);
-            }
-        }
-        self.note_all_outages();
-        for InFlightCall { endpoint, messages, sent } in calls {
-            let (reason, stopped) = oneshot::channel();
-            let call = Rc::new(CallOut {
-                stop: Cell::new(Some(reason)),
-                sent: Rc::new(Cell::new(sent)),
-                _elsewhere: Some(self.pool.reserve_descriptor()),
-            });
-            messages.iter().for_each(|message| self.take_out(*message, endpoint, &call));
-            let Some(first) = messages.first().copied() else { continue };
-            let stop = stop.clone();
-            tokio::task::spawn_local(async move {
-                if let Ok(reason) = stopped.await {
-                    stop(first, reason);
-                }
-            });
-        }
-        info!(
-            held = self.pending.len(),
-            out = self.in_flight.len(),
-            rev = self.endpoints_revision(),
-            "the courier was handed over"
-        );
-    }
-
-    /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
-    pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
-        let mut calls: Vec<(&Rc<CallOut>, InFlightCall)> = Vec::new();
-        for (message, out) in &self.in_flight {
-            match calls.iter_mut().find(|(call, _)| Rc::ptr_eq(call, &out.call)) {
-                Some((_, away)) => away.messages.push(*message),
-                None => {
-                    let (messages, sent) = (vec![*message], out.call.sent.get());
-                    calls.push((&out.call, InFlightCall { endpoint: out.endpoint, messages, sent }));
-                }
-            }
-        }
-        let shared = self.pending.values().filter(|known| known.shared);
-        let snapshot = HandoverSnapshot {
-            passed: self.clock.elapsed(),
-            clock: self.clock.reading(),
-            numbers: self.directory.id_table(),
-            shared: shared.map(|known| MessageId(known.number)).collect(),
-            calls: calls.into_iter().map(|(_, away)| away).collect(),
-            scheduler: std::mem::take(&mut self.scheduler),
-        };
-        let bytes = postcard::to_stdvec(&snapshot);
-        self.scheduler = snapshot.scheduler;
-        bytes
-    }
-
-    /// What the journal does not hold, in words that any process understands.
-    pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
-        let wait = |(id, wait): (EndpointId, Duration)| Some((self.directory.uid(id)?.to_owned(), wait));
-        CarriedOverConstraints {
-            retry_after_delays: self
-                .scheduler
-                .retry_after_delays(self.clock.now())
-                .filter_map(wait)
-                .collect(),
-            lame: self.scheduler.is_lame_duck(),
-        }
-    }
-
-    /// Goes on where another process stopped whose memory means nothing to this one: by the journal, which has
-    /// been replayed, and by the rules. It has no calls out any more.
-    pub fn apply_constraints(&mut self, carried_over_constraints: CarriedOverConstraints) {
-        let now = self.clock.now();
-        for (uid, wait) in carried_over_constraints.retry_after_delays {
-            if let Some(endpoint) = self.directory.endpoint_id(&uid) {
-                self.scheduler.handle(now, Event::RetryAfter { endpoint, delay: wait });
-            }
-        }
-        self.resume_phase(if carried_over_constraints.lame {
-            ServicePhase::LameDuck
-        } else {
-            ServicePhase::Serving
-        });
-    }
-
-    /// Begins no more calls.
-    pub fn stop_starting_calls(&mut self) {
-        let now = self.clock.now();
-        self.scheduler.handle(now, Event::ShutdownScheduled(now));
-    }
-
-    pub fn has_calls_in_flight(&self) -> bool {
-        !self.in_flight.is_empty()
-    }
-
-    /// Ends the calls that are out, and takes in what comes until all have ended.
-    pub async fn abort_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.drop_calls();
-        let end = Instant::now() + GIVING_UP;
-        while self.has_calls_in_flight() {
-            let Ok(Some(input)) = timeout_at(end, events.recv()).await else { return };
-            self.handle(input);
-        }
-    }
-
-    /// Takes in what has come, without deciding anything.
-    pub fn process_queued(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        while let Ok(input) = events.try_recv() {
-            self.handle(input);
-        }
-    }
-
-    /// Ends a call that this process has out for the one that decides, as far as that is still wanted.
-    pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
-        let out = self
-            .in_flight
-            .get(&message)
-            .filter(|out| reason == StopReason::Cancelled || !out.call.sent.get());
-        if let Some(out) = out {
-            out.call.stop(reason);
-        }
-    }
-
-    /// Gives up all calls, and waits until they have been let go of. The journal is another process's.
-    pub async fn abandon_calls(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.drop_calls();
-        let mut out = self.in_flight_messages();
-        let all = async {
-            while !out.is_empty() {
-                match events.recv().await {
-                    Some(GatewayEvent::CallEnded { messages, .. }) => {
-                        out.retain(|message| !messages.contains(message))
-                    }
-                    Some(GatewayEvent::Enqueue(_, reply)) => drop(reply.send(EnqueueReply::Rejected(None))),
-                    Some(_) => {}
-                    None => return,
-                }
-            }
-        };
-        let _ = timeout(GIVING_UP, all).await;
-    }
-
-    /// Stands to its clients as it did before.
-    pub fn resume_phase(&mut self, phase: ServicePhase) {
-        let now = self.clock.now();
-        self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
-        self.scheduler.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
-        self.phase.send_replace(phase);
-    }
-
-    /// Gives up all calls.
-    pub fn drop_calls(&self) {
-        self.in_flight.values().for_each(|out| drop(out.call.stop.take()));
-    }
-
-    pub fn in_flight_messages(&self) -> HashSet<MessageId> {
-        self.in_flight.keys().copied().collect()
-    }
-
-    /// When the process ends at the latest, once it was told to.
-    pub fn exit_deadline(&self) -> Option<Instant> {
-        self.shutdown.map(|(_, last)| last)
-    }
-
-    /// Keeps no idle connections while another process makes the calls.
-    pub fn pause_idle_connections(&self, rest: bool) {
-        self.pool.set_max_idle(if rest { 0 } else { self.idle });
-    }
-
-    /// Whether another process finds in the journal all that this one knows.
-    pub fn journal_is_flushed(&self) -> bool {
-        self.journal.is_flushed()
-    }
-
-    pub fn journal_is_untouched(&self) -> bool {
-        self.journal.is_untouched()
-    }
-
     /// After how long to watch the list for the first time.
     pub fn initial_watch_delay(&mut self) -> Duration {
         self.scheduler.initial_watch_delay()
@@ -748,7 +486,7 @@
             now,
             if out { Event::EndpointDisabled(endpoint) } else { Event::EndpointEnabled(endpoint) },
         );
-        self.withdraw(|other, _| out && other == endpoint);
+        self.in_flight.withdraw(|other| out && other == endpoint);
         self.forget_gone();
     }
 
@@ -839,27 +577,18 @@
         self.note(written);
         info!(rev, changed, "the list has changed");
         self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
-        self.withdraw(|endpoint, directory| !directory.is_open(endpoint));
+        self.in_flight.withdraw(|endpoint| !self.directory.is_open(endpoint));
         self.forget_gone();
     }
 
     /// Forgets the endpoints that are gone, once none of their calls is out.
     fn forget_gone(&mut self) {
         if self.directory.has_removed() {
-            let called: HashSet<EndpointId> = self.in_flight.values().map(|out| out.endpoint).collect();
+            let called = self.in_flight.endpoints();
             self.directory.forget_removed(|endpoint| called.contains(&endpoint));
         }
     }
 
-    /// Takes back the calls to some endpoints that are still connecting: by the time their connections are up
-    /// they would be new work for an endpoint that drains, or calls inside a told wait.
-    fn withdraw(&mut self, which: impl Fn(EndpointId, &EndpointDirectory) -> bool) {
-        let unsent = |out: &&Out| !out.call.sent.get() && which(out.endpoint, &self.directory);
-        for out in self.in_flight.values().filter(unsent) {
-            out.call.stop(StopReason::Withdrawn);
-        }
-    }
-
     fn call_ended(&mut self, now: Time, endpoint: EndpointId, messages: &[MessageId], ended: &CallResult) {
         let CallResult { attempts: each, retry_after: wait } = ended;
         if let Some(wait) = *wait {
@@ -885,11 +614,11 @@
         if let Some(more) = self.wait_lines.due() {
             info!(?destination, ?wait, more, "told to wait");
         }
-        self.withdraw(|other, directory| directory.destination(other) == destination);
+        self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
     }
 
     fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
-        let Some(out) = self.in_flight.remove(&message) else { return };
+        let Some(out) = self.in_flight.remove(message) else { return };
         if let Some(held) = self.journal.state.pending.get(&message.0) {
             let (id, outcome, latency) = (&held.message.id, ended.outcome, ended.latency);
             debug!(
@@ -976,9 +705,7 @@
         match *action {
             Action::CancelAttempt { message, .. } => {
                 // A message has one attempt out at most. The others of its call end with it.
-                if let Some(out) = self.in_flight.get(&message) {
-                    out.call.stop(StopReason::Cancelled);
-                }
+                self.in_flight.stop(message, StopReason::Cancelled);
             }
             Action::Reject { message, retry_after } => {
                 self.counters.returned += 1;
@@ -1057,7 +784,7 @@
         let first = held.first_uncertain_attempt.or(held.in_flight).map(|sent| self.sent_attempt(sent));
         let attempt = Attempt {
             class,
-            already_out: self.in_flight.contains_key(&message),
+            already_out: self.in_flight.contains(message),
             ended: held.final_outcome.is_some(),
             deadline,
             attempts: held.attempts,
@@ -1090,28 +817,26 @@
     }
 
     fn not_made(&mut self, message: MessageId, endpoint: EndpointId, ended: AttemptResult) {
-        let call = CallOut { stop: Cell::default(), sent: Rc::default(), _elsewhere: None };
-        self.take_out(message, endpoint, &Rc::new(call));
+        self.track_attempt(message, endpoint, &CallHandle::not_started());
         let ended = CallResult { attempts: vec![ended], retry_after: None };
         let _ =
             self.events.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result: ended });
     }
 
-    fn take_out(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallOut>) {
+    fn track_attempt(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallHandle>) {
         let attempts = self.journal.state.pending.get(&message.0).map_or(0, |held| held.attempts);
         let attempt = attempts.saturating_sub(1) as u16;
-        self.in_flight.insert(message, Out { endpoint, call: call.clone(), attempt });
+        self.in_flight.insert(message, InFlightAttempt { endpoint, attempt, call: call.clone() });
     }
 
     fn call(&mut self, endpoint: EndpointId, address: SocketAddr, carried: Vec<(OutgoingMessage, Duration)>) {
-        let (stop, stopped) = oneshot::channel();
         let sent = Rc::new(Cell::new(false));
-        let out = Rc::new(CallOut { stop: Cell::new(Some(stop)), sent: sent.clone(), _elsewhere: None });
+        let (handle, stopped) = CallHandle::new(sent.clone());
         // One call waits once: for as long as any of its messages may.
         let attempt_timeout =
             carried.iter().map(|(_, attempt_timeout)| *attempt_timeout).max().unwrap_or_default();
         let loads: Vec<OutgoingMessage> = carried.into_iter().map(|(load, _)| load).collect();
-        loads.iter().for_each(|load| self.take_out(load.message, endpoint, &out));
+        loads.iter().for_each(|load| self.track_attempt(load.message, endpoint, &handle));
         self.counters.calls += 1;
         for load in &loads {
             debug!(
--- /dev/null
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -0,0 +1,252 @@
+//! What one process passes to the next, and how the event loop goes on with it.
+//!
+//! A process that shares the scheduler's memory layout gets a [`HandoverSnapshot`], and the calls in flight go on in
+//! the process before. Any other goes on from the journal, with [`CarriedOverConstraints`] for what the journal does
+//! not hold. The protocol between the processes is the `handover` module's.
+
+use delivery_gateway::discovery::EndpointIdTable;
+use delivery_gateway::{EndpointId, Event, MessageId, Scheduler, Time};
+use serde::{Deserialize, Serialize};
+use std::collections::HashSet;
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{timeout, timeout_at, Instant};
+use tracing::info;
+
+use super::in_flight::{CallHandle, InFlightCall};
+use super::{EventLoop, PendingEntry};
+use crate::clock::Clock;
+use crate::events::{EnqueueReply, GatewayEvent, OutcomeNotification, ServicePhase, StopReason};
+use crate::journal::ClockReading;
+
+/// How long aborted calls may take to end.
+const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What binds a process that does not share the scheduler's memory layout.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct CarriedOverConstraints {
+    /// What is left of each `Retry-After`, by the uids of endpoints.
+    retry_after_delays: Vec<(String, Duration)>,
+    lame: bool,
+}
+
+/// All that the next process needs beside the journal to go on as the same gateway.
+#[derive(Serialize, Deserialize)]
+pub struct HandoverSnapshot {
+    scheduler: Scheduler,
+    /// Time since the scheduler's clock began, when the clock was read.
+    passed: Duration,
+    clock: ClockReading,
+    numbers: EndpointIdTable,
+    /// Messages of which more than one request was acknowledged.
+    shared: Vec<MessageId>,
+    /// Calls that the process before goes on with.
+    calls: Vec<InFlightCall>,
+}
+
+impl HandoverSnapshot {
+    /// The messages of each call that stays with the process before, and where it went.
+    pub fn away(&self) -> impl Iterator<Item = (EndpointId, Vec<MessageId>)> + '_ {
+        self.calls.iter().map(|call| (call.endpoint, call.messages.clone()))
+    }
+}
+
+impl EventLoop {
+    /// Goes on where another process stopped, with the calls that it still has in flight. `stop` asks it to end one.
+    pub fn resume_from(
+        &mut self,
+        snapshot: HandoverSnapshot,
+        stop: impl Fn(MessageId, StopReason) + Clone + 'static,
+    ) {
+        let HandoverSnapshot { scheduler, passed, clock, numbers, shared, calls } = snapshot;
+        self.scheduler = scheduler.resumed(std::mem::take(&mut self.scheduler));
+        let phase =
+            if self.scheduler.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
+        self.phase.send_replace(phase);
+        self.clock = Clock::resumed(passed, clock);
+        self.directory.adopt_ids(numbers);
+        self.resume_endpoints();
+        self.resume_pending(&shared);
+        self.note_all_outages();
+        calls.into_iter().for_each(|call| self.resume_call(call, stop.clone()));
+        info!(
+            held = self.pending.len(),
+            out = self.in_flight.len(),
+            rev = self.endpoints_revision(),
+            "the courier was handed over"
+        );
+    }
+
+    fn resume_endpoints(&mut self) {
+        let state = &self.journal.state;
+        self.directory.apply_snapshot(state.endpoints.values());
+        for uid in &state.disabled_endpoints {
+            self.directory.set_disabled(uid, true);
+        }
+    }
+
+    fn resume_pending(&mut self, shared: &[MessageId]) {
+        for (number, pending) in &self.journal.state.pending {
+            let shared = shared.contains(&MessageId(*number));
+            self.pending.insert(pending.message.id.clone(), PendingEntry { number: *number, shared });
+            if let Some(final_outcome) = pending.final_outcome {
+                // The process before may have sent it; a notification may arrive twice.
+                let notification = OutcomeNotification {
+                    message: MessageId(*number),
+                    id: pending.message.id.clone(),
+                    final_outcome,
+                };
+                let _ = self.notifications.send(notification);
+            }
+        }
+    }
+
+    fn resume_call(&mut self, call: InFlightCall, stop: impl Fn(MessageId, StopReason) + 'static) {
+        let InFlightCall { endpoint, messages, sent } = call;
+        let (handle, stopped) = CallHandle::of_previous_process(sent, self.pool.reserve_descriptor());
+        messages.iter().for_each(|message| self.track_attempt(*message, endpoint, &handle));
+        let Some(first) = messages.first().copied() else { return };
+        tokio::task::spawn_local(async move {
+            if let Ok(reason) = stopped.await {
+                stop(first, reason);
+            }
+        });
+    }
+
+    /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
+    pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
+        let shared = self.pending.values().filter(|entry| entry.shared);
+        let snapshot = HandoverSnapshot {
+            passed: self.clock.elapsed(),
+            clock: self.clock.reading(),
+            numbers: self.directory.id_table(),
+            shared: shared.map(|entry| MessageId(entry.number)).collect(),
+            calls: self.in_flight.calls(),
+            scheduler: std::mem::take(&mut self.scheduler),
+        };
+        let bytes = postcard::to_stdvec(&snapshot);
+        self.scheduler = snapshot.scheduler;
+        bytes
+    }
+
+    /// What the journal does not hold, in words that any process understands.
+    pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
+        let by_uid = |(id, delay): (EndpointId, Duration)| Some((self.directory.uid(id)?.to_owned(), delay));
+        CarriedOverConstraints {
+            retry_after_delays: self
+                .scheduler
+                .retry_after_delays(self.clock.now())
+                .filter_map(by_uid)
+                .collect(),
+            lame: self.scheduler.is_lame_duck(),
+        }
+    }
+
+    /// Goes on where a process of another memory layout stopped: from the journal, which has been replayed, and
+    /// under these constraints. That process has no calls in flight any more.
+    pub fn apply_constraints(&mut self, constraints: CarriedOverConstraints) {
+        let now = self.clock.now();
+        for (uid, delay) in constraints.retry_after_delays {
+            if let Some(endpoint) = self.directory.endpoint_id(&uid) {
+                self.scheduler.handle(now, Event::RetryAfter { endpoint, delay });
+            }
+        }
+        self.resume_phase(if constraints.lame { ServicePhase::LameDuck } else { ServicePhase::Serving });
+    }
+
+    /// Goes on in the phase that came before the hand-over.
+    pub fn resume_phase(&mut self, phase: ServicePhase) {
+        let now = self.clock.now();
+        self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
+        self.scheduler.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
+        self.phase.send_replace(phase);
+    }
+
+    /// Starts no more calls.
+    pub fn stop_starting_calls(&mut self) {
+        let now = self.clock.now();
+        self.scheduler.handle(now, Event::ShutdownScheduled(now));
+    }
+
+    /// Whether calls are in flight.
+    pub fn has_calls_in_flight(&self) -> bool {
+        !self.in_flight.is_empty()
+    }
+
+    /// Aborts the calls in flight, and handles events until all have ended, for [`ABORT_TIMEOUT`] at most.
+    pub async fn abort_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        self.drop_calls();
+        let end = Instant::now() + ABORT_TIMEOUT;
+        while self.has_calls_in_flight() {
+            let Ok(Some(event)) = timeout_at(end, events.recv()).await else { return };
+            self.handle(event);
+        }
+    }
+
+    /// Aborts the calls in flight, and waits until their connections have been let go of, for [`ABORT_TIMEOUT`] at
+    /// most. The journal is another process's: nothing is recorded or accepted.
+    pub async fn abandon_calls(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        self.drop_calls();
+        let mut remaining = self.in_flight_messages();
+        let all_ended = async {
+            while !remaining.is_empty() {
+                match events.recv().await {
+                    Some(GatewayEvent::CallEnded { messages, .. }) => {
+                        remaining.retain(|message| !messages.contains(message))
+                    }
+                    Some(GatewayEvent::Enqueue(_, reply)) => drop(reply.send(EnqueueReply::Rejected(None))),
+                    Some(_) => {}
+                    None => return,
+                }
+            }
+        };
+        let _ = timeout(ABORT_TIMEOUT, all_ended).await;
+    }
+
+    /// Handles the events that have arrived, without deciding anything.
+    pub fn process_queued(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        while let Ok(event) = events.try_recv() {
+            self.handle(event);
+        }
+    }
+
+    /// Stops a call of this process for the one that decides, as far as that is still wanted.
+    pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
+        self.in_flight.stop(message, reason);
+    }
+
+    /// Aborts all calls.
+    pub fn drop_calls(&self) {
+        self.in_flight.abort_all();
+    }
+
+    /// The messages that are in flight.
+    pub fn in_flight_messages(&self) -> HashSet<MessageId> {
+        self.in_flight.messages()
+    }
+
+    /// When the process ends at the latest, once shutdown was requested.
+    pub fn exit_deadline(&self) -> Option<Instant> {
+        self.shutdown.map(|(_, last)| last)
+    }
+
+    /// Closes idle connections, and keeps none, while another process makes the calls.
+    pub fn pause_idle_connections(&self) {
+        self.pool.set_max_idle(0);
+    }
+
+    /// Keeps idle connections again.
+    pub fn resume_idle_connections(&self) {
+        self.pool.set_max_idle(self.idle);
+    }
+
+    /// Whether another process would find in the journal all that this one knows.
+    pub fn journal_is_flushed(&self) -> bool {
+        self.journal.is_flushed()
+    }
+
+    /// Whether no other process has written to the journal.
+    pub fn journal_is_untouched(&self) -> bool {
+        self.journal.is_untouched()
+    }
+}
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -493,7 +493,7 @@
                 return HandoverResult::TakenBack(Vec::new());
             }
         }
-        driver.pause_idle_connections(true);
+        driver.pause_idle_connections();
         info!("the courier is handed over to another process");
         let mut kept = Vec::new();
         let mut asked: HashMap<u64, oneshot::Sender<AdminResult>> = HashMap::new();
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -368,7 +368,7 @@
                 let untouched = driver.journal_is_untouched();
                 warn!(untouched, "the other process has gone before it was in service: this one goes on");
                 if untouched {
-                    driver.pause_idle_connections(false);
+                    driver.resume_idle_connections();
                     kept.into_iter().for_each(|input| driver.handle(input));
                 } else {
                     // What the other one did is in the journal alone, and so is what may have run there.
