--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::attempt::{AttemptOutcome, FinishedAttempt};
+use super::attempt::FinishedAttempt;
 use super::circuit::CircuitRecord;
 use super::endpoint::EndpointUpdate;
 use super::ids::{EndpointId, MessageId};
@@ -34,7 +34,7 @@
     /// Whether operators want the gateway to drain: it finishes what it has and accepts nothing new.
     LameDuck(bool),
     /// A response that accepted messages asked for a pause all the same. Rejections bring their own; see
-    /// [`AttemptOutcome::Rejected`].
+    /// [`AttemptOutcome::Rejected`](super::AttemptOutcome::Rejected).
     RetryAfter {
         /// The endpoint that asked for it.
         endpoint: EndpointId,
@@ -47,22 +47,4 @@
     MessageAbandoned(MessageId),
     /// A timer asked for by [`Action::SetTimer`](super::Action::SetTimer) has fired; with its token.
     TimerFired(u64),
-    /// The answer of a streamed message has begun; the attempt now belongs to the client.
-    ResponseStarted(MessageId),
-    /// A probe's result.
-    ProbeFinished {
-        /// Which endpoint.
-        endpoint: EndpointId,
-        /// How it ended.
-        outcome: AttemptOutcome,
-        /// Time since it was sent.
-        latency: Duration,
-    },
-    /// A note of another courier.
-    PeerNote {
-        /// Its number.
-        from: u32,
-        /// What it says.
-        text: Vec<u8>,
-    },
 }
