--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -3,7 +3,7 @@
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, WatchEvent};
 use delivery_gateway::*;
 use std::cell::Cell;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,18 @@
 use tokio::time::{interval, sleep_until, Instant};
 use tracing::{debug, error, info, warn};
 
+mod circuit_notes;
 mod in_flight;
+mod outcomes;
+mod reporting;
 mod takeover;
 
 pub use takeover::{CarriedOverConstraints, HandoverSnapshot};
 
+use self::circuit_notes::CircuitNoteWriter;
 use self::in_flight::{CallHandle, InFlightAttempt, InFlightCalls};
+use self::outcomes::DeferredOutcomes;
+use self::reporting::{JournalErrorLog, LoadCounters, REPORT_SWEEPS};
 use crate::clock::Clock;
 use crate::completed_messages::CompletedMessages;
 use crate::events::{
@@ -25,28 +31,19 @@
     GatewayEvent, OutcomeNotification, ServicePhase, StopReason,
 };
 use crate::http_client::{Call, OutgoingMessage, Pool};
-use crate::journal::{
-    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, FinalOutcome, Journal, JournalError,
-    PendingMessage, SentRecord,
-};
+use crate::journal::{AcceptedRecord, FinalOutcome, Journal, JournalError, PendingMessage, SentRecord};
 use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
 
 /// Events that one decision takes in at most.
 const BATCH: usize = 256;
-/// How often idle connections are looked through, and what the log says of the load.
+/// How often idle connections are looked through.
 const SWEEP: Duration = Duration::from_secs(1);
-const REPORT_SWEEPS: u32 = 10;
-/// A loop that is later than this is said to be late.
-const LATE: Duration = Duration::from_millis(25);
 /// From SIGTERM until the process ends at the latest: SIGKILL comes after 3.7 s.
 const CLOSING: Duration = Duration::from_millis(3200);
 /// From SIGTERM until it ends at the earliest: new connections go on coming for 0.4 s.
 const CLOSING_LEAST: Duration = Duration::from_millis(600);
 
-/// Between tries to write down what could not be written.
-const SETTLE_GAP: Duration = Duration::from_millis(50);
-
 /// Idle connections that are kept, for each call slot: most endpoints have few calls out at a time, so that a
 /// courier needs far more connections than slots to keep one ready at each.
 pub const IDLE_OF_SLOTS: usize = 4;
@@ -71,18 +68,6 @@
     AttemptResult { outcome, latency: Duration::ZERO, complete: false, load_report: None }
 }
 
-/// What the log tells of the load.
-#[derive(Default)]
-struct Counters {
-    taken: u32,
-    busy: u32,
-    delivered: u32,
-    failed: u32,
-    returned: u32,
-    calls: u32,
-    latest: Duration,
-}
-
 pub struct EventLoop {
     scheduler: Scheduler,
     clock: Clock,
@@ -106,17 +91,12 @@
     shutdown: Option<(Instant, Instant)>,
     timer: Option<(Instant, u64)>,
     actions: Vec<Action>,
-    counters: Counters,
-    /// What of outages has changed and is not in the journal yet; none where nothing is remembered any more.
-    unnoted: BTreeMap<CircuitKey, Option<CircuitNote>>,
-    /// Names of endpoints with outages: their ends come when the list may have forgotten them.
-    outage_uids: HashMap<EndpointId, String>,
-    journal_errors: RateLimitedLog,
-    late: RateLimitedLog,
-    outage_lines: RateLimitedLog,
-    wait_lines: RateLimitedLog,
-    /// Final outcomes whose records could not be written yet, and until when each may stay untold.
-    deferred_outcomes: Vec<(OutcomeNotification, Instant)>,
+    counters: LoadCounters,
+    circuit_notes: CircuitNoteWriter,
+    journal_errors: JournalErrorLog,
+    lateness_lines: RateLimitedLog,
+    retry_after_lines: RateLimitedLog,
+    deferred_outcomes: DeferredOutcomes,
     /// Looks at each attempt once more before it is made.
     guard: SendGuard,
     breach_lines: RateLimitedLog,
@@ -175,14 +155,12 @@
             shutdown: None,
             timer: None,
             actions: Vec::new(),
-            counters: Counters::default(),
-            unnoted: BTreeMap::new(),
-            outage_uids: HashMap::new(),
-            journal_errors: RateLimitedLog::default(),
-            late: RateLimitedLog::default(),
-            outage_lines: RateLimitedLog::default(),
-            wait_lines: RateLimitedLog::default(),
-            deferred_outcomes: Vec::new(),
+            counters: LoadCounters::default(),
+            circuit_notes: CircuitNoteWriter::default(),
+            journal_errors: JournalErrorLog::default(),
+            lateness_lines: RateLimitedLog::default(),
+            retry_after_lines: RateLimitedLog::default(),
+            deferred_outcomes: DeferredOutcomes::default(),
             guard,
             breach_lines: RateLimitedLog::default(),
             flush_retry_at: None,
@@ -210,7 +188,7 @@
             self.scheduler.handle(now, Event::EndpointsUpdated(listing));
             let written =
                 self.journal.record_endpoints(DiscoveryUpdate { is_snapshot: true, ..known.clone() });
-            self.note(written);
+            self.journal_errors.log_failure(written);
         } else {
             let listing = self.directory.apply_snapshot(state.endpoints.values());
             self.scheduler.handle(now, Event::EndpointsUpdated(listing));
@@ -234,7 +212,7 @@
             };
             self.scheduler.handle(now, Event::CircuitRestored(outage));
         }
-        self.note_all_outages();
+        self.note_all_circuits();
         let held: Vec<u32> = self.journal.state.pending.keys().copied().collect();
         for number in &held {
             self.restore_message(now, *number);
@@ -255,13 +233,13 @@
         self.pending.insert(id.clone(), PendingEntry { number, shared: false });
         let Some(taken) = self.accepted(number, taken) else {
             warn!(class = taken.class, "a message of a class that is not known any more is given up");
-            self.owe(message, FinalOutcome::Failed);
+            self.record_final_outcome(message, FinalOutcome::Failed);
             return;
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
         if in_flight.is_some() {
             let written = self.journal.record_attempt_outcome(number, true);
-            self.note(written);
+            self.journal_errors.log_failure(written);
         }
         let first_uncertain_attempt =
             first_uncertain_attempt.or(in_flight).map(|sent| self.sent_attempt(sent));
@@ -334,37 +312,18 @@
             }
             if let Some((at, token)) = self.timer.filter(|(at, _)| *at <= begun) {
                 self.timer = None;
-                self.lateness(begun - at, "a timer was late");
+                self.note_lateness(begun - at, "a timer was late");
                 self.scheduler.handle(self.clock.now(), Event::TimerFired(token));
             }
             self.decide();
-            self.settle();
-            self.lateness(begun.elapsed(), "a step took long");
+            self.retry_unwritten_records();
+            self.note_lateness(begun.elapsed(), "a step took long");
             if self.may_end() {
                 return self.finish(events).await;
             }
         }
     }
 
-    /// Writes down what could not be written, and tells the outcomes that waited for that.
-    fn settle(&mut self) {
-        let now = Instant::now();
-        if self.journal.is_flushed() {
-            self.flush_retry_at = None;
-        } else if self.flush_retry_at.is_none_or(|at| at <= now) {
-            let written = self.journal.flush();
-            self.note(written);
-            // Nothing waits for the list, and a long one takes its time to write.
-            let gap = if self.journal.has_all_records() { SWEEP } else { SETTLE_GAP };
-            self.flush_retry_at = (!self.journal.is_flushed()).then_some(now + gap);
-        }
-        let written = self.journal.has_all_records();
-        for (notification, _) in self.deferred_outcomes.extract_if(.., |(_, until)| written || *until <= now)
-        {
-            let _ = self.notifications.send(notification);
-        }
-    }
-
     /// Answers the requests that have been read but not answered: ending a connection before would lose their
     /// messages. The next process finds them in the journal.
     async fn finish(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
@@ -376,19 +335,10 @@
             tokio::task::yield_now().await;
         }
         let written = self.journal.flush();
-        self.note(written);
+        self.journal_errors.log_failure(written);
         info!(held = self.journal.state.pending.len(), out = self.in_flight.len(), "the courier ends");
     }
 
-    fn lateness(&mut self, late: Duration, what: &str) {
-        self.counters.latest = self.counters.latest.max(late);
-        if late > LATE {
-            if let Some(more) = self.late.due() {
-                warn!(?late, more, "{what}");
-            }
-        }
-    }
-
     fn may_end(&self) -> bool {
         let Some((least, last)) = self.shutdown else { return false };
         let now = Instant::now();
@@ -420,13 +370,7 @@
             GatewayEvent::CallEnded { endpoint, messages, result: ended } => {
                 self.call_ended(now, endpoint, &messages, &ended)
             }
-            GatewayEvent::OutcomesAcknowledged(messages) => {
-                for message in messages {
-                    debug!(number = message.0, "a notice was answered");
-                    self.over(message);
-                    self.scheduler.handle(now, Event::OutcomeAcknowledged(message));
-                }
-            }
+            GatewayEvent::OutcomesAcknowledged(messages) => self.outcomes_acknowledged(now, messages),
             GatewayEvent::Admin(operation, done) => {
                 let _ = done.send(self.operate(now, &operation));
             }
@@ -457,7 +401,7 @@
                     return AdminResult::Done;
                 }
                 if let Err(error) = self.journal.record_endpoint_disabled(uid, out) {
-                    self.note(Err(error));
+                    self.journal_errors.log_failure(Err(error));
                     return AdminResult::NotRecorded;
                 }
                 info!(uid, out, "operators have changed what is left out");
@@ -528,13 +472,13 @@
         };
         let full = self.journal.state.pending.len() >= self.max_pending_messages;
         if full || !self.accepted(0, &taken).is_some_and(|new| self.scheduler.admits(now, &new)) {
-            self.counters.busy += 1;
+            self.counters.rejected += 1;
             return EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)));
         }
         let id = taken.id.clone();
         match self.journal.accept(taken) {
             Ok(number) => {
-                self.counters.taken += 1;
+                self.counters.accepted += 1;
                 self.pending.insert(id, PendingEntry { number, shared: false });
                 let taken = self.journal.state.pending.get(&number).map(|held| &held.message);
                 if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
@@ -544,12 +488,12 @@
             }
             Err(error) => {
                 let is_written = !matches!(error, JournalError::Unclean) && self.journal.has_unclean_tail();
-                self.note(Err(error));
+                self.journal_errors.log_failure(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
                     return EnqueueReply::Error("the disk fails");
                 }
-                self.counters.busy += 1;
+                self.counters.rejected += 1;
                 EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)))
             }
         }
@@ -560,7 +504,7 @@
     fn unheard(&mut self, now: Time, message: MessageId) {
         let id = self.journal.state.pending.get(&message.0).map(|held| &held.message.id);
         if id.and_then(|id| self.pending.get(id)).is_some_and(|known| !known.shared) {
-            self.forget(message);
+            self.forget_message(message);
             self.scheduler.handle(now, Event::MessageAbandoned(message));
         }
     }
@@ -574,7 +518,7 @@
         self.scheduler.handle(now, Event::EndpointsUpdated(listing));
         let (rev, changed) = (update.revision, update.endpoints.len());
         let written = self.journal.record_endpoints(update);
-        self.note(written);
+        self.journal_errors.log_failure(written);
         info!(rev, changed, "the list has changed");
         self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
         self.in_flight.withdraw(|endpoint| !self.directory.is_open(endpoint));
@@ -611,7 +555,7 @@
         if let Some(to) = self.receiver(endpoint) {
             self.guard.told_to_wait(self.clock.now(), &to, wait);
         }
-        if let Some(more) = self.wait_lines.due() {
+        if let Some(more) = self.retry_after_lines.due() {
             info!(?destination, ?wait, more, "told to wait");
         }
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
@@ -635,13 +579,13 @@
         }
         if ended.complete {
             self.counters.delivered += u32::from(ended.outcome == AttemptOutcome::Delivered);
-            self.over(message);
+            self.complete_message(message);
         } else {
             let written = match ended.outcome {
                 AttemptOutcome::LocalFailure => self.journal.record_local_failure(message.0),
                 outcome => self.journal.record_attempt_outcome(message.0, !outcome.was_not_processed()),
             };
-            self.note(written);
+            self.journal_errors.log_failure(written);
         }
         self.scheduler.handle(
             now,
@@ -660,23 +604,6 @@
         }
     }
 
-    /// Nothing more is owed for a message.
-    fn over(&mut self, message: MessageId) {
-        if let Some(held) = self.journal.state.pending.get(&message.0) {
-            self.completed.insert(&held.message);
-        }
-        self.forget(message);
-    }
-
-    /// It may come once more, as if it had not been taken on.
-    fn forget(&mut self, message: MessageId) {
-        if let Some(held) = self.journal.state.pending.get(&message.0) {
-            self.pending.remove(&held.message.id);
-            let written = self.journal.remove(message.0);
-            self.note(written);
-        }
-    }
-
     fn decide(&mut self) {
         let now = self.clock.now();
         let mut actions = std::mem::take(&mut self.actions);
@@ -698,7 +625,7 @@
         }
         actions.clear();
         self.actions = actions;
-        self.note_outages();
+        self.note_circuit_changes();
     }
 
     fn act(&mut self, now: Time, action: &Action) {
@@ -709,11 +636,14 @@
             }
             Action::Reject { message, retry_after } => {
                 self.counters.returned += 1;
-                self.owe(message, FinalOutcome::Returned { after_ms: retry_after.as_millis() as u64 });
+                self.record_final_outcome(
+                    message,
+                    FinalOutcome::Returned { after_ms: retry_after.as_millis() as u64 },
+                );
             }
             Action::ReportFailure { message } => {
                 self.counters.failed += 1;
-                self.owe(message, FinalOutcome::Failed);
+                self.record_final_outcome(message, FinalOutcome::Failed);
             }
             Action::SetTimer { after, token } => self.timer = Some((self.clock.instant(now + after), token)),
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
@@ -749,7 +679,7 @@
                 .journal
                 .record_attempt(message.0, SentRecord { sent_ms: self.clock.journal_ms(now), zone });
             let is_written = written.is_ok();
-            self.note(written);
+            self.journal_errors.log_failure(written);
             let Some((load, address)) = load.zip(address).filter(|_| is_written) else {
                 self.not_made(message, endpoint, if is_written { TOO_LATE } else { NOT_WRITTEN });
                 continue;
@@ -855,122 +785,4 @@
             let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
         });
     }
-
-    /// Gives a message its end. It is in the journal before it is told: who was told that a message came back
-    /// may hand it in again, and it must not be sent after that.
-    fn owe(&mut self, message: MessageId, final_outcome: FinalOutcome) {
-        let written = self.journal.record_final_outcome(message.0, final_outcome);
-        let is_written = written.is_ok();
-        self.note(written);
-        let Some(held) = self.journal.state.pending.get(&message.0) else { return };
-        debug!(id = held.message.id, ?final_outcome, is_written, "a message has its final outcome");
-        let notification = OutcomeNotification { message, id: held.message.id.clone(), final_outcome };
-        if is_written {
-            let _ = self.notifications.send(notification);
-        } else {
-            // Once its time is over no process sends it any more, whatever the file says.
-            let over = self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms));
-            self.deferred_outcomes.push((notification, over));
-        }
-    }
-
-    /// Takes over what is to be remembered of outages, in the place of what was remembered before the start.
-    fn note_all_outages(&mut self) {
-        self.unnoted = self.journal.state.circuits.keys().map(|key| (key.clone(), None)).collect();
-        let circuit_records: Vec<CircuitRecord> = self.scheduler.circuit_records().collect();
-        for outage in circuit_records {
-            self.outage_changed(outage.destination, outage.endpoint, Some(&outage));
-        }
-        self.write_outages();
-    }
-
-    /// Writes down what has changed of what is to be remembered of outages.
-    fn note_outages(&mut self) {
-        for CircuitChange { destination, endpoint, record: outage } in self.scheduler.take_circuit_changes() {
-            self.outage_changed(destination, endpoint, outage.as_ref());
-        }
-        if !self.unnoted.is_empty() {
-            self.write_outages();
-        }
-    }
-
-    fn outage_changed(
-        &mut self,
-        to: DestinationId,
-        endpoint: Option<EndpointId>,
-        outage: Option<&CircuitRecord>,
-    ) {
-        let uid = endpoint.map(|id| {
-            let listed = self.directory.uid(id).map(str::to_owned);
-            listed.or_else(|| self.outage_uids.get(&id).cloned()).ok_or(id)
-        });
-        // One that has no name any more had nothing noted.
-        let Ok(uid) = uid.transpose() else { return };
-        if let Some((id, uid)) = endpoint.zip(uid.as_ref()) {
-            match outage {
-                Some(_) => drop(self.outage_uids.insert(id, uid.clone())),
-                None => drop(self.outage_uids.remove(&id)),
-            }
-        }
-        let note = outage.map(|outage| CircuitNote::new(outage, uid.clone(), |at| self.clock.journal_ms(at)));
-        self.unnoted.insert((to.0, uid), note);
-    }
-
-    /// What cannot be written stays until the next step.
-    fn write_outages(&mut self) {
-        let noted = &self.journal.state.circuits;
-        self.unnoted.retain(|key, note| noted.get(key) != note.as_ref());
-        if self.unnoted.is_empty() {
-            return;
-        }
-        let changes = self.unnoted.iter().map(|(key, note)| match note {
-            Some(note) => CircuitNoteChange::Noted(note.clone()),
-            None => CircuitNoteChange::Over(key.clone()),
-        });
-        let before = noted.out();
-        let written = self.journal.record_circuits(&changes.collect::<Vec<_>>());
-        if written.is_ok() {
-            self.unnoted.clear();
-        }
-        self.note(written);
-        let after = self.journal.state.circuits.out();
-        if before != after {
-            if let Some(more) = self.outage_lines.due() {
-                info!(before, after, more, "destinations held to be out");
-            }
-        }
-    }
-
-    fn note(&mut self, written: Result<(), JournalError>) {
-        if let Err(error) = written {
-            if let Some(more) = self.journal_errors.due() {
-                error!(%error, more, "the journal cannot be written");
-            }
-        }
-    }
-
-    fn report(&mut self) {
-        let Counters { taken, busy, delivered, failed, returned, calls, latest } =
-            std::mem::take(&mut self.counters);
-        let (held, out) = (self.journal.state.pending.len(), self.in_flight.len());
-        let connections = self.pool.take_counters();
-        let forbidden = self.guard.take_breaches();
-        info!(
-            taken,
-            busy,
-            delivered,
-            failed,
-            returned,
-            calls,
-            held,
-            out,
-            ?latest,
-            ?connections,
-            forbidden,
-            "load"
-        );
-        if let Some((to, waiting, routes)) = self.scheduler.longest_queue(self.clock.now()) {
-            info!(destination = to.0, waiting, ?routes, "the longest queue");
-        }
-    }
 }
