--- a/tests/operators.rs
+++ b/tests/admin.rs
@@ -11,7 +11,7 @@
 use world::*;
 
 #[test]
-fn what_is_no_call_gets_a_plain_no() {
+fn malformed_admin_requests_get_a_plain_error() {
     let world = World::new(1, 3.0);
     let courier = world.start();
     assert_eq!(courier.operate("GET /_ready"), 200);
@@ -41,7 +41,7 @@
 
 /// Callers that keep their connections without a whole call delay nobody, however many they are.
 #[test]
-fn slow_callers_give_way() {
+fn slow_admin_callers_are_evicted() {
     let world = World::new(1, 3.0);
     let courier = world.start();
     // As many as the door takes at all.
@@ -65,7 +65,7 @@
 
 /// The yes binds whatever the list says, after a second call, and over a restart, until it is taken back.
 #[test]
-fn a_detached_endpoint_gets_nothing_until_it_is_attached() {
+fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
     let world = World::patient(2, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
@@ -106,7 +106,7 @@
 
 /// A call that still waits for its connection when the ban is told is not made once the connection is up.
 #[test]
-fn a_ban_withdraws_calls_that_are_connecting() {
+fn disabling_an_endpoint_withdraws_calls_that_are_connecting() {
     let mut world = World::new(2, 3.0);
     let hanging = world.hang_connections(0);
     let courier = world.start();
@@ -128,7 +128,7 @@
 
 /// A courier that is emptied says no, lets its clients go, delivers what it has, and goes back to work.
 #[test]
-fn a_lame_duck_lets_its_clients_go_and_comes_back() {
+fn a_lame_duck_releases_its_clients_and_returns_to_service() {
     let world = World::patient(1, 3.0);
     let courier = world.start();
     let (mut idle, mut half) = (courier.client(), courier.client());
@@ -160,11 +160,12 @@
 
 /// Past the time in which clients hear of it, an emptied courier takes nothing on.
 #[test]
-fn a_lame_duck_takes_nothing_on_after_a_while() {
+fn a_lame_duck_accepts_nothing_after_its_grace() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
     bench.tell(Event::LameDuck(true));
     let class = (ClassId(0), &safe());
-    let admits = |bench: &mut Bench| bench.courier.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
+    let admits =
+        |bench: &mut Bench| bench.scheduler.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
     assert!(admits(&mut bench));
     bench.now = bench.now + ms(2000);
     bench.tell(Event::LameDuck(true));
@@ -176,7 +177,7 @@
 
 /// What comes back from the operators may have been restarted: it is served slowly at first.
 #[test]
-fn an_attached_endpoint_counts_as_cold() {
+fn an_enabled_endpoint_gets_a_slow_start() {
     let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(
         Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![safe()]) },
@@ -205,5 +206,5 @@
     }
     // At most what the rule on cold returns lets one courier send in a second: 2.0 x 100/s from 20% on.
     assert!((1..=40).contains(&cold) && warm == 20, "{cold} and {warm}");
-    assert!(bench.courier.circuit_records().any(|outage| outage.slow_start_since.is_some()));
+    assert!(bench.scheduler.circuit_records().any(|outage| outage.slow_start_since.is_some()));
 }
--- a/tests/outages.rs
+++ b/tests/circuit_records.rs
@@ -24,7 +24,7 @@
 
 /// The changes since a hand-over or a start come on top of all that was known then, or of nothing.
 #[test]
-fn changes_of_outages_add_up() {
+fn circuit_changes_add_up_to_the_circuit_records() {
     let mut circuit_records = 0;
     for seed in 0..30 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -51,14 +51,14 @@
                 1 => bench.tell(Event::EndpointDisabled(EndpointId(rng.u32(..16)))),
                 2 | 3 => bench.tell(Event::EndpointEnabled(EndpointId(rng.u32(..16)))),
                 4 if step % 5 == 0 => {
-                    let before: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+                    let before: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
                     bench.restart(settings.clone(), step.into(), all(Availability::Ready));
                     before.into_iter().for_each(|outage| bench.tell(Event::CircuitRestored(outage)));
                     (known, out) = (BTreeMap::new(), Vec::new());
                 }
                 5 if step % 5 == 0 => {
                     let fresh = Scheduler::new(settings.clone(), step.into());
-                    bench.courier = std::mem::take(&mut bench.courier).resumed(fresh);
+                    bench.scheduler = std::mem::take(&mut bench.scheduler).resumed(fresh);
                 }
                 6..20 => bench.accept(step, 0, rng.u16(1..5), None),
                 _ if !out.is_empty() => {
@@ -73,14 +73,14 @@
             }
             out.extend(bench.routes());
             for CircuitChange { destination, endpoint, record: outage } in
-                bench.courier.take_circuit_changes()
+                bench.scheduler.take_circuit_changes()
             {
                 match outage {
                     Some(outage) => drop(known.insert((destination, endpoint), outage)),
                     None => drop(known.remove(&(destination, endpoint))),
                 }
             }
-            let mut all: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+            let mut all: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
             all.sort_by_key(|outage| (outage.destination, outage.endpoint));
             assert_eq!(known.values().copied().collect::<Vec<_>>(), all, "seed {seed}, step {step}");
             circuit_records += all.len();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A courier under test, with a clock of its own and a record of what it did.
 #![allow(dead_code)]
 
-pub mod crowd;
+pub mod recovering_fleet;
 
 use delivery_gateway::*;
 use std::time::Duration;
@@ -60,7 +60,7 @@
 pub type Sent = (u32, u32, Duration);
 
 pub struct Bench {
-    pub courier: Scheduler,
+    pub scheduler: Scheduler,
     pub now: Time,
     pub settings: Settings,
     attempts: std::collections::BTreeMap<u32, u16>,
@@ -69,7 +69,7 @@
 impl Bench {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut bench = Bench {
-            courier: Scheduler::new(settings.clone(), 1),
+            scheduler: Scheduler::new(settings.clone(), 1),
             now: Time::ZERO + Duration::from_secs(100),
             settings,
             attempts: Default::default(),
@@ -79,7 +79,7 @@
     }
 
     pub fn tell(&mut self, event: Event) {
-        self.courier.handle(self.now, event);
+        self.scheduler.handle(self.now, event);
     }
 
     pub fn accept(&mut self, id: u32, class: u8, destination: u16, key: Option<u64>) {
@@ -89,7 +89,7 @@
 
     pub fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.courier.decide(self.now, &mut actions);
+        self.scheduler.decide(self.now, &mut actions);
         for action in &actions {
             if let Action::StartAttempt { message, .. } = action {
                 *self.attempts.entry(message.0).or_default() += 1;
@@ -124,7 +124,7 @@
 
     /// The same world with a courier of other settings and another seed.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
-        self.courier = Scheduler::new(settings.clone(), seed);
+        self.scheduler = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
         self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
     }
--- a/tests/common/crowd.rs
+++ b/tests/common/recovering_fleet.rs
@@ -59,7 +59,7 @@
 const TO: EndpointId = EndpointId(7);
 
 struct Member {
-    courier: Scheduler,
+    scheduler: Scheduler,
     wake: Option<(Time, u64)>,
     /// Its part of all messages.
     part: f64,
@@ -78,7 +78,7 @@
     sent: Time,
 }
 
-struct Crowd {
+struct RecoveringFleet {
     plan: Plan,
     settings: Settings,
     chance: fastrand::Rng,
@@ -102,27 +102,31 @@
 
 /// Lets a crowd live through the outage and the cold return.
 pub fn live_through(plan: Plan) -> Seen {
-    let mut crowd = Crowd::new(plan);
-    let (cold, fall) = (crowd.settings.limits.warm_up, crowd.settings.limits.overload_window);
+    let mut recovering_fleet = RecoveringFleet::new(plan);
+    let (cold, fall) =
+        (recovering_fleet.settings.limits.warm_up, recovering_fleet.settings.limits.overload_window);
     let mut worst = 0.0_f64;
-    while crowd.now < crowd.back + cold {
-        crowd.now = crowd.now + STEP;
-        crowd.room = (crowd.room + crowd.capacity() * STEP.as_secs_f64()).min(crowd.capacity() / 2.0 + 1.0);
-        crowd.hand_in();
-        crowd.wake();
-        crowd.tell_outcomes();
-        (0..crowd.members.len()).for_each(|member| crowd.act(member));
-        if crowd.now >= crowd.back {
-            let survives = crowd.settings.limits.overload_multiple * crowd.capacity() * fall.as_secs_f64();
-            let recent = crowd.weights.iter().filter(|(at, _)| crowd.now - *at < fall);
+    while recovering_fleet.now < recovering_fleet.back + cold {
+        recovering_fleet.now = recovering_fleet.now + STEP;
+        recovering_fleet.room = (recovering_fleet.room + recovering_fleet.capacity() * STEP.as_secs_f64())
+            .min(recovering_fleet.capacity() / 2.0 + 1.0);
+        recovering_fleet.hand_in();
+        recovering_fleet.wake();
+        recovering_fleet.tell_outcomes();
+        (0..recovering_fleet.members.len()).for_each(|member| recovering_fleet.act(member));
+        if recovering_fleet.now >= recovering_fleet.back {
+            let survives = recovering_fleet.settings.limits.overload_multiple
+                * recovering_fleet.capacity()
+                * fall.as_secs_f64();
+            let recent = recovering_fleet.weights.iter().filter(|(at, _)| recovering_fleet.now - *at < fall);
             worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
         }
     }
-    let (calls, refused) = crowd.early;
+    let (calls, refused) = recovering_fleet.early;
     let could = plan.capacity * plan.quiet.as_secs_f64();
     Seen {
         worst,
-        delivered: crowd.delivered as f64 / crowd.since_return.len().max(1) as f64,
+        delivered: recovering_fleet.delivered as f64 / recovering_fleet.since_return.len().max(1) as f64,
         served: (calls - refused) as f64 / could,
         refused: refused as f64 / calls.max(1) as f64,
     }
@@ -153,7 +157,7 @@
     }
 }
 
-impl Crowd {
+impl RecoveringFleet {
     fn new(plan: Plan) -> Self {
         let settings = settings_of(&plan);
         let start = Time::ZERO + Duration::from_secs(100);
@@ -161,12 +165,12 @@
         let shares: Vec<f64> = (0..plan.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
         let all: f64 = shares.iter().sum();
         let member = |(number, share): (usize, &f64)| {
-            let mut courier = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
-            courier.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
-            Member { courier, wake: None, part: share / all, touched: true, aware: false }
+            let mut scheduler = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
+            scheduler.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
+            Member { scheduler, wake: None, part: share / all, touched: true, aware: false }
         };
         let members = shares.iter().enumerate().map(member).collect();
-        Crowd {
+        RecoveringFleet {
             plan,
             members,
             settings,
@@ -212,7 +216,7 @@
             }
             let class = (ClassId(0), &self.settings.classes[0]);
             let accepted = accepted(self.now, id.0, class, 1, None);
-            member.courier.handle(self.now, Event::MessageAccepted(accepted));
+            member.scheduler.handle(self.now, Event::MessageAccepted(accepted));
             member.touched = true;
         }
     }
@@ -220,7 +224,7 @@
     fn wake(&mut self) {
         for member in &mut self.members {
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= self.now) {
-                member.courier.handle(self.now, Event::TimerFired(token));
+                member.scheduler.handle(self.now, Event::TimerFired(token));
                 member.touched = true;
             }
         }
@@ -243,7 +247,7 @@
                 load_report: None,
             };
             let member = &mut self.members[member];
-            member.courier.handle(self.now, Event::AttemptFinished(finished));
+            member.scheduler.handle(self.now, Event::AttemptFinished(finished));
             member.aware |= out && !complete;
             member.touched = true;
         }
@@ -254,7 +258,7 @@
             return;
         }
         let mut actions = Vec::new();
-        self.members[member].courier.decide(self.now, &mut actions);
+        self.members[member].scheduler.decide(self.now, &mut actions);
         // What goes in one turn is one call: one fate, a little weight for each further message.
         let mut fate = None;
         for action in actions {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::crowd::{live_through, OutageKind, Plan};
+use common::recovering_fleet::{live_through, OutageKind, Plan};
 use common::{endpoint, ms, safe, settings, Bench};
 use delivery_gateway::*;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// The fleet as a whole begins at what was told, not each courier: what all sent at first was refused, and the
 /// refusals kept the limit used up for seconds.
 #[test]
-fn a_fleet_shares_the_told_rate_from_the_first_call_on() {
+fn a_fleet_shares_the_announced_rate_from_the_first_call_on() {
     for seed in 1..=3 {
         let seen = live_through(Plan { seed, ..FLEET });
         assert!(seen.served > 0.5, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
@@ -43,7 +43,7 @@
 /// Each courier hears of the limit only with its next call, seconds later: what all of them add meanwhile must stay
 /// small, or most of the time the limit is used up by calls that are refused.
 #[test]
-fn a_fleet_that_wants_more_than_the_limit_is_seldom_refused() {
+fn a_fleet_that_wants_more_than_the_limit_is_rarely_rejected() {
     for seed in 1..=3 {
         let seen = live_through(Plan { quiet: Duration::from_secs(60), seed, ..FLEET });
         assert!(seen.served > 0.8, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
@@ -54,7 +54,7 @@
 /// What the list and the settings tell may be missing or far off, and a wait absurdly long: a courier neither panics,
 /// nor floods the partner, nor holds its messages back for good.
 #[test]
-fn odd_rates_fleet_sizes_and_waits_do_no_harm() {
+fn odd_rates_fleet_sizes_and_retry_afters_do_no_harm() {
     for weights in [WeightSource::Silent, WeightSource::Rough, WeightSource::Nominal] {
         for weight in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
             for fleet_size in [0, 1, 100, u32::MAX] {
@@ -82,9 +82,9 @@
                 }
                 assert!((1..=120).contains(&calls), "{case}: {calls} calls for 120 messages");
                 assert!(waiting <= 1, "{case}: {waiting} calls inside an endless wait");
-                let mut courier = bench.courier;
+                let mut scheduler = bench.scheduler;
                 assert!(
-                    courier.suggested_retry_after(bench.now, DestinationId(1)) <= Duration::from_secs(3),
+                    scheduler.suggested_retry_after(bench.now, DestinationId(1)) <= Duration::from_secs(3),
                     "{case}"
                 );
             }
@@ -94,7 +94,7 @@
 
 /// A list that is empty, or late, leaves nothing to send to; messages are still answered in time.
 #[test]
-fn without_a_list_messages_are_answered_in_time() {
+fn without_an_endpoint_list_messages_get_their_outcome_in_time() {
     let settings = Settings { fleet_size: 100, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings.clone(), Vec::new());
     bench.accept(1, 0, 1, None);
@@ -107,7 +107,7 @@
 
 /// After a lowered limit a courier that calls seldom is back at its part within a few calls, not minutes.
 #[test]
-fn a_pace_that_was_cut_is_soon_back_at_the_told_part() {
+fn a_reduced_rate_limit_recovers_to_the_announced_part() {
     let mut bench = Bench::new(Settings { fleet_size: 100, ..settings(vec![safe()]) }, vec![endpoint(7, 1)]);
     let (mut id, mut refused, mut served) = (0, 0, 0);
     let mut end = bench.now + Duration::from_secs(600);
--- a/tests/falls.rs
+++ b/tests/overload.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::crowd::{live_through, OutageKind, Plan};
+use common::recovering_fleet::{live_through, OutageKind, Plan};
 use std::time::Duration;
 
 const CROWD: Plan = Plan {
@@ -35,7 +35,7 @@
 
 /// Issue of later mandeville (Ld0af66): all whom a shut door had told when it opens came back at that moment.
 #[test]
-fn a_told_opening_gathers_nobody() {
+fn a_retry_after_gathers_no_herd() {
     let told = Plan { outage: OutageKind::ShutAndTells, ..CROWD };
     let small = Plan { capacity: 20.0, ..told };
     let tiny = Plan { capacity: 6.0, ..told };
@@ -45,7 +45,7 @@
 
 /// Hunted day h562547: what waits at each courier set the slowest pace after refusals, and added up.
 #[test]
-fn refusals_without_a_word_slow_all_down() {
+fn rejections_without_retry_after_slow_all_down() {
     let shut = Plan { outage: OutageKind::Shut, ..CROWD };
     let small = Plan { capacity: 20.0, ..shut };
     let tiny = Plan { capacity: 12.0, ..shut };
@@ -55,7 +55,7 @@
 
 /// Hunted day h1c8921: trials by own demand add up to the demand, and a hot partner has many times its limit.
 #[test]
-fn trials_and_slow_starts_share_one_budget() {
+fn probes_and_slow_starts_share_one_budget() {
     for outage in [OutageKind::Down, OutageKind::Hung] {
         let out = Plan { outage, ..CROWD };
         let hot = Plan { load: 1.5, ..out };
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -163,7 +163,7 @@
 fn play(steps: &[Step], seed: u64) -> Vec<Action> {
     let (settings, endpoints) = world();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
-    bench.courier = Scheduler::new(settings.clone(), seed);
+    bench.scheduler = Scheduler::new(settings.clone(), seed);
     bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.clone())));
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
     let (held, retry_after_delays, rests) = Default::default();
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_happens() {
+fn the_delivery_rules_hold_under_random_events() {
     let check = |steps: Vec<Step>| {
         play(&steps, 3);
         Ok(())
@@ -280,7 +280,7 @@
 
 /// Two couriers that take turns act as each does alone.
 #[test]
-fn interleaved_couriers_act_as_alone() {
+fn interleaved_schedulers_act_as_if_alone() {
     let run = |bench: &mut Bench, step: u32| {
         bench.now = bench.now + ms(40);
         bench.accept(step, 2, 1 + (step % 3) as u16, None);
@@ -309,7 +309,7 @@
 /// What is over leaves nothing behind: a courier that has passed ten times as many messages, by whatever way they
 /// ended, remembers no more than one that has passed a few.
 #[test]
-fn memory_does_not_grow_with_the_messages_that_have_passed() {
+fn memory_does_not_grow_with_completed_messages() {
     let remembered = |steps: u32| {
         let (settings, endpoints) = world();
         let mut bench = Bench::new(settings, endpoints.clone());
@@ -334,7 +334,7 @@
                 bench.finish(message, endpoint, AttemptOutcome::Delivered, ms(7));
             }
         }
-        postcard::to_stdvec(&bench.courier).unwrap().len()
+        postcard::to_stdvec(&bench.scheduler).unwrap().len()
     };
     let (few, many) = (remembered(300), remembered(3000));
     // Larger numbers take some more bytes each.
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_fails_at_once() {
+fn a_non_idempotent_message_that_may_have_run_fails_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 1, Some(bench.now - ms(700)));
     bench.tell(Event::MessageRestored(message));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_is_sent() {
+fn a_non_idempotent_message_that_did_not_run_is_sent() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 2, None);
     bench.tell(Event::MessageRestored(message));
@@ -54,7 +54,7 @@
 
 /// The window runs from the first attempt, which the old process made, and not from the restart.
 #[test]
-fn a_window_goes_on_from_the_first_attempt() {
+fn an_idempotency_window_continues_from_the_first_attempt() {
     let mut bench = bench(vec![keyed()], true);
     let (inside, outside) = (bench.now - Duration::from_secs(5), bench.now - Duration::from_secs(10));
     let (first, second) =
@@ -79,7 +79,7 @@
 
 /// Any key may have had a call out when the old process died: all rest, new messages' keys too.
 #[test]
-fn keys_rest_after_a_restart_and_go_on_in_order() {
+fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
     for id in [1, 2] {
         let message = restored(&bench, id, Some(5), 0, None);
@@ -94,7 +94,7 @@
 
 /// A final answer that is under way keeps the key of its message, over a restart too.
 #[test]
-fn a_key_is_free_once_the_answer_is_heard() {
+fn an_ordering_key_is_free_once_the_outcome_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
     let answered = RestoredMessage {
         outcome_recorded: true,
@@ -110,30 +110,30 @@
 
 /// An outage that was seen before a restart is held against the courier after it.
 #[test]
-fn an_outage_is_remembered() {
+fn an_open_circuit_is_remembered() {
     let mut bench = bench(vec![safe()], true);
     (1..=3).for_each(|id| bench.accept(id, 0, 3, None));
     for (message, endpoint, _) in bench.routes() {
         bench.finish(message, endpoint, AttemptOutcome::ConnectFailed, ms(1));
     }
-    let circuit_records: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+    let circuit_records: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
     assert_eq!(circuit_records.len(), 1);
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
-    assert_eq!(bench.courier.circuit_records().count(), 0);
+    assert_eq!(bench.scheduler.circuit_records().count(), 0);
     circuit_records.iter().for_each(|outage| bench.tell(Event::CircuitRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
     // Without the memory all ten would go at once.
     assert!(bench.routes().len() <= 1);
     assert_eq!(
-        bench.courier.circuit_records().next().map(|outage| outage.last_success_at),
+        bench.scheduler.circuit_records().next().map(|outage| outage.last_success_at),
         Some(circuit_records[0].last_success_at)
     );
 }
 
 /// No call is begun that would not be over when the courier ends.
 #[test]
-fn nothing_is_begun_shortly_before_the_end() {
+fn nothing_is_started_shortly_before_shutdown() {
     let mut bench = bench(vec![keyed()], true);
     bench.tell(Event::ShutdownScheduled(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
@@ -145,7 +145,7 @@
 
 /// Attempts that are used up end a message at once, and as a refusal where none of them ran.
 #[test]
-fn a_spent_message_is_answered_at_once() {
+fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
     bench.accept(1, 0, 3, None);
     let (message, endpoint, _) = bench.routes()[0];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_message_without_any_endpoint_is_handed_back_by_its_deadline() {
+fn a_message_without_any_endpoint_is_rejected_by_its_deadline() {
     let mut bench = Bench::new(settings(vec![keyed()]), vec![]);
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_is_never_resent_and_ends_as_failed() {
+fn a_non_idempotent_message_that_may_have_run_is_never_retried_and_fails() {
     for outcome in MAYBE_RAN {
         let mut bench = after_one_attempt(unsafe_class(), outcome);
         let end = bench.until_action(Duration::from_secs(30));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_goes_again() {
+fn a_non_idempotent_message_that_did_not_run_is_retried() {
     for outcome in NEVER_RAN {
         let mut bench = after_one_attempt(unsafe_class(), outcome);
         let next = bench.until_action(Duration::from_secs(15));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_keyed_message_is_resent_inside_its_window_only() {
+fn a_message_with_a_key_is_retried_inside_its_idempotency_window_only() {
     let mut bench = one(keyed());
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
@@ -89,7 +89,7 @@
 /// A connection may take long to come up: each call tells how long its message may wait for that, which is until
 /// its deadline, and for a repeat until the end of its window.
 #[test]
-fn a_call_tells_until_when_its_message_may_leave() {
+fn an_attempt_says_until_when_its_message_may_be_sent() {
     let within = |actions: &[Action]| match actions {
         [Action::StartAttempt { send_within, .. }, ..] => *send_within,
         other => panic!("{other:?}"),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_keyed_message_stays_in_the_zone_that_drops_its_repeats() {
+fn a_message_with_a_key_stays_in_its_deduplication_zone() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
     let class = Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() };
@@ -142,7 +142,7 @@
 /// What shares a call goes where its first message goes, and may not go there itself (variant of five zones: sent
 /// again outside its group on 10 of 12 short days).
 #[test]
-fn a_repeat_shares_no_call_to_another_zone() {
+fn a_retry_shares_no_call_to_another_zone() {
     for per_endpoint_limits in [false, true] {
         let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
         let mut seen = [0, 0];
@@ -164,7 +164,7 @@
 
 /// A repeat whose zone takes nothing just now does not keep others of its destination from going elsewhere.
 #[test]
-fn a_repeat_that_has_to_wait_for_its_zone_holds_nobody_up() {
+fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
     for per_endpoint_limits in [false, true] {
         let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
@@ -179,12 +179,12 @@
 }
 
 #[test]
-fn gaps_before_repeats_are_drawn_by_chance_and_grow() {
+fn backoff_grows_and_has_jitter() {
     let mean_gap = |failures: u32| {
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
                 let mut bench = one(safe());
-                bench.courier = Scheduler::new(bench.settings.clone(), seed);
+                bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
                 bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
                 bench.accept(1, 0, 1, None);
                 bench.routes();
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_message_from_a_dead_courier_counts_its_window_from_its_hand_in() {
+fn a_redelivered_message_counts_its_window_from_when_it_was_enqueued() {
     let mut bench = one(keyed());
     let class = bench.settings.classes[0].clone();
     bench.tell(Event::MessageAccepted(AcceptedMessage {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_drained_or_gone_endpoint_gets_nothing_new() {
+fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(7, 1) }])));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_told_wait_binds_every_message_of_the_destination() {
+fn a_retry_after_holds_back_every_message_of_the_destination() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
@@ -252,7 +252,7 @@
 
 /// Incident ie8d4eb: a wait told by the first outcomes of a batched call was dropped.
 #[test]
-fn a_wait_told_by_any_message_of_a_call_is_kept() {
+fn a_retry_after_with_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(
         Settings {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn keys_go_strictly_in_turn_and_rest_after_an_unsettled_attempt() {
+fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
     let class = Class { ordered: true, ..unsafe_class() };
     let base = settings(vec![class]);
     let rules = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_dead_destination_gets_single_trials_and_a_slow_start() {
+fn a_failed_destination_gets_single_probes_and_a_slow_start() {
     let mut bench = one(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
@@ -331,7 +331,7 @@
 
 /// Hang of a destination: the silence stops further calls long before a time-out would.
 #[test]
-fn a_silent_destination_is_sent_no_more_than_trials() {
+fn an_unresponsive_destination_gets_no_more_than_probes() {
     let mut bench = one(unsafe_class());
     for id in 0..20 {
         bench.accept(id, 0, 1, None);
@@ -350,7 +350,7 @@
 
 /// Incident id37437: hung destinations pinned all slots.
 #[test]
-fn hung_destinations_leave_slots_for_the_healthy() {
+fn unresponsive_destinations_leave_slots_for_the_healthy() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
     let mut bench = Bench::new(settings(vec![unsafe_class()]), all);
     let mut healthy = 0;
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn nearly_full_the_least_worth_are_handed_back() {
+fn when_nearly_full_the_least_valuable_messages_are_rejected() {
     let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn a_free_slot_goes_to_the_destination_with_fewest_calls_out() {
+fn a_free_slot_goes_to_the_destination_with_fewest_calls_in_flight() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(
         Settings { max_in_flight_calls: 4, ..base },
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn one_call_carries_many_where_the_kind_allows_it() {
+fn one_call_carries_a_batch_where_the_kind_allows_it() {
     let base = settings(vec![safe()]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits: false }];
     let mut bench =
@@ -407,7 +407,7 @@
 
 /// Incident i10b789: in a slow spell the time-outs stayed short and repeats met the first call still running.
 #[test]
-fn time_outs_stretch_with_time_outs() {
+fn attempt_timeouts_grow_after_timeouts() {
     let mut bench = one(safe());
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].2;
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn events_for_unknown_things_are_ignored() {
+fn events_for_unknown_ids_are_ignored() {
     let mut bench = one(safe());
     bench.finish(99, 7, AttemptOutcome::Delivered, ms(5));
     bench.finish(99, 98, AttemptOutcome::Rejected(Some(ms(5))), ms(5));
@@ -453,14 +453,14 @@
 /// Who is refused at the door has not waited in vain: what would be handed back for a new message, or be handed back
 /// itself, costs more than it. Of one worth nothing goes for another, and for one worth more the least goes.
 #[test]
-fn nearly_full_a_message_of_no_more_worth_is_refused_at_the_door() {
+fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
     let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     let classes = bench.settings.classes.clone();
     let admits = |bench: &mut Bench, class: u8| {
         let new = accepted(bench.now, 99, (ClassId(class), &classes[usize::from(class)]), 1, None);
-        bench.courier.admits(bench.now, &new)
+        bench.scheduler.admits(bench.now, &new)
     };
     for id in 0..18 {
         assert!(admits(&mut bench, 0), "{id}");
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn what_is_beyond_a_tenants_share_is_shed_first() {
+fn messages_beyond_a_tenants_quota_are_shed_first() {
     let base = settings(vec![safe()]);
     let tenants = vec![Tenant { quota_per_sec: 5.0 }, Tenant { quota_per_sec: 1000.0 }];
     let mut bench = Bench::new(
@@ -502,7 +502,7 @@
 /// Where worth falls by halves to a floor, who has reached the floor loses nothing more by waiting, and who is
 /// still on time goes first; where it falls evenly, the late one goes on losing.
 #[test]
-fn what_waiting_loses_goes_by_the_settings_decay() {
+fn the_cost_of_waiting_follows_the_configured_decay() {
     for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
         let latency_objective = Duration::from_secs(3);
         let class =
@@ -541,7 +541,7 @@
 /// Where many calls fail, though some are served, an unsafe message waits until they do no more, or for its last
 /// moment; what can be repeated goes on meanwhile.
 #[test]
-fn an_unsafe_message_waits_while_its_route_loses_calls() {
+fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
     for recovers in [true, false] {
         let mut bench = Bench::new(settings(vec![safe(), unsafe_class()]), vec![endpoint(7, 1)]);
         let deadline = bench.settings.classes[1].deadline;
@@ -577,7 +577,7 @@
 }
 
 #[test]
-fn where_routes_are_apart_a_wait_holds_for_its_route_only() {
+fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
     let base = settings(vec![safe()]);
     let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -592,11 +592,11 @@
 
 /// Where each courier has few calls, a tie by id sends all of them to the same endpoint of a destination.
 #[test]
-fn couriers_prefer_different_endpoints_of_a_destination() {
+fn gateways_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
         .map(|seed| {
             let mut bench = Bench::new(settings(vec![safe()]), vec![]);
-            bench.courier = Scheduler::new(bench.settings.clone(), seed);
+            bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
             bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
                 endpoint(7, 1),
                 endpoint(8, 1),
@@ -611,7 +611,7 @@
 
 /// A message that can never be sent again must not keep its order key from the messages behind it.
 #[test]
-fn a_hopeless_message_is_answered_at_once_and_frees_its_key() {
+fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
     let classes = [unsafe_class(), keyed()].map(|class| Class { ordered: true, ..class });
     let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
@@ -630,7 +630,7 @@
 }
 
 #[test]
-fn a_message_whose_attempts_are_used_up_is_handed_back_at_once() {
+fn a_message_whose_attempts_are_exhausted_is_rejected_at_once() {
     let mut bench = one(unsafe_class());
     bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
@@ -663,7 +663,7 @@
 
 /// Idle connections dropped unseen: the next call on one is lost.
 #[test]
-fn idle_connections_are_closed_before_use_once_calls_on_them_get_lost() {
+fn idle_connections_are_closed_before_reuse_once_calls_on_them_are_lost() {
     for idle in [Duration::from_secs(2), ms(20)] {
         assert_eq!(closes_after(AttemptOutcome::Delivered, 12, idle), 0);
         assert!(closes_after(AttemptOutcome::Reset, 12, idle) >= 6, "after {idle:?}");
@@ -672,7 +672,7 @@
 
 /// One lost answer is not an outage: with a share of the answers lost, messages must not wait for trials.
 #[test]
-fn a_single_reset_opens_no_spell_but_a_missing_connection_does() {
+fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
         let mut bench = one(safe());
         let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
@@ -691,7 +691,7 @@
 
 /// Hunt h560941: a hung partner with its queue full refuses although its limit has room.
 #[test]
-fn refusals_with_room_left_inside_the_limit_count_as_an_outage() {
+fn rejections_with_headroom_left_count_as_failures() {
     let sends_after = |left: f64| {
         let mut bench = one(safe());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
@@ -711,7 +711,7 @@
 
 /// Calls that hang take the slots of others: with none left, the oldest one is called off.
 #[test]
-fn with_all_slots_taken_a_stalled_call_is_called_off() {
+fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
     let base = settings(vec![safe()]);
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
@@ -724,7 +724,7 @@
 
 /// A slot is worth most where a message of more worth waits, not where the list starts.
 #[test]
-fn ties_between_destinations_go_by_worth() {
+fn ties_between_destinations_go_by_value() {
     let rich = Class { priority_weight: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
     let mut bench =
@@ -736,7 +736,7 @@
 
 /// Incident i88d54c: light couriers that had all failed to connect came back every few seconds together.
 #[test]
-fn light_couriers_try_a_dead_destination_seldom() {
+fn low_traffic_gateways_probe_a_failed_destination_rarely() {
     let mut trials = 0;
     for seed in 0..100 {
         let mut bench = one(safe());
@@ -760,7 +760,7 @@
 
 /// What stays inside a courier's even part of what was told is not held back.
 #[test]
-fn a_light_courier_sends_at_once_inside_its_part() {
+fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
     let mut bench = one(safe());
     bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
@@ -774,14 +774,16 @@
 
 /// Incident i4182c2: refused calls use up the limit, and first and second attempts alone kept it used up.
 #[test]
-fn where_calls_carry_many_one_refusal_slows_down_to_a_call_an_aim() {
+fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
         let base = settings(vec![safe()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
         let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
         // Its pace is far above its part of what is told now.
-        bench.courier.handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
+        bench
+            .scheduler
+            .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(100);
         bench.accept(1, 0, 1, None);
         let mut calls = 0;
@@ -803,7 +805,7 @@
 /// Later kingston, fresh-big: a clump met a hung partner's refusals at many light couriers at once, and their first
 /// repeats met its return at once.
 #[test]
-fn light_couriers_refused_together_come_back_apart() {
+fn low_traffic_gateways_rejected_together_retry_apart() {
     let back_after = |seed: u64| {
         let mut bench = one(safe());
         bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
@@ -829,7 +831,7 @@
 /// An endpoint that answers is up, also where what it says cannot be read: a few such answers open no spell, as
 /// lost calls do.
 #[test]
-fn spoilt_answers_are_no_outage() {
+fn malformed_responses_open_no_circuit() {
     let outages_after = |outcome| {
         let mut bench = one(safe());
         for id in 1..=4 {
@@ -840,7 +842,7 @@
             }
             bench.now = bench.now + ms(100);
         }
-        bench.courier.circuit_records().filter(|outage| outage.calls_lost.is_some()).count()
+        bench.scheduler.circuit_records().filter(|outage| outage.calls_lost.is_some()).count()
     };
     assert_eq!(outages_after(AttemptOutcome::MalformedResponse), 0);
     assert_eq!(outages_after(AttemptOutcome::Reset), 1);
@@ -850,7 +852,7 @@
 /// it at one moment, and discovery must have room to come back. But none is longer than 5 s, however many there are:
 /// what changes counts as told 6 s later. One that broke in silence is tried again soon.
 #[test]
-fn a_refused_watch_is_tried_again_at_growing_gaps() {
+fn a_rejected_watch_is_retried_with_growing_backoff() {
     let tries = |fleet_size: u32, why: EndpointUpdate, span: Duration| {
         let mut bench = Bench::new(Settings { fleet_size, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
         let end = bench.now + span;
@@ -919,7 +921,7 @@
 
 /// A courier that calls seldom has no later event to find the silence by: the one at its due moment must do.
 #[test]
-fn silence_opens_a_spell_at_the_moment_it_is_due() {
+fn silence_opens_the_circuit_at_the_moment_it_is_due() {
     let mut bench = one(safe());
     bench.accept(1, 0, 1, None);
     let due = |action: &Action| match action {
@@ -935,13 +937,13 @@
         bench.now = bench.now + after;
         bench.tell(Event::TimerFired(token));
     }
-    assert!(bench.courier.longest_queue(bench.now).unwrap().2[0].circuit_open);
+    assert!(bench.scheduler.longest_queue(bench.now).unwrap().2[0].circuit_open);
 }
 
 /// An endpoint that has too many connections says nothing of its limit, and whoever keeps one idle keeps others of the
 /// fleet out (other deployment, calm day: 7 of 10 messages ran out untried, and no limit was met).
 #[test]
-fn a_connection_that_was_one_too_many_is_no_limit_and_none_is_kept() {
+fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 2)]);
     let closes =
         |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
@@ -970,7 +972,7 @@
 /// In a slow start the pace grows: a courier that nothing happens to looks again while its message still has time,
 /// and not when the pace of the first moment would have let it go.
 #[test]
-fn a_slow_start_is_looked_at_again_while_nothing_happens() {
+fn a_slow_start_progresses_while_nothing_happens() {
     let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings, vec![Endpoint { weight: 40.0, ..endpoint(11, 3) }]);
     let begun = bench.now;
--- a/tests/terms_module.rs
+++ b/tests/terms_module.rs
@@ -14,13 +14,13 @@
 
 /// From the last of so many refusals in a row to the next try; the term's time and a little more if there is none.
 fn gap_after(refusals: u32, fleet_size: u32, seed: u64, why: &EndpointUpdate) -> Duration {
-    let mut courier = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+    let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
     let start = Time::ZERO + Duration::from_secs(100);
-    (0..refusals).for_each(|_| courier.handle(start, Event::EndpointsUpdated(why.clone())));
+    (0..refusals).for_each(|_| scheduler.handle(start, Event::EndpointsUpdated(why.clone())));
     let mut actions = Vec::new();
     let mut gap = Duration::ZERO;
     while gap <= COUNTS_AS_TOLD {
-        courier.decide(start + gap, &mut actions);
+        scheduler.decide(start + gap, &mut actions);
         if actions.contains(&Action::WatchEndpoints { active: true }) {
             return gap;
         }
@@ -32,7 +32,7 @@
 /// Whatever else is allowed after a refused call for the list, a change counts as told 6 s after discovery had it and
 /// could be reached: the next try must come before that, however often it was refused and however many there are.
 #[test]
-fn a_refused_watch_is_asked_again_before_a_change_counts_as_told() {
+fn a_rejected_watch_is_retried_before_a_change_counts_as_announced() {
     let mut late = Vec::new();
     for fleet_size in FLEETS {
         for refusals in [1, 2, 4, 12] {
@@ -50,7 +50,7 @@
 /// A watch that failed or was given up, after all the time that discovery may take to answer, is asked for again in
 /// time too, whatever the fleet.
 #[test]
-fn a_failed_or_given_up_watch_is_asked_again_before_a_change_counts_as_told() {
+fn a_failed_watch_is_retried_before_a_change_counts_as_announced() {
     for fleet_size in FLEETS {
         for failures in [1, 2, 12] {
             for seed in 1..=5 {
@@ -67,12 +67,12 @@
 /// What the agent has counts from the first moment of a new process: the first watch leaves half of the time in which
 /// calls to what drains must stop, in the fleet to come too.
 #[test]
-fn the_first_watch_comes_in_time_in_every_fleet() {
+fn the_first_watch_is_in_time_in_every_fleet_size() {
     let drain = Settings::default().limits.drain_grace;
     for fleet_size in FLEETS {
         for seed in 0..500 {
-            let mut courier = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
-            let first = courier.initial_watch_delay();
+            let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+            let first = scheduler.initial_watch_delay();
             assert!(first <= drain / 2, "{fleet_size} couriers, seed {seed}: {first:?}");
         }
     }
@@ -94,7 +94,7 @@
 
 /// One process of a throng.
 struct Member {
-    courier: Scheduler,
+    scheduler: Scheduler,
     wake: Option<(Time, u64)>,
     touched: bool,
     /// Was told of the outage by a call that failed or was refused.
@@ -137,13 +137,13 @@
     let (out_from, back) = (now + Duration::from_secs(5), now + Duration::from_secs(15));
     let mut chance = fastrand::Rng::with_seed(seed);
     let fresh = |seed: u64, now: Time| {
-        let mut courier = Scheduler::new(settings.clone(), seed);
-        courier.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
-        courier
+        let mut scheduler = Scheduler::new(settings.clone(), seed);
+        scheduler.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
+        scheduler
     };
     let mut members: Vec<Member> = (0..u64::from(fleet_size))
         .map(|n| Member {
-            courier: fresh(seed * 1000 + n, now),
+            scheduler: fresh(seed * 1000 + n, now),
             wake: None,
             touched: true,
             told: false,
@@ -168,11 +168,11 @@
         room = f64::min(room + can * 0.005, can / 2.0 + 1.0);
         if killed && returned && now - back < ms(5) {
             for (number, member) in members.iter_mut().enumerate() {
-                let circuit_records: Vec<CircuitRecord> = member.courier.circuit_records().collect();
-                member.courier = fresh(seed * 1000 + 500 + number as u64, now);
+                let circuit_records: Vec<CircuitRecord> = member.scheduler.circuit_records().collect();
+                member.scheduler = fresh(seed * 1000 + 500 + number as u64, now);
                 circuit_records
                     .into_iter()
-                    .for_each(|seen| member.courier.handle(now, Event::CircuitRestored(seen)));
+                    .for_each(|seen| member.scheduler.handle(now, Event::CircuitRestored(seen)));
                 for (taken, attempts) in member.held.values() {
                     let (taken, attempts) = (taken.clone(), *attempts);
                     let restored = RestoredMessage {
@@ -181,7 +181,7 @@
                         first_uncertain_attempt: None,
                         outcome_recorded: false,
                     };
-                    member.courier.handle(now, Event::MessageRestored(restored));
+                    member.scheduler.handle(now, Event::MessageRestored(restored));
                 }
                 (member.wake, member.touched) = (None, true);
             }
@@ -192,11 +192,11 @@
                 last += 1;
                 let taken = accepted(now, last, (ClassId(0), &class), 1, None);
                 member.held.insert(taken.id, (taken.clone(), 0));
-                member.courier.handle(now, Event::MessageAccepted(taken));
+                member.scheduler.handle(now, Event::MessageAccepted(taken));
                 member.touched = true;
             }
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= now) {
-                member.courier.handle(now, Event::TimerFired(token));
+                member.scheduler.handle(now, Event::TimerFired(token));
                 member.touched = true;
             }
         }
@@ -207,7 +207,7 @@
             let endpoint = EndpointId(7);
             let finished =
                 FinishedAttempt { message, endpoint, attempt, outcome, latency, complete, load_report: None };
-            member.courier.handle(now, Event::AttemptFinished(finished));
+            member.scheduler.handle(now, Event::AttemptFinished(finished));
             member.told |= out && !complete;
             member.touched = true;
             if complete {
@@ -217,7 +217,7 @@
         for (number, member) in members.iter_mut().enumerate().filter(|(_, member)| member.touched) {
             member.touched = false;
             let mut actions = Vec::new();
-            member.courier.decide(now, &mut actions);
+            member.scheduler.decide(now, &mut actions);
             // What goes in one turn shares calls, as many as a call may carry.
             let (mut fate, mut carried) = (None, 0);
             for action in actions {
@@ -308,20 +308,20 @@
 }
 
 #[test]
-fn the_ramp_holds_for_the_sum_of_twenty_and_thirty_processes() {
+fn the_slow_start_budget_holds_for_twenty_and_thirty_processes_together() {
     holds_for_the_sum(false);
 }
 
 /// So too where all processes are killed in the moment of the return, and know only what their journals tell.
 #[test]
-fn the_ramp_holds_for_the_sum_of_processes_that_were_killed() {
+fn the_slow_start_budget_holds_for_killed_processes_together() {
     holds_for_the_sum(true);
 }
 
 /// The window for repeats may be 1 s where couriers are restarted: whenever the first attempt was sent, and however
 /// often the process was killed since, nothing leaves outside it.
 #[test]
-fn nothing_leaves_outside_a_window_of_a_second_over_kills() {
+fn nothing_is_sent_outside_a_one_second_window_over_kills() {
     let window = Duration::from_secs(1);
     let class = Class {
         idempotency_window: window,
@@ -402,7 +402,7 @@
 /// What a restart finds untried, with half of its time left, is tried and not given up early: of each effect, where
 /// many destinations were out before, and as many messages as may be held.
 #[test]
-fn what_a_restart_finds_untried_is_tried() {
+fn untried_messages_are_tried_after_a_restart() {
     let classes = vec![keyed(), unsafe_class(), safe()];
     let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
     // Ten messages for each destination, and a part of its rate for them all: 1.3 calls a second, for 10 s.
--- a/tests/steps.rs
+++ b/tests/work_per_step.rs
@@ -16,7 +16,7 @@
 
 /// A courier, its clock, and the number of the last message.
 struct Site {
-    courier: Scheduler,
+    scheduler: Scheduler,
     settings: Settings,
     now: Time,
     last: u32,
@@ -56,15 +56,15 @@
 
     fn with(settings: Settings, endpoints: usize) -> Site {
         let now = Time::ZERO + Duration::from_secs(100);
-        let mut site = Site { courier: Scheduler::new(settings.clone(), 7), settings, now, last: 0 };
+        let mut site = Site { scheduler: Scheduler::new(settings.clone(), 7), settings, now, last: 0 };
         site.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot((0..endpoints).map(endpoint).collect())));
         site.step();
-        site.courier.take_circuit_changes();
+        site.scheduler.take_circuit_changes();
         site
     }
 
     fn tell(&mut self, event: Event) {
-        self.courier.handle(self.now, event);
+        self.scheduler.handle(self.now, event);
     }
 
     fn accept(&mut self, to: usize) {
@@ -85,7 +85,7 @@
     fn step(&mut self) -> Vec<(MessageId, EndpointId)> {
         self.now = self.now + Duration::from_millis(1);
         let mut actions = Vec::new();
-        self.courier.decide(self.now, &mut actions);
+        self.scheduler.decide(self.now, &mut actions);
         let routed = |action: &Action| match action {
             Action::StartAttempt { message, endpoint, .. } => Some((*message, *endpoint)),
             _ => None,
@@ -123,16 +123,16 @@
 
     /// What is looked at while messages for a few destinations are taken, sent and ended, one after the other.
     fn looks(&mut self) -> WorkCounters {
-        let before = self.courier.work();
+        let before = self.scheduler.work();
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
             assert_eq!(sent.len(), 1, "what can go goes, and it alone");
             self.finish(sent[0], AttemptOutcome::Delivered);
             assert_eq!(self.step(), []);
-            self.courier.take_circuit_changes();
+            self.scheduler.take_circuit_changes();
         }
-        since(before, self.courier.work())
+        since(before, self.scheduler.work())
     }
 }
 
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_step_does_not_look_at_who_waits_nor_through_the_list() {
+fn a_step_visits_neither_waiting_destinations_nor_the_endpoint_list() {
     let few = Site::new(SMALL).looks();
     let mut large = Site::new(LARGE);
     large.keep_waiting(WAITING, HELD);
@@ -170,7 +170,7 @@
 
 /// Each destination that waits has its own time, and some are due at each step: only these are looked at.
 #[test]
-fn only_the_waits_that_end_are_looked_at() {
+fn only_retry_afters_that_end_are_visited() {
     let mut site = Site::new(LARGE);
     let told = DESTINATIONS - WAITING..DESTINATIONS;
     for (place, to) in told.clone().enumerate() {
@@ -179,7 +179,7 @@
         site.accept(to);
     }
     assert_eq!(site.step(), []);
-    let before = site.courier.work();
+    let before = site.scheduler.work();
     let mut sent = Vec::new();
     for _ in 0..ROUNDS {
         for _ in 0..10 {
@@ -187,12 +187,12 @@
         }
     }
     assert_eq!(sent.len(), ROUNDS, "all that came due went");
-    let looks = since(before, site.courier.work());
+    let looks = since(before, site.scheduler.work());
     assert!(looks.destinations <= 4 * ROUNDS as u64 && looks.messages <= 4 * ROUNDS as u64, "{looks:?}");
 }
 
 #[test]
-fn calls_out_are_not_looked_through() {
+fn calls_in_flight_are_not_scanned() {
     for (few, many) in [((20, 20), (90, 90)), ((20, 2), (90, 9)), ((20, 2), (90, 2))] {
         let mut small = Site::new(SMALL);
         small.leave_out(few.0, few.1);
@@ -204,18 +204,18 @@
 
 /// Calls to a destination end in another order than they were sent; those that are left are not gone through anew.
 #[test]
-fn calls_that_end_are_not_looked_for_among_the_others() {
+fn finished_calls_are_found_without_a_scan() {
     let looks = |calls: usize| {
         let mut site = Site::new(SMALL);
         (0..calls).for_each(|_| site.accept(40));
         let sent = site.step();
         assert_eq!(sent.len(), calls);
-        let before = site.courier.work();
+        let before = site.scheduler.work();
         for call in sent.into_iter().rev().take(10) {
             site.finish(call, AttemptOutcome::Delivered);
             assert_eq!(site.step(), []);
         }
-        since(before, site.courier.work())
+        since(before, site.scheduler.work())
     };
     assert_at_most(2, looks(20), looks(90));
     assert_at_most(2, looks(100), looks(450));
@@ -223,24 +223,24 @@
 
 /// Each call that ends lets one more message of a long queue go.
 #[test]
-fn a_long_queue_is_not_gone_through_for_each_message() {
+fn a_long_queue_is_not_scanned_for_each_message() {
     let looks = |messages: usize| {
         let mut site = Site::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
         (0..messages).for_each(|_| site.accept(40));
         let mut sent = site.step();
-        let before = site.courier.work();
+        let before = site.scheduler.work();
         for _ in 0..ROUNDS {
             assert_eq!(sent.len(), 1);
             site.finish(sent[0], AttemptOutcome::Delivered);
             sent = site.step();
         }
-        since(before, site.courier.work())
+        since(before, site.scheduler.work())
     };
     assert_at_most(2, looks(HELD / 100), looks(HELD));
 }
 
 #[test]
-fn no_route_is_looked_at_for_outages_where_none_changed() {
+fn no_circuit_is_visited_where_none_changed() {
     let mut site = Site::new(LARGE);
     for to in DESTINATIONS - WAITING..DESTINATIONS {
         site.tell(Event::CircuitRestored(CircuitRecord {
@@ -254,33 +254,33 @@
         }));
     }
     assert_eq!(site.step(), []);
-    assert_eq!(site.courier.take_circuit_changes().len(), WAITING, "all are told once");
+    assert_eq!(site.scheduler.take_circuit_changes().len(), WAITING, "all are told once");
     assert_eq!(site.looks().routes, 0);
-    assert_eq!(site.courier.take_circuit_changes(), []);
+    assert_eq!(site.scheduler.take_circuit_changes(), []);
     // One that comes is told alone.
     site.accept(5);
     let sent = site.step();
     site.finish(sent[0], AttemptOutcome::ConnectFailed);
     site.step();
-    let before = site.courier.work();
-    let changed = site.courier.take_circuit_changes();
+    let before = site.scheduler.work();
+    let changed = site.scheduler.take_circuit_changes();
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
     assert!(changed[0].record.is_some_and(|outage| outage.calls_lost == Some(true)));
-    assert_eq!(since(before, site.courier.work()).routes, 1);
+    assert_eq!(since(before, site.scheduler.work()).routes, 1);
 }
 
 #[test]
-fn a_change_of_one_entry_does_not_look_through_the_list() {
+fn a_delta_of_one_endpoint_does_not_scan_the_list() {
     let looks = |endpoints: usize| {
         let mut site = Site::new(endpoints);
-        let before = site.courier.work();
+        let before = site.scheduler.work();
         for mode in [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
         {
             site.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(3) }])));
             assert_eq!(site.step(), []);
         }
-        since(before, site.courier.work()).endpoints
+        since(before, site.scheduler.work()).endpoints
     };
     let few = looks(SMALL);
     assert!((4..=16).contains(&few), "each entry once or a few times: {few}");
