--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -11,7 +11,7 @@
         if leaving || self.open < self.most_open() {
             return !leaving;
         }
-        let over_quota = self.share_left(now, taken.tenant).is_some_and(|left| left < 1.0);
+        let over_quota = self.quotas.is_exhausted(&self.settings, now, taken.tenant);
         let worth = self.new_message(now, taken.clone(), over_quota).map(|m| self.current_value(now, &m));
         let early = |m: &Message| now < m.born + self.class(m).deadline.mul_f64(UNTRIED.0);
         let price =
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -180,7 +180,7 @@
 
     pub(super) fn note_demand(&mut self, now: Time, to: DestinationId) {
         for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.demand.rate(now, cold_s(&self.settings), 1.0);
+            route.demand.rate(now, warm_up_secs(&self.settings), 1.0);
         }
     }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -11,15 +11,25 @@
 use std::time::Duration;
 
 mod admission;
+mod backoff;
+mod connection_reuse;
+mod derived_settings;
 mod maintenance;
 mod operators;
+mod quota;
 mod reports;
 mod state;
+mod watch_backoff;
 
+use connection_reuse::{ConnectionReuse, IdleConnections, NextCall};
+use derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs, warm_up_secs};
+use quota::TenantQuotas;
 use state::queue::{Queue, Seq};
 pub use state::ready_index::WorkCounters;
 use state::ready_index::{earliest, Agenda, Look};
 use state::*;
+use watch_backoff::WatchBackoff;
+pub use watch_backoff::WATCH_RESPONSE_TIMEOUT;
 
 // ---- Tuned values ----
 
@@ -93,8 +103,6 @@
 const TOKEN_GAPS: (f64, f64) = (0.001, 3600.0);
 /// ... and at most so many in a slow start, whose pace grows meanwhile.
 const RAMP_GAP: f64 = 10.0;
-/// Part of a tenant's quota assumed to be this courier's, in even parts; traffic is not even.
-const QUOTA_PART: f64 = 1.25;
 /// Weight of what waiting for one more aim would lose, against the worth itself.
 const WAITING_LOSS: f64 = 2.0;
 /// An unsafe message waits where this share more than usual of the calls of late may have run without being
@@ -114,37 +122,6 @@
 /// What surely did not run and is handed back before this part of its time costs so much of its worth: its
 /// client has waited in vain, where one that is refused at the door has not.
 const UNTRIED: (f64, f64) = (0.7, 0.3);
-/// Weight of the newest loss or answer on an idle connection in the risk that such are dropped unseen.
-const REAPED_GAIN: f64 = 0.15;
-/// Risk from which on idle connections are closed before use: by an unsafe message, which would be lost, and
-/// by one that can be repeated, which would only be late.
-const REAPED_RISKS: (f64, f64) = (0.03, 0.25);
-/// ... beyond so many times the risk of a call on a new connection, which chance moves too.
-const REAPED_OTHER: f64 = 2.0;
-/// A connection in use until this part of the shortest aim ago was not idle: what it loses has other causes.
-/// From there on each doubling of the idle time has a risk of its own.
-const REAPED_LEAST_AIM: f64 = 1.0 / 64.0;
-/// While idle connections are closed, one is tried so many of the shortest aim after the last loss.
-const REAPED_CHECK_AIMS: f64 = 4.0;
-/// None is kept idle for so many times as long as one may be, where one was too many: others need it.
-const CROWDED_IDLES: u32 = 3;
-/// Gap before the watch on the list is tried again where discovery said nothing ...
-const WATCH_GAP: Duration = Duration::from_millis(100);
-/// ... and where it refused, so much for each courier at first and at most: they all lose it at one moment,
-/// and together they must ask less than it can answer, or none of them hears of it again.
-const WATCH_GAPS_REFUSED: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
-/// ... but never longer than this: what discovery has counts as told 6 s later, also to whom it refused, and
-/// 2 s after that nothing may go to what drains; the answer may take `WATCH_RESPONSE_TIMEOUT`. Where this
-/// binds, all couriers have grown to it, and spread over its second half.
-const WATCH_GAP_LONGEST: Duration = Duration::from_secs(5);
-/// Within so much for each courier it is asked for the first time: what a herd asks for at its start is done
-/// in its turn, long after most of them have given up waiting ...
-const WATCH_FIRST: Duration = Duration::from_millis(100);
-/// ... and within this part of the time for which a drain may be missed: what was told while the courier was
-/// away counts as told.
-const WATCH_FIRST_OF_DRAIN: f64 = 0.5;
-/// How long discovery may take to answer: who hangs up has made it work for nothing, and asks once more.
-pub const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// While operators empty the courier, clients that have not yet heard of it are served for so long.
 const LAME_GRACE: Duration = Duration::from_secs(3);
 
@@ -164,8 +141,7 @@
     queues: BTreeMap<DestinationId, Queue>,
     last_seq: Seq,
     messages: BTreeMap<MessageId, Message>,
-    /// What is left of each tenant's share, and since when.
-    shares: BTreeMap<TenantId, (f64, Time)>,
+    quotas: TenantQuotas,
     open: usize,
     deadlines: BTreeSet<(Time, MessageId)>,
     keys: BTreeMap<OrderingKey, Vec<MessageId>>,
@@ -174,14 +150,10 @@
     last_call: u64,
     /// Latency over all destinations: what one that was never called is assumed to need.
     usual: Latency,
-    reaping: Reaping,
-    /// Until when no connections are kept idle.
-    crowded: Time,
+    connection_reuse: ConnectionReuse,
     /// After a restart no order key is used before this: any of them may have had a call out.
     keys_rest: Time,
-    /// Tries to watch the list that were refused since the last that was not, and when the next is due.
-    refused: u32,
-    watch_at: Option<Time>,
+    watch_backoff: WatchBackoff,
     /// When this courier ends, if that is known.
     closing: Option<Time>,
     /// When all that waits was last looked at, or need not be.
@@ -204,7 +176,7 @@
 impl Scheduler {
     /// A courier that knows only its settings; `seed` is its one source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let first = shortest_aim(&settings) * FIRST_LATENCY_OF_AIM;
+        let first = shortest_objective_secs(&settings) * FIRST_LATENCY_OF_AIM;
         let usual = Latency { mean: first, deviation: first, samples: 0 };
         Scheduler { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Scheduler::default() }
     }
@@ -221,7 +193,7 @@
     pub fn handle(&mut self, now: Time, event: Event) {
         match event {
             Event::EndpointsUpdated(listing) => self.on_listing(now, listing),
-            Event::WatchEstablished => (self.refused, self.watch_at) = (0, None),
+            Event::WatchEstablished => self.watch_backoff.on_established(),
             Event::MessageAccepted(message) => self.on_accept(now, message),
             Event::MessageRestored(message) => self.on_restored(now, message),
             Event::CircuitRestored(outage) => self.on_recalled(now, outage),
@@ -246,7 +218,7 @@
     /// When a client does well to come again with a message for this destination: what waits there has to go
     /// out first, and a told wait to pass.
     pub fn suggested_retry_after(&mut self, now: Time, to: DestinationId) -> Duration {
-        let latency_objective = Duration::from_secs_f64(shortest_aim(&self.settings));
+        let latency_objective = Duration::from_secs_f64(shortest_objective_secs(&self.settings));
         let waiting = self.queues.get(&to).map_or(0, Queue::len) as f64;
         let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
         let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
@@ -261,8 +233,7 @@
 
     /// After how long to watch the list for the first time: couriers that start together spread.
     pub fn initial_watch_delay(&mut self) -> Duration {
-        let longest = self.settings.limits.drain_grace.mul_f64(WATCH_FIRST_OF_DRAIN);
-        WATCH_FIRST.mul_f64(fleet_size(&self.settings)).min(longest).mul_f64(self.rng.f64())
+        watch_backoff::initial_delay(&self.settings, self.rng.f64())
     }
 
     /// Acts on all that was recorded.
@@ -282,20 +253,11 @@
     fn on_listing(&mut self, now: Time, listing: EndpointUpdate) {
         let entries = match listing {
             EndpointUpdate::WatchFailed => {
-                self.watch_at = Some(now + WATCH_GAP);
+                self.watch_backoff.on_failed(now);
                 return;
             }
             EndpointUpdate::WatchRejected => {
-                let (first, longest) = WATCH_GAPS_REFUSED;
-                let gap =
-                    growing_gap(first, 1.0, self.refused).min(longest).mul_f64(fleet_size(&self.settings));
-                let chance = self.rng.f64();
-                self.watch_at = Some(if gap > WATCH_GAP_LONGEST {
-                    now + WATCH_GAP_LONGEST.mul_f64(0.5 + 0.5 * chance)
-                } else {
-                    now + gap.mul_f64(chance)
-                });
-                self.refused += 1;
+                self.watch_backoff.on_rejected(now, &self.settings, self.rng.f64());
                 return;
             }
             EndpointUpdate::Delta(entries) => entries,
@@ -329,7 +291,7 @@
             // What is not told has to be tried, and what is told far too low must not hold messages back.
             let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
             let part = if told { (FIRST_RATE / fleet_size(&self.settings)).min(1.0) } else { 1.0 };
-            let least = FIRST_LEAST / shortest_deadline(&self.settings);
+            let least = FIRST_LEAST / shortest_deadline_secs(&self.settings);
             let (first, token) = ((weight * part).max(least), 1.0 - chance * (1.0 - part));
             let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| {
                 let (rate, tokens, filled, latency, last_answer) = (first, token, now, usual, now);
@@ -354,14 +316,14 @@
 
     /// Watches the list again once its gap has passed.
     fn watch_again(&mut self, now: Time, next: &mut Option<Time>) {
-        if self.watch_at.take_if(|at| *at <= now).is_some() {
+        if self.watch_backoff.take_due(now) {
             self.actions.push(Action::WatchEndpoints { active: true });
         }
-        earliest(next, self.watch_at);
+        earliest(next, self.watch_backoff.retry_at());
     }
 
     fn on_accept(&mut self, now: Time, taken: AcceptedMessage) {
-        let over_quota = self.is_over_share(now, taken.tenant);
+        let over_quota = self.quotas.charge(&self.settings, now, taken.tenant);
         let Some(mut message) = self.new_message(now, taken, over_quota) else { return };
         self.last_seq += 1;
         message.seq = self.last_seq;
@@ -437,23 +399,6 @@
         }
     }
 
-    /// Whether a tenant is past its quota. The quota is for all couriers together, and what others take of it
-    /// cannot be seen: what passes the part assumed to be this courier's counts as beyond.
-    fn is_over_share(&mut self, now: Time, tenant: TenantId) -> bool {
-        let Some(left) = self.share_left(now, tenant) else { return false };
-        let over = left < 1.0;
-        self.shares.insert(tenant, (if over { left } else { left - 1.0 }, now));
-        over
-    }
-
-    /// What is left of a tenant's share, in messages; none where it has no share.
-    fn share_left(&self, now: Time, tenant: TenantId) -> Option<f64> {
-        let quota = self.settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
-        let most = quota * (QUOTA_PART / fleet_size(&self.settings)).min(1.0);
-        let (left, since) = self.shares.get(&tenant).copied().unwrap_or((most, now));
-        Some((left + (now - since).as_secs_f64() * most).min(most))
-    }
-
     fn on_told_wait(&mut self, now: Time, endpoint: EndpointId, wait: Duration) {
         let Some(id) = self.addresses.get(&endpoint).map(|a| self.route_of(&a.entry)) else { return };
         self.touch(id.0);
@@ -485,7 +430,7 @@
         if !was_not_processed && message.first_uncertain_attempt.is_none() {
             message.first_uncertain_attempt = Some((call.sent, Some(call.zone)));
         }
-        let gap = growing_gap(class.latency_objective, BACKOFF_BASE_OF_AIM, message.attempts)
+        let gap = backoff::exponential(class.latency_objective, BACKOFF_BASE_OF_AIM, message.attempts)
             .min(class.latency_objective.mul_f64(BACKOFF_CAP_OF_AIM));
         message.not_before = now + gap.mul_f64(self.rng.f64());
         // A call that may still be running lets its key rest before the next message of the key.
@@ -534,14 +479,14 @@
             finished.outcome,
             AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled
         );
-        let risk =
-            call.idle.and_then(|idle| self.idle_step(idle)).map_or(0.0, |step| self.reaping.risks[step]);
-        let reaped = lost && risk > REAPED_RISKS.0 + self.reaping.other * REAPED_OTHER;
-        if !(lost && call.stalled) {
-            self.learn_of_idle(now, call.idle, lost, finished.outcome == AttemptOutcome::Delivered);
+        let explained_by_idle = lost && self.connection_reuse.explains_loss(&self.settings, call.idle);
+        if lost && !call.stalled {
+            self.connection_reuse.record_loss(now, &self.settings, call.idle);
+        } else if finished.outcome == AttemptOutcome::Delivered {
+            self.connection_reuse.record_success(now, &self.settings, call.idle);
         }
         if finished.outcome == AttemptOutcome::TooManyConnections {
-            self.crowded = now + self.settings.connection_idle_timeout * CROWDED_IDLES;
+            self.connection_reuse.on_too_many_connections(now, &self.settings);
         }
         let rules = &self.settings.limits;
         if let Some(address) = self.addresses.get_mut(&call.to) {
@@ -549,14 +494,15 @@
             match finished.outcome {
                 AttemptOutcome::Delivered => (address.used, address.failures) = (Some(now), 0),
                 AttemptOutcome::Rejected(_) => address.used = Some(now),
-                _ if reaped => {}
+                _ if explained_by_idle => {}
                 AttemptOutcome::ConnectFailed
                 | AttemptOutcome::Timeout
                 | AttemptOutcome::Reset
                 | AttemptOutcome::ErrorResponse => {
                     address.failures += 1;
-                    let gap = growing_gap(rules.overload_window, TRIAL_GAPS_OF_FALL.0, address.failures)
-                        .min(rules.warm_up);
+                    let gap =
+                        backoff::exponential(rules.overload_window, TRIAL_GAPS_OF_FALL.0, address.failures)
+                            .min(rules.warm_up);
                     address.avoid_until = now + gap.mul_f64(self.rng.f64());
                 }
                 AttemptOutcome::MalformedResponse
@@ -566,7 +512,7 @@
                 | AttemptOutcome::TooManyConnections
                 | AttemptOutcome::LocalFailure => {}
             }
-            if self.crowded > now {
+            if self.connection_reuse.is_paused(now) {
                 address.used = None;
                 self.actions.push(Action::CloseIdleConnections { endpoint: call.to });
             }
@@ -575,7 +521,7 @@
             }
         }
         let noted = self.is_noted(call.route);
-        if !reaped {
+        if !explained_by_idle {
             self.learn(now, finished, &call);
         }
         if noted || self.is_noted(call.route) {
@@ -584,28 +530,6 @@
         self.plan_stall(call.route);
     }
 
-    /// A loss on an idle connection speaks for connections that are dropped unseen, an answer on one that was
-    /// idle as long speaks against it.
-    fn learn_of_idle(&mut self, now: Time, idle: Option<Duration>, lost: bool, answered: bool) {
-        if !lost && !answered {
-            return;
-        }
-        let step = idle.and_then(|idle| self.idle_step(idle));
-        let reaping = &mut self.reaping;
-        let risk = step.map_or(&mut reaping.other, |step| &mut reaping.risks[step]);
-        *risk += REAPED_GAIN * (f64::from(u8::from(lost)) - *risk);
-        if step.is_some() {
-            let pause = if lost { shortest_aim(&self.settings) * REAPED_CHECK_AIMS } else { 0.0 };
-            reaping.next_check = now + Duration::from_secs_f64(pause);
-        }
-    }
-
-    /// Which of the risks an idle time belongs to; none where it is too short to count.
-    fn idle_step(&self, idle: Duration) -> Option<usize> {
-        let doublings = (idle.as_secs_f64() / (shortest_aim(&self.settings) * REAPED_LEAST_AIM)).log2();
-        (doublings >= 0.0).then(|| (doublings as usize).min(REAPED_STEPS - 1))
-    }
-
     // ---- Health and pace ----
 
     /// Health and pace of a route, from the outcome of one call.
@@ -645,7 +569,7 @@
         match finished.outcome {
             AttemptOutcome::Delivered => {
                 self.usual.learn(finished.latency, LATENCY_GAIN);
-                let served = route.served.rate(now, cold_s(settings), 0.0);
+                let served = route.served.rate(now, warm_up_secs(settings), 0.0);
                 let sick = route.spell.is_some() || route.returned.is_some();
                 route.share = if sick { served.max(route.share) } else { served };
                 route.served.count += 1.0;
@@ -662,7 +586,7 @@
                 if route.bound {
                     let below = 1.0 - route.rate * fleet_size(settings) / route.weight.max(TOLD_RATES.0);
                     let part = RATE_GROWTH * (1.0 + BELOW_GROWTH * below.clamp(0.0, 1.0));
-                    let growth = part * route.rate.min(shortest_aim(settings).recip());
+                    let growth = part * route.rate.min(shortest_objective_secs(settings).recip());
                     let growth = left.map_or(growth, |left| TOLD_GROWTH * left * route.rate);
                     route.rate += growth;
                 }
@@ -689,10 +613,10 @@
                     route.cuts += 1;
                     // A clump must not wait at the pace of usual days until it has run out; where a call
                     // carries many, what waits goes together, and a call an aim is enough.
-                    let an_aim = shortest_aim(settings).recip();
+                    let an_aim = shortest_objective_secs(settings).recip();
                     let (waiting, most) = if route.batch > 1 { (0.0, an_aim) } else { (waiting, f64::MAX) };
                     let late = route.sent.rate(now, LATE_S, 0.0).min(most);
-                    let own = route.demand.rate(now, cold_s(settings), 0.0);
+                    let own = route.demand.rate(now, warm_up_secs(settings), 0.0);
                     let late = late.max(own).max(route.weight / fleet_size(settings)).max(waiting * an_aim);
                     let slowest = route.fall_part(now, settings, 0.0);
                     route.rate = (cut * route.rate.min(late)).max(slowest.min(route.rate));
@@ -732,7 +656,7 @@
                 call.stalled = true;
                 let idle = call.idle;
                 self.agenda.hanging.insert(call_id);
-                self.learn_of_idle(now, idle, true, false);
+                self.connection_reuse.record_loss(now, &self.settings, idle);
             }
             self.plan_stall(id);
         }
@@ -741,7 +665,7 @@
 
     fn stall_patience(&self, id: RouteId) -> Duration {
         let usual = self.routes.get(&id).map_or(0.0, |route| route.latency.times(STALL_LATENCIES));
-        Duration::from_secs_f64(usual.max(shortest_aim(&self.settings) * STALL_AIM))
+        Duration::from_secs_f64(usual.max(shortest_objective_secs(&self.settings) * STALL_AIM))
     }
 
     /// When a route may take one more call: now, later, or only after some outcome (none). What else would
@@ -750,7 +674,7 @@
         let stall = self.stall_patience(id);
         let slots_free = self.slots_free();
         let rate = self.pace(now, id);
-        let cold = Duration::from_secs_f64(cold_s(&self.settings));
+        let cold = Duration::from_secs_f64(warm_up_secs(&self.settings));
         let route = self.routes.get_mut(&id)?;
         route.settle(self.last_round, burst(route.rate));
         if route.told_wait > now {
@@ -806,7 +730,7 @@
     fn pace(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
         let Some(returned) = route.returned else { return route.rate };
-        let warmth = (now - returned).as_secs_f64() / cold_s(&self.settings);
+        let warmth = (now - returned).as_secs_f64() / warm_up_secs(&self.settings);
         if warmth >= 1.0 {
             route.returned = None;
             self.agenda.circuit_records.insert(id);
@@ -875,7 +799,7 @@
                 // Only if all that waits can go that way in time: else what this route could take is lost.
                 let queue = self.queues.get(&to).map_or(0, Queue::len) as f64;
                 let served =
-                    at + Duration::from_secs_f64((queue / pace.max(0.001)).min(cold_s(&self.settings)));
+                    at + Duration::from_secs_f64((queue / pace.max(0.001)).min(warm_up_secs(&self.settings)));
                 let m = self.messages.get(&message);
                 if m.is_some_and(|m| {
                     served < m.born + self.class(m).latency_objective.mul_f64(FEE_PATIENCE_OF_AIM)
@@ -903,7 +827,7 @@
     fn pick(&mut self, now: Time, route: RouteId, zones: &[ZoneId], look: &mut Look) -> Picked {
         let trial = self.routes.get(&route).is_some_and(|r| r.spell.is_some());
         // What is lost on all routes alike is no reason to wait.
-        let bearable = UNSAFE_LOSS + self.reaping.other;
+        let bearable = UNSAFE_LOSS + self.connection_reuse.baseline_risk();
         let loses = self.routes.get_mut(&route).is_some_and(|r| r.share_lost(now, &self.settings) > bearable);
         let mut best: Option<(bool, f64, MessageId)> = None;
         let some = self.best_of_many(now, route.0, loses);
@@ -1062,24 +986,16 @@
     fn idle_connection(&mut self, now: Time, to: EndpointId, first: MessageId) -> Option<Duration> {
         let address = self.addresses.get(&to)?;
         let idle = now - address.used.filter(|used| now - *used < self.settings.connection_idle_timeout)?;
-        // With calls out, a second connection may have been idle for longer than was seen.
-        let alone = address.calls_out == 0;
-        let repeatable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
-        let bearable = if repeatable { REAPED_RISKS.1 } else { REAPED_RISKS.0 };
-        let from = self.idle_step(idle).unwrap_or(if alone { REAPED_STEPS } else { 0 });
-        let reaping = &mut self.reaping;
-        let risks = &reaping.risks[from..];
-        let risk = if alone { risks.first().copied() } else { risks.iter().copied().reduce(f64::max) };
-        if risk.unwrap_or(0.0) < bearable + reaping.other * REAPED_OTHER {
-            return alone.then_some(idle);
-        }
-        if repeatable && alone && now >= reaping.next_check {
-            reaping.next_check =
-                now + Duration::from_secs_f64(shortest_aim(&self.settings) * REAPED_CHECK_AIMS);
-            return Some(idle);
+        let no_other_call = address.calls_out == 0;
+        let resendable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
+        let next_call = NextCall { idle, no_other_call, resendable };
+        match self.connection_reuse.decide(now, &self.settings, &next_call) {
+            IdleConnections::Reuse(idle) => idle,
+            IdleConnections::Close => {
+                self.actions.push(Action::CloseIdleConnections { endpoint: to });
+                None
+            }
         }
-        self.actions.push(Action::CloseIdleConnections { endpoint: to });
-        None
     }
 
     /// Follows the destination's own latency. An attempt that could not be followed by another gets all the
@@ -1176,7 +1092,7 @@
 impl Route {
     /// Whether this courier has too few messages here for a figure of its own (`LIGHT`).
     fn is_light(&mut self, now: Time, settings: &Settings) -> bool {
-        self.demand.rate(now, cold_s(settings), 0.0) * cold_s(settings) < LIGHT
+        self.demand.rate(now, warm_up_secs(settings), 0.0) * warm_up_secs(settings) < LIGHT
     }
 
     /// The share of the calls of late that may have run without being served.
@@ -1191,8 +1107,8 @@
     /// what the destination can do however many want it (own demand does not: hunted day h1c8921, thirty
     /// times the limit), or by the even part. Trials, slow starts and last cuts share this one budget.
     fn fall_part(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
-        let demand = self.demand.rate(now, cold_s(settings), 0.0);
-        let least = if self.is_light(now, settings) { shortest_deadline(settings).recip() } else { 0.0 };
+        let demand = self.demand.rate(now, warm_up_secs(settings), 0.0);
+        let least = if self.is_light(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
         let own = demand.clamp(self.share, self.share * DEMAND_OF_SERVED);
         let part = own.max(self.weight / fleet_size(settings));
         let share =
@@ -1206,7 +1122,7 @@
         let own = Duration::from_secs_f64(self.fall_part(now, settings, 0.0).max(0.001).recip());
         let Some(spell) = &mut self.spell else { return };
         let (fall, (first, longest)) = (settings.limits.overload_window, TRIAL_GAPS_OF_FALL);
-        let gap = growing_gap(fall, first, spell.trials).min(fall.mul_f64(longest));
+        let gap = backoff::exponential(fall, first, spell.trials).min(fall.mul_f64(longest));
         let jitter = TRIAL_JITTER_FROM + chance * (1.0 - TRIAL_JITTER_FROM);
         // Behind a told wait no gap runs out: who waits together must not come back together.
         spell.next_trial = now.max(self.told_wait) + gap.max(own).mul_f64(jitter);
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -192,20 +192,6 @@
     }
 }
 
-/// Whether idle connections are being dropped unseen, so that the next call on one is lost. Courier-wide, as
-/// one courier meets each partner too seldom to learn it there.
-#[derive(Default, Serialize, Deserialize)]
-pub struct Reaping {
-    /// Share of the calls lost, by the time for which their connection had been idle.
-    pub risks: [f64; REAPED_STEPS],
-    /// Risk of losing a call on a connection that was not idle: what is lost there has other causes.
-    pub other: f64,
-    pub next_check: Time,
-}
-
-/// Idle times that are told apart, each twice as long as the one before.
-pub const REAPED_STEPS: usize = 10;
-
 /// Takes a message out of one of several lists, and the list if it is empty then.
 pub fn remove_from<K: Ord>(lists: &mut BTreeMap<K, Vec<MessageId>>, of: K, message: MessageId) {
     if let Some(list) = lists.get_mut(&of) {
@@ -215,30 +201,3 @@
         }
     }
 }
-
-/// Couriers that share the destinations: an even part is one over this.
-pub fn fleet_size(settings: &Settings) -> f64 {
-    f64::from(settings.fleet_size.max(1))
-}
-
-/// A gap that doubles from try to try.
-pub fn growing_gap(unit: Duration, first: f64, tries: u32) -> Duration {
-    unit.mul_f64(first * f64::from(tries.min(16)).exp2())
-}
-
-/// Shortest aim of a class, in seconds.
-pub fn shortest_aim(settings: &Settings) -> f64 {
-    let latency_objective = settings.classes.iter().map(|c| c.latency_objective).min();
-    latency_objective.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(0.001)
-}
-
-/// Shortest deadline of a class, in seconds.
-pub fn shortest_deadline(settings: &Settings) -> f64 {
-    let deadline = settings.classes.iter().map(|c| c.deadline).min();
-    deadline.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(1.0)
-}
-
-/// How long a cold return lasts, in seconds.
-pub fn cold_s(settings: &Settings) -> f64 {
-    settings.limits.warm_up.as_secs_f64().max(1.0)
-}
