--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -22,8 +22,8 @@
 use crate::http_client::connection::Descriptor;
 use crate::http_client::{Call, OutgoingMessage, Pool};
 use crate::journal::{
-    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, Journal,
-    JournalError, PendingMessage, SentRecord,
+    AcceptedRecord, CircuitKey, ClockReading, FinalOutcome, Journal, JournalError, PendingMessage,
+    PersistedCircuit, PersistedCircuitChange, SentRecord,
 };
 use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
@@ -166,7 +166,7 @@
     actions: Vec<Action>,
     counts: Counters,
     /// What of outages has changed and is not in the journal yet; none where nothing is remembered any more.
-    unnoted: BTreeMap<CircuitKey, Option<CircuitNote>>,
+    unnoted: BTreeMap<CircuitKey, Option<PersistedCircuit>>,
     /// Names of endpoints with outages: their ends come when the list may have forgotten them.
     outage_uids: HashMap<EndpointId, String>,
     journal_errors: RateLimitedLog,
@@ -473,7 +473,7 @@
         for uid in self.journal.state.disabled_endpoints.clone() {
             self.detach(now, &uid, true);
         }
-        for note in self.journal.state.circuits.notes() {
+        for note in self.journal.state.circuits.iter() {
             let endpoint = note.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
@@ -796,7 +796,7 @@
                 EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
-                let is_written = !matches!(error, JournalError::Unclean) && self.journal.has_unclean_tail();
+                let is_written = !matches!(error, JournalError::TornTail) && self.journal.has_unclean_tail();
                 self.note(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
@@ -1182,8 +1182,9 @@
                 None => drop(self.outage_uids.remove(&id)),
             }
         }
-        let note = outage.map(|outage| CircuitNote::new(outage, uid.clone(), |at| self.clock.journal_ms(at)));
-        self.unnoted.insert((to.0, uid), note);
+        let note =
+            outage.map(|outage| PersistedCircuit::new(outage, uid.clone(), |at| self.clock.journal_ms(at)));
+        self.unnoted.insert(CircuitKey { destination: to.0, uid }, note);
     }
 
     /// What cannot be written stays until the next step.
@@ -1194,16 +1195,16 @@
             return;
         }
         let changes = self.unnoted.iter().map(|(key, note)| match note {
-            Some(note) => CircuitNoteChange::Noted(note.clone()),
-            None => CircuitNoteChange::Over(key.clone()),
+            Some(note) => PersistedCircuitChange::Updated(note.clone()),
+            None => PersistedCircuitChange::Removed(key.clone()),
         });
-        let before = noted.out();
+        let before = noted.open_count();
         let written = self.journal.record_circuits(&changes.collect::<Vec<_>>());
         if written.is_ok() {
             self.unnoted.clear();
         }
         self.note(written);
-        let after = self.journal.state.circuits.out();
+        let after = self.journal.state.circuits.open_count();
         if before != after {
             if let Some(more) = self.outage_lines.due() {
                 info!(before, after, more, "destinations held to be out");
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -55,9 +55,9 @@
             endpoints: run.into_iter().cloned().collect(),
         };
         if of == 1 {
-            Record::Targets(update)
+            Record::Endpoints(update)
         } else {
-            Record::TargetsPart(place, of, update)
+            Record::EndpointsPart { index: place, count: of, update }
         }
     }))
 }
@@ -66,7 +66,7 @@
     let payload = postcard::to_stdvec(record)?;
     if payload.len() > LONGEST {
         // It would be taken for damage, and cut off what comes after it.
-        return Err(JournalError::Long);
+        return Err(JournalError::RecordTooLong);
     }
     let mut out = Vec::with_capacity(FRAME + payload.len());
     out.extend((payload.len() as u32).to_le_bytes());
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -23,8 +23,8 @@
 use record::{JournalState, Record};
 
 pub use record::{
-    AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, ClockReading, FinalOutcome, PendingMessage,
-    SentRecord,
+    AcceptedRecord, CircuitKey, ClockReading, FinalOutcome, PendingMessage, PersistedCircuit,
+    PersistedCircuitChange, SentRecord,
 };
 
 /// Messages are taken on only while what is live fits into this part of the disk ...
@@ -49,12 +49,12 @@
     #[error("a record cannot be encoded: {0}")]
     Encode(#[from] postcard::Error),
     #[error("a record is too long")]
-    Long,
+    RecordTooLong,
     #[error("the journal is full")]
     Full,
     /// Nothing was written.
     #[error("what a failed write has left behind cannot be cut off yet")]
-    Unclean,
+    TornTail,
 }
 
 pub struct Journal {
@@ -188,7 +188,7 @@
             self.clean_tail();
         }
         if self.tail_unclean {
-            return Err(JournalError::Unclean);
+            return Err(JournalError::TornTail);
         }
         let number = self.state.last_number + 1;
         let more = taken_cost(&taken);
@@ -196,28 +196,28 @@
             return Err(JournalError::Full);
         }
         let tenant = taken.tenant.clone();
-        self.promise(Record::Take(number, taken))?;
+        self.promise(Record::Accepted { number, message: taken })?;
         self.live += more;
         if !tenant.is_empty() {
             // Taken on already, so that a failure here is none of the hand-in.
-            let _ = self.tell(Record::Tenant(number, tenant));
+            let _ = self.tell(Record::Tenant { number, tenant });
         }
         Ok(number)
     }
 
     /// An attempt is about to be made.
     pub fn record_attempt(&mut self, number: u32, sent: SentRecord) -> Result<(), JournalError> {
-        self.promise(Record::Start(number, sent))
+        self.promise(Record::AttemptStarted { number, attempt: sent })
     }
 
     /// The attempt that was out has ended.
     pub fn record_attempt_outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::Outcome(number, may_have_run), number)
+        self.tell_of_attempt(Record::AttemptFinished { number, may_have_run }, number)
     }
 
     /// The attempt that was out was not made after all, and is none of those that the message has.
     pub fn record_local_failure(&mut self, number: u32) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::NotMade(number), number)
+        self.tell_of_attempt(Record::AttemptNotSent { number }, number)
     }
 
     /// A message has its final outcome, which nobody has been told yet.
@@ -226,14 +226,14 @@
         number: u32,
         final_outcome: FinalOutcome,
     ) -> Result<(), JournalError> {
-        self.tell(Record::Owe(number, final_outcome))
+        self.tell(Record::OutcomeDecided { number, final_outcome })
     }
 
     /// A message has its end: it was delivered, its notice was answered, or nobody wants it.
     pub fn remove(&mut self, number: u32) -> Result<(), JournalError> {
         let Some(less) = self.state.pending.get(&number).map(cost) else { return Ok(()) };
         self.live = self.live.saturating_sub(less);
-        self.tell(Record::Over(number))
+        self.tell(Record::Completed { number })
     }
 
     /// Writes all of an update or, as far as the next process is concerned, nothing of it: the whole list later.
@@ -257,7 +257,7 @@
         self.write(&bytes)
     }
 
-    pub fn record_circuits(&mut self, changes: &[CircuitNoteChange]) -> Result<(), JournalError> {
+    pub fn record_circuits(&mut self, changes: &[PersistedCircuitChange]) -> Result<(), JournalError> {
         for piece in pieces(changes)? {
             self.promise(Record::CircuitChanges(piece.into_iter().cloned().collect()))?;
         }
@@ -265,7 +265,7 @@
     }
 
     pub fn record_endpoint_disabled(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
-        self.promise(Record::Detached(uid.to_owned(), out))
+        self.promise(Record::EndpointDisabled { uid: uid.to_owned(), disabled: out })
     }
 
     /// The last reading of the clock; none in a folder of an older build, whose journal counts in wall time.
@@ -398,17 +398,17 @@
         for piece in pieces(&self.state.destinations)? {
             write(Record::Destinations(piece.into_iter().copied().collect()))?;
         }
-        for piece in pieces(self.state.circuits.notes())? {
-            let noted = |note: &CircuitNote| CircuitNoteChange::Noted(note.clone());
+        for piece in pieces(self.state.circuits.iter())? {
+            let noted = |note: &PersistedCircuit| PersistedCircuitChange::Updated(note.clone());
             write(Record::CircuitChanges(piece.into_iter().map(noted).collect()))?;
         }
         for uid in &self.state.disabled_endpoints {
-            write(Record::Detached(uid.clone(), true))?;
+            write(Record::EndpointDisabled { uid: uid.clone(), disabled: true })?;
         }
         for (number, held) in &self.state.pending {
-            write(Record::Whole(*number, held.clone()))?;
+            write(Record::Pending { number: *number, message: held.clone() })?;
             if !held.message.tenant.is_empty() {
-                write(Record::Tenant(*number, held.message.tenant.clone()))?;
+                write(Record::Tenant { number: *number, tenant: held.message.tenant.clone() })?;
             }
         }
         let file = file.into_inner().map_err(io::IntoInnerError::into_error)?;
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -66,7 +66,7 @@
 
 /// An [`CircuitRecord`] in terms that mean the same to the next process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CircuitNote {
+pub struct PersistedCircuit {
     pub destination: u32,
     pub uid: Option<String>,
     pub last_success_ms: u64,
@@ -76,20 +76,26 @@
     pub baseline_rate: f64,
 }
 
-/// What an outage is of: a destination, or the endpoint of this uid where endpoints are separate routes.
-pub type CircuitKey = (u32, Option<String>);
+/// What a circuit breaker stands in front of: a destination, or one endpoint where endpoints have their own limits.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct CircuitKey {
+    /// The destination's number.
+    pub destination: u32,
+    /// The endpoint's uid; none where the circuit is the whole destination's.
+    pub uid: Option<String>,
+}
 
 /// What has changed of the outages that are remembered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum CircuitNoteChange {
+pub enum PersistedCircuitChange {
     /// In the place of what was noted of it before.
-    Noted(CircuitNote),
-    Over(CircuitKey),
+    Updated(PersistedCircuit),
+    Removed(CircuitKey),
 }
 
-impl CircuitNote {
+impl PersistedCircuit {
     pub fn key(&self) -> CircuitKey {
-        (self.destination, self.uid.clone())
+        CircuitKey { destination: self.destination, uid: self.uid.clone() }
     }
 
     /// From the module's figures; `wall` turns its times into journal time, `uid` names its endpoint.
@@ -98,7 +104,7 @@
         uid: Option<String>,
         wall: impl Fn(delivery_gateway::Time) -> u64,
     ) -> Self {
-        CircuitNote {
+        PersistedCircuit {
             destination: outage.destination.0,
             uid,
             last_success_ms: wall(outage.last_success_at),
@@ -110,46 +116,50 @@
     }
 }
 
-/// One change of the state.
+/// One change of the journal's state. The order of variants and of their fields is the format on disk.
 #[derive(Clone, Serialize, Deserialize)]
 pub enum Record {
-    Take(u32, AcceptedRecord),
-    Start(u32, SentRecord),
-    /// The outcome of the attempt that was out; whether it may have run.
-    Outcome(u32, bool),
-    Owe(u32, FinalOutcome),
-    Over(u32),
-    /// A message with all that is known of it; compaction writes these.
-    Whole(u32, PendingMessage),
-    /// The list of endpoints as it was told, or what has changed of it.
-    Targets(DiscoveryUpdate),
-    /// All outages that are remembered now. Older builds wrote them whole at each change.
-    Circuits(Vec<CircuitNote>),
-    /// Destinations that were listed at some time.
+    /// A message was accepted under this number.
+    Accepted { number: u32, message: AcceptedRecord },
+    /// An attempt is about to be made.
+    AttemptStarted { number: u32, attempt: SentRecord },
+    /// The attempt in flight has finished; whether the endpoint may have processed it.
+    AttemptFinished { number: u32, may_have_run: bool },
+    /// The message has its final outcome, of which its client is still to be notified.
+    OutcomeDecided { number: u32, final_outcome: FinalOutcome },
+    /// Tombstone: nothing more happens to the message.
+    Completed { number: u32 },
+    /// A message with all that is recorded of it; written by compaction.
+    Pending { number: u32, message: PendingMessage },
+    /// The endpoint list, or what has changed in it.
+    Endpoints(DiscoveryUpdate),
+    /// All circuits that are not in their initial state. Older builds wrote them whole at each change.
+    AllCircuits(Vec<PersistedCircuit>),
+    /// Destinations that have been listed at some time.
     Destinations(Vec<u32>),
-    /// Whose message it is.
-    Tenant(u32, String),
-    /// An endpoint that operators leave out from now on, or use again.
-    Detached(String, bool),
-    /// Outages that are remembered from now on, or not any more.
-    CircuitChanges(Vec<CircuitNoteChange>),
-    /// One of some parts that are the list together: its place from 0, and how many there are. Nothing of them counts
-    /// until the last one is there.
-    TargetsPart(u32, u32, DiscoveryUpdate),
-    /// The attempt that was begun last was not made, for want of something on the courier's own machine.
-    NotMade(u32),
+    /// The tenant of a message, where it has one.
+    Tenant { number: u32, tenant: String },
+    /// Operators disable an endpoint, or enable it again.
+    EndpointDisabled { uid: String, disabled: bool },
+    /// What has changed of the circuits.
+    CircuitChanges(Vec<PersistedCircuitChange>),
+    /// One part of an endpoint update too long for one record: its index from 0, and how many there are. No part
+    /// counts until the last one has been read.
+    EndpointsPart { index: u32, count: u32, update: DiscoveryUpdate },
+    /// The attempt that was started last was not sent, for a reason on this machine.
+    AttemptNotSent { number: u32 },
 }
 
 /// The outages that are remembered.
 #[derive(Default)]
-pub struct CircuitNotes {
-    notes: BTreeMap<CircuitKey, CircuitNote>,
+pub struct PersistedCircuits {
+    notes: BTreeMap<CircuitKey, PersistedCircuit>,
     /// Notes of what is held to be out.
     out: usize,
 }
 
-impl CircuitNotes {
-    pub fn get(&self, key: &CircuitKey) -> Option<&CircuitNote> {
+impl PersistedCircuits {
+    pub fn get(&self, key: &CircuitKey) -> Option<&PersistedCircuit> {
         self.notes.get(key)
     }
 
@@ -157,23 +167,23 @@
         self.notes.keys()
     }
 
-    pub fn notes(&self) -> impl Iterator<Item = &CircuitNote> {
+    pub fn iter(&self) -> impl Iterator<Item = &PersistedCircuit> {
         self.notes.values()
     }
 
     /// Destinations, and endpoints that are separate routes, that are held to be out.
-    pub fn out(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.out
     }
 
-    pub fn change(&mut self, change: CircuitNoteChange) {
-        let out = |note: &CircuitNote| usize::from(note.calls_lost.is_some());
+    pub fn change(&mut self, change: PersistedCircuitChange) {
+        let out = |note: &PersistedCircuit| usize::from(note.calls_lost.is_some());
         let before = match change {
-            CircuitNoteChange::Noted(note) => {
+            PersistedCircuitChange::Updated(note) => {
                 self.out += out(&note);
                 self.notes.insert(note.key(), note)
             }
-            CircuitNoteChange::Over(key) => self.notes.remove(&key),
+            PersistedCircuitChange::Removed(key) => self.notes.remove(&key),
         };
         self.out -= before.as_ref().map_or(0, out);
     }
@@ -189,7 +199,7 @@
     pub endpoints: BTreeMap<String, DiscoveredEndpoint>,
     /// One that has no endpoints just now may get others.
     pub destinations: BTreeSet<u32>,
-    pub circuits: CircuitNotes,
+    pub circuits: PersistedCircuits,
     /// Endpoints that operators leave out, by their uids, listed or not.
     pub disabled_endpoints: BTreeSet<String>,
     /// The parts so far of a list that is not whole yet.
@@ -200,10 +210,10 @@
     /// Takes one record in.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Take(number, taken) => {
+            Record::Accepted { number, message } => {
                 self.last_number = self.last_number.max(number);
                 let held = PendingMessage {
-                    message: taken,
+                    message,
                     attempts: 0,
                     first_uncertain_attempt: None,
                     in_flight: None,
@@ -211,11 +221,11 @@
                 };
                 self.pending.insert(number, held);
             }
-            Record::Whole(number, held) => {
+            Record::Pending { number, message: held } => {
                 self.last_number = self.last_number.max(number);
                 self.pending.insert(number, held);
             }
-            Record::Start(number, sent) => {
+            Record::AttemptStarted { number, attempt: sent } => {
                 if let Some(held) = self.pending.get_mut(&number) {
                     held.attempts += 1;
                     // One that has no outcome may have run, also if another was begun after it.
@@ -223,31 +233,31 @@
                     held.in_flight = Some(sent);
                 }
             }
-            Record::Outcome(number, may_have_run) => {
+            Record::AttemptFinished { number, may_have_run } => {
                 if let Some(held) = self.pending.get_mut(&number) {
                     let sent = held.in_flight.take().filter(|_| may_have_run);
                     held.first_uncertain_attempt = held.first_uncertain_attempt.or(sent);
                 }
             }
-            Record::NotMade(number) => {
+            Record::AttemptNotSent { number } => {
                 if let Some(held) = self.pending.get_mut(&number).filter(|held| held.in_flight.is_some()) {
                     held.attempts = held.attempts.saturating_sub(1);
                     held.in_flight = None;
                 }
             }
-            Record::Owe(number, final_outcome) => {
+            Record::OutcomeDecided { number, final_outcome } => {
                 if let Some(held) = self.pending.get_mut(&number) {
                     held.final_outcome = Some(final_outcome);
                 }
             }
-            Record::Over(number) => {
+            Record::Completed { number } => {
                 self.pending.remove(&number);
             }
-            Record::Targets(update) => {
+            Record::Endpoints(update) => {
                 self.parts.clear();
                 self.list(update);
             }
-            Record::TargetsPart(place, of, update) => {
+            Record::EndpointsPart { index: place, count: of, update } => {
                 // What a process did not come to the end of is over when the next one begins.
                 if place == 0 {
                     self.parts.clear();
@@ -259,21 +269,23 @@
                     std::mem::take(&mut self.parts).into_iter().for_each(|part| self.list(part));
                 }
             }
-            Record::Circuits(notes) => {
-                self.circuits = CircuitNotes::default();
-                notes.into_iter().for_each(|note| self.circuits.change(CircuitNoteChange::Noted(note)));
+            Record::AllCircuits(notes) => {
+                self.circuits = PersistedCircuits::default();
+                notes
+                    .into_iter()
+                    .for_each(|note| self.circuits.change(PersistedCircuitChange::Updated(note)));
             }
             Record::CircuitChanges(changes) => {
                 changes.into_iter().for_each(|change| self.circuits.change(change));
             }
-            Record::Tenant(number, tenant) => {
+            Record::Tenant { number, tenant } => {
                 if let Some(held) = self.pending.get_mut(&number) {
                     held.message.tenant = tenant;
                 }
             }
             Record::Destinations(destinations) => self.destinations.extend(destinations),
-            Record::Detached(uid, true) => drop(self.disabled_endpoints.insert(uid)),
-            Record::Detached(uid, false) => drop(self.disabled_endpoints.remove(&uid)),
+            Record::EndpointDisabled { uid, disabled: true } => drop(self.disabled_endpoints.insert(uid)),
+            Record::EndpointDisabled { uid, disabled: false } => drop(self.disabled_endpoints.remove(&uid)),
         }
     }
 
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
-use journal::{AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, Journal, SentRecord};
+use journal::{AcceptedRecord, CircuitKey, Journal, PersistedCircuit, PersistedCircuitChange, SentRecord};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use world::*;
@@ -177,8 +177,8 @@
     }
 }
 
-fn outage(rng: &mut fastrand::Rng, (destination, uid): CircuitKey) -> CircuitNote {
-    CircuitNote {
+fn outage(rng: &mut fastrand::Rng, CircuitKey { destination, uid }: CircuitKey) -> PersistedCircuit {
+    PersistedCircuit {
         destination,
         uid,
         last_success_ms: rng.u64(..),
@@ -189,10 +189,10 @@
     }
 }
 
-fn assert_noted(journal: &Journal, known: &BTreeMap<CircuitKey, CircuitNote>) {
+fn assert_noted(journal: &Journal, known: &BTreeMap<CircuitKey, PersistedCircuit>) {
     let circuit_records = &journal.state.circuits;
-    assert_eq!(circuit_records.notes().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
-    assert_eq!(circuit_records.out(), known.values().filter(|note| note.calls_lost.is_some()).count());
+    assert_eq!(circuit_records.iter().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
+    assert_eq!(circuit_records.open_count(), known.values().filter(|note| note.calls_lost.is_some()).count());
 }
 
 /// Outages that are noted one by one come back as they are, over kills and compactions, and a tail that is torn
@@ -205,19 +205,19 @@
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut journal = folder.journal(DISK);
-        let mut known: BTreeMap<CircuitKey, CircuitNote> =
-            journal.state.circuits.notes().map(|note| (note.key(), note.clone())).collect();
+        let mut known: BTreeMap<CircuitKey, PersistedCircuit> =
+            journal.state.circuits.iter().map(|note| (note.key(), note.clone())).collect();
         for _ in 0..200 {
             let before = (folder.bytes(), known.clone());
             let uid = rng.bool().then(|| format!("s-{}", rng.u32(..4)));
-            let key = (70_000 * rng.u32(..8), uid);
+            let key = CircuitKey { destination: 70_000 * rng.u32(..8), uid };
             let change = if rng.u32(..3) > 0 {
                 let note = outage(&mut rng, key);
                 known.insert(note.key(), note.clone());
-                CircuitNoteChange::Noted(note)
+                PersistedCircuitChange::Updated(note)
             } else {
                 known.remove(&key);
-                CircuitNoteChange::Over(key)
+                PersistedCircuitChange::Removed(key)
             };
             journal.record_circuits(&[change]).unwrap();
             assert_noted(&journal, &known);
@@ -247,12 +247,13 @@
     let folder = Folder::new("many-outages");
     let mut rng = fastrand::Rng::with_seed(7);
     let name = "a-name-that-is-as-long-as-those-that-are-in-use-in-the-field";
-    let known: BTreeMap<CircuitKey, CircuitNote> = (0..COUNT)
-        .map(|to| outage(&mut rng, (to, Some(format!("{name}-{to}")))))
+    let known: BTreeMap<CircuitKey, PersistedCircuit> = (0..COUNT)
+        .map(|to| outage(&mut rng, CircuitKey { destination: to, uid: Some(format!("{name}-{to}")) }))
         .map(|note| (note.key(), note))
         .collect();
     let mut journal = folder.journal(DISK);
-    let all: Vec<CircuitNoteChange> = known.values().cloned().map(CircuitNoteChange::Noted).collect();
+    let all: Vec<PersistedCircuitChange> =
+        known.values().cloned().map(PersistedCircuitChange::Updated).collect();
     journal.record_circuits(&all).unwrap();
     let whole = folder.bytes().len();
     assert!(whole > 4 << 20, "{whole} bytes would fit one record");
