--- /dev/null
+++ b/src/bin/delivery-gateway/journal/chunks.rs
@@ -0,0 +1,67 @@
+//! Lists of any length, cut into records that stay well below the longest one.
+
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
+use postcard::ser_flavors::Size;
+use serde::Serialize;
+
+use super::record::Record;
+
+/// A record of a list holds about this many bytes.
+const CHUNK_BYTES: usize = 1 << 20;
+
+/// Cuts a list into chunks; an entry longer than a chunk makes one of its own.
+pub fn chunks<'a, T: Serialize + 'a>(
+    list: impl IntoIterator<Item = &'a T>,
+) -> postcard::Result<Vec<Vec<&'a T>>> {
+    let mut chunks = Vec::new();
+    let mut chunk = Vec::new();
+    let mut chunk_bytes = 0;
+    for entry in list {
+        let entry_bytes = postcard::serialize_with_flavor(entry, Size::default())?;
+        if chunk_bytes + entry_bytes > CHUNK_BYTES && !chunk.is_empty() {
+            chunks.push(std::mem::take(&mut chunk));
+            chunk_bytes = 0;
+        }
+        chunk_bytes += entry_bytes;
+        chunk.push(entry);
+    }
+    if !chunk.is_empty() {
+        chunks.push(chunk);
+    }
+    Ok(chunks)
+}
+
+/// The records that hold an endpoint update: one if it fits, else its parts. Each is made when it is asked for, so
+/// that a long list is not copied whole.
+pub fn endpoint_records<'a>(
+    revision: u64,
+    is_snapshot: bool,
+    endpoints: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
+) -> postcard::Result<impl Iterator<Item = Record> + 'a> {
+    let mut chunks = chunks(endpoints)?;
+    if chunks.is_empty() {
+        chunks.push(Vec::new());
+    }
+    let count = chunks.len() as u32;
+    Ok((0..count).zip(chunks).map(move |(index, chunk)| {
+        let update = DiscoveryUpdate {
+            revision,
+            // Only the first part replaces what was listed before.
+            is_snapshot: is_snapshot && index == 0,
+            endpoints: chunk.into_iter().cloned().collect(),
+        };
+        if count == 1 {
+            Record::Endpoints(update)
+        } else {
+            Record::EndpointsPart { index, count, update }
+        }
+    }))
+}
+
+/// The records that name destinations which have been listed.
+pub fn destination_records<'a>(
+    destinations: impl IntoIterator<Item = &'a u32>,
+) -> postcard::Result<impl Iterator<Item = Record> + 'a> {
+    let chunks = chunks(destinations)?;
+    Ok(chunks.into_iter().map(|chunk| Record::Destinations(chunk.into_iter().copied().collect())))
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/journal/compaction.rs
@@ -0,0 +1,90 @@
+//! Compaction: writes the state to a new file and renames it over the journal. Nothing else changes the journal's
+//! records; until the rename it stays as it is.
+
+use std::fs::{self, File};
+use std::io::{self, BufWriter, Write};
+use std::path::{Path, PathBuf};
+
+use super::chunks::{chunks, destination_records, endpoint_records};
+use super::error::{FileOperation, JournalError};
+use super::frame::encode_frame;
+use super::record::{PersistedCircuitChange, Record};
+use super::state::JournalState;
+
+/// The file that is in the journal's place now.
+pub struct CompactedFile {
+    pub file: File,
+    pub size: u64,
+}
+
+/// Writes the state to a new file of at most `available` bytes, and renames it over the journal.
+///
+/// # Errors
+/// The file cannot be written or renamed, or is too large; the copy may be left over.
+pub fn compact(state: &JournalState, journal: &Path, available: u64) -> Result<CompactedFile, JournalError> {
+    let copy = copy_path(journal);
+    let file = File::create(&copy).map_err(JournalError::file(FileOperation::Compact, &copy))?;
+    let mut copied = Copy { path: &copy, file: BufWriter::new(file), size: 0, available };
+    copied.write_state(state)?;
+    let Copy { file, size, .. } = copied;
+    let file = file.into_inner().map_err(io::IntoInnerError::into_error);
+    let file = file.map_err(JournalError::file(FileOperation::Compact, &copy))?;
+    fs::rename(&copy, journal).map_err(JournalError::file(FileOperation::Compact, journal))?;
+    Ok(CompactedFile { file, size })
+}
+
+/// Removes a copy that did not come into the journal's place. Returns the bytes that it still takes.
+pub fn remove_copy(journal: &Path) -> u64 {
+    let copy = copy_path(journal);
+    match fs::remove_file(&copy) {
+        Ok(()) => 0,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
+        Err(_) => fs::metadata(&copy).map_or(0, |data| data.len()),
+    }
+}
+
+fn copy_path(journal: &Path) -> PathBuf {
+    journal.with_extension("new")
+}
+
+struct Copy<'a> {
+    path: &'a Path,
+    file: BufWriter<File>,
+    size: u64,
+    available: u64,
+}
+
+impl Copy<'_> {
+    fn write(&mut self, record: Record) -> Result<(), JournalError> {
+        let frame = encode_frame(&record)?;
+        self.size += frame.len() as u64;
+        if self.size > self.available {
+            return Err(JournalError::NoRoomToCompact { available: self.available });
+        }
+        self.file.write_all(&frame).map_err(JournalError::file(FileOperation::Compact, self.path))
+    }
+
+    fn write_state(&mut self, state: &JournalState) -> Result<(), JournalError> {
+        for record in endpoint_records(state.endpoints_revision, true, state.endpoints.values())? {
+            self.write(record)?;
+        }
+        for record in destination_records(&state.destinations)? {
+            self.write(record)?;
+        }
+        for chunk in chunks(state.circuits.iter())? {
+            let changes = chunk.into_iter().cloned().map(PersistedCircuitChange::Updated);
+            self.write(Record::CircuitChanges(changes.collect()))?;
+        }
+        for uid in &state.disabled_endpoints {
+            self.write(Record::EndpointDisabled { uid: uid.clone(), disabled: true })?;
+        }
+        for (&number, pending) in &state.pending {
+            self.write(Record::Pending { number, message: pending.clone() })?;
+            let tenant = &pending.message.tenant;
+            if !tenant.is_empty() {
+                self.write(Record::Tenant { number, tenant: tenant.clone() })?;
+            }
+        }
+        Ok(())
+    }
+}
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -1,96 +1,61 @@
-//! The form of records on disk: length and checksum before each, and long lists in pieces.
+//! The form of a record on disk: its length and checksum, each as four little-endian bytes, then its postcard encoding.
 
-use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
-use postcard::ser_flavors::Size;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, Read};
 
-use super::record::Record;
-use super::JournalError;
+use super::error::JournalError;
 
 /// Length and checksum before each record.
-pub const FRAME: usize = 8;
-/// A longer record is damage.
-const LONGEST: usize = 4 << 20;
-/// What may have any number of entries is written in records of about this size.
-const PIECE: usize = 1 << 20;
+pub const HEADER_BYTES: usize = 8;
+/// A longer record is taken for damage.
+pub const MAX_PAYLOAD_BYTES: usize = 4 << 20;
+/// In the place of a header: no record starts here, and nothing that follows counts.
+pub const END_OF_RECORDS: [u8; HEADER_BYTES] = [0; HEADER_BYTES];
 
-/// Cuts a list into runs that stay well below the longest record; an entry that is longer makes a run of its own.
-pub fn pieces<'a, T: Serialize + 'a>(
-    list: impl IntoIterator<Item = &'a T>,
-) -> postcard::Result<Vec<Vec<&'a T>>> {
-    let (mut runs, mut run, mut size) = (Vec::new(), Vec::new(), 0);
-    for entry in list {
-        let more = postcard::serialize_with_flavor(entry, Size::default())?;
-        if size + more > PIECE && !run.is_empty() {
-            runs.push(std::mem::take(&mut run));
-            size = 0;
-        }
-        size += more;
-        run.push(entry);
-    }
-    if !run.is_empty() {
-        runs.push(run);
-    }
-    Ok(runs)
-}
-
-/// The records that hold an update: one if it fits, or parts. Each is made as it is asked for, so that there is no
-/// second copy of a long list.
-pub fn list_records<'a>(
-    rev: u64,
-    all: bool,
-    targets: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
-) -> postcard::Result<impl Iterator<Item = Record> + 'a> {
-    let mut runs = pieces(targets)?;
-    if runs.is_empty() {
-        runs.push(Vec::new());
+/// A record as it is written.
+///
+/// # Errors
+/// It cannot be encoded, or is so long that a reader would take it for damage and cut off all that follows.
+pub fn encode_frame(record: &impl Serialize) -> Result<Vec<u8>, JournalError> {
+    let payload = postcard::to_stdvec(record)?;
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return Err(JournalError::RecordTooLong { bytes: payload.len() });
     }
-    let of = runs.len() as u32;
-    Ok((0..of).zip(runs).map(move |(place, run)| {
-        let update = DiscoveryUpdate {
-            revision: rev,
-            is_snapshot: all && place == 0,
-            endpoints: run.into_iter().cloned().collect(),
-        };
-        if of == 1 {
-            Record::Endpoints(update)
-        } else {
-            Record::EndpointsPart { index: place, count: of, update }
-        }
-    }))
+    let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
+    frame.extend((payload.len() as u32).to_le_bytes());
+    frame.extend(crc32fast::hash(&payload).to_le_bytes());
+    frame.extend(payload);
+    Ok(frame)
 }
 
-pub fn frame(record: &impl Serialize) -> Result<Vec<u8>, JournalError> {
-    let payload = postcard::to_stdvec(record)?;
-    if payload.len() > LONGEST {
-        // It would be taken for damage, and cut off what comes after it.
-        return Err(JournalError::RecordTooLong);
-    }
-    let mut out = Vec::with_capacity(FRAME + payload.len());
-    out.extend((payload.len() as u32).to_le_bytes());
-    out.extend(crc32fast::hash(&payload).to_le_bytes());
-    out.extend(payload);
-    Ok(out)
+/// A record that was read, and how many bytes it takes with its header.
+pub struct Frame<T> {
+    pub record: T,
+    pub bytes: u64,
 }
 
-/// The next record and its length, of a file that goes on for `left` bytes; none at the end or where it is
+/// Reads the next record of a file that has `remaining` bytes left. None at the end, or where a record is torn or
 /// damaged.
-pub fn read_frame<T: DeserializeOwned>(file: &mut impl Read, left: u64) -> io::Result<Option<(T, u64)>> {
-    let Some(left) = left.checked_sub(FRAME as u64) else { return Ok(None) };
-    let (mut length, mut sum) = ([0; 4], [0; 4]);
+///
+/// # Errors
+/// The file cannot be read.
+pub fn read_frame<T: DeserializeOwned>(file: &mut impl Read, remaining: u64) -> io::Result<Option<Frame<T>>> {
+    let Some(remaining) = remaining.checked_sub(HEADER_BYTES as u64) else { return Ok(None) };
+    let mut length = [0; 4];
+    let mut checksum = [0; 4];
     file.read_exact(&mut length)?;
-    file.read_exact(&mut sum)?;
+    file.read_exact(&mut checksum)?;
     let length = u32::from_le_bytes(length);
-    if length == 0 || length as usize > LONGEST || u64::from(length) > left {
+    if length == 0 || length as usize > MAX_PAYLOAD_BYTES || u64::from(length) > remaining {
         return Ok(None);
     }
     let mut payload = vec![0; length as usize];
     file.read_exact(&mut payload)?;
-    if crc32fast::hash(&payload) != u32::from_le_bytes(sum) {
+    if crc32fast::hash(&payload) != u32::from_le_bytes(checksum) {
         return Ok(None);
     }
+    let bytes = HEADER_BYTES as u64 + u64::from(length);
     let record = postcard::from_bytes(&payload).ok();
-    Ok(record.map(|record| (record, FRAME as u64 + u64::from(length))))
+    Ok(record.map(|record| Frame { record, bytes }))
 }
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -1,441 +1,347 @@
-//! What outlasts the process: an append-only file of checksummed records, and the image that they add up to.
+//! The write-ahead journal: what outlasts the process. An append-only file of checksummed records in the state folder,
+//! the [`JournalState`] that they add up to, and the clock's last reading in a file beside it.
 //!
-//! Every record is written before what it promises. A write need not reach the disk (the folder outlasts the
-//! process, not the machine), but the system call must have returned.
+//! Every record is written before the step that it stands for takes effect. It need not reach the disk: the folder
+//! outlasts the process, not the machine. But the system call must have returned.
 //!
-//! Writes may fail for a while. A record that promises something (a message accepted, an attempt begun) is refused
-//! then. All others tell what has happened already: the image holds them at once, and the file gets them, in their
-//! order and before anything else, as soon as it can be written again ([`Journal::settle`]).
-
+//! Writes may fail for a while. A record that must come before its step (a message accepted, an attempt started) is
+//! refused then, and the step is not taken. A record of what has happened already is applied to the state at once and
+//! deferred: the file gets it, in order and before any other record, as soon as it can be written
+//! ([`Journal::flush`]).
+
+mod chunks;
+mod clock_file;
+mod compaction;
+mod error;
+mod file;
 mod frame;
 mod record;
+mod space;
+mod state;
 
 use delivery_gateway::discovery::DiscoveryUpdate;
 use std::collections::VecDeque;
-use std::fs::{self, File, OpenOptions};
-use std::io::{self, BufReader, BufWriter, Write};
-use std::os::unix::fs::{FileExt, MetadataExt};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::{Duration, Instant};
-use thiserror::Error;
-
-use frame::{frame, list_records, pieces, read_frame, FRAME};
-use record::{JournalState, Record};
 
+use chunks::{chunks, destination_records, endpoint_records};
+use clock_file::{ClockFile, CLOCK_FILE_BYTES};
+use compaction::{compact, remove_copy, CompactedFile};
+use file::JournalFile;
+use frame::encode_frame;
+use record::Record;
+use space::{live_bytes, DiskSpace};
+use state::JournalState;
+
+pub use clock_file::ClockReading;
+pub use error::JournalError;
 pub use record::{
-    AcceptedRecord, CircuitKey, ClockReading, FinalOutcome, PendingMessage, PersistedCircuit,
-    PersistedCircuitChange, SentRecord,
+    AcceptedRecord, CircuitKey, FinalOutcome, PendingMessage, PersistedCircuit, PersistedCircuitChange,
+    SentRecord,
 };
 
-/// Messages are taken on only while what is live fits into this part of the disk ...
-const LIVE_PART: f64 = 0.43;
-/// ... and the file is compacted before it passes this part, so that old and new fit side by side.
-const FILE_PART: f64 = 0.54;
-/// No append goes past this part, also if compaction fails.
-const HARD_PART: f64 = 0.95;
-/// Room kept for the later records of each live message.
-const PER_MESSAGE: u64 = 128;
-/// What the file of the clock takes of the disk.
-const CLOCK_FILE: u64 = 512;
-/// In the place of a record's length and checksum: there is none, and nothing behind it counts.
-const NO_RECORD: [u8; FRAME] = [0; FRAME];
-/// After a compaction that failed, none is tried for so long.
-const COMPACT_AGAIN: Duration = Duration::from_secs(1);
-
-#[derive(Debug, Error)]
-pub enum JournalError {
-    #[error("the journal's file: {0}")]
-    Io(#[from] io::Error),
-    #[error("a record cannot be encoded: {0}")]
-    Encode(#[from] postcard::Error),
-    #[error("a record is too long")]
-    RecordTooLong,
-    #[error("the journal is full")]
-    Full,
-    /// Nothing was written.
-    #[error("what a failed write has left behind cannot be cut off yet")]
-    TornTail,
-}
+/// The shortest time between a compaction that failed and the next one.
+const COMPACTION_RETRY_DELAY: Duration = Duration::from_secs(1);
 
+/// The journal of one state folder. One process at a time owns it, by the folder's lock.
 pub struct Journal {
-    path: PathBuf,
-    file: File,
-    size: u64,
-    /// Bytes that a compacted file would need at most.
-    live: u64,
-    disk: u64,
+    file: JournalFile,
+    space: DiskSpace,
+    /// What the file's records and the deferred ones add up to.
     pub state: JournalState,
-    /// Records that the image holds and the file does not, the oldest first.
-    unwritten: VecDeque<Record>,
-    /// The list in the file is older than that of the state.
-    list_unwritten: bool,
-    /// A failed write may have left bytes behind the end, which the next process could take for a record.
-    tail_unclean: bool,
+    /// Bytes that the pending messages would take in a compacted file, at most.
+    live_bytes: u64,
+    /// Records that the state has and the file does not, the oldest first.
+    deferred: VecDeque<Record>,
+    /// The file's endpoint list is older than the state's.
+    endpoints_deferred: bool,
     /// Bytes of a compacted copy that could not be removed.
-    copy_left: u64,
-    /// When a compaction failed last.
-    compaction_failed: Option<Instant>,
-    clock: Option<ClockReading>,
-    clock_unwritten: bool,
+    leftover_copy_bytes: u64,
+    /// When a compaction failed, unless one has succeeded since.
+    compaction_failed_at: Option<Instant>,
+    clock: ClockFile,
 }
 
 impl Journal {
-    /// Opens the journal of a folder and replays it. A torn or damaged tail is cut off: whatever it would have
-    /// promised was not promised yet.
+    /// Opens the journal of a folder, with `disk_bytes` for all its files, and replays it. A torn tail is truncated:
+    /// the step that it was to come before was not taken.
     ///
     /// # Errors
-    /// The file cannot be opened or read. Nothing has been changed then, and it may be tried again.
-    pub fn open(folder: &Path, disk: u64) -> Result<Self, JournalError> {
+    /// A file cannot be opened or read. Nothing has been changed then, and it may be tried again.
+    pub fn open(folder: &Path, disk_bytes: u64) -> Result<Self, JournalError> {
         let path = folder.join("journal");
-        let disk = disk.saturating_sub(CLOCK_FILE);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path)?;
-        let end = file.metadata()?.len();
         let mut state = JournalState::default();
-        // One record at a time: a file may be larger than the memory.
-        let mut reader = BufReader::new(&file);
-        let mut size = 0;
-        while let Some((record, length)) = read_frame(&mut reader, end - size)? {
-            state.apply(record);
-            size += length;
-        }
-        let live = state.pending.values().map(cost).sum();
-        let clock = read_clock(&path)?;
-        let mut journal = Journal {
-            path,
+        let mut file = JournalFile::replay(&path, |record| state.apply(record))?;
+        let clock = ClockFile::open(&path)?;
+        file.truncate_tail();
+        let leftover_copy_bytes = remove_copy(&path);
+        Ok(Journal {
             file,
-            size,
-            live,
-            disk,
+            space: DiskSpace::new(disk_bytes.saturating_sub(CLOCK_FILE_BYTES)),
+            live_bytes: state.pending.values().map(|pending| live_bytes(&pending.message)).sum(),
             state,
-            unwritten: VecDeque::new(),
-            list_unwritten: false,
-            tail_unclean: end > size,
-            copy_left: 0,
-            compaction_failed: None,
+            deferred: VecDeque::new(),
+            endpoints_deferred: false,
+            leftover_copy_bytes,
+            compaction_failed_at: None,
             clock,
-            clock_unwritten: false,
-        };
-        if journal.tail_unclean {
-            journal.clean_tail();
-        }
-        journal.remove_copy();
-        Ok(journal)
+        })
     }
 
-    /// Whether the file says all that the image does, and no more.
+    /// Whether the files hold all that the state does, and no more.
     pub fn is_flushed(&self) -> bool {
-        self.has_all_records() && !self.list_unwritten && !self.clock_unwritten && !self.tail_unclean
+        self.has_all_records()
+            && !self.endpoints_deferred
+            && self.clock.is_written()
+            && !self.file.has_torn_tail()
     }
 
-    /// Whether a failed write may have left a whole record behind, which the next process would believe.
+    /// Whether a failed write may have left a whole record behind the end, which the next process would apply.
     pub fn has_unclean_tail(&self) -> bool {
-        self.tail_unclean
+        self.file.has_torn_tail()
     }
 
-    /// Whether the file has all records of messages. The list and the clock do not wait for these, nor these for them.
+    /// Whether the file has all records of messages. The endpoint list and the clock are deferred apart from these.
     pub fn has_all_records(&self) -> bool {
-        self.unwritten.is_empty()
+        self.deferred.is_empty()
     }
 
-    /// Writes what could not be written before.
-    pub fn flush(&mut self) -> Result<(), JournalError> {
-        self.write_records()?;
-        if self.list_unwritten {
-            self.write_list()?;
-        }
-        if self.clock_unwritten {
-            self.write_clock()?;
-        }
-        if self.tail_unclean {
-            self.clean_tail();
-        }
-        Ok(())
-    }
-
-    /// Writes the records that could not be written before, the oldest first.
-    fn write_records(&mut self) -> Result<(), JournalError> {
-        while let Some(record) = self.unwritten.front() {
-            self.write(&frame(record)?)?;
-            // A compaction on the way has written them all.
-            self.unwritten.pop_front();
-        }
-        Ok(())
+    /// Whether the file is as this process left it.
+    pub fn is_untouched(&self) -> bool {
+        self.file.is_untouched()
     }
 
-    /// Writes the whole list, in the place of changes that could not be written.
-    fn write_list(&mut self) -> Result<(), JournalError> {
-        let mut bytes = Vec::new();
-        for piece in pieces(&self.state.destinations)? {
-            bytes.extend(frame(&Record::Destinations(piece.into_iter().copied().collect()))?);
+    /// Writes what was deferred.
+    ///
+    /// # Errors
+    /// Something still cannot be written; it stays deferred.
+    pub fn flush(&mut self) -> Result<(), JournalError> {
+        self.flush_records()?;
+        if self.endpoints_deferred {
+            self.write_all_endpoints()?;
         }
-        for record in list_records(self.state.endpoints_revision, true, self.state.endpoints.values())? {
-            bytes.extend(frame(&record)?);
+        if !self.clock.is_written() {
+            self.clock.write()?;
         }
-        self.write(&bytes)?;
-        self.list_unwritten = false;
+        self.file.truncate_tail();
         Ok(())
     }
 
-    /// Whether the file is as this process left it.
-    pub fn is_untouched(&self) -> bool {
-        let now = fs::metadata(&self.path).ok().zip(self.file.metadata().ok());
-        now.is_some_and(|(there, own)| there.ino() == own.ino() && there.len() == self.size)
-    }
-
-    /// Takes a message on and gives it its number; after this it outlasts the process.
-    pub fn accept(&mut self, taken: AcceptedRecord) -> Result<u32, JournalError> {
-        if self.tail_unclean {
-            self.clean_tail();
-        }
-        if self.tail_unclean {
+    /// Accepts a message and returns its number. From then on it outlasts the process.
+    ///
+    /// # Errors
+    /// It is not accepted: it cannot be written, or there is no room for it. After
+    /// [`TornTail`](JournalError::TornTail) nothing was written; after other errors see
+    /// [`has_unclean_tail`](Self::has_unclean_tail).
+    pub fn accept(&mut self, message: AcceptedRecord) -> Result<u32, JournalError> {
+        self.file.truncate_tail();
+        if self.file.has_torn_tail() {
             return Err(JournalError::TornTail);
         }
         let number = self.state.last_number + 1;
-        let more = taken_cost(&taken);
-        if self.live + more > self.part(LIVE_PART) {
-            return Err(JournalError::Full);
-        }
-        let tenant = taken.tenant.clone();
-        self.promise(Record::Accepted { number, message: taken })?;
-        self.live += more;
+        let message_bytes = live_bytes(&message);
+        self.space.check_live(self.live_bytes + message_bytes)?;
+        let tenant = message.tenant.clone();
+        self.write_ahead(Record::Accepted { number, message })?;
+        self.live_bytes += message_bytes;
         if !tenant.is_empty() {
-            // Taken on already, so that a failure here is none of the hand-in.
-            let _ = self.tell(Record::Tenant { number, tenant });
+            // The message is accepted: a failure here defers the record only.
+            let _ = self.write_or_defer(Record::Tenant { number, tenant });
         }
         Ok(number)
     }
 
     /// An attempt is about to be made.
-    pub fn record_attempt(&mut self, number: u32, sent: SentRecord) -> Result<(), JournalError> {
-        self.promise(Record::AttemptStarted { number, attempt: sent })
+    ///
+    /// # Errors
+    /// It is not recorded, and must not be made.
+    pub fn record_attempt(&mut self, number: u32, attempt: SentRecord) -> Result<(), JournalError> {
+        self.write_ahead(Record::AttemptStarted { number, attempt })
     }
 
-    /// The attempt that was out has ended.
+    /// The attempt in flight has finished; whether the endpoint may have processed it.
+    ///
+    /// # Errors
+    /// The record is deferred.
     pub fn record_attempt_outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::AttemptFinished { number, may_have_run }, number)
+        self.end_attempt(number, Record::AttemptFinished { number, may_have_run })
     }
 
-    /// The attempt that was out was not made after all, and is none of those that the message has.
+    /// The attempt in flight was not sent after all, and does not count as one.
+    ///
+    /// # Errors
+    /// The record is deferred.
     pub fn record_local_failure(&mut self, number: u32) -> Result<(), JournalError> {
-        self.tell_of_attempt(Record::AttemptNotSent { number }, number)
+        self.end_attempt(number, Record::AttemptNotSent { number })
     }
 
-    /// A message has its final outcome, which nobody has been told yet.
+    /// A message has its final outcome, of which nobody has been notified.
+    ///
+    /// # Errors
+    /// The record is deferred. The client must not be notified before it is written.
     pub fn record_final_outcome(
         &mut self,
         number: u32,
         final_outcome: FinalOutcome,
     ) -> Result<(), JournalError> {
-        self.tell(Record::OutcomeDecided { number, final_outcome })
+        self.write_or_defer(Record::OutcomeDecided { number, final_outcome })
     }
 
-    /// A message has its end: it was delivered, its notice was answered, or nobody wants it.
+    /// A message is completed: delivered, its notification acknowledged, or abandoned by its client.
+    ///
+    /// # Errors
+    /// The record is deferred.
     pub fn remove(&mut self, number: u32) -> Result<(), JournalError> {
-        let Some(less) = self.state.pending.get(&number).map(cost) else { return Ok(()) };
-        self.live = self.live.saturating_sub(less);
-        self.tell(Record::Completed { number })
+        let Some(pending) = self.state.pending.get(&number) else { return Ok(()) };
+        self.live_bytes = self.live_bytes.saturating_sub(live_bytes(&pending.message));
+        self.write_or_defer(Record::Completed { number })
     }
 
-    /// Writes all of an update or, as far as the next process is concerned, nothing of it: the whole list later.
+    /// Applies an update of the endpoint list. The next process sees all of it or nothing.
+    ///
+    /// # Errors
+    /// It is not written; the whole list is, later.
     pub fn record_endpoints(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
-        if self.list_unwritten {
-            self.state.list(update);
-            return self.write_list();
+        if self.endpoints_deferred {
+            self.state.apply_endpoints(update);
+            return self.write_all_endpoints();
         }
-        let written = self.write_update(&update);
-        self.state.list(update);
-        self.list_unwritten = written.is_err();
+        let written = self.write_endpoints(&update);
+        self.state.apply_endpoints(update);
+        self.endpoints_deferred = written.is_err();
         written
     }
 
-    fn write_update(&mut self, update: &DiscoveryUpdate) -> Result<(), JournalError> {
-        let mut bytes = Vec::new();
-        for record in list_records(update.revision, update.is_snapshot, &update.endpoints)? {
-            bytes.extend(frame(&record)?);
-        }
-        // At once, as a compaction between two parts would lose the first.
-        self.write(&bytes)
-    }
-
+    /// Records changes of the circuits.
+    ///
+    /// # Errors
+    /// Not all are recorded, in the state neither.
     pub fn record_circuits(&mut self, changes: &[PersistedCircuitChange]) -> Result<(), JournalError> {
-        for piece in pieces(changes)? {
-            self.promise(Record::CircuitChanges(piece.into_iter().cloned().collect()))?;
+        for chunk in chunks(changes)? {
+            self.write_ahead(Record::CircuitChanges(chunk.into_iter().cloned().collect()))?;
         }
         Ok(())
     }
 
-    pub fn record_endpoint_disabled(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
-        self.promise(Record::EndpointDisabled { uid: uid.to_owned(), disabled: out })
+    /// Operators disable an endpoint, or enable it again.
+    ///
+    /// # Errors
+    /// It is not recorded, and must not take effect.
+    pub fn record_endpoint_disabled(&mut self, uid: &str, disabled: bool) -> Result<(), JournalError> {
+        self.write_ahead(Record::EndpointDisabled { uid: uid.to_owned(), disabled })
     }
 
-    /// The last reading of the clock; none in a folder of an older build, whose journal counts in wall time.
+    /// The last reading of the clock. None in the folder of an older build, whose journal counts in wall time.
     pub fn clock_reading(&self) -> Option<&ClockReading> {
-        self.clock.as_ref()
+        self.clock.reading()
     }
 
-    /// How journal time goes on from now.
+    /// Records how journal time continues from now.
+    ///
+    /// # Errors
+    /// The reading is deferred.
     pub fn record_clock(&mut self, reading: ClockReading) -> Result<(), JournalError> {
-        self.clock = Some(reading);
-        self.clock_unwritten = true;
-        self.write_clock()
+        self.clock.record(reading)
     }
 
-    /// In a file of its own: an older build, which knows no such record, still reads the journal.
-    fn write_clock(&mut self) -> Result<(), JournalError> {
-        let Some(reading) = &self.clock else { return Ok(()) };
-        let file =
-            OpenOptions::new().write(true).create(true).truncate(false).open(clock_path(&self.path))?;
-        file.write_all_at(&frame(reading)?, 0)?;
-        self.clock_unwritten = false;
-        Ok(())
-    }
-
-    fn part(&self, part: f64) -> u64 {
-        (self.disk as f64 * part) as u64
-    }
-
-    /// Writes a record that must be in the file before what it stands for happens; if it cannot be, that must not.
-    fn promise(&mut self, record: Record) -> Result<(), JournalError> {
-        self.write_records()?;
-        self.write(&frame(&record)?)?;
+    /// Writes a record that must be in the file before its step is taken. If it cannot be, nothing changes.
+    fn write_ahead(&mut self, record: Record) -> Result<(), JournalError> {
+        self.flush_records()?;
+        self.append(&encode_frame(&record)?)?;
         self.state.apply(record);
         Ok(())
     }
 
-    /// Takes in a record of what has happened; the file gets it now or, after an error, later.
-    fn tell(&mut self, record: Record) -> Result<(), JournalError> {
-        let written = self.write_records().and_then(|()| self.write(&frame(&record)?));
+    /// Applies a record of what has happened already. The file gets it now or, after an error, later.
+    fn write_or_defer(&mut self, record: Record) -> Result<(), JournalError> {
+        let written = self.flush_records().and_then(|()| self.append(&encode_frame(&record)?));
         if written.is_ok() {
             self.state.apply(record);
         } else {
             self.state.apply(record.clone());
-            self.unwritten.push_back(record);
+            self.deferred.push_back(record);
         }
         written
     }
 
-    /// The same of the attempt that is out; one that could not be written down never was.
-    fn tell_of_attempt(&mut self, record: Record, number: u32) -> Result<(), JournalError> {
-        let is_out = self.state.pending.get(&number).is_some_and(|held| held.in_flight.is_some());
-        if is_out {
-            self.tell(record)
-        } else {
-            Ok(())
+    /// The same for the end of an attempt, if its start was recorded.
+    fn end_attempt(&mut self, number: u32, record: Record) -> Result<(), JournalError> {
+        if !self.state.has_attempt_in_flight(number) {
+            return Ok(());
         }
+        self.write_or_defer(record)
     }
 
-    /// Writes at a place of its own keeping: what a failed write left behind is written over by the next one.
-    fn write(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
-        let more = bytes.len() as u64;
-        let mut compacted = Ok(());
-        let failed_of_late = self.compaction_failed.is_some_and(|at| at.elapsed() < COMPACT_AGAIN);
-        if self.size + more > self.part(FILE_PART) && !failed_of_late {
-            compacted = self.compact();
+    /// Writes the records that were deferred, the oldest first.
+    fn flush_records(&mut self) -> Result<(), JournalError> {
+        while let Some(record) = self.deferred.front() {
+            self.append(&encode_frame(record)?)?;
+            // If the append compacted the journal, all were written, and none is left here.
+            self.deferred.pop_front();
         }
-        if self.size + more + self.copy_left > self.part(HARD_PART) {
-            return compacted.and(Err(JournalError::Full));
+        Ok(())
+    }
+
+    fn write_endpoints(&mut self, update: &DiscoveryUpdate) -> Result<(), JournalError> {
+        let mut frames = Vec::new();
+        for record in endpoint_records(update.revision, update.is_snapshot, &update.endpoints)? {
+            frames.extend(encode_frame(&record)?);
         }
-        if self.tail_unclean {
-            self.clean_tail();
+        // All parts at once: a compaction between two of them would lose the first.
+        self.append(&frames)
+    }
+
+    /// Writes the whole endpoint list, in the place of updates that could not be written.
+    fn write_all_endpoints(&mut self) -> Result<(), JournalError> {
+        let mut frames = Vec::new();
+        for record in destination_records(&self.state.destinations)? {
+            frames.extend(encode_frame(&record)?);
         }
-        if let Err(error) = self.file.write_all_at(bytes, self.size) {
-            self.tail_unclean = true;
-            self.clean_tail();
-            return Err(error.into());
+        let endpoints = self.state.endpoints.values();
+        for record in endpoint_records(self.state.endpoints_revision, true, endpoints)? {
+            frames.extend(encode_frame(&record)?);
         }
-        self.size += more;
+        self.append(&frames)?;
+        self.endpoints_deferred = false;
         Ok(())
     }
 
-    /// Cuts off what may lie behind the end, or at least ends the records there. It is tried again where that fails.
-    fn clean_tail(&mut self) {
-        let cleaned =
-            self.file.set_len(self.size).is_ok() || self.file.write_all_at(&NO_RECORD, self.size).is_ok();
-        self.tail_unclean = self.tail_unclean && !cleaned;
+    /// Appends whole frames, after a compaction where the file would grow too large.
+    fn append(&mut self, frames: &[u8]) -> Result<(), JournalError> {
+        let added = frames.len() as u64;
+        let mut compacted = Ok(());
+        if self.space.needs_compaction(self.file.size() + added) && self.may_compact() {
+            compacted = self.compact();
+        }
+        let size = self.file.size() + added + self.leftover_copy_bytes;
+        if let Err(full) = self.space.check_file(size) {
+            // Where a compaction has failed as well, its error is the cause.
+            return compacted.and(Err(full));
+        }
+        self.file.append(frames)
     }
 
-    /// Removes a compacted copy that did not come into the file's place.
-    fn remove_copy(&mut self) {
-        let copy = self.path.with_extension("new");
-        self.copy_left = match fs::remove_file(&copy) {
-            Ok(()) => 0,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
-            Err(_) => fs::metadata(&copy).map_or(0, |data| data.len()),
-        };
+    fn may_compact(&self) -> bool {
+        self.compaction_failed_at.is_none_or(|at| at.elapsed() >= COMPACTION_RETRY_DELAY)
     }
 
-    /// Writes the image to a new file and puts it in the old one's place.
+    /// Writes the state, deferred records included, to a new file in the journal's place.
     fn compact(&mut self) -> Result<(), JournalError> {
-        let new = self.path.with_extension("new");
-        match self.write_image(&new) {
-            Ok((file, size)) => {
-                (self.file, self.size, self.copy_left) = (file, size, 0);
-                (self.tail_unclean, self.list_unwritten, self.compaction_failed) = (false, false, None);
-                self.unwritten.clear();
+        let available = self.space.bytes().saturating_sub(self.file.size());
+        match compact(&self.state, self.file.path(), available) {
+            Ok(CompactedFile { file, size }) => {
+                self.file.replaced_by(file, size);
+                self.leftover_copy_bytes = 0;
+                self.endpoints_deferred = false;
+                self.compaction_failed_at = None;
+                self.deferred.clear();
                 Ok(())
             }
             Err(error) => {
-                self.compaction_failed = Some(Instant::now());
-                self.remove_copy();
+                self.compaction_failed_at = Some(Instant::now());
+                self.leftover_copy_bytes = remove_copy(self.file.path());
                 Err(error)
             }
         }
     }
-
-    fn write_image(&self, new: &Path) -> Result<(File, u64), JournalError> {
-        let mut file = BufWriter::new(File::create(new)?);
-        let mut size = 0;
-        let mut write = |record: Record| {
-            let bytes = frame(&record)?;
-            size += bytes.len() as u64;
-            if self.size + size > self.disk {
-                return Err(JournalError::Full);
-            }
-            Ok(file.write_all(&bytes)?)
-        };
-        list_records(self.state.endpoints_revision, true, self.state.endpoints.values())?
-            .try_for_each(&mut write)?;
-        for piece in pieces(&self.state.destinations)? {
-            write(Record::Destinations(piece.into_iter().copied().collect()))?;
-        }
-        for piece in pieces(self.state.circuits.iter())? {
-            let noted = |note: &PersistedCircuit| PersistedCircuitChange::Updated(note.clone());
-            write(Record::CircuitChanges(piece.into_iter().map(noted).collect()))?;
-        }
-        for uid in &self.state.disabled_endpoints {
-            write(Record::EndpointDisabled { uid: uid.clone(), disabled: true })?;
-        }
-        for (number, held) in &self.state.pending {
-            write(Record::Pending { number: *number, message: held.clone() })?;
-            if !held.message.tenant.is_empty() {
-                write(Record::Tenant { number: *number, tenant: held.message.tenant.clone() })?;
-            }
-        }
-        let file = file.into_inner().map_err(io::IntoInnerError::into_error)?;
-        fs::rename(new, &self.path)?;
-        Ok((file, size))
-    }
-}
-
-fn clock_path(journal: &Path) -> PathBuf {
-    journal.with_extension("clock")
-}
-
-/// The reading of the clock that was written last; none if there is none, or it is damaged.
-fn read_clock(journal: &Path) -> io::Result<Option<ClockReading>> {
-    match fs::read(clock_path(journal)) {
-        Ok(bytes) => Ok(read_frame(&mut bytes.as_slice(), bytes.len() as u64)?.map(|(reading, _)| reading)),
-        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-        Err(error) => Err(error),
-    }
-}
-
-fn taken_cost(taken: &AcceptedRecord) -> u64 {
-    let key = taken.idempotency_key.as_ref().map_or(0, String::len);
-    let texts = taken.id.len() + taken.class.len() + taken.tenant.len() + key;
-    (taken.body.len() + texts) as u64 + PER_MESSAGE
-}
-
-fn cost(held: &PendingMessage) -> u64 {
-    taken_cost(&held.message)
 }
--- /dev/null
+++ b/src/bin/delivery-gateway/journal/state.rs
@@ -0,0 +1,181 @@
+//! What the journal's records add up to. It reads and writes no file.
+
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::record::{
+    CircuitKey, PendingMessage, PersistedCircuit, PersistedCircuitChange, Record, SentRecord,
+};
+
+/// What the records add up to.
+#[derive(Default)]
+pub struct JournalState {
+    /// Messages by their numbers, which are given in the order of acceptance.
+    pub pending: BTreeMap<u32, PendingMessage>,
+    /// The number of the message accepted last.
+    pub last_number: u32,
+    /// The version of the endpoint list.
+    pub endpoints_revision: u64,
+    /// The endpoint list, by uids.
+    pub endpoints: BTreeMap<String, DiscoveredEndpoint>,
+    /// Destinations that have been listed. One without endpoints stays: it may get others.
+    pub destinations: BTreeSet<u32>,
+    /// Circuits that are not in their initial state.
+    pub circuits: PersistedCircuits,
+    /// Endpoints that operators have disabled, by their uids, listed or not.
+    pub disabled_endpoints: BTreeSet<String>,
+    /// The parts so far of an endpoint update that is not complete yet.
+    endpoint_parts: Vec<DiscoveryUpdate>,
+}
+
+impl JournalState {
+    /// Applies one record. One of a message that is not pending changes nothing.
+    pub fn apply(&mut self, record: Record) {
+        match record {
+            Record::Accepted { number, message } => self.insert(number, message.into()),
+            Record::Pending { number, message } => self.insert(number, message),
+            Record::AttemptStarted { number, attempt } => self.start_attempt(number, attempt),
+            Record::AttemptFinished { number, may_have_run } => self.finish_attempt(number, may_have_run),
+            Record::AttemptNotSent { number } => self.undo_attempt(number),
+            Record::OutcomeDecided { number, final_outcome } => {
+                if let Some(pending) = self.pending.get_mut(&number) {
+                    pending.final_outcome = Some(final_outcome);
+                }
+            }
+            Record::Completed { number } => {
+                self.pending.remove(&number);
+            }
+            Record::Tenant { number, tenant } => {
+                if let Some(pending) = self.pending.get_mut(&number) {
+                    pending.message.tenant = tenant;
+                }
+            }
+            Record::Endpoints(update) => {
+                self.endpoint_parts.clear();
+                self.apply_endpoints(update);
+            }
+            Record::EndpointsPart { index, count, update } => self.apply_endpoints_part(index, count, update),
+            Record::Destinations(destinations) => self.destinations.extend(destinations),
+            Record::EndpointDisabled { uid, disabled: true } => {
+                self.disabled_endpoints.insert(uid);
+            }
+            Record::EndpointDisabled { uid, disabled: false } => {
+                self.disabled_endpoints.remove(&uid);
+            }
+            Record::AllCircuits(circuits) => {
+                self.circuits = PersistedCircuits::default();
+                for circuit in circuits {
+                    self.circuits.apply(PersistedCircuitChange::Updated(circuit));
+                }
+            }
+            Record::CircuitChanges(changes) => {
+                for change in changes {
+                    self.circuits.apply(change);
+                }
+            }
+        }
+    }
+
+    /// Whether an attempt of a message is recorded that has not finished.
+    pub fn has_attempt_in_flight(&self, number: u32) -> bool {
+        self.pending.get(&number).is_some_and(|pending| pending.in_flight.is_some())
+    }
+
+    /// Applies an update of the endpoint list.
+    pub fn apply_endpoints(&mut self, update: DiscoveryUpdate) {
+        self.endpoints_revision = update.revision;
+        if update.is_snapshot {
+            self.endpoints.clear();
+        }
+        for endpoint in update.endpoints {
+            self.destinations.insert(endpoint.destination);
+            if endpoint.is_removed() {
+                self.endpoints.remove(&endpoint.uid);
+            } else {
+                self.endpoints.insert(endpoint.uid.clone(), endpoint);
+            }
+        }
+    }
+
+    fn insert(&mut self, number: u32, message: PendingMessage) {
+        self.last_number = self.last_number.max(number);
+        self.pending.insert(number, message);
+    }
+
+    fn start_attempt(&mut self, number: u32, attempt: SentRecord) {
+        let Some(pending) = self.pending.get_mut(&number) else { return };
+        pending.attempts += 1;
+        // One that has not finished may have been processed, also if another one was started after it.
+        let unfinished = pending.in_flight.replace(attempt);
+        pending.first_uncertain_attempt = pending.first_uncertain_attempt.or(unfinished);
+    }
+
+    fn finish_attempt(&mut self, number: u32, may_have_run: bool) {
+        let Some(pending) = self.pending.get_mut(&number) else { return };
+        let uncertain = pending.in_flight.take().filter(|_| may_have_run);
+        pending.first_uncertain_attempt = pending.first_uncertain_attempt.or(uncertain);
+    }
+
+    fn undo_attempt(&mut self, number: u32) {
+        let Some(pending) = self.pending.get_mut(&number) else { return };
+        if pending.in_flight.take().is_some() {
+            pending.attempts = pending.attempts.saturating_sub(1);
+        }
+    }
+
+    fn apply_endpoints_part(&mut self, index: u32, count: u32, update: DiscoveryUpdate) {
+        // A first part ends an update that its writer could not complete.
+        if index == 0 {
+            self.endpoint_parts.clear();
+        }
+        if index as usize == self.endpoint_parts.len() {
+            self.endpoint_parts.push(update);
+        }
+        if self.endpoint_parts.len() == count as usize {
+            for part in std::mem::take(&mut self.endpoint_parts) {
+                self.apply_endpoints(part);
+            }
+        }
+    }
+}
+
+/// The circuits that are remembered: those that are not in their initial state.
+#[derive(Default)]
+pub struct PersistedCircuits {
+    circuits: BTreeMap<CircuitKey, PersistedCircuit>,
+    open_count: usize,
+}
+
+impl PersistedCircuits {
+    /// What is recorded for a key.
+    pub fn get(&self, key: &CircuitKey) -> Option<&PersistedCircuit> {
+        self.circuits.get(key)
+    }
+
+    /// All keys, in order.
+    pub fn keys(&self) -> impl Iterator<Item = &CircuitKey> {
+        self.circuits.keys()
+    }
+
+    /// All circuits, in the order of their keys.
+    pub fn iter(&self) -> impl Iterator<Item = &PersistedCircuit> {
+        self.circuits.values()
+    }
+
+    /// How many circuits are open.
+    pub fn open_count(&self) -> usize {
+        self.open_count
+    }
+
+    /// Applies one change.
+    pub fn apply(&mut self, change: PersistedCircuitChange) {
+        let replaced = match change {
+            PersistedCircuitChange::Updated(circuit) => {
+                self.open_count += usize::from(circuit.is_open());
+                self.circuits.insert(circuit.key(), circuit)
+            }
+            PersistedCircuitChange::Removed(key) => self.circuits.remove(&key),
+        };
+        self.open_count -= usize::from(replaced.is_some_and(|circuit| circuit.is_open()));
+    }
+}
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -122,7 +122,7 @@
     fn as_io_error(&self) -> Option<&std::io::Error> {
         match self {
             StartError::Read(error) | StartError::Listen(_, error) => Some(error),
-            StartError::Journal(JournalError::Io(error)) => Some(error),
+            StartError::Journal(error) => error.io_error(),
             _ => None,
         }
     }
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -7,7 +7,9 @@
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
-use journal::{AcceptedRecord, CircuitKey, Journal, PersistedCircuit, PersistedCircuitChange, SentRecord};
+use journal::{
+    AcceptedRecord, CircuitKey, Journal, PendingMessage, PersistedCircuit, PersistedCircuitChange, SentRecord,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use world::*;
@@ -421,8 +423,11 @@
     journal.record_attempt(number, second).unwrap();
     journal.record_attempt_outcome(number, false).unwrap();
     let journal = Journal::open(&folder, 1 << 20).unwrap();
-    let held = &journal.state.pending[&number];
-    assert_eq!((held.attempts, held.first_uncertain_attempt, held.in_flight), (2, Some(first), None));
+    let pending: &PendingMessage = &journal.state.pending[&number];
+    assert_eq!(
+        (pending.attempts, pending.first_uncertain_attempt, pending.in_flight),
+        (2, Some(first), None)
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
