--- a/src/bin/delivery-gateway/event_loop.rs
+++ b/src/bin/delivery-gateway/event_loop.rs
@@ -185,7 +185,7 @@
 impl EventLoop {
     /// A courier that has yet to take up what there is.
     pub fn new(
-        mut parsed: Parsed,
+        mut parsed: ParsedSettings,
         seed: u64,
         mut journal: Journal,
         endpoint_sockets: usize,
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use delivery_gateway::socket::is_momentary;
-use delivery_gateway::{AttemptOutcome, EndpointId, MessageId, Parsed};
+use delivery_gateway::{AttemptOutcome, EndpointId, MessageId, ParsedSettings};
 use rustix::io::retry_on_intr;
 use rustix::net::{
     recvmsg, sendmsg, shutdown, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, Shutdown,
@@ -95,7 +95,7 @@
 
 /// The kind of memory that a process has: both must mean the same by each number of a class, a tenant, a kind and
 /// a zone.
-pub fn memory(parsed: &Parsed) -> u32 {
+pub fn memory(parsed: &ParsedSettings) -> u32 {
     let names = (&parsed.class_names, &parsed.tenant_names, &parsed.kind_names, &parsed.zone_names);
     crc32fast::hash(format!("{MEMORY:?} {names:?}").as_bytes())
 }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -17,7 +17,7 @@
 
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointWatch};
 use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
-use delivery_gateway::{settings_from_json, Parsed, SettingError, Settings};
+use delivery_gateway::{settings_from_json, ParsedSettings, SettingError, Settings};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::ffi::OsString;
@@ -189,7 +189,7 @@
 
 /// What a driver is made of that the journal and the list do not tell.
 struct Plan {
-    parsed: Parsed,
+    parsed: ParsedSettings,
     seed: u64,
     endpoint_sockets: usize,
     disk: u64,
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -8,8 +8,8 @@
 
 struct Instance {
     courier: Scheduler,
-    left_at: Option<usize>,
-    limit_at: Option<usize>,
+    headroom_index: Option<usize>,
+    limit_index: Option<usize>,
 }
 
 /// All instances of this process, and the numbered lists that they refer to.
@@ -63,10 +63,10 @@
     fn translate(&mut self, record: Record) -> Result<Option<(u16, Option<Event>)>, HostError> {
         let (who, event) = match record {
             Record::NewInstance { who, nonce, config } => {
-                let Parsed { settings, left_at, limit_at, .. } =
+                let ParsedSettings { settings, headroom_index, limit_index, .. } =
                     settings_from_lines(&config).map_err(|error| HostError::Setting { who, error })?;
                 let courier = Scheduler::new(settings, nonce);
-                self.instances.insert(who, Instance { courier, left_at, limit_at });
+                self.instances.insert(who, Instance { courier, headroom_index, limit_index });
                 return Ok(None);
             }
             Record::Teardown { who } => {
@@ -116,8 +116,8 @@
     fn finished(&self, record: &FinishedRecord) -> Result<Event, HostError> {
         let instance = self.instances.get(&record.who);
         let value = |at: Option<usize>| at.and_then(|at| record.report.get(at)).map(|v| f64::from(*v));
-        let left = value(instance.and_then(|i| i.left_at));
-        let limit = value(instance.and_then(|i| i.limit_at));
+        let left = value(instance.and_then(|i| i.headroom_index));
+        let limit = value(instance.and_then(|i| i.limit_index));
         Ok(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(record.call),
             endpoint: EndpointId(record.endpoint),
--- a/src/bin/testbed/simulated.rs
+++ b/src/bin/testbed/simulated.rs
@@ -11,10 +11,10 @@
 
 /// The reader of the list, for the one kind and the one zone of the experiments.
 pub fn reader(settings: &Settings) -> EndpointDirectory {
-    EndpointDirectory::new(&Parsed {
+    EndpointDirectory::new(&ParsedSettings {
         settings: settings.clone(),
-        left_at: None,
-        limit_at: None,
+        headroom_index: None,
+        limit_index: None,
         class_names: Vec::new(),
         tenant_names: Vec::new(),
         kind_names: vec!["banks".into()],
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -34,13 +34,13 @@
 
 /// The settings, where the load report keeps its two values, and the names that the protocol on sockets uses.
 #[derive(Clone, Debug)]
-pub struct Parsed {
+pub struct ParsedSettings {
     /// What the decision module is given.
     pub settings: Settings,
     /// Place of the share that is left among the values of a report.
-    pub left_at: Option<usize>,
+    pub headroom_index: Option<usize>,
     /// Place of the limit among the values of a report.
-    pub limit_at: Option<usize>,
+    pub limit_index: Option<usize>,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
@@ -94,7 +94,7 @@
 }
 
 /// Reads the text of a `Config` field.
-pub fn settings_from_lines(text: &str) -> Result<Parsed, SettingError> {
+pub fn settings_from_lines(text: &str) -> Result<ParsedSettings, SettingError> {
     let mut map = BTreeMap::new();
     for (index, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
         let unreadable = || SettingError::Line { line: index + 1, text: line.to_owned() };
@@ -105,7 +105,7 @@
 }
 
 /// Reads the same settings as nested JSON.
-pub fn settings_from_json(value: &Value) -> Result<Parsed, SettingError> {
+pub fn settings_from_json(value: &Value) -> Result<ParsedSettings, SettingError> {
     let mut map = BTreeMap::new();
     flatten(String::new(), value, &mut map);
     read(&Lines(map))
@@ -144,7 +144,7 @@
     }
 }
 
-fn read(lines: &Lines) -> Result<Parsed, SettingError> {
+fn read(lines: &Lines) -> Result<ParsedSettings, SettingError> {
     let base = Settings::default();
     let rules = base.limits;
     let fields = lines.words("Report.Fields");
@@ -196,9 +196,9 @@
     let names = |path: &str| lines.words(path).into_iter().map(str::to_owned).collect();
     let name_of =
         |list: &str, at: usize| lines.get(&format!("{list}.{at}.Name")).ok().flatten().unwrap_or_default();
-    Ok(Parsed {
-        left_at: place("x0"),
-        limit_at: place("x1"),
+    Ok(ParsedSettings {
+        headroom_index: place("x0"),
+        limit_index: place("x1"),
         class_names: (0..settings.classes.len()).map(|at| name_of("Lanes", at)).collect(),
         tenant_names: (0..settings.tenants.len()).map(|at| name_of("Projects", at)).collect(),
         kind_names: names("MachineTypes"),
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -6,7 +6,8 @@
 use tracing::warn;
 
 use crate::{
-    Availability, DestinationId, DestinationKindId, Endpoint, EndpointId, EndpointUpdate, Parsed, ZoneId,
+    Availability, DestinationId, DestinationKindId, Endpoint, EndpointId, EndpointUpdate, ParsedSettings,
+    ZoneId,
 };
 
 /// An entry of the list.
@@ -91,7 +92,7 @@
 
 impl EndpointDirectory {
     /// Knows the names of the settings, and no endpoint.
-    pub fn new(parsed: &Parsed) -> Self {
+    pub fn new(parsed: &ParsedSettings) -> Self {
         EndpointDirectory {
             zones: parsed.zone_names.clone(),
             destination_kinds: parsed.kind_names.clone(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,6 +36,6 @@
 mod scheduler;
 pub mod socket;
 
-pub use config::{settings_from_json, settings_from_lines, Parsed, SettingError};
+pub use config::{settings_from_json, settings_from_lines, ParsedSettings, SettingError};
 pub use model::*;
 pub use scheduler::{Scheduler, WorkCounters, WATCH_RESPONSE_TIMEOUT};
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -11,8 +11,15 @@
     };
     let (kind_names, zone_names) = (vec!["banks".to_owned()], vec!["kingston".to_owned()]);
     let (class_names, tenant_names) = Default::default();
-    let parsed =
-        Parsed { settings, class_names, tenant_names, kind_names, zone_names, left_at: None, limit_at: None };
+    let parsed = ParsedSettings {
+        settings,
+        class_names,
+        tenant_names,
+        kind_names,
+        zone_names,
+        headroom_index: None,
+        limit_index: None,
+    };
     EndpointDirectory::new(&parsed)
 }
 
