--- a/src/bin/delivery-gateway/event_loop/circuit_notes.rs
+++ b/src/bin/delivery-gateway/event_loop/circuit_notes.rs
@@ -9,14 +9,14 @@
 use super::reporting::JournalErrorLog;
 use super::EventLoop;
 use crate::clock::Clock;
-use crate::journal::{CircuitKey, CircuitNote, CircuitNoteChange, Journal};
+use crate::journal::{CircuitKey, Journal, PersistedCircuit, PersistedCircuitChange};
 use crate::rate_limited_log::RateLimitedLog;
 
 /// The notes that are yet to be written to the journal.
 #[derive(Default)]
 pub(super) struct CircuitNoteWriter {
     /// What has changed and is not in the journal yet; none where nothing is to be remembered any more.
-    unwritten: BTreeMap<CircuitKey, Option<CircuitNote>>,
+    unwritten: BTreeMap<CircuitKey, Option<PersistedCircuit>>,
     /// Uids of endpoints with notes: the end of a note can come after the directory has forgotten its endpoint.
     uids: HashMap<EndpointId, String>,
     lines: RateLimitedLog,
@@ -32,14 +32,15 @@
         let CircuitChange { destination, endpoint, record } = change;
         // An endpoint that has no uid any more had nothing noted.
         let Some(key) = self.key(*destination, *endpoint, directory) else { return };
-        if let Some((id, uid)) = endpoint.zip(key.1.as_ref()) {
+        if let Some((id, uid)) = endpoint.zip(key.uid.as_ref()) {
             match record {
                 Some(_) => drop(self.uids.insert(id, uid.clone())),
                 None => drop(self.uids.remove(&id)),
             }
         }
-        let note =
-            record.as_ref().map(|record| CircuitNote::new(record, key.1.clone(), |at| clock.journal_ms(at)));
+        let note = record
+            .as_ref()
+            .map(|record| PersistedCircuit::new(record, key.uid.clone(), |at| clock.journal_ms(at)));
         self.unwritten.insert(key, note);
     }
 
@@ -57,7 +58,7 @@
             }
             None => None,
         };
-        Some((destination.0, uid))
+        Some(CircuitKey { destination: destination.0, uid })
     }
 
     /// Writes the changes. Those that cannot be written stay until the next call.
@@ -68,16 +69,16 @@
             return;
         }
         let changes = self.unwritten.iter().map(|(key, note)| match note {
-            Some(note) => CircuitNoteChange::Noted(note.clone()),
-            None => CircuitNoteChange::Over(key.clone()),
+            Some(note) => PersistedCircuitChange::Updated(note.clone()),
+            None => PersistedCircuitChange::Removed(key.clone()),
         });
-        let before = noted.out();
+        let before = noted.open_count();
         let written = journal.record_circuits(&changes.collect::<Vec<_>>());
         if written.is_ok() {
             self.unwritten.clear();
         }
         errors.log_failure(written);
-        let after = journal.state.circuits.out();
+        let after = journal.state.circuits.open_count();
         if before != after {
             if let Some(more) = self.lines.due() {
                 info!(before, after, more, "destinations held to be out");
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -107,7 +107,7 @@
 impl EventLoop {
     /// A courier that has yet to take up what there is.
     pub fn new(
-        mut parsed: Parsed,
+        mut parsed: ParsedSettings,
         seed: u64,
         mut journal: Journal,
         endpoint_sockets: usize,
@@ -196,7 +196,7 @@
         for uid in self.journal.state.disabled_endpoints.clone() {
             self.detach(now, &uid, true);
         }
-        for note in self.journal.state.circuits.notes() {
+        for note in self.journal.state.circuits.iter() {
             let endpoint = note.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
@@ -487,7 +487,7 @@
                 EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
-                let is_written = !matches!(error, JournalError::Unclean) && self.journal.has_unclean_tail();
+                let is_written = !matches!(error, JournalError::TornTail) && self.journal.has_unclean_tail();
                 self.journal_errors.log_failure(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
