--- /dev/null
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -0,0 +1,129 @@
+//! From an enqueue request to its reply. A message is in the journal before its client is told that it was accepted.
+
+use delivery_gateway::{DestinationId, Event, Idempotency, MessageId, Time};
+use tokio::sync::oneshot;
+use tracing::debug;
+
+use super::EventLoop;
+use crate::events::{EnqueueReply, EnqueueRequest};
+use crate::journal::{AcceptedRecord, JournalError};
+
+impl EventLoop {
+    /// Replies to a request. A message whose client left before the reply is withdrawn.
+    pub(super) fn answer_enqueue(
+        &mut self,
+        now: Time,
+        request: EnqueueRequest,
+        reply: oneshot::Sender<EnqueueReply>,
+    ) {
+        let id = request.id.clone();
+        let answer = self.enqueue(now, request);
+        debug!(id, ?answer, "a message was handed in");
+        if let Err(EnqueueReply::Accepted(message)) = reply.send(answer) {
+            self.withdraw_unacknowledged(now, message);
+        }
+    }
+
+    fn enqueue(&mut self, now: Time, request: EnqueueRequest) -> EnqueueReply {
+        let Some(class) = self.catalog.class_id(&request.class) else {
+            return EnqueueReply::Error("unknown class");
+        };
+        if let Some(reply) = self.reply_to_duplicate(&request) {
+            return reply;
+        }
+        let destination = DestinationId(request.destination);
+        if !self.journal.state.destinations.contains(&request.destination) {
+            return EnqueueReply::Error("unknown destination");
+        }
+        let class = self.catalog.class(class);
+        if class.idempotency == Idempotency::IdempotentWithKey && request.idempotency_key.is_none() {
+            return EnqueueReply::Error("k is missing");
+        }
+        let deadline = now + request.time_left.min(class.deadline);
+        let record = AcceptedRecord {
+            id: request.id,
+            ordering_key: request.ordering_key,
+            class: request.class,
+            tenant: request.tenant,
+            destination: request.destination,
+            idempotency_key: request.idempotency_key,
+            deadline_ms: self.clock.journal_ms(deadline),
+            redelivered: request.redelivered,
+            body: request.body,
+        };
+        if !self.admits(now, &record) {
+            return self.reject(now, destination);
+        }
+        self.accept(now, destination, record)
+    }
+
+    /// The reply to a request whose id is that of a pending or completed message; none if the id is new.
+    fn reply_to_duplicate(&mut self, request: &EnqueueRequest) -> Option<EnqueueReply> {
+        if let Some(number) = self.pending.number(&request.id) {
+            // Repeated on a new connection; or sent by another client, to whom the id does not belong.
+            let pending = self.journal.state.pending.get(&number);
+            if !pending.is_some_and(|pending| request.is_same(&pending.message)) {
+                return Some(EnqueueReply::Error("the id is in use for another message"));
+            }
+            self.pending.mark_shared(&request.id);
+            return Some(EnqueueReply::AlreadyAccepted);
+        }
+        self.completed.matches(request).map(|is_same| {
+            if is_same {
+                EnqueueReply::AlreadyAccepted
+            } else {
+                EnqueueReply::Error("the id was that of another message")
+            }
+        })
+    }
+
+    fn admits(&mut self, now: Time, record: &AcceptedRecord) -> bool {
+        if self.journal.state.pending.len() >= self.max_pending_messages {
+            return false;
+        }
+        let message = self.catalog.accepted_message(&self.clock, 0, record);
+        message.is_some_and(|message| self.scheduler.admits(now, &message))
+    }
+
+    fn reject(&mut self, now: Time, destination: DestinationId) -> EnqueueReply {
+        self.counters.rejected += 1;
+        EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)))
+    }
+
+    fn accept(&mut self, now: Time, destination: DestinationId, record: AcceptedRecord) -> EnqueueReply {
+        let id = record.id.clone();
+        match self.journal.accept(record) {
+            Ok(number) => {
+                self.counters.accepted += 1;
+                self.pending.insert(id, number);
+                let record = self.journal.state.pending.get(&number).map(|pending| &pending.message);
+                let accepted =
+                    record.and_then(|record| self.catalog.accepted_message(&self.clock, number, record));
+                if let Some(accepted) = accepted {
+                    self.scheduler.handle(now, Event::MessageAccepted(accepted));
+                }
+                EnqueueReply::Accepted(MessageId(number))
+            }
+            Err(error) => {
+                let may_be_written =
+                    !matches!(error, JournalError::TornTail) && self.journal.has_unclean_tail();
+                self.journal_errors.log_failure(Err(error));
+                if may_be_written {
+                    // The next process may find it accepted: a rejected client would enqueue it again.
+                    return EnqueueReply::Error("the disk fails");
+                }
+                self.reject(now, destination)
+            }
+        }
+    }
+
+    /// Drops a message whose client never got the acknowledgement: nobody waits for its outcome, unless another
+    /// request for it was acknowledged meanwhile.
+    pub(super) fn withdraw_unacknowledged(&mut self, now: Time, message: MessageId) {
+        let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
+        if id.is_some_and(|id| self.pending.can_withdraw(id)) {
+            self.forget_message(message);
+            self.scheduler.handle(now, Event::MessageAbandoned(message));
+        }
+    }
+}
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -3,7 +3,6 @@
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, WatchEvent};
 use delivery_gateway::*;
 use std::cell::Cell;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,26 +11,31 @@
 use tokio::time::{interval, sleep_until, Instant};
 use tracing::{debug, error, info, warn};
 
+mod admission;
+mod catalog;
 mod circuit_notes;
 mod in_flight;
 mod outcomes;
+mod pending_index;
 mod reporting;
 mod takeover;
 
 pub use takeover::{CarriedOverConstraints, HandoverSnapshot};
 
+use self::catalog::Catalog;
 use self::circuit_notes::CircuitNoteWriter;
 use self::in_flight::{CallHandle, InFlightAttempt, InFlightCalls};
 use self::outcomes::DeferredOutcomes;
+use self::pending_index::PendingIndex;
 use self::reporting::{JournalErrorLog, LoadCounters, REPORT_SWEEPS};
 use crate::clock::Clock;
 use crate::completed_messages::CompletedMessages;
 use crate::events::{
-    AdminOperation, AdminResult, AttemptResult, CallResult, Channels, EnqueueReply, EnqueueRequest,
-    GatewayEvent, OutcomeNotification, ServicePhase, StopReason,
+    AdminOperation, AdminResult, AttemptResult, CallResult, Channels, GatewayEvent, OutcomeNotification,
+    ServicePhase, StopReason,
 };
 use crate::http_client::{Call, OutgoingMessage, Pool};
-use crate::journal::{AcceptedRecord, FinalOutcome, Journal, JournalError, PendingMessage, SentRecord};
+use crate::journal::{FinalOutcome, Journal, PendingMessage, SentRecord};
 use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::{Attempt, Breach, Receiver, SendGuard};
 
@@ -52,13 +56,6 @@
 /// Longest body of a call.
 const LONGEST_BODY: usize = 64 << 10;
 
-/// A message that is held.
-struct PendingEntry {
-    number: u32,
-    /// A hand-in after the first one was told that it is held: the first can withdraw it no more.
-    shared: bool,
-}
-
 /// An attempt that was not made, as its time to leave had passed.
 const TOO_LATE: AttemptResult = not_sent(AttemptOutcome::NotSent);
 /// An attempt that was not made, as it could not be written down.
@@ -76,12 +73,9 @@
     pool: Rc<Pool>,
     /// Idle connections that the pool keeps.
     idle: usize,
-    class_names: Vec<String>,
-    tenant_names: Vec<String>,
-    classes: Vec<Class>,
+    catalog: Catalog,
     max_pending_messages: usize,
-    /// The messages held, by their ids.
-    pending: HashMap<String, PendingEntry>,
+    pending: PendingIndex,
     completed: CompletedMessages,
     in_flight: InFlightCalls,
     events: UnboundedSender<GatewayEvent>,
@@ -115,6 +109,7 @@
     ) -> Self {
         parsed.settings.outcomes_need_acknowledgement = true;
         let directory = EndpointDirectory::new(&parsed);
+        let catalog = Catalog::new(&parsed);
         let settings = parsed.settings;
         // Some are left for calls, so that these need not wait for others to close.
         let idle = (IDLE_OF_SLOTS * settings.max_in_flight_calls)
@@ -133,9 +128,7 @@
             idle,
         ));
         EventLoop {
-            class_names: parsed.class_names,
-            tenant_names: parsed.tenant_names,
-            classes: settings.classes.clone(),
+            catalog,
             max_pending_messages: settings.max_pending_messages,
             completed: CompletedMessages::new(
                 settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
@@ -146,7 +139,7 @@
             directory,
             pool,
             idle,
-            pending: HashMap::new(),
+            pending: PendingIndex::default(),
             in_flight: InFlightCalls::default(),
             events,
             notifications,
@@ -230,8 +223,8 @@
             final_outcome,
         } = *held;
         let (message, id) = (MessageId(number), taken.id.clone());
-        self.pending.insert(id.clone(), PendingEntry { number, shared: false });
-        let Some(taken) = self.accepted(number, taken) else {
+        self.pending.insert(id.clone(), number);
+        let Some(taken) = self.catalog.accepted_message(&self.clock, number, taken) else {
             warn!(class = taken.class, "a message of a class that is not known any more is given up");
             self.record_final_outcome(message, FinalOutcome::Failed);
             return;
@@ -259,29 +252,6 @@
         SentAttempt { sent_at: self.clock.scheduler_time(sent.sent_ms), zone: ZoneId(sent.zone) }
     }
 
-    fn accepted(&self, number: u32, taken: &AcceptedRecord) -> Option<AcceptedMessage> {
-        let class = self.class(&taken.class)?;
-        Some(AcceptedMessage {
-            id: MessageId(number),
-            class,
-            destination: DestinationId(taken.destination),
-            key: (taken.ordering_key != 0).then_some(OrderingKey(taken.ordering_key)),
-            deadline: self.clock.scheduler_time(taken.deadline_ms),
-            redelivered: taken.redelivered,
-            tenant: self.tenant(&taken.tenant),
-        })
-    }
-
-    fn class(&self, name: &str) -> Option<ClassId> {
-        self.class_names.iter().position(|known| known == name).map(|at| ClassId(at as u8))
-    }
-
-    /// The place of a tenant in the settings; one that these do not name has no share that it could pass.
-    fn tenant(&self, name: &str) -> TenantId {
-        let at = self.tenant_names.iter().position(|known| known == name);
-        TenantId(at.and_then(|at| u32::try_from(at).ok()).unwrap_or(u32::MAX))
-    }
-
     /// Runs until the process is to end.
     pub async fn run(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         let mut sweep = interval(SWEEP);
@@ -351,15 +321,8 @@
     pub fn handle(&mut self, input: GatewayEvent) {
         let now = self.clock.now();
         match input {
-            GatewayEvent::Enqueue(enqueue, reply) => {
-                let id = enqueue.id.clone();
-                let answer = self.enqueue(now, enqueue);
-                debug!(id, ?answer, "a message was handed in");
-                if let Err(EnqueueReply::Accepted(message)) = reply.send(answer) {
-                    self.unheard(now, message);
-                }
-            }
-            GatewayEvent::AcceptanceNotReceived(message) => self.unheard(now, message),
+            GatewayEvent::Enqueue(request, reply) => self.answer_enqueue(now, request, reply),
+            GatewayEvent::AcceptanceNotReceived(message) => self.withdraw_unacknowledged(now, message),
             GatewayEvent::Discovery(WatchEvent::Updated(update)) => self.listed(now, update),
             GatewayEvent::Discovery(WatchEvent::Established) => {
                 self.scheduler.handle(now, Event::WatchEstablished)
@@ -434,81 +397,6 @@
         self.forget_gone();
     }
 
-    fn enqueue(&mut self, now: Time, enqueue: EnqueueRequest) -> EnqueueReply {
-        let Some(class) = self.class(&enqueue.class) else { return EnqueueReply::Error("unknown class") };
-        if let Some(known) = self.pending.get_mut(&enqueue.id) {
-            // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
-            let held = self.journal.state.pending.get(&known.number);
-            if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
-                return EnqueueReply::Error("the id is in use for another message");
-            }
-            known.shared = true;
-            return EnqueueReply::AlreadyAccepted;
-        }
-        match self.completed.matches(&enqueue) {
-            Some(true) => return EnqueueReply::AlreadyAccepted,
-            Some(false) => return EnqueueReply::Error("the id was that of another message"),
-            None => {}
-        }
-        let destination = DestinationId(enqueue.destination);
-        if !self.journal.state.destinations.contains(&enqueue.destination) {
-            return EnqueueReply::Error("unknown destination");
-        }
-        let class = &self.classes[usize::from(class.0)];
-        if class.idempotency == Idempotency::IdempotentWithKey && enqueue.idempotency_key.is_none() {
-            return EnqueueReply::Error("k is missing");
-        }
-        let most = class.deadline;
-        let taken = AcceptedRecord {
-            id: enqueue.id,
-            ordering_key: enqueue.ordering_key,
-            class: enqueue.class,
-            tenant: enqueue.tenant,
-            destination: enqueue.destination,
-            idempotency_key: enqueue.idempotency_key,
-            deadline_ms: self.clock.journal_ms(now + enqueue.time_left.min(most)),
-            redelivered: enqueue.redelivered,
-            body: enqueue.body,
-        };
-        let full = self.journal.state.pending.len() >= self.max_pending_messages;
-        if full || !self.accepted(0, &taken).is_some_and(|new| self.scheduler.admits(now, &new)) {
-            self.counters.rejected += 1;
-            return EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)));
-        }
-        let id = taken.id.clone();
-        match self.journal.accept(taken) {
-            Ok(number) => {
-                self.counters.accepted += 1;
-                self.pending.insert(id, PendingEntry { number, shared: false });
-                let taken = self.journal.state.pending.get(&number).map(|held| &held.message);
-                if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
-                    self.scheduler.handle(now, Event::MessageAccepted(accepted));
-                }
-                EnqueueReply::Accepted(MessageId(number))
-            }
-            Err(error) => {
-                let is_written = !matches!(error, JournalError::TornTail) && self.journal.has_unclean_tail();
-                self.journal_errors.log_failure(Err(error));
-                if is_written {
-                    // The next process may find it accepted: who is refused would hand it in again.
-                    return EnqueueReply::Error("the disk fails");
-                }
-                self.counters.rejected += 1;
-                EnqueueReply::Rejected(Some(self.scheduler.suggested_retry_after(now, destination)))
-            }
-        }
-    }
-
-    /// A message of which its client never heard that it was taken on: nobody waits for its end, unless another
-    /// hand-in of it was answered meanwhile.
-    fn unheard(&mut self, now: Time, message: MessageId) {
-        let id = self.journal.state.pending.get(&message.0).map(|held| &held.message.id);
-        if id.and_then(|id| self.pending.get(id)).is_some_and(|known| !known.shared) {
-            self.forget_message(message);
-            self.scheduler.handle(now, Event::MessageAbandoned(message));
-        }
-    }
-
     fn listed(&mut self, now: Time, update: DiscoveryUpdate) {
         // A watch that begins anew often has nothing new to tell.
         if update.endpoints.is_empty() && !update.is_snapshot {
@@ -699,10 +587,11 @@
     /// Whether an attempt may be made, by the rules alone; what the journal does not hold is seen to elsewhere.
     fn may_send(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> Result<(), Breach> {
         let Some(held) = self.journal.state.pending.get(&message.0) else { return Ok(()) };
-        let Some((class, to)) = self.class(&held.message.class).zip(self.receiver(endpoint)) else {
+        let Some((class, to)) = self.catalog.class_id(&held.message.class).zip(self.receiver(endpoint))
+        else {
             return Ok(());
         };
-        let class = &self.classes[usize::from(class.0)];
+        let class = self.catalog.class(class);
         let deadline = self.clock.scheduler_time(held.message.deadline_ms);
         // One of a courier that died may have run there at any time since it was handed in.
         let again = held.message.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 use super::in_flight::{CallHandle, InFlightCall};
-use super::{EventLoop, PendingEntry};
+use super::EventLoop;
 use crate::clock::Clock;
 use crate::events::{EnqueueReply, GatewayEvent, OutcomeNotification, ServicePhase, StopReason};
 use crate::journal::ClockReading;
@@ -87,16 +87,16 @@
 
     fn resume_pending(&mut self, shared: &[MessageId]) {
         for (number, pending) in &self.journal.state.pending {
-            let shared = shared.contains(&MessageId(*number));
-            self.pending.insert(pending.message.id.clone(), PendingEntry { number: *number, shared });
+            let id = &pending.message.id;
+            self.pending.insert(id.clone(), *number);
+            if shared.contains(&MessageId(*number)) {
+                self.pending.mark_shared(id);
+            }
             if let Some(final_outcome) = pending.final_outcome {
                 // The process before may have sent it; a notification may arrive twice.
-                let notification = OutcomeNotification {
-                    message: MessageId(*number),
-                    id: pending.message.id.clone(),
-                    final_outcome,
-                };
-                let _ = self.notifications.send(notification);
+                let message = MessageId(*number);
+                let _ =
+                    self.notifications.send(OutcomeNotification { message, id: id.clone(), final_outcome });
             }
         }
     }
@@ -115,12 +115,11 @@
 
     /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
     pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
-        let shared = self.pending.values().filter(|entry| entry.shared);
         let snapshot = HandoverSnapshot {
             passed: self.clock.elapsed(),
             clock: self.clock.reading(),
             numbers: self.directory.id_table(),
-            shared: shared.map(|entry| MessageId(entry.number)).collect(),
+            shared: self.pending.shared_messages(),
             calls: self.in_flight.calls(),
             scheduler: std::mem::take(&mut self.scheduler),
         };
