--- /dev/null
+++ b/src/bin/delivery-gateway/event_loop/endpoints.rs
@@ -0,0 +1,58 @@
+//! Changes of the endpoint list, and of the endpoints that operators disable: to the directory, the scheduler, the
+//! journal, the connection pool, and the calls that are still connecting.
+
+use delivery_gateway::discovery::{DiscoveryUpdate, WatchEvent};
+use delivery_gateway::{Event, Time};
+use tracing::info;
+
+use super::EventLoop;
+
+impl EventLoop {
+    pub(super) fn discovery_changed(&mut self, now: Time, event: WatchEvent) {
+        match event {
+            WatchEvent::Updated(update) => self.apply_discovery_update(now, update),
+            WatchEvent::Established => self.scheduler.handle(now, Event::WatchEstablished),
+            WatchEvent::Broken(failure) => self.scheduler.handle(now, Event::EndpointsUpdated(failure)),
+        }
+    }
+
+    fn apply_discovery_update(&mut self, now: Time, update: DiscoveryUpdate) {
+        // A watch that is established again often brings nothing new.
+        if update.endpoints.is_empty() && !update.is_snapshot {
+            return;
+        }
+        let endpoints = self.directory.apply(&update);
+        self.scheduler.handle(now, Event::EndpointsUpdated(endpoints));
+        let rev = update.revision;
+        let changed = update.endpoints.len();
+        let recorded = self.journal.record_endpoints(update);
+        self.journal_errors.log_failure(recorded);
+        info!(rev, changed, "the list has changed");
+        self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
+        self.in_flight.withdraw(|endpoint| !self.directory.is_open(endpoint));
+        self.forget_removed_endpoints();
+    }
+
+    /// Gives an endpoint nothing new from now on, whatever the list says.
+    pub(super) fn disable_endpoint(&mut self, now: Time, uid: &str) {
+        let endpoint = self.directory.set_disabled(uid, true);
+        self.scheduler.handle(now, Event::EndpointDisabled(endpoint));
+        self.in_flight.withdraw(|other| other == endpoint);
+        self.forget_removed_endpoints();
+    }
+
+    /// Uses a disabled endpoint again, as far as the list allows.
+    pub(super) fn enable_endpoint(&mut self, now: Time, uid: &str) {
+        let endpoint = self.directory.set_disabled(uid, false);
+        self.scheduler.handle(now, Event::EndpointEnabled(endpoint));
+        self.forget_removed_endpoints();
+    }
+
+    /// Forgets the endpoints that were removed from the list, once no call to them is in flight.
+    pub(super) fn forget_removed_endpoints(&mut self) {
+        if self.directory.has_removed() {
+            let called = self.in_flight.endpoints();
+            self.directory.forget_removed(|endpoint| called.contains(&endpoint));
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -0,0 +1,98 @@
+//! Start from the journal: its endpoints, circuits and pending messages go to the scheduler, in this order.
+
+use delivery_gateway::discovery::DiscoveryUpdate;
+use delivery_gateway::{CircuitRecord, DestinationId, Event, MessageId, RestoredMessage, Time};
+use tracing::{info, warn};
+
+use super::EventLoop;
+use crate::events::OutcomeNotification;
+use crate::journal::{FinalOutcome, PersistedCircuit};
+
+impl EventLoop {
+    /// Restores all that the journal holds. `configured` are the endpoints of the configuration.
+    pub fn recover(&mut self, configured: &DiscoveryUpdate) {
+        let now = self.clock.now();
+        self.restore_endpoints(now, configured);
+        for uid in self.journal.state.disabled_endpoints.clone() {
+            self.disable_endpoint(now, &uid);
+        }
+        self.restore_circuits(now);
+        let numbers: Vec<u32> = self.journal.state.pending.keys().copied().collect();
+        for number in &numbers {
+            self.restore_message(now, *number);
+        }
+        info!(held = numbers.len(), rev = self.endpoints_revision(), "the journal was replayed");
+    }
+
+    /// The list in the journal counts unless the configuration's is newer.
+    fn restore_endpoints(&mut self, now: Time, configured: &DiscoveryUpdate) {
+        let destinations = configured.endpoints.iter().map(|endpoint| endpoint.destination);
+        self.journal.state.destinations.extend(destinations);
+        let state = &self.journal.state;
+        if state.endpoints_revision == 0 || state.endpoints_revision < configured.revision {
+            let endpoints = self.directory.apply_snapshot(&configured.endpoints);
+            self.scheduler.handle(now, Event::EndpointsUpdated(endpoints));
+            let snapshot = DiscoveryUpdate { is_snapshot: true, ..configured.clone() };
+            let recorded = self.journal.record_endpoints(snapshot);
+            self.journal_errors.log_failure(recorded);
+        } else {
+            let endpoints = self.directory.apply_snapshot(state.endpoints.values());
+            self.scheduler.handle(now, Event::EndpointsUpdated(endpoints));
+        }
+    }
+
+    fn restore_circuits(&mut self, now: Time) {
+        for note in self.journal.state.circuits.iter() {
+            if let Some(record) = self.circuit_record(note) {
+                self.scheduler.handle(now, Event::CircuitRestored(record));
+            }
+        }
+        self.note_all_circuits();
+    }
+
+    /// A note in the scheduler's terms; none if it is of an endpoint that is no longer known.
+    fn circuit_record(&self, note: &PersistedCircuit) -> Option<CircuitRecord> {
+        let endpoint = match &note.uid {
+            Some(uid) => Some(self.directory.endpoint_id(uid)?),
+            None => None,
+        };
+        Some(CircuitRecord {
+            destination: DestinationId(note.destination),
+            endpoint,
+            last_success_at: self.clock.scheduler_time(note.last_success_ms),
+            failure_score: note.failure_score,
+            calls_lost: note.calls_lost,
+            slow_start_since: note.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
+            baseline_rate: note.baseline_rate,
+        })
+    }
+
+    fn restore_message(&mut self, now: Time, number: u32) {
+        let Some(pending) = self.journal.state.pending.get(&number) else { return };
+        let message = MessageId(number);
+        let id = pending.message.id.clone();
+        self.pending.insert(id.clone(), number);
+        let Some(accepted) = self.catalog.accepted_message(&self.clock, number, &pending.message) else {
+            let class = &pending.message.class;
+            warn!(class, "a message of a class that is not known any more is given up");
+            self.record_final_outcome(message, FinalOutcome::Failed);
+            return;
+        };
+        let final_outcome = pending.final_outcome;
+        let restored = RestoredMessage {
+            message: accepted,
+            attempts: pending.attempts,
+            first_uncertain_attempt: self.first_uncertain_attempt(pending),
+            outcome_recorded: final_outcome.is_some(),
+        };
+        // An attempt without an outcome may have run, also if its process died before the first byte.
+        if pending.in_flight.is_some() {
+            let recorded = self.journal.record_attempt_outcome(number, true);
+            self.journal_errors.log_failure(recorded);
+        }
+        self.scheduler.handle(now, Event::MessageRestored(restored));
+        if let Some(final_outcome) = final_outcome {
+            let _ = self.notifications.send(OutcomeNotification { message, id, final_outcome });
+        }
+    }
+}
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -226,7 +226,7 @@
 
     /// When the process ends at the latest, once shutdown was requested.
     pub fn exit_deadline(&self) -> Option<Instant> {
-        self.shutdown.map(|(_, last)| last)
+        self.shutdown.map(|shutdown| shutdown.latest)
     }
 
     /// Closes idle connections, and keeps none, while another process makes the calls.
@@ -236,7 +236,7 @@
 
     /// Keeps idle connections again.
     pub fn resume_idle_connections(&self) {
-        self.pool.set_max_idle(self.idle);
+        self.pool.set_max_idle(self.max_idle_connections);
     }
 
     /// Whether another process would find in the journal all that this one knows.
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -38,7 +38,7 @@
 use tracing::{error, info, warn};
 
 use crate::admin::AdminEndpoint;
-use crate::event_loop::{EventLoop, IDLE_OF_SLOTS};
+use crate::event_loop::{EventLoop, IDLE_CONNECTIONS_PER_SLOT};
 use crate::events::{Channels, GatewayEvent, ServicePhase};
 use crate::handover::{HandedOver, HandoverListener, HandoverResult};
 use crate::journal::{Journal, JournalError};
@@ -109,7 +109,7 @@
     /// At most half goes to endpoints: calls out, calls that are ending, and idle connections.
     fn deal(limit: usize, slots: usize) -> Self {
         let rest = limit.saturating_sub(OTHER_SOCKETS);
-        let endpoints = ((2 + IDLE_OF_SLOTS) * slots).min(rest / 2).max(1);
+        let endpoints = ((2 + IDLE_CONNECTIONS_PER_SLOT) * slots).min(rest / 2).max(1);
         Sockets { clients: rest.saturating_sub(endpoints).max(2), endpoints }
     }
 }
