--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -1,43 +1,44 @@
-//! The messages that wait for one destination, in the order in which they were taken. A long queue has an index, so
-//! that a look at it does not go through all: it decides nothing, but leaves out what cannot be the best message by
-//! a wide margin, and whoever looks at all of the queue finds the same one. The index is never passed on, and is made
-//! anew from the messages at need.
+//! The messages that wait for one destination, in the order of acceptance, with an index for long queues.
 //!
-//! Messages of one class that were never tried, and are all inside or all beyond their tenant's share, differ in
-//! nothing but their age. How their worth goes by age has few stages, inside each of which it only rises, only falls
-//! or stays: the best of a stage is its oldest, its youngest or, where it stays, the first in the queue. Those that
-//! may have run, or go in order, are looked at one by one.
+//! Messages of one class that were never tried, and are all within or all beyond their tenant's quota, differ in nothing
+//! but their age. Their value goes through a few stages as they grow older, and within a stage it only rises, only falls
+//! or stays: the best message of a stage is its oldest, its youngest or, where the value stays, the first in the queue.
+//! The index keeps these apart, so that a choice compares a few messages and not the whole queue. Messages that may have
+//! run, or that are ordered, are compared one by one.
+//!
+//! The index is derived: it is rebuilt from the messages when needed and is not part of a hand-over. It decides nothing:
+//! comparing all messages of the queue leads to the same choice.
 
 use super::VALUE_STAGES;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A longer queue gets an index ...
-const LONG: usize = 64;
-/// ... which it loses when it is no longer than this.
-const SHORT: usize = 32;
-/// Stages that the worth of a message goes through at most.
+/// A queue of more messages than this gets an index ...
+const INDEX_ABOVE_LENGTH: usize = 64;
+/// ... and loses it when it has no more than this.
+const NO_INDEX_UP_TO_LENGTH: usize = 32;
+/// Stages that the value of a message goes through at most.
 pub const STAGES: usize = 2 * VALUE_STAGES - 1;
 
-/// The place of a message in its queue; grows from message to message.
+/// Position of a message in its queue; grows from message to message.
 pub type Seq = u64;
 
-/// Messages that differ in nothing but their age: class, and whether beyond their tenant's share.
+/// Messages that differ in nothing but their age: their class, and whether they are beyond their tenant's quota.
 pub type Lane = (ClassId, bool);
 
-/// How a message stands in its queue.
+/// State of a message in its queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// A call carries it.
+    /// A call carries it: it is no candidate.
     Out,
-    /// It is looked at for itself.
+    /// It is compared on its own.
     Apart,
-    /// One of many that differ in their age alone, by when it was born; not to be sent before some time.
+    /// One of a group that differs in its age alone. It may not be sent before `not_before`.
     Among { lane: Lane, born: Time, not_before: Time },
 }
 
-/// The messages of one destination that are not answered.
+/// The messages of one destination that have no final outcome yet.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Queue {
     order: BTreeMap<Seq, MessageId>,
@@ -54,7 +55,7 @@
         self.order.is_empty()
     }
 
-    /// All of it, in order.
+    /// All messages, in order.
     pub fn ids(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.order.values().copied()
     }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Says how a message stands from now on.
+    /// Sets the state of a message.
     pub fn stands(&mut self, seq: Seq, standing: Standing) {
         if let Some((index, id)) = self.index.as_mut().zip(self.order.get(&seq)) {
             index.remove(seq);
@@ -79,9 +80,10 @@
         }
     }
 
-    /// The index of a long queue, to be given back; `standing` tells how a message stands, if there is none yet.
+    /// Takes out the index of a long queue; the caller gives it back. It is built where there is none yet, with
+    /// `standing` for the state of each message.
     pub fn take_index(&mut self, standing: impl Fn(MessageId) -> Standing) -> Option<Box<Index>> {
-        if self.len() <= if self.index.is_some() { SHORT } else { LONG } {
+        if self.len() <= if self.index.is_some() { NO_INDEX_UP_TO_LENGTH } else { INDEX_ABOVE_LENGTH } {
             self.index = None;
         } else if self.index.is_none() {
             let mut index = Box::<Index>::default();
@@ -96,17 +98,17 @@
     }
 }
 
-/// Where each message of a long queue is kept.
+/// Where the index of a long queue holds each message.
 #[derive(Default)]
 pub struct Index {
-    all: BTreeMap<Seq, (MessageId, Kept)>,
+    all: BTreeMap<Seq, (MessageId, Location)>,
     apart: BTreeSet<Seq>,
     later: BTreeSet<(Time, Seq)>,
     lanes: BTreeMap<Lane, [Stage; STAGES]>,
 }
 
 #[derive(Clone, Copy)]
-enum Kept {
+enum Location {
     Nowhere,
     Apart,
     Later { lane: Lane, born: Time, not_before: Time },
@@ -120,7 +122,7 @@
 }
 
 impl Stage {
-    /// The oldest, the youngest and the first; of several that are as old, the first of them.
+    /// The oldest, the youngest and the first message; of several of the same age, the first of them.
     fn ends(&self) -> impl Iterator<Item = Seq> + '_ {
         let youngest = self.by_age.last().and_then(|(born, _)| self.by_age.range((*born, 0)..).next());
         let ends = [self.by_age.first(), youngest].into_iter().flatten().map(|(_, seq)| *seq);
@@ -130,26 +132,26 @@
 
 impl Index {
     fn insert(&mut self, seq: Seq, id: MessageId, standing: Standing) {
-        let kept = match standing {
-            Standing::Out => Kept::Nowhere,
+        let location = match standing {
+            Standing::Out => Location::Nowhere,
             Standing::Apart => {
                 self.apart.insert(seq);
-                Kept::Apart
+                Location::Apart
             }
             Standing::Among { lane, born, not_before } => {
                 self.later.insert((not_before, seq));
-                Kept::Later { lane, born, not_before }
+                Location::Later { lane, born, not_before }
             }
         };
-        self.all.insert(seq, (id, kept));
+        self.all.insert(seq, (id, location));
     }
 
     fn remove(&mut self, seq: Seq) {
         match self.all.remove(&seq) {
-            Some((_, Kept::Apart)) => drop(self.apart.remove(&seq)),
-            Some((_, Kept::Later { not_before, .. })) => drop(self.later.remove(&(not_before, seq))),
-            Some((_, Kept::Stage { lane, stage, born })) => self.leave(seq, lane, stage, born),
-            Some((_, Kept::Nowhere)) | None => {}
+            Some((_, Location::Apart)) => drop(self.apart.remove(&seq)),
+            Some((_, Location::Later { not_before, .. })) => drop(self.later.remove(&(not_before, seq))),
+            Some((_, Location::Stage { lane, stage, born })) => self.leave(seq, lane, stage, born),
+            Some((_, Location::Nowhere)) | None => {}
         }
     }
 
@@ -164,16 +166,16 @@
         let entered = &mut self.lanes.entry(lane).or_default()[stage];
         entered.by_age.insert((born, seq));
         entered.by_place.insert(seq);
-        if let Some((_, kept)) = self.all.get_mut(&seq) {
-            *kept = Kept::Stage { lane, stage, born };
+        if let Some((_, location)) = self.all.get_mut(&seq) {
+            *location = Location::Stage { lane, stage, born };
         }
     }
 
-    /// Moves each message on to the stage that it is in by now. Stages only grow with age.
+    /// Moves each message to the stage that it has reached by now. Stages only grow with age.
     pub fn advance(&mut self, now: Time, stage_of: impl Fn(Lane, Time) -> usize) {
         while let Some((_, seq)) = self.later.first().filter(|(at, _)| *at <= now).copied() {
             self.later.pop_first();
-            if let Some((_, Kept::Later { lane, born, .. })) = self.all.get(&seq).copied() {
+            if let Some((_, Location::Later { lane, born, .. })) = self.all.get(&seq).copied() {
                 self.enter(seq, lane, stage_of(lane, born).min(STAGES - 1), born);
             }
         }
@@ -191,8 +193,8 @@
         }
     }
 
-    /// The messages of which one is the best now, in the order of the queue, and the first that may be sent later.
-    /// Of lanes that are to be gone through, all.
+    /// The messages of which one is the best now, in the order of the queue, and the first that may be sent later. Of
+    /// lanes for which `go_through` holds, all messages.
     pub fn candidates(&self, go_through: impl Fn(Lane) -> bool) -> Vec<MessageId> {
         let mut found: BTreeSet<Seq> = self.apart.clone();
         found.extend(self.later.first().map(|(_, seq)| *seq));
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -1,12 +1,14 @@
-//! What has to be looked at in a step, and when: indexes over a courier's books, so that a step costs in
-//! proportion to what has changed and not to what exists. They can be made anew from the books at any time, are
-//! never passed on, and decide nothing: whoever is looked at more often than the agenda asks decides the same.
+//! Indexes over the scheduler's state that say what the next step has to visit, so that the cost of a step grows with
+//! what has changed and not with what exists.
+//!
+//! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They decide
+//! nothing: visiting more than they ask for leads to the same decisions.
 
 use super::RouteId;
 use crate::model::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One due time a key, ordered by time.
+/// Keys with one due time each, ordered by time.
 pub struct DueQueue<K> {
     order: BTreeSet<(Time, K)>,
     times: BTreeMap<K, Time>,
@@ -19,7 +21,7 @@
 }
 
 impl<K: Ord + Copy> DueQueue<K> {
-    /// Sets when a key is due, in place of what was set before; none takes it out.
+    /// Sets when a key is due, in place of what was set before; none removes it.
     pub fn set(&mut self, key: K, at: Option<Time>) {
         let before = match at {
             Some(at) => self.times.insert(key, at),
@@ -36,34 +38,34 @@
         }
     }
 
-    /// When the first one is due.
+    /// When the earliest key is due.
     pub fn first(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// The first one that is due by now, if there is one. It stays until it is set anew.
+    /// The earliest key that is due by now, if there is one. It stays until it is set again.
     pub fn due(&self, now: Time) -> Option<K> {
         self.order.first().filter(|(at, _)| *at <= now).map(|(_, key)| *key)
     }
 }
 
-/// When a waiting destination has to be looked at again without an event of its own, as found at its last look.
+/// When a waiting destination has to be visited again without an event of its own, as found by its last visit.
 #[derive(Default)]
 pub struct Look {
-    /// When something may be sent: a timer is asked for.
+    /// When something may be sent: the scheduler asks for a timer.
     pub wake: Option<Time>,
-    /// When a look would change what is known, though nothing may be sent: no timer.
+    /// When a visit would change the state though nothing may be sent yet: no timer is needed for it.
     pub change: Option<Time>,
-    /// As soon as at least so many slots are free.
+    /// Once at least this many slots are free.
     pub more_slots: Option<usize>,
-    /// As soon as fewer slots than this are free.
+    /// Once fewer slots than this are free.
     pub fewer_slots: Option<usize>,
-    /// At each step: what was found holds for that moment alone.
+    /// At each step, as what was found holds at that moment only.
     pub always: bool,
 }
 
 impl Look {
-    /// Whether at least so many slots are free. The answer is to be asked for again when it would be another.
+    /// Whether at least `least` slots are free; the destination is visited again when that changes.
     pub fn needs_slots(&mut self, least: usize, slots_free: usize) -> bool {
         let enough = slots_free >= least;
         if enough {
@@ -75,25 +77,25 @@
     }
 }
 
-/// How much was looked at so far, all steps together; for tests and measurements.
+/// How much was visited so far, over all steps; for tests and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// Destinations that were looked at for something to send.
+    /// Destinations that were visited for something to send.
     pub destinations: u64,
-    /// Waiting messages that were looked at for that.
+    /// Waiting messages that were compared for that.
     pub messages: u64,
-    /// Calls that were looked at for silence.
+    /// Calls that were checked for a missing response.
     pub calls: u64,
-    /// Routes that were looked at for what is to be remembered of outages.
+    /// Routes whose circuit record was compared.
     pub routes: u64,
-    /// Endpoints that were looked at when the list changed.
+    /// Endpoints that were visited when the endpoint list changed.
     pub endpoints: u64,
 }
 
-/// The indexes of a courier.
+/// The indexes of a scheduler.
 #[derive(Default)]
 pub struct Agenda {
-    /// All destinations are to be looked at in the next step that has a free slot ...
+    /// The next step that has a free slot visits all destinations ...
     pub all: bool,
     /// ... or these.
     touched: BTreeSet<DestinationId>,
@@ -101,28 +103,28 @@
     changes: DueQueue<DestinationId>,
     more_slots: BTreeSet<(usize, DestinationId)>,
     fewer_slots: BTreeSet<(usize, DestinationId)>,
-    /// Destinations that are not looked at until one of the four above says so or something happens to them, and
-    /// what the two of slots hold of them.
+    /// Destinations that are not visited before one of the four above asks for it or something happens to them, with
+    /// their entries in the two sets of slots.
     parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
-    /// When the oldest call of a route that is not stalled yet will be.
+    /// When the oldest call of a route that is not stalled yet becomes so.
     pub stalls: DueQueue<RouteId>,
-    /// Calls that are stalled and were not called off, the oldest first.
+    /// Calls that are stalled and were not cancelled, the oldest first.
     pub hanging: BTreeSet<u64>,
-    /// Endpoints that are gone and not forgotten, as they have calls out.
+    /// Endpoints that are removed from the list and kept while they have calls in flight.
     pub gone: BTreeSet<EndpointId>,
-    /// Routes of which something else is to be remembered than was told last.
+    /// Routes whose circuit record may have changed since it was last asked for.
     pub circuit_records: BTreeSet<RouteId>,
     pub work: WorkCounters,
 }
 
 impl Agenda {
-    /// Something has happened to a destination: it is looked at in the next step.
+    /// Something has happened to a destination: the next step visits it.
     pub fn touch(&mut self, to: DestinationId) {
         self.leave(to);
         self.touched.insert(to);
     }
 
-    /// Destinations that have to be looked at now, in their order. Each is to be parked or touched anew.
+    /// Destinations to visit now, in order. Each has to be parked or touched again afterwards.
     pub fn due(&mut self, now: Time, slots_free: usize) -> BTreeSet<DestinationId> {
         let mut due = std::mem::take(&mut self.touched);
         for queue in [&self.wakes, &self.changes] {
@@ -133,7 +135,7 @@
         due
     }
 
-    /// Writes down when a destination that was just looked at in vain has to be looked at again.
+    /// Records when a destination that was just visited in vain has to be visited again.
     pub fn park(&mut self, to: DestinationId, look: &Look) {
         self.leave(to);
         self.touched.remove(&to);
@@ -144,13 +146,13 @@
         self.parked.insert(to, (look.more_slots, look.fewer_slots));
     }
 
-    /// Nothing waits for a destination any more.
+    /// Nothing waits for this destination any more.
     pub fn forget(&mut self, to: DestinationId) {
         self.leave(to);
         self.touched.remove(&to);
     }
 
-    /// Takes a destination out of all that it was parked in.
+    /// Removes a destination from all that it was parked in.
     fn leave(&mut self, to: DestinationId) {
         let Some((more, fewer)) = self.parked.remove(&to) else { return };
         self.wakes.set(to, None);
@@ -159,13 +161,13 @@
         fewer.map(|below| self.fewer_slots.remove(&(below, to)));
     }
 
-    /// When one that is parked may next be sent something.
+    /// When a parked destination may next be sent something.
     pub fn next_wake(&self) -> Option<Time> {
         self.wakes.first()
     }
 }
 
-/// Keeps the earlier of two times.
+/// Keeps the earlier of two times in `next`.
 pub fn earliest(next: &mut Option<Time>, at: Option<Time>) {
     *next = [*next, at].into_iter().flatten().min();
 }
