--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' door: maintenance of endpoints and emptying, over loopback sockets and in the module alone.
+//! The admin endpoint: disabling endpoints and lame duck, over loopback sockets and in the scheduler alone.
 
 mod common;
 mod world;
@@ -39,12 +39,12 @@
     assert_eq!(status(long), 431);
 }
 
-/// Callers that keep their connections without a whole call delay nobody, however many they are.
+/// Callers that keep their connections without a whole request delay nobody, however many they are.
 #[test]
 fn slow_admin_callers_are_evicted() {
     let world = World::new(1, 3.0);
     let courier = world.start();
-    // As many as the door takes at all.
+    // As many as the admin endpoint serves at a time.
     let slow: Vec<_> = (0..16)
         .map(|_| {
             let mut stream = courier.operator();
@@ -52,18 +52,19 @@
             stream
         })
         .collect();
-    // A door that made no room for it would answer only once it had given all of them up, the last one too.
+    // Without evictions it would respond only once it had given up all of them, the last one too.
     assert_eq!(courier.operate("GET /_ready"), 200);
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
     assert_eq!(slow.next().map(status), Some(408));
-    // The last ones still have their places.
+    // The last ones are still connected.
     let mut last = slow.next_back().unwrap();
     last.write_all(b"\r\n").unwrap();
     assert_eq!(status(last), 200);
 }
 
-/// The yes binds whatever the list says, after a second call, and over a restart, until it is taken back.
+/// The change holds whatever the endpoint list says, after a second request, and over a restart, until it is
+/// undone.
 #[test]
 fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
     let world = World::patient(2, 3.0);
@@ -75,13 +76,13 @@
     world.serve_again(0, 3);
     courier.log_times("the list has changed", 2);
     for round in 0..2 {
-        // Both are free: without the ban some of these would go to the first one.
+        // Both are free: without the change some of these would go to the first one.
         let mut client = courier.client();
         for number in 0..4 {
             let id = format!("d{round}{number}");
             assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         }
-        // After a kill there may be notices too: for calls whose answers it had not read.
+        // After a kill there may be notifications too: for calls whose responses had not been read.
         let calls: Vec<Call> = (0..4).map(|_| world.call_among_notices()).collect();
         assert!(calls.iter().all(|call| call.endpoint == 1));
         calls.into_iter().for_each(|call| call.answer("200 OK", ""));
@@ -104,14 +105,15 @@
     call.answer("200 OK", "");
 }
 
-/// A call that still waits for its connection when the ban is told is not made once the connection is up.
+/// A call that still waits for its connection when its endpoint is disabled is not made once the connection
+/// is up.
 #[test]
 fn disabling_an_endpoint_withdraws_calls_that_are_connecting() {
     let mut world = World::new(2, 3.0);
     let hanging = world.hang_connections(0);
     let courier = world.start();
     let mut client = courier.client();
-    // Of two messages one goes to each endpoint, as each has the fewest calls out in its turn.
+    // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["c1", "c2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
@@ -126,7 +128,7 @@
     second.answer("200 OK", "");
 }
 
-/// A courier that is emptied says no, lets its clients go, delivers what it has, and goes back to work.
+/// A lame duck fails its health check, releases its clients, delivers what it has, and returns to service.
 #[test]
 fn a_lame_duck_releases_its_clients_and_returns_to_service() {
     let world = World::patient(1, 3.0);
@@ -139,11 +141,11 @@
     assert_eq!(courier.operate("POST /_lameduck/on"), 200);
     assert_eq!(courier.operate("POST /_lameduck/on"), 200);
     assert!(idle.is_closed());
-    // A request that has begun is answered, on the way out.
+    // A request that has begun is answered on the way out.
     half.send(b"NG\r\n");
     assert!(half.line().starts_with("-ERR"));
     assert!(half.is_closed());
-    // So is a first one on a connection that was on its way.
+    // So is the first one of a connection that was on its way.
     let mut late = courier.client();
     assert_eq!(late.enqueue("l2", "0", "salary", 1, b"x"), "+OK");
     assert!(late.is_closed());
@@ -158,7 +160,7 @@
     world.nothing();
 }
 
-/// Past the time in which clients hear of it, an emptied courier takes nothing on.
+/// Once clients have had time to notice, a lame duck accepts nothing.
 #[test]
 fn a_lame_duck_accepts_nothing_after_its_grace() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
@@ -175,7 +177,7 @@
     assert!(admits(&mut bench));
 }
 
-/// What comes back from the operators may have been restarted: it is served slowly at first.
+/// An enabled endpoint may have been restarted: it is served slowly at first.
 #[test]
 fn an_enabled_endpoint_gets_a_slow_start() {
     let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
@@ -192,7 +194,7 @@
     (1..=40).for_each(|id| bench.accept(id, 0, 3, None));
     assert_eq!(bench.routes(), []);
     bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(11)));
-    // One that was never left out is as warm as ever.
+    // One that was never disabled is as warm as ever.
     bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(12)));
     (41..=60).for_each(|id| bench.accept(id, 0, 4, None));
     let (mut cold, mut warm) = (0, 0);
@@ -204,7 +206,7 @@
         }
         bench.now = bench.now + ms(5);
     }
-    // At most what the rule on cold returns lets one courier send in a second: 2.0 x 100/s from 20% on.
+    // At most what the overload limit lets one gateway send in a second: 2.0 x 100/s from 20% on.
     assert!((1..=40).contains(&cold) && warm == 20, "{cold} and {warm}");
     assert!(bench.scheduler.circuit_records().any(|outage| outage.slow_start_since.is_some()));
 }
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -1,4 +1,4 @@
-//! What the module tells of outages as they change adds up to what it remembers.
+//! The circuit changes that the scheduler reports add up to its circuit records.
 
 mod common;
 
@@ -22,7 +22,7 @@
     Endpoint { kind: DestinationKindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
 }
 
-/// The changes since a hand-over or a start come on top of all that was known then, or of nothing.
+/// Changes since a hand-over or a start come on top of all records known then, or of none.
 #[test]
 fn circuit_changes_add_up_to_the_circuit_records() {
     let mut circuit_records = 0;
@@ -63,7 +63,7 @@
                 6..20 => bench.accept(step, 0, rng.u16(1..5), None),
                 _ if !out.is_empty() => {
                     let (message, endpoint, _): Sent = out.swap_remove(rng.usize(..out.len()));
-                    // Each endpoint has its bad spells.
+                    // Each endpoint has its intervals of failure.
                     let bad = (step / 100 + endpoint) % 3 == 0;
                     let outcome =
                         if bad { OUTCOMES[rng.usize(..OUTCOMES.len())] } else { AttemptOutcome::Delivered };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A courier under test, with a clock of its own and a record of what it did.
+//! A scheduler under test, with a clock of its own and a record of what it asked for.
 #![allow(dead_code)]
 
 pub mod recovering_fleet;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A message of a live client, handed in now.
+/// A message of a live client, enqueued now.
 pub fn accepted(
     now: Time,
     id: u32,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A route that the courier asked for: message, endpoint, time-out.
+/// An attempt that the scheduler started: message, endpoint, timeout.
 pub type Sent = (u32, u32, Duration);
 
 pub struct Bench {
@@ -108,7 +108,8 @@
         self.decide().iter().filter_map(routed).collect()
     }
 
-    /// Lets time pass in small steps, deciding at each; stops at the first step with a route or a final answer.
+    /// Advances time in small steps, deciding at each; stops at the first step with an attempt or a final
+    /// outcome.
     pub fn until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
@@ -122,7 +123,7 @@
         Vec::new()
     }
 
-    /// The same world with a courier of other settings and another seed.
+    /// The same bench with a new scheduler of other settings and another seed.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.scheduler = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
@@ -133,7 +134,7 @@
         self.finish_telling(message, endpoint, outcome, latency, None);
     }
 
-    /// A refusal that tells which share of which limit is left.
+    /// A rejection with a load report.
     pub fn refuse(&mut self, message: u32, endpoint: u32, left: f64, limit: f64) {
         self.finish_telling(
             message,
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -1,58 +1,59 @@
-//! Many couriers and one partner that has an outage and comes back cold: how much is sent to it, and by whom.
+//! Many gateways and one destination that has an outage and recovers: how much is sent to it, and by whom.
 
 use super::{accepted, endpoint, ms};
 use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the partner does with calls while it is out.
+/// What the destination does with calls during its outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Refuses, and tells how long it stays shut.
+    /// Rejects, with a Retry-After until it recovers.
     ShutAndTells,
-    /// Refuses without a word on when it opens.
+    /// Rejects without a Retry-After.
     Shut,
-    /// Takes no connection.
+    /// Accepts no connection.
     Down,
-    /// Takes calls and never answers.
+    /// Accepts calls and never responds.
     Hung,
 }
 
-/// What a crowd is put through.
+/// What a fleet is put through.
 #[derive(Clone, Copy)]
 pub struct Plan {
     pub outage: OutageKind,
     pub fleet_size: u32,
-    /// Calls a second that the warm partner takes.
+    /// Calls a second that the destination serves when it is warm.
     pub capacity: f64,
-    /// What the list tells of that, over the truth.
+    /// Announced rate relative to that.
     pub told: f64,
-    /// Messages a second, over the capacity.
+    /// Messages a second, relative to the capacity.
     pub load: f64,
     /// Messages that a call may carry.
     pub batch: usize,
     /// How long all is well before the outage.
     pub quiet: Duration,
-    /// Refused calls use the partner's limit up as well.
+    /// Rejected calls use up the destination's limit as well.
     pub counted: bool,
     pub seed: u64,
 }
 
-/// What was seen of one run.
+/// What was seen in one run.
 pub struct Seen {
-    /// The most that couriers which saw the outage sent in a fall window, over what the partner survives.
+    /// The most that gateways which saw the outage sent in an overload window, relative to what the
+    /// destination survives.
     pub worst: f64,
-    /// Share of the messages handed in since the return that were delivered.
+    /// Ratio of the messages enqueued since the recovery that were delivered.
     pub delivered: f64,
-    /// Calls served before the outage, over what the partner could have taken.
+    /// Calls served before the outage, relative to what the destination could have served.
     pub served: f64,
-    /// Share of the calls before the outage that were refused.
+    /// Ratio of the calls before the outage that were rejected.
     pub refused: f64,
 }
 
-/// How unevenly messages fall on couriers: at 0 alike, at 1 a few carry most.
+/// How unevenly messages are spread over gateways: at 0 evenly, at 1 a few carry most.
 const SKEW: f64 = 0.9;
-/// Weight of a further message in a call, against the call itself.
+/// Weight of a further message in a call, relative to the call itself.
 const ITEM: f64 = 0.15;
 const OUT_FOR: Duration = Duration::from_secs(14);
 const STEP: Duration = Duration::from_millis(5);
@@ -63,13 +64,13 @@
     wake: Option<(Time, u64)>,
     /// Its part of all messages.
     part: f64,
-    /// Has news to act on.
+    /// Has events to act on.
     touched: bool,
-    /// Saw a failure or a refusal while the partner was out.
+    /// Saw a failure or a rejection during the outage.
     aware: bool,
 }
 
-/// The outcome of an attempt, on its way to the courier.
+/// The outcome of an attempt, on its way to the gateway.
 struct Coming {
     member: usize,
     message: MessageId,
@@ -87,20 +88,20 @@
     back: Time,
     members: Vec<Member>,
     coming: BTreeMap<(Time, usize), Coming>,
-    /// Attempts made of each message, and over all.
+    /// Attempts of each message, and in all.
     attempts: BTreeMap<MessageId, u16>,
     count: usize,
-    /// Calls that the partner takes before it refuses.
+    /// Calls that the destination accepts before it rejects.
     room: f64,
-    /// What couriers that saw the outage sent since the return, by weight.
+    /// What gateways that saw the outage sent since the recovery, by weight.
     weights: Vec<(Time, f64)>,
     since_return: BTreeSet<MessageId>,
     delivered: usize,
-    /// Calls before the outage: all, and those refused.
+    /// Calls before the outage: all, and those rejected.
     early: (usize, usize),
 }
 
-/// Lets a crowd live through the outage and the cold return.
+/// Runs a fleet through the outage and the recovery.
 pub fn live_through(plan: Plan) -> Seen {
     let mut recovering_fleet = RecoveringFleet::new(plan);
     let (cold, fall) =
@@ -193,7 +194,7 @@
         self.now >= self.out_from && self.now < self.back
     }
 
-    /// Calls a second that the partner can do at this moment.
+    /// Calls a second that the destination can serve at this moment.
     fn capacity(&self) -> f64 {
         let rules = &self.settings.limits;
         let warmth = ((self.now - self.back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
@@ -259,7 +260,7 @@
         }
         let mut actions = Vec::new();
         self.members[member].scheduler.decide(self.now, &mut actions);
-        // What goes in one turn is one call: one fate, a little weight for each further message.
+        // Attempts of one step share one call: one outcome, and a little weight for each further message.
         let mut fate = None;
         for action in actions {
             match action {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// What becomes of a call sent now, and when that is known.
+    /// The outcome of a call sent now, and when it is known.
     fn call(&mut self, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
         let soon = ms(50);
         if !self.out() {
@@ -299,7 +300,7 @@
             return (AttemptOutcome::Delivered, ms(200));
         }
         match self.plan.outage {
-            // A wait counts from its answer.
+            // A Retry-After counts from its response.
             OutageKind::ShutAndTells => {
                 (AttemptOutcome::Rejected(Some((self.back - self.now).saturating_sub(soon))), soon)
             }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What many couriers do to a partner whose limit refused calls use up as well: sent more than it takes, it serves
-//! nobody, and each courier calls it so seldom that it learns of that late.
+//! Many gateways at a destination whose rejected calls use up the limit as well: sent more than it serves, it
+//! serves nobody, and each gateway calls it so rarely that it learns of that late.
 
 mod common;
 
@@ -20,8 +20,8 @@
     seed: 1,
 };
 
-/// The fleet as a whole begins at what was told, not each courier: what all sent at first was refused, and the
-/// refusals kept the limit used up for seconds.
+/// The fleet as a whole, and not each gateway, begins at the announced rate: what all sent at first would be
+/// rejected, and the rejections would keep the limit used up for seconds.
 #[test]
 fn a_fleet_shares_the_announced_rate_from_the_first_call_on() {
     for seed in 1..=3 {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Nor does a fleet that starts at one moment send its first calls at one moment.
+/// A fleet that starts at one moment does not send its first calls at one moment.
 #[test]
 fn the_first_calls_of_a_fleet_are_spread() {
     for seed in 1..=3 {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Each courier hears of the limit only with its next call, seconds later: what all of them add meanwhile must stay
-/// small, or most of the time the limit is used up by calls that are refused.
+/// Each gateway learns of the limit only with its next call, seconds later: what all of them add meanwhile
+/// must stay small, or rejected calls use up the limit most of the time.
 #[test]
 fn a_fleet_that_wants_more_than_the_limit_is_rarely_rejected() {
     for seed in 1..=3 {
@@ -51,8 +51,8 @@
     }
 }
 
-/// What the list and the settings tell may be missing or far off, and a wait absurdly long: a courier neither panics,
-/// nor floods the partner, nor holds its messages back for good.
+/// Rates of the endpoint list and settings may be missing or far off, and a Retry-After absurdly long: a
+/// gateway neither panics, nor floods the destination, nor holds its messages back for good.
 #[test]
 fn odd_rates_fleet_sizes_and_retry_afters_do_no_harm() {
     for weights in [WeightSource::Silent, WeightSource::Rough, WeightSource::Nominal] {
@@ -71,7 +71,7 @@
                     for (id, to, _) in bench.routes() {
                         calls += 1;
                         waiting += usize::from(step >= 20_000);
-                        // From then on it is told to wait for ever.
+                        // From then on it is given an endless Retry-After.
                         let outcome = if step < 20_000 {
                             AttemptOutcome::Delivered
                         } else {
@@ -92,7 +92,8 @@
     }
 }
 
-/// A list that is empty, or late, leaves nothing to send to; messages are still answered in time.
+/// An endpoint list that is empty, or late, leaves nothing to send to; messages still get their outcome in
+/// time.
 #[test]
 fn without_an_endpoint_list_messages_get_their_outcome_in_time() {
     let settings = Settings { fleet_size: 100, ..settings(vec![safe()]) };
@@ -105,7 +106,7 @@
     assert!(matches!(bench.until_action(span)[..], [Action::StartAttempt { .. }]));
 }
 
-/// After a lowered limit a courier that calls seldom is back at its part within a few calls, not minutes.
+/// After a lowered limit a low-traffic gateway is back at its part within a few calls, not minutes.
 #[test]
 fn a_reduced_rate_limit_recovers_to_the_announced_part() {
     let mut bench = Bench::new(Settings { fleet_size: 100, ..settings(vec![safe()]) }, vec![endpoint(7, 1)]);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,5 +1,6 @@
-//! What all couriers that saw an outage send together must not push the partner over when it comes back: the
-//! most that they send in a fall window, over what the partner survives, for crowds of several sizes.
+//! What all gateways that saw an outage send together must not overload the destination when it comes back:
+//! the most that they send in an overload window, relative to what the destination survives, for fleets of
+//! several sizes.
 
 mod common;
 
@@ -18,7 +19,7 @@
     seed: 1,
 };
 
-/// Every plan with a few seeds stays inside the budget, and the crowd is not starved either.
+/// Every plan, with a few seeds, stays inside the budget, and the fleet is not starved either.
 fn keeps_budget(plans: &[Plan]) {
     for plan in plans {
         for seed in 1..=3 {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Issue of later mandeville (Ld0af66): all whom a shut door had told when it opens came back at that moment.
+/// Gateways that were all given the same Retry-After must not come back at that moment.
 #[test]
 fn a_retry_after_gathers_no_herd() {
     let told = Plan { outage: OutageKind::ShutAndTells, ..CROWD };
@@ -43,7 +44,7 @@
     keeps_budget(&[told, small, tiny, few, Plan { load: 1.5, ..told }]);
 }
 
-/// Hunted day h562547: what waits at each courier set the slowest pace after refusals, and added up.
+/// Queues at many gateways must not set their slowest rates after rejections, as these add up.
 #[test]
 fn rejections_without_retry_after_slow_all_down() {
     let shut = Plan { outage: OutageKind::Shut, ..CROWD };
@@ -53,7 +54,7 @@
     keeps_budget(&[shut, small, tiny, hot, Plan { load: 1.5, ..shut }, Plan { batch: 20, ..shut }]);
 }
 
-/// Hunted day h1c8921: trials by own demand add up to the demand, and a hot partner has many times its limit.
+/// Probe budgets go by what was served and not by demand, which can be many times the limit.
 #[test]
 fn probes_and_slow_starts_share_one_budget() {
     for outage in [OutageKind::Down, OutageKind::Hung] {
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What sockets ask of the decisions beyond the bench's wire: a restart, answers that take time, and the end.
+//! What a restart, outcomes that need an acknowledgement, and a shutdown ask of the scheduler.
 
 mod common;
 
@@ -77,7 +77,8 @@
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// Any key may have had a call out when the old process died: all rest, new messages' keys too.
+/// Any ordering key may have had a call in flight when the old process died: all are held back, those of new
+/// messages too.
 #[test]
 fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
@@ -92,7 +93,7 @@
     assert!(sent.contains(&1) && sent.contains(&3) && !sent.contains(&2), "{sent:?}");
 }
 
-/// A final answer that is under way keeps the key of its message, over a restart too.
+/// A final outcome that is not acknowledged keeps the ordering key of its message, over a restart too.
 #[test]
 fn an_ordering_key_is_free_once_the_outcome_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
@@ -108,7 +109,7 @@
     assert_eq!(bench.routes().len(), 1);
 }
 
-/// An outage that was seen before a restart is held against the courier after it.
+/// An open circuit of before a restart stays open after it.
 #[test]
 fn an_open_circuit_is_remembered() {
     let mut bench = bench(vec![safe()], true);
@@ -123,7 +124,7 @@
     assert_eq!(bench.scheduler.circuit_records().count(), 0);
     circuit_records.iter().for_each(|outage| bench.tell(Event::CircuitRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
-    // Without the memory all ten would go at once.
+    // Without the record all ten would go at once.
     assert!(bench.routes().len() <= 1);
     assert_eq!(
         bench.scheduler.circuit_records().next().map(|outage| outage.last_success_at),
@@ -131,7 +132,7 @@
     );
 }
 
-/// No call is begun that would not be over when the courier ends.
+/// No call is started that would not be over at the shutdown.
 #[test]
 fn nothing_is_started_shortly_before_shutdown() {
     let mut bench = bench(vec![keyed()], true);
@@ -143,7 +144,7 @@
     assert_eq!(bench.routes(), []);
 }
 
-/// Attempts that are used up end a message at once, and as a refusal where none of them ran.
+/// Exhausted attempts complete a message at once, and as rejected where none of them ran.
 #[test]
 fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One test for each rule and each failure found; no bench needed.
+//! The scheduler's rules, one or more tests for each, on the scheduler alone.
 
 mod common;
 
@@ -24,7 +24,7 @@
     Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
 
-/// Message 1 was sent to endpoint 7, and its attempt ended so.
+/// Message 1 was sent to endpoint 7, and its attempt ended with this outcome.
 fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> Bench {
     let mut bench = one(class);
     bench.accept(1, 0, 1, None);
@@ -86,8 +86,8 @@
     assert!(repeats < bench.settings.max_attempts);
 }
 
-/// A connection may take long to come up: each call tells how long its message may wait for that, which is until
-/// its deadline, and for a repeat until the end of its window.
+/// A connection may take long to come up: each attempt says how long its message may wait for that, which is
+/// until its deadline and, for a retry, until its idempotency window ends.
 #[test]
 fn an_attempt_says_until_when_its_message_may_be_sent() {
     let within = |actions: &[Action]| match actions {
@@ -123,7 +123,8 @@
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
-/// Two endpoints in two zones, and one call at a time that may carry several. Message 1 may have run at the first.
+/// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run
+/// at the first.
 fn one_that_may_have_run_in_a_zone(per_endpoint_limits: bool) -> (Bench, u32) {
     let base = settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() }]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
@@ -139,8 +140,7 @@
     (bench, first)
 }
 
-/// What shares a call goes where its first message goes, and may not go there itself (variant of five zones: sent
-/// again outside its group on 10 of 12 short days).
+/// A call goes where its first message goes; a message that may not go there must not share it.
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
     for per_endpoint_limits in [false, true] {
@@ -154,7 +154,7 @@
                 if message == 1 {
                     assert_eq!(to, first, "{per_endpoint_limits}");
                 }
-                // What refuses is not preferred: calls go to both.
+                // An endpoint that rejects is not preferred: calls go to both.
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
             }
         }
@@ -162,7 +162,7 @@
     }
 }
 
-/// A repeat whose zone takes nothing just now does not keep others of its destination from going elsewhere.
+/// A retry whose zone accepts nothing just now does not keep others of its destination from going elsewhere.
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
     for per_endpoint_limits in [false, true] {
@@ -170,7 +170,7 @@
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
-        // Of more worth than what is new.
+        // It is worth more than the new messages.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
         assert!(matches!(bench.until_action(Duration::from_secs(2)).as_slice(),
@@ -250,7 +250,7 @@
     assert!(bench.now - told >= ms(800));
 }
 
-/// Incident ie8d4eb: a wait told by the first outcomes of a batched call was dropped.
+/// A Retry-After that comes with the first outcome of a batched call binds, too.
 #[test]
 fn a_retry_after_with_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
@@ -282,7 +282,8 @@
     let sent = bench.routes();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].0, 1);
-    // The client goes, the attempt runs on: the key stays taken until its outcome is known, and rests after it.
+    // The client goes, the attempt runs on: the key is taken until its outcome is known, and held back after
+    // it.
     bench.tell(Event::MessageAbandoned(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].1, AttemptOutcome::Reset, ms(100));
@@ -309,7 +310,8 @@
         bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
     }
     assert!((3..20).contains(&trials), "{trials}");
-    // It is back: all that is sent in the fall window stays inside the budget of a cold destination.
+    // The destination is back: what is sent in the overload window stays inside the budget of a cold
+    // destination.
     let (mut sent, mut back) = (0.0, bench.now);
     let rules = bench.settings.limits.clone();
     while bench.now - back < rules.overload_window {
@@ -329,7 +331,7 @@
     );
 }
 
-/// Hang of a destination: the silence stops further calls long before a time-out would.
+/// Silence stops further calls long before an attempt would time out.
 #[test]
 fn an_unresponsive_destination_gets_no_more_than_probes() {
     let mut bench = one(unsafe_class());
@@ -348,7 +350,7 @@
     assert!(late <= 6, "{late} unsafe messages risked");
 }
 
-/// Incident id37437: hung destinations pinned all slots.
+/// Calls to unresponsive destinations must not occupy all slots.
 #[test]
 fn unresponsive_destinations_leave_slots_for_the_healthy() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
@@ -358,7 +360,7 @@
         bench.now = bench.now + ms(25);
         bench.accept(id, 0, 1 + (id % 5) as u16, None);
         for (message, to, _) in bench.routes() {
-            // Only the fifth destination answers.
+            // Only the fifth destination responds.
             if to == 5 {
                 healthy += 1;
                 bench.finish(message, to, AttemptOutcome::Delivered, ms(5));
@@ -405,7 +407,7 @@
     assert_eq!(bench.routes().len(), 5);
 }
 
-/// Incident i10b789: in a slow spell the time-outs stayed short and repeats met the first call still running.
+/// Timeouts follow a destination that slows down, or retries would meet the first call still running.
 #[test]
 fn attempt_timeouts_grow_after_timeouts() {
     let mut bench = one(safe());
@@ -450,8 +452,8 @@
     assert_eq!(answers, 5);
 }
 
-/// Who is refused at the door has not waited in vain: what would be handed back for a new message, or be handed back
-/// itself, costs more than it. Of one worth nothing goes for another, and for one worth more the least goes.
+/// A message that is not admitted has not waited in vain: rejecting an accepted one for it costs more than it
+/// is worth, unless it is worth much more; then the least valuable one goes.
 #[test]
 fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
     let rich = Class { priority_weight: 5.0, ..safe() };
@@ -469,7 +471,7 @@
     assert!(bench.until_action(ms(5)).is_empty());
     assert!(!admits(&mut bench, 0));
     assert!(admits(&mut bench, 1));
-    // Late and near its end, the least costs nothing any more.
+    // Late and near its deadline, the least valuable one costs nothing any more.
     bench.now = bench.now + classes[0].deadline.mul_f64(0.8);
     assert!(admits(&mut bench, 0));
 }
@@ -499,8 +501,8 @@
     );
 }
 
-/// Where worth falls by halves to a floor, who has reached the floor loses nothing more by waiting, and who is
-/// still on time goes first; where it falls evenly, the late one goes on losing.
+/// Where the value halves down to a floor, a message at the floor loses nothing by waiting, and one still on
+/// time goes first; where it falls evenly, the late one goes on losing.
 #[test]
 fn the_cost_of_waiting_follows_the_configured_decay() {
     for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
@@ -517,8 +519,8 @@
     }
 }
 
-/// The route of the least fee is taken, and waited for while all that waits can still go that way on time; a
-/// clump that is too much for it goes by the costly one too.
+/// The cheapest route is taken, and waited for while all that waits can still go that way on time; a burst
+/// that is too much for it uses the costly one as well.
 #[test]
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
     let base = settings(vec![safe()]);
@@ -538,8 +540,8 @@
     assert!(bench.routes().iter().any(|sent| sent.1 == 7));
 }
 
-/// Where many calls fail, though some are served, an unsafe message waits until they do no more, or for its last
-/// moment; what can be repeated goes on meanwhile.
+/// Where many calls fail, though some succeed, a non-idempotent message waits until that is over or its last
+/// moment has come; what can be retried goes on meanwhile.
 #[test]
 fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
     for recovers in [true, false] {
@@ -590,7 +592,8 @@
     assert_ne!(other[0].1, first);
 }
 
-/// Where each courier has few calls, a tie by id sends all of them to the same endpoint of a destination.
+/// With few calls in each gateway, a tie broken by id would send all of them to the same endpoint of a
+/// destination.
 #[test]
 fn gateways_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
@@ -609,13 +612,13 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// A message that can never be sent again must not keep its order key from the messages behind it.
+/// A message that can never be sent again must not keep its ordering key from the messages behind it.
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
     let classes = [unsafe_class(), keyed()].map(|class| Class { ordered: true, ..class });
     let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
-    // The one behind can be repeated: an unsafe one would wait after a loss.
+    // The one behind can be retried: a non-idempotent one would wait after a loss.
     bench.accept(2, 1, 1, Some(5));
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(50);
@@ -640,8 +643,9 @@
     assert!(bench.decide().iter().any(refused));
 }
 
-/// Sends a message to each of `count` destinations in turn, each with a connection idle for this time and one
-/// round; calls on these end so, those on new ones well. Returns how often idle connections were closed before use.
+/// Sends a message to each of `count` destinations in turn, each with a connection that was idle for this
+/// time. Calls on these end with this outcome, those on new ones are delivered. Returns how often idle
+/// connections were closed before use.
 fn closes_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
     let mut bench = Bench::new(settings(vec![safe()]), all);
@@ -661,7 +665,7 @@
     (1..=count).map(|to| call(&mut bench, to, outcome)).sum()
 }
 
-/// Idle connections dropped unseen: the next call on one is lost.
+/// Idle connections that were dropped by the other side unnoticed lose the next call on them.
 #[test]
 fn idle_connections_are_closed_before_reuse_once_calls_on_them_are_lost() {
     for idle in [Duration::from_secs(2), ms(20)] {
@@ -670,7 +674,7 @@
     }
 }
 
-/// One lost answer is not an outage: with a share of the answers lost, messages must not wait for trials.
+/// One lost response opens no circuit: with a part of the responses lost, messages must not wait for probes.
 #[test]
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
@@ -689,7 +693,7 @@
     assert!(!next_send(AttemptOutcome::ConnectFailed));
 }
 
-/// Hunt h560941: a hung partner with its queue full refuses although its limit has room.
+/// An unresponsive destination with a full queue rejects although its limit has headroom.
 #[test]
 fn rejections_with_headroom_left_count_as_failures() {
     let sends_after = |left: f64| {
@@ -709,7 +713,7 @@
     assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
 }
 
-/// Calls that hang take the slots of others: with none left, the oldest one is called off.
+/// With no slot left, the oldest stalled call is cancelled.
 #[test]
 fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
     let base = settings(vec![safe()]);
@@ -722,7 +726,7 @@
     assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
-/// A slot is worth most where a message of more worth waits, not where the list starts.
+/// A slot goes where a message of more value waits, not where the list starts.
 #[test]
 fn ties_between_destinations_go_by_value() {
     let rich = Class { priority_weight: 5.0, ..safe() };
@@ -734,7 +738,7 @@
     assert_eq!(bench.routes()[0].0, 2);
 }
 
-/// Incident i88d54c: light couriers that had all failed to connect came back every few seconds together.
+/// Low-traffic gateways that all failed to connect must not probe together every few seconds.
 #[test]
 fn low_traffic_gateways_probe_a_failed_destination_rarely() {
     let mut trials = 0;
@@ -758,7 +762,7 @@
     assert!((1..=160).contains(&trials), "{trials} trials of 100 couriers in 12 s");
 }
 
-/// What stays inside a courier's even part of what was told is not held back.
+/// What stays inside a gateway's even part of the announced rate is not held back.
 #[test]
 fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
     let mut bench = one(safe());
@@ -772,7 +776,7 @@
     }
 }
 
-/// Incident i4182c2: refused calls use up the limit, and first and second attempts alone kept it used up.
+/// Rejected calls use up the limit, and the first two attempts of messages alone can keep it used up.
 #[test]
 fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
@@ -780,7 +784,7 @@
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
         let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
-        // Its pace is far above its part of what is told now.
+        // Its rate is far above its part of what is announced now.
         bench
             .scheduler
             .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
@@ -802,8 +806,7 @@
     assert_eq!(sends_after_a_refusal(20, 3), 1);
 }
 
-/// Later kingston, fresh-big: a clump met a hung partner's refusals at many light couriers at once, and their first
-/// repeats met its return at once.
+/// A burst that meets rejections at many low-traffic gateways at once must not be retried at one moment.
 #[test]
 fn low_traffic_gateways_rejected_together_retry_apart() {
     let back_after = |seed: u64| {
@@ -828,8 +831,8 @@
     );
 }
 
-/// An endpoint that answers is up, also where what it says cannot be read: a few such answers open no spell, as
-/// lost calls do.
+/// An endpoint that responds is up, also where the response cannot be read: a few such responses open no
+/// circuit, as lost calls do.
 #[test]
 fn malformed_responses_open_no_circuit() {
     let outages_after = |outcome| {
@@ -848,9 +851,9 @@
     assert_eq!(outages_after(AttemptOutcome::Reset), 1);
 }
 
-/// A watch that discovery refuses is tried again at growing gaps, the longer the more couriers there are: they lose
-/// it at one moment, and discovery must have room to come back. But none is longer than 5 s, however many there are:
-/// what changes counts as told 6 s later. One that broke in silence is tried again soon.
+/// A watch that discovery rejects is retried with growing backoff, the longer the more gateways there are:
+/// they lose it at one moment, and discovery needs capacity to recover. But it stays within 5 s, as a change
+/// counts as announced 6 s later. A watch that broke in silence is retried soon.
 #[test]
 fn a_rejected_watch_is_retried_with_growing_backoff() {
     let tries = |fleet_size: u32, why: EndpointUpdate, span: Duration| {
@@ -869,7 +872,7 @@
         }
         (tries, longest)
     };
-    // Gaps of 1.5 s in the mean, once they have grown, and of 3.75 s where the longest one binds.
+    // Backoff of 1.5 s in the mean once it has grown, and of 3.75 s where its cap binds.
     let span = Duration::from_secs(240);
     let (few, _) = tries(3, EndpointUpdate::WatchRejected, span);
     assert!((100..=300).contains(&few), "{few}");
@@ -878,7 +881,7 @@
         assert!((58..=72).contains(&many) && longest <= ms(5005), "{fleet_size}: {many}, {longest:?}");
     }
     assert!(tries(3, EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
-    // Who are refused at one moment do not come back at one moment.
+    // Gateways that are rejected at one moment do not retry at one moment.
     let refused = |seed: u64| {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
         bench.restart(Settings { fleet_size: 318, ..settings(vec![safe()]) }, seed, vec![endpoint(11, 3)]);
@@ -894,8 +897,9 @@
         herd.windows(32).all(|some| some[31] - some[0] >= ms(125)),
         "a tenth within a twentieth: {herd:?}"
     );
-    // The first tries of a herd are spread too, but what was told while a courier was away counts as told: however
-    // many there are, all have asked well before they may send no more to what drains.
+    // The first watches of a herd are spread too, but what changed while a gateway was away counts as
+    // announced: however many there are, all have asked well before they may send no more to draining
+    // endpoints.
     let first = |fleet_size: u32, seed: u64| {
         Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed).initial_watch_delay()
     };
@@ -908,7 +912,7 @@
         assert!(herd[herd.len() / 2] - herd[herd.len() / 4] > drain / 16, "{fleet_size}: {herd:?}");
     }
     assert!(first(3, 1) < ms(300));
-    // One that succeeds makes the next gap short again.
+    // A watch that succeeds resets the backoff.
     let mut bench = Bench::new(Settings { fleet_size: 3, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
     for _ in 0..8 {
         bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
@@ -919,7 +923,7 @@
     assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
 }
 
-/// A courier that calls seldom has no later event to find the silence by: the one at its due moment must do.
+/// A low-traffic gateway has no later event that would show the silence: the timer of its due moment has to.
 #[test]
 fn silence_opens_the_circuit_at_the_moment_it_is_due() {
     let mut bench = one(safe());
@@ -940,8 +944,8 @@
     assert!(bench.scheduler.longest_queue(bench.now).unwrap().2[0].circuit_open);
 }
 
-/// An endpoint that has too many connections says nothing of its limit, and whoever keeps one idle keeps others of the
-/// fleet out (other deployment, calm day: 7 of 10 messages ran out untried, and no limit was met).
+/// An endpoint that has too many connections says nothing of its rate limit; and whoever keeps one idle keeps
+/// other gateways out.
 #[test]
 fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 2)]);
@@ -969,8 +973,8 @@
     assert!(!closes(&bench.decide(), 8), "not for good");
 }
 
-/// In a slow start the pace grows: a courier that nothing happens to looks again while its message still has time,
-/// and not when the pace of the first moment would have let it go.
+/// In a slow start the rate limit grows: a gateway without any events looks again while its message still has
+/// time, and not when the first moment's rate would have allowed it.
 #[test]
 fn a_slow_start_progresses_while_nothing_happens() {
     let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
