--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -165,3 +165,8 @@
         }));
     }
 }
+
+/// One class of message, and endpoint 7 of destination 1.
+pub fn one(class: Class) -> Bench {
+    Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
+}
--- /dev/null
+++ b/tests/rules/circuits.rs
@@ -0,0 +1,304 @@
+//! Circuit breakers of the scheduler: failures, half-open probes, slow start, unresponsive calls and idle connections.
+
+use super::common::*;
+use delivery_gateway::*;
+use std::time::Duration;
+
+#[test]
+fn a_failed_destination_gets_single_probes_and_a_slow_start() {
+    let mut bench = one(safe());
+    (0..390).for_each(|id| bench.accept(id, 0, 1, None));
+    for (id, to, _) in bench.routes() {
+        bench.finish(id, to, AttemptOutcome::ConnectFailed, ms(10));
+    }
+    let began = bench.now;
+    let mut trials = 0;
+    while bench.now - began < Duration::from_secs(6) {
+        let routed = bench.until_action(Duration::from_secs(6));
+        assert_eq!(routed.len(), 1, "one trial at a time");
+        let Action::StartAttempt { message, .. } = routed[0] else { panic!("{routed:?}") };
+        trials += 1;
+        bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
+    }
+    assert!((3..20).contains(&trials), "{trials}");
+    // The destination is back: what is sent in the overload window stays inside the budget of a cold
+    // destination.
+    let (mut sent, mut back) = (0.0, bench.now);
+    let rules = bench.settings.limits.clone();
+    while bench.now - back < rules.overload_window {
+        bench.now = bench.now + ms(5);
+        for (id, to, _) in bench.routes() {
+            if sent == 0.0 {
+                back = bench.now;
+            }
+            sent += 1.0;
+            bench.finish(id, to, AttemptOutcome::Delivered, ms(5));
+        }
+    }
+    let capacity = 100.0 * (rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * 0.2);
+    assert!(
+        sent > 0.0 && sent <= rules.overload_multiple * capacity * rules.overload_window.as_secs_f64(),
+        "{sent}"
+    );
+}
+
+/// Silence stops further calls long before an attempt would time out.
+#[test]
+fn an_unresponsive_destination_gets_no_more_than_probes() {
+    let mut bench = one(unsafe_class());
+    for id in 0..20 {
+        bench.accept(id, 0, 1, None);
+        bench.routes();
+        bench.now = bench.now + ms(200);
+    }
+    bench.now = bench.now + ms(1000);
+    let mut late = 0;
+    for id in 20..60 {
+        bench.accept(id, 0, 1, None);
+        late += bench.routes().len();
+        bench.now = bench.now + ms(100);
+    }
+    assert!(late <= 6, "{late} unsafe messages risked");
+}
+
+/// Calls to unresponsive destinations must not occupy all slots.
+#[test]
+fn unresponsive_destinations_leave_slots_for_the_healthy() {
+    let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
+    let mut bench = Bench::new(settings(vec![unsafe_class()]), all);
+    let mut healthy = 0;
+    for id in 0..400 {
+        bench.now = bench.now + ms(25);
+        bench.accept(id, 0, 1 + (id % 5) as u16, None);
+        for (message, to, _) in bench.routes() {
+            // Only the fifth destination responds.
+            if to == 5 {
+                healthy += 1;
+                bench.finish(message, to, AttemptOutcome::Delivered, ms(5));
+            }
+        }
+    }
+    assert!(healthy >= 70, "{healthy} of 80 delivered at the healthy destination");
+}
+
+/// Timeouts follow a destination that slows down, or retries would meet the first call still running.
+#[test]
+fn attempt_timeouts_grow_after_timeouts() {
+    let mut bench = one(safe());
+    bench.accept(1, 0, 1, None);
+    let first = bench.routes()[0].2;
+    let mut last = first;
+    for _ in 0..6 {
+        bench.now = bench.now + last;
+        bench.finish(1, 7, AttemptOutcome::Timeout, last);
+        bench.accept(1000 + bench.now.0 as u32, 0, 1, None);
+        match bench.until_action(Duration::from_secs(5)).first() {
+            Some(Action::StartAttempt { message, attempt_timeout, .. }) => {
+                last = *attempt_timeout;
+                if message.0 != 1 {
+                    break;
+                }
+            }
+            _ => break,
+        }
+    }
+    assert!(last > first, "{first:?} {last:?}");
+}
+
+/// Where many calls fail, though some succeed, a non-idempotent message waits until that is over or its last
+/// moment has come; what can be retried goes on meanwhile.
+#[test]
+fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
+    for recovers in [true, false] {
+        let mut bench = Bench::new(settings(vec![safe(), unsafe_class()]), vec![endpoint(7, 1)]);
+        let deadline = bench.settings.classes[1].deadline;
+        let (mut taken, mut waited, mut others) = (None, None, 0);
+        for step in 0..400 {
+            if step == 20 {
+                bench.accept(1, 1, 1, None);
+                taken = Some(bench.now);
+            }
+            bench.accept(step + 2, 0, 1, None);
+            for (id, to, _) in bench.routes() {
+                if id == 1 {
+                    waited = waited.or(taken.map(|taken| bench.now - taken));
+                    continue;
+                }
+                others += u32::from(waited.is_none());
+                let fails = step % 2 == 0 && (step < 20 || !recovers);
+                bench.finish(
+                    id,
+                    to,
+                    if fails { AttemptOutcome::ErrorResponse } else { AttemptOutcome::Delivered },
+                    ms(20),
+                );
+                bench.tell(Event::MessageAbandoned(MessageId(id)));
+            }
+            bench.now = bench.now + ms(100);
+        }
+        let waited = waited.expect("it is sent in the end");
+        assert!(others > 25, "{others} others went first");
+        assert!(waited > ms(300) && waited < deadline, "{waited:?}");
+        assert_eq!(waited < deadline / 2, recovers, "{waited:?}");
+    }
+}
+
+/// Sends a message to each of `count` destinations in turn, each with a connection that was idle for this
+/// time. Calls on these end with this outcome, those on new ones are delivered. Returns how often idle
+/// connections were closed before use.
+fn closes_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
+    let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
+    let mut bench = Bench::new(settings(vec![safe()]), all);
+    let mut id = 0;
+    let mut call = |bench: &mut Bench, to: u32, outcome: AttemptOutcome| {
+        id += 1;
+        bench.accept(id, 0, to as u16, None);
+        let actions = bench.decide();
+        let closes = actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
+        bench.now = bench.now + ms(20);
+        bench.finish(id, to, if closes > 0 { AttemptOutcome::Delivered } else { outcome }, ms(20));
+        bench.tell(Event::MessageAbandoned(MessageId(id)));
+        closes
+    };
+    (1..=count).for_each(|to| assert_eq!(call(&mut bench, to, AttemptOutcome::Delivered), 0));
+    bench.now = bench.now + idle;
+    (1..=count).map(|to| call(&mut bench, to, outcome)).sum()
+}
+
+/// Idle connections that were dropped by the other side unnoticed lose the next call on them.
+#[test]
+fn idle_connections_are_closed_before_reuse_once_calls_on_them_are_lost() {
+    for idle in [Duration::from_secs(2), ms(20)] {
+        assert_eq!(closes_after(AttemptOutcome::Delivered, 12, idle), 0);
+        assert!(closes_after(AttemptOutcome::Reset, 12, idle) >= 6, "after {idle:?}");
+    }
+}
+
+/// One lost response opens no circuit: with a part of the responses lost, messages must not wait for probes.
+#[test]
+fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
+    let next_send = |outcome: AttemptOutcome| {
+        let mut bench = one(safe());
+        let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
+        bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![told]);
+        bench.now = bench.now + ms(20);
+        bench.accept(1, 0, 1, None);
+        bench.routes();
+        bench.now = bench.now + ms(20);
+        bench.finish(1, 7, outcome, ms(20));
+        bench.accept(2, 0, 1, None);
+        !bench.routes().is_empty()
+    };
+    assert!(next_send(AttemptOutcome::Reset));
+    assert!(!next_send(AttemptOutcome::ConnectFailed));
+}
+
+/// With no slot left, the oldest stalled call is cancelled.
+#[test]
+fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
+    let base = settings(vec![safe()]);
+    let mut bench =
+        Bench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
+    (0..2).for_each(|id| bench.accept(id, 0, 1 + id as u16, None));
+    assert_eq!(bench.routes().len(), 2);
+    bench.accept(5, 0, 2, None);
+    let off = bench.until_action(Duration::from_secs(3));
+    assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
+}
+
+/// Low-traffic gateways that all failed to connect must not probe together every few seconds.
+#[test]
+fn low_traffic_gateways_probe_a_failed_destination_rarely() {
+    let mut trials = 0;
+    for seed in 0..100 {
+        let mut bench = one(safe());
+        bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
+        bench.now = bench.now + Duration::from_secs(4);
+        bench.accept(1, 0, 1, None);
+        bench.routes();
+        bench.finish(1, 7, AttemptOutcome::ConnectFailed, ms(20));
+        let began = bench.now;
+        while bench.now - began < Duration::from_secs(12) {
+            for action in bench.until_action(Duration::from_secs(1)) {
+                if let Action::StartAttempt { message, .. } = action {
+                    trials += 1;
+                    bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(20));
+                }
+            }
+        }
+    }
+    assert!((1..=160).contains(&trials), "{trials} trials of 100 couriers in 12 s");
+}
+
+/// An endpoint that responds is up, also where the response cannot be read: a few such responses open no
+/// circuit, as lost calls do.
+#[test]
+fn malformed_responses_open_no_circuit() {
+    let outages_after = |outcome| {
+        let mut bench = one(safe());
+        for id in 1..=4 {
+            bench.accept(id, 0, 1, None);
+            for (message, endpoint, _) in bench.routes() {
+                bench.finish(message, endpoint, outcome, ms(50));
+                bench.tell(Event::MessageAbandoned(MessageId(message)));
+            }
+            bench.now = bench.now + ms(100);
+        }
+        bench.scheduler.circuit_records().filter(|outage| outage.calls_lost.is_some()).count()
+    };
+    assert_eq!(outages_after(AttemptOutcome::MalformedResponse), 0);
+    assert_eq!(outages_after(AttemptOutcome::Reset), 1);
+}
+
+/// A low-traffic gateway has no later event that would show the silence: the timer of its due moment has to.
+#[test]
+fn silence_opens_the_circuit_at_the_moment_it_is_due() {
+    let mut bench = one(safe());
+    bench.accept(1, 0, 1, None);
+    let due = |action: &Action| match action {
+        Action::SetTimer { after, token } => Some((*after, *token)),
+        _ => None,
+    };
+    // From one timer to the next, up to the last one before the deadline's.
+    let began = bench.now;
+    while let Some((after, token)) = bench.decide().iter().find_map(due) {
+        if bench.now + after - began > bench.settings.classes[0].latency_objective {
+            break;
+        }
+        bench.now = bench.now + after;
+        bench.tell(Event::TimerFired(token));
+    }
+    assert!(bench.scheduler.longest_queue(bench.now).unwrap().2[0].circuit_open);
+}
+
+/// In a slow start the rate limit grows: a gateway without any events looks again while its message still has
+/// time, and not when the first moment's rate would have allowed it.
+#[test]
+fn a_slow_start_progresses_while_nothing_happens() {
+    let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
+    let mut bench = Bench::new(settings, vec![Endpoint { weight: 40.0, ..endpoint(11, 3) }]);
+    let begun = bench.now;
+    bench.tell(Event::CircuitRestored(CircuitRecord {
+        destination: DestinationId(3),
+        endpoint: None,
+        last_success_at: begun,
+        failure_score: 0,
+        calls_lost: None,
+        slow_start_since: Some(begun),
+        baseline_rate: 0.0,
+    }));
+    bench.accept(1, 0, 3, None);
+    loop {
+        let mut wake = None;
+        for action in bench.decide() {
+            match action {
+                Action::StartAttempt { .. } => return,
+                Action::SetTimer { after, token } => wake = Some((after, token)),
+                other => panic!("{other:?} after {:?}", bench.now - begun),
+            }
+        }
+        let (after, token) = wake.expect("asked for a timer");
+        bench.now = bench.now + after;
+        bench.tell(Event::TimerFired(token));
+    }
+}
--- /dev/null
+++ b/tests/rules/rate_limits.rs
@@ -0,0 +1,171 @@
+//! Rate limits of the scheduler: rejections, Retry-After, load reports and low-traffic gateways.
+
+use super::common::*;
+use delivery_gateway::*;
+use std::time::Duration;
+
+#[test]
+fn a_retry_after_holds_back_every_message_of_the_destination() {
+    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+    bench.accept(1, 0, 1, None);
+    let first = bench.routes()[0].1;
+    bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
+    let told = bench.now;
+    bench.accept(2, 0, 1, None);
+    assert!(bench.routes().is_empty());
+    assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
+    assert!(bench.now - told >= ms(800));
+}
+
+/// A Retry-After that comes with the first outcome of a batched call binds, too.
+#[test]
+fn a_retry_after_with_any_message_of_a_call_is_kept() {
+    let base = settings(vec![safe()]);
+    let mut bench = Bench::new(
+        Settings {
+            destination_kinds: vec![DestinationKind { batch: 5, per_endpoint_limits: false }],
+            ..base
+        },
+        vec![endpoint(7, 1)],
+    );
+    (1..=3).for_each(|id| bench.accept(id, 0, 1, None));
+    assert_eq!(bench.routes().len(), 3);
+    bench.finish(1, 7, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
+    bench.finish(2, 7, AttemptOutcome::Rejected(None), ms(20));
+    bench.finish(3, 7, AttemptOutcome::Rejected(None), ms(20));
+    let told = bench.now;
+    assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
+    assert!(bench.now - told >= ms(900));
+}
+
+#[test]
+fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
+    let base = settings(vec![safe()]);
+    let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
+    let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    bench.accept(1, 0, 1, None);
+    let first = bench.routes()[0].1;
+    bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
+    bench.accept(2, 0, 1, None);
+    let other = bench.routes();
+    assert_eq!(other.len(), 1);
+    assert_ne!(other[0].1, first);
+}
+
+/// An unresponsive destination with a full queue rejects although its limit has headroom.
+#[test]
+fn rejections_with_headroom_left_count_as_failures() {
+    let sends_after = |left: f64| {
+        let mut bench = one(safe());
+        (0..200).for_each(|id| bench.accept(id, 0, 1, None));
+        let mut sends = 0;
+        let began = bench.now;
+        while bench.now - began < Duration::from_secs(4) {
+            for (id, to, _) in bench.routes() {
+                sends += 1;
+                bench.refuse(id, to, left, 100.0);
+            }
+            bench.now = bench.now + ms(50);
+        }
+        sends
+    };
+    assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
+}
+
+/// What stays inside a gateway's even part of the announced rate is not held back.
+#[test]
+fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
+    let mut bench = one(safe());
+    bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    for id in 0..10 {
+        bench.now = bench.now + Duration::from_secs(4);
+        bench.accept(id, 0, 1, None);
+        assert_eq!(bench.routes().len(), 1);
+        bench.now = bench.now + ms(30);
+        bench.finish(id, 7, AttemptOutcome::Delivered, ms(30));
+    }
+}
+
+/// Rejected calls use up the limit, and the first two attempts of messages alone can keep it used up.
+#[test]
+fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
+    let sends_after_a_refusal = |batch: usize, seconds: u64| {
+        let base = settings(vec![safe()]);
+        let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
+        let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
+        let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
+        // Its rate is far above its part of what is announced now.
+        bench
+            .scheduler
+            .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
+        bench.now = bench.now + ms(100);
+        bench.accept(1, 0, 1, None);
+        let mut calls = 0;
+        let began = bench.now;
+        while bench.now - began < Duration::from_secs(seconds) {
+            let sent = bench.routes();
+            calls += sent.len();
+            for (id, to, _) in sent {
+                bench.finish(id, to, AttemptOutcome::Rejected(None), ms(20));
+            }
+            bench.now = bench.now + ms(20);
+        }
+        calls
+    };
+    assert!(sends_after_a_refusal(20, 12) < sends_after_a_refusal(1, 12));
+    assert_eq!(sends_after_a_refusal(20, 3), 1);
+}
+
+/// A burst that meets rejections at many low-traffic gateways at once must not be retried at one moment.
+#[test]
+fn low_traffic_gateways_rejected_together_retry_apart() {
+    let back_after = |seed: u64| {
+        let mut bench = one(safe());
+        bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
+        bench.now = bench.now + Duration::from_secs(2);
+        bench.accept(1, 0, 1, None);
+        bench.routes();
+        bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
+        let refused = bench.now;
+        assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::StartAttempt { .. }]));
+        bench.now - refused
+    };
+    let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
+    gaps.sort_unstable();
+    let latency_objective = safe().latency_objective;
+    assert!(
+        gaps[39] - gaps[0] > latency_objective,
+        "from {:?} to {:?}, aim {latency_objective:?}",
+        gaps[0],
+        gaps[39]
+    );
+}
+
+/// An endpoint that has too many connections says nothing of its rate limit; and whoever keeps one idle keeps
+/// other gateways out.
+#[test]
+fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
+    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 2)]);
+    let closes =
+        |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
+    bench.accept(1, 0, 2, None);
+    assert_eq!(bench.routes().len(), 1);
+    bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
+    assert!(!closes(&bench.decide(), 8));
+    for id in 2..12 {
+        bench.now = bench.now + ms(100);
+        bench.accept(id, 0, 1, None);
+        assert_eq!(bench.routes().len(), 1, "{id}: the pace is not cut");
+        bench.finish(id, 7, AttemptOutcome::TooManyConnections, ms(20));
+        bench.tell(Event::MessageAbandoned(MessageId(id)));
+    }
+    bench.accept(20, 0, 2, None);
+    assert_eq!(bench.routes().len(), 1);
+    bench.finish(20, 8, AttemptOutcome::Delivered, ms(20));
+    assert!(closes(&bench.decide(), 8), "at other endpoints neither");
+    bench.now = bench.now + bench.settings.connection_idle_timeout * 4;
+    bench.accept(21, 0, 2, None);
+    assert_eq!(bench.routes().len(), 1);
+    bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
+    assert!(!closes(&bench.decide(), 8), "not for good");
+}
