--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -36,22 +36,39 @@
 /// To be raised with every change to what goes over the socket.
 const FORMAT: u32 = 1;
 /// What the module's memory looks like is said by these; it is passed on only to a process built from the same.
-const MEMORY: [&str; 15] = [
+const MEMORY: [&str; 32] = [
     include_str!("../clock.rs"),
     include_str!("../../../scheduler/admission.rs"),
     include_str!("../../../scheduler/backoff.rs"),
     include_str!("../../../scheduler/connection_reuse.rs"),
     include_str!("../../../scheduler/derived_settings.rs"),
+    include_str!("../../../scheduler/idempotency.rs"),
     include_str!("../../../scheduler/maintenance.rs"),
+    include_str!("../../../scheduler/message_value.rs"),
     include_str!("../../../scheduler/mod.rs"),
     include_str!("../../../scheduler/operators.rs"),
+    include_str!("../../../scheduler/ordering.rs"),
     include_str!("../../../scheduler/quota.rs"),
     include_str!("../../../scheduler/reports.rs"),
+    include_str!("../../../scheduler/retry.rs"),
+    include_str!("../../../scheduler/state/latency.rs"),
+    include_str!("../../../scheduler/state/message.rs"),
     include_str!("../../../scheduler/state/mod.rs"),
     include_str!("../../../scheduler/state/queue.rs"),
     include_str!("../../../scheduler/state/ready_index.rs"),
+    include_str!("../../../scheduler/state/value_decay.rs"),
     include_str!("../../../scheduler/watch_backoff.rs"),
+    include_str!("../../../model/action.rs"),
+    include_str!("../../../model/attempt.rs"),
+    include_str!("../../../model/circuit.rs"),
+    include_str!("../../../model/class.rs"),
+    include_str!("../../../model/endpoint.rs"),
+    include_str!("../../../model/event.rs"),
+    include_str!("../../../model/ids.rs"),
+    include_str!("../../../model/message.rs"),
     include_str!("../../../model/mod.rs"),
+    include_str!("../../../model/settings.rs"),
+    include_str!("../../../model/time.rs"),
 ];
 /// The other process is on this machine: what it does not say in this time it will not say.
 const ANSWER: Duration = Duration::from_secs(1);
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -12,11 +12,12 @@
             return !leaving;
         }
         let over_quota = self.quotas.is_exhausted(&self.settings, now, taken.tenant);
-        let worth = self.new_message(now, taken.clone(), over_quota).map(|m| self.current_value(now, &m));
-        let early = |m: &Message| now < m.born + self.class(m).deadline.mul_f64(UNTRIED.0);
+        let worth = Message::new(&self.settings, now, taken.clone(), over_quota)
+            .map(|m| message_value::current(&self.settings, now, &m));
+        let early = |m: &Message| now < m.enqueued_at + m.class(&self.settings).deadline.mul_f64(UNTRIED.0);
         let price =
             |m: &Message| if m.first_uncertain_attempt.is_none() && early(m) { UNTRIED.1 } else { 0.0 };
-        let costs = |m: &Message| price(m) * self.full_value(m);
+        let costs = |m: &Message| price(m) * message_value::full(&self.settings, m);
         let takes = self.least(now).is_none_or(|(least, m)| worth.is_some_and(|w| w > least + costs(m)));
         if !takes {
             self.note_demand(now, taken.destination);
@@ -26,12 +27,9 @@
 
     /// The final answer that a message may be given now; none while an attempt may still deliver it.
     pub(super) fn permitted_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
-        let message = self.messages.get(&id).filter(|m| !m.closed)?;
-        let to = message.taken.destination;
-        let refusable = match self.class(message).idempotency {
-            Idempotency::Idempotent => true,
-            _ => message.first_uncertain_attempt.is_none() && message.out.is_none(),
-        };
+        let message = self.messages.get(&id).filter(|m| !m.completed)?;
+        let to = message.accepted.destination;
+        let refusable = idempotency::is_safe_to_reject(&self.settings, message);
         Some(if refusable {
             Action::Reject { message: id, retry_after: self.suggested_retry_after(now, to) }
         } else {
@@ -42,7 +40,7 @@
     pub(super) fn answer(&mut self, now: Time, id: MessageId) {
         let action = self.permitted_answer(now, id);
         if let Some(message) = self.messages.get_mut(&id).filter(|_| action.is_some()) {
-            message.unheard = self.settings.outcomes_need_acknowledgement;
+            message.awaits_acknowledgement = self.settings.outcomes_need_acknowledgement;
         }
         self.actions.extend(action);
         self.close(id);
@@ -52,9 +50,9 @@
     pub(super) fn answer_due(&mut self, now: Time) {
         while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
             self.deadlines.remove(&(due, id));
-            let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { continue };
-            let last_call = message.taken.deadline + self.settings.limits.final_outcome_grace / 2;
-            if message.out.is_some() && now < last_call {
+            let Some(message) = self.messages.get(&id).filter(|m| !m.completed) else { continue };
+            let last_call = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
+            if message.call.is_some() && now < last_call {
                 self.deadlines.insert((last_call, id));
             } else {
                 self.answer(now, id);
@@ -65,7 +63,7 @@
     /// Nearly full: the least worth go, before new messages are turned away unseen.
     pub(super) fn shed(&mut self, now: Time) {
         while self.open > self.most_open() {
-            let Some(id) = self.least(now).map(|(_, m)| m.taken.id) else { return };
+            let Some(id) = self.least(now).map(|(_, m)| m.accepted.id) else { return };
             self.answer(now, id);
         }
     }
@@ -76,8 +74,8 @@
 
     /// The message of least worth that could be handed back.
     pub(super) fn least(&self, now: Time) -> Option<(f64, &Message)> {
-        let idle = self.messages.values().filter(|m| !m.closed && m.out.is_none());
-        idle.map(|m| (self.current_value(now, m), m))
-            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.taken.id.cmp(&a.1.taken.id)))
+        let idle = self.messages.values().filter(|m| !m.completed && m.call.is_none());
+        idle.map(|m| (message_value::current(&self.settings, now, m), m))
+            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.accepted.id.cmp(&a.1.accepted.id)))
     }
 }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -43,8 +43,8 @@
 
     /// How a message stands in its queue: one that was never tried differs from its like in its age alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
-        let turns = self.class(message).ordered && message.taken.key.is_some();
-        if message.out.is_some() {
+        let turns = message.ordering_key(&self.settings).is_some();
+        if message.call.is_some() {
             Standing::Out
         } else if turns
             || message.first_uncertain_attempt.is_some()
@@ -52,15 +52,15 @@
         {
             Standing::Apart
         } else {
-            let lane = (message.taken.class, message.over_quota);
-            Standing::Among { lane, born: message.born, not_before: message.not_before }
+            let lane = (message.accepted.class, message.over_quota);
+            Standing::Among { lane, born: message.enqueued_at, not_before: message.not_before }
         }
     }
 
     /// To be told whenever what `standing` goes by has changed.
     pub(super) fn restand(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let (seq, to, standing) = (message.seq, message.taken.destination, self.standing(message));
+        let (seq, to, standing) = (message.seq, message.accepted.destination, self.standing(message));
         if let Some(queue) = self.queues.get_mut(&to) {
             queue.stands(seq, standing);
         }
@@ -81,7 +81,7 @@
             let stage = |lane: Lane, born: Time| {
                 let (age, latency_objective) =
                     ((now - born).as_secs_f64(), class(lane).latency_objective.as_secs_f64());
-                let value = |age: f64| class(lane).value(self.settings.decay, age).1;
+                let value = |age: f64| RemainingValue::at_age(class(lane), self.settings.decay, age).stage;
                 value(age) + value(age + latency_objective)
             };
             index.advance(now, stage);
@@ -149,11 +149,11 @@
     }
 
     pub(super) fn close(&mut self, id: MessageId) {
-        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.closed) {
-            message.closed = true;
+        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.completed) {
+            message.completed = true;
             self.open -= 1;
-            self.deadlines.remove(&(message.taken.deadline, id));
-            let to = message.taken.destination;
+            self.deadlines.remove(&(message.accepted.deadline, id));
+            let to = message.accepted.destination;
             if let Some(queue) = self.queues.get_mut(&to) {
                 queue.remove(message.seq);
                 if queue.is_empty() {
@@ -167,14 +167,15 @@
 
     /// A message is forgotten once it is answered and has nothing out; until then its key stays taken.
     pub(super) fn forget_if_over(&mut self, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|m| !m.closed || m.unheard || m.out.is_some()) {
+        if self.messages.get(&id).is_none_or(|m| !m.completed || m.awaits_acknowledgement || m.call.is_some())
+        {
             return;
         }
-        if let Some(key) = self.messages.remove(&id).and_then(|m| m.taken.key) {
-            remove_from(&mut self.keys, key, id);
+        if let Some(key) = self.messages.remove(&id).and_then(|m| m.accepted.key) {
             // The next of its key has its turn now, wherever it goes.
-            let next = self.keys.get(&key).and_then(|turn| self.messages.get(turn.first()?));
-            next.map(|m| m.taken.destination).into_iter().for_each(|to| self.touch(to));
+            let next = self.ordering.remove(key, id).and_then(|next| self.messages.get(&next));
+            let to = next.map(|message| message.accepted.destination);
+            to.into_iter().for_each(|to| self.touch(to));
         }
     }
 
--- /dev/null
+++ b/src/scheduler/message_value.rs
@@ -0,0 +1,32 @@
+//! What it is worth to send one message rather than another.
+
+use super::idempotency;
+use super::state::message::Message;
+use super::state::value_decay::RemainingValue;
+use crate::model::{Settings, Time};
+
+/// Weight of what waiting for one more latency objective would lose, against the value itself.
+const WAITING_LOSS_WEIGHT: f64 = 2.0;
+
+/// Value of a message on time.
+pub fn full(settings: &Settings, message: &Message) -> f64 {
+    let quota_ratio = if message.over_quota { settings.over_quota_value_ratio } else { 1.0 };
+    message.class(settings).priority_weight * quota_ratio
+}
+
+/// Value still to be won, and what of it waiting would lose: on time goes before late, what is about to be late before
+/// what is fresh, and what is about to run out before what may wait.
+pub fn current(settings: &Settings, now: Time, message: &Message) -> f64 {
+    let class = message.class(settings);
+    let last_send_secs =
+        idempotency::last_send_at(settings, message).map(|at| (at - message.enqueued_at).as_secs_f64());
+    let ratio_at = |age_secs: f64| match last_send_secs {
+        // A retry that must go before its idempotency window ends has no value after that.
+        Some(last_secs) if age_secs > last_secs => 0.0,
+        _ => RemainingValue::at_age(class, settings.decay, age_secs).ratio,
+    };
+    let age_secs = (now - message.enqueued_at).as_secs_f64();
+    let ratio_now = ratio_at(age_secs);
+    let ratio_later = ratio_at(age_secs + class.latency_objective.as_secs_f64());
+    full(settings, message) * ((1.0 + WAITING_LOSS_WEIGHT) * ratio_now - WAITING_LOSS_WEIGHT * ratio_later)
+}
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,15 +14,20 @@
 mod backoff;
 mod connection_reuse;
 mod derived_settings;
+mod idempotency;
 mod maintenance;
+mod message_value;
 mod operators;
+mod ordering;
 mod quota;
 mod reports;
+mod retry;
 mod state;
 mod watch_backoff;
 
 use connection_reuse::{ConnectionReuse, IdleConnections, NextCall};
 use derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs, warm_up_secs};
+use ordering::OrderingKeys;
 use quota::TenantQuotas;
 use state::queue::{Queue, Seq};
 pub use state::ready_index::WorkCounters;
@@ -33,20 +38,6 @@
 
 // ---- Tuned values ----
 
-/// First gap before a repeat, as a part of the class's aim: short enough to leave time for several on time.
-const BACKOFF_BASE_OF_AIM: f64 = 0.05;
-/// Longest gap before a repeat, as a part of the class's aim: a repeat rarely pays if it waits longer.
-const BACKOFF_CAP_OF_AIM: f64 = 0.7;
-/// A keyed message is not resent in the last part of its window: the call must still arrive inside it.
-const WINDOW_MARGIN: f64 = 0.1;
-/// Latency assumed before the first answer, as a part of the shortest aim.
-const FIRST_LATENCY_OF_AIM: f64 = 0.1;
-/// Least weight of the newest latency in the running mean; the first few weigh more.
-const LATENCY_GAIN: f64 = 0.15;
-/// Time-out of a repeatable attempt, in latencies (mean and deviation) of its destination ...
-const TIMEOUT_LATENCIES: f64 = 4.0;
-/// ... and at least this part of the aim, at most this multiple of it.
-const TIMEOUT_AIMS: (f64, f64) = (0.5, 3.0);
 /// A call is stalled when it was not answered for so many latencies ...
 const STALL_LATENCIES: f64 = 3.0;
 /// ... and at least for this part of the shortest aim: short pauses of a partner pass unnoticed.
@@ -103,8 +94,6 @@
 const TOKEN_GAPS: (f64, f64) = (0.001, 3600.0);
 /// ... and at most so many in a slow start, whose pace grows meanwhile.
 const RAMP_GAP: f64 = 10.0;
-/// Weight of what waiting for one more aim would lose, against the worth itself.
-const WAITING_LOSS: f64 = 2.0;
 /// An unsafe message waits where this share more than usual of the calls of late may have run without being
 /// served: so often would its one try be lost, while those that can be repeated show when that is over.
 const UNSAFE_LOSS: f64 = 0.15;
@@ -144,15 +133,12 @@
     quotas: TenantQuotas,
     open: usize,
     deadlines: BTreeSet<(Time, MessageId)>,
-    keys: BTreeMap<OrderingKey, Vec<MessageId>>,
-    rests: BTreeMap<OrderingKey, Time>,
+    ordering: OrderingKeys,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
     /// Latency over all destinations: what one that was never called is assumed to need.
     usual: Latency,
     connection_reuse: ConnectionReuse,
-    /// After a restart no order key is used before this: any of them may have had a call out.
-    keys_rest: Time,
     watch_backoff: WatchBackoff,
     /// When this courier ends, if that is known.
     closing: Option<Time>,
@@ -176,8 +162,7 @@
 impl Scheduler {
     /// A courier that knows only its settings; `seed` is its one source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let first = shortest_objective_secs(&settings) * FIRST_LATENCY_OF_AIM;
-        let usual = Latency { mean: first, deviation: first, samples: 0 };
+        let usual = Latency::initial(&settings);
         Scheduler { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Scheduler::default() }
     }
 
@@ -199,7 +184,7 @@
             Event::CircuitRestored(outage) => self.on_recalled(now, outage),
             Event::OutcomeAcknowledged(id) => {
                 if let Some(message) = self.messages.get_mut(&id) {
-                    message.unheard = false;
+                    message.awaits_acknowledgement = false;
                 }
                 self.forget_if_over(id);
             }
@@ -218,17 +203,13 @@
     /// When a client does well to come again with a message for this destination: what waits there has to go
     /// out first, and a told wait to pass.
     pub fn suggested_retry_after(&mut self, now: Time, to: DestinationId) -> Duration {
-        let latency_objective = Duration::from_secs_f64(shortest_objective_secs(&self.settings));
+        let objective = Duration::from_secs_f64(shortest_objective_secs(&self.settings));
         let waiting = self.queues.get(&to).map_or(0, Queue::len) as f64;
         let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
         let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
         let wait = routes.iter().map(|id| self.routes[id].told_wait - now).min().unwrap_or_default();
-        let backlog =
-            Duration::from_secs_f64((waiting / pace.max(0.001)).min(latency_objective.as_secs_f64()));
-        wait.max(backlog).clamp(
-            latency_objective.mul_f64(BACKOFF_BASE_OF_AIM),
-            latency_objective.mul_f64(BACKOFF_CAP_OF_AIM),
-        )
+        let backlog = Duration::from_secs_f64((waiting / pace.max(0.001)).min(objective.as_secs_f64()));
+        wait.max(backlog).clamp(retry::base_backoff(objective), retry::max_backoff(objective))
     }
 
     /// After how long to watch the list for the first time: couriers that start together spread.
@@ -324,59 +305,43 @@
 
     fn on_accept(&mut self, now: Time, taken: AcceptedMessage) {
         let over_quota = self.quotas.charge(&self.settings, now, taken.tenant);
-        let Some(mut message) = self.new_message(now, taken, over_quota) else { return };
+        let Some(mut message) = Message::new(&self.settings, now, taken, over_quota) else { return };
         self.last_seq += 1;
         message.seq = self.last_seq;
-        let taken = &message.taken;
-        if let (true, Some(key)) = (self.class(&message).ordered, taken.key) {
-            self.keys.entry(key).or_default().push(taken.id);
+        let taken = &message.accepted;
+        if let Some(key) = message.ordering_key(&self.settings) {
+            self.ordering.push(key, taken.id);
         }
         self.deadlines.insert((taken.deadline, taken.id));
         let standing = self.standing(&message);
         self.queues.entry(taken.destination).or_default().push(message.seq, taken.id, standing);
         self.open += 1;
-        self.touch(message.taken.destination);
-        self.note_demand(now, message.taken.destination);
-        self.messages.insert(message.taken.id, message);
-    }
-
-    fn new_message(&self, now: Time, taken: AcceptedMessage, over_quota: bool) -> Option<Message> {
-        let class = self.settings.classes.get(usize::from(taken.class.0))?;
-        let born = taken.deadline - class.deadline;
-        // A keyed message of a courier that died may have run there at any time since it was handed in.
-        let may_have_run = taken.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
-        Some(Message {
-            born,
-            over_quota,
-            seq: 0,
-            attempts: 0,
-            out: None,
-            first_uncertain_attempt: may_have_run.then_some((born, None)),
-            not_before: now,
-            closed: false,
-            unheard: false,
-            taken,
-        })
+        self.touch(message.accepted.destination);
+        self.note_demand(now, message.accepted.destination);
+        self.messages.insert(message.accepted.id, message);
     }
 
     /// Takes a message up again after a restart. Calls that were out then broke with the old process at the
     /// latest, so that keys rest from now on.
     fn on_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
-        self.keys_rest = now + self.settings.limits.ordering_key_hold;
+        self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
         self.agenda.all = true;
         self.on_accept(now, restored.message);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
-        if let Some(SentAttempt { sent_at: sent, zone }) = restored.first_uncertain_attempt {
-            message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent, Some(zone))));
+        if let Some(SentAttempt { sent_at, zone }) = restored.first_uncertain_attempt {
+            let restored = UncertainAttempt { sent_at, zone: Some(zone) };
+            message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some(restored));
         }
         let answered = restored.outcome_recorded;
-        message.unheard |= answered;
+        message.awaits_acknowledgement |= answered;
         self.restand(id);
         if answered {
             self.close(id);
-        } else if let Some(end) = self.messages.get(&id).and_then(|m| self.last_send(m)) {
+        } else if let Some(end) =
+            self.messages.get(&id).and_then(|m| idempotency::last_send_at(&self.settings, m))
+        {
             self.deadlines.insert((end.max(now), id));
         }
     }
@@ -414,12 +379,12 @@
             self.on_told_wait(now, finished.endpoint, wait);
         }
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
-        let Some(call_id) = message.out.take() else { return };
-        let to = message.taken.destination;
+        let Some(call_id) = message.call.take() else { return };
+        let to = message.accepted.destination;
         self.touch(to);
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        let class = &self.settings.classes[usize::from(message.taken.class.0)];
+        let class = message.class(&self.settings);
         let was_not_processed = finished.outcome.was_not_processed();
         if finished.outcome == AttemptOutcome::LocalFailure {
             message.attempts = message.attempts.saturating_sub(1);
@@ -428,17 +393,16 @@
             message.attempts = self.settings.max_attempts;
         }
         if !was_not_processed && message.first_uncertain_attempt.is_none() {
-            message.first_uncertain_attempt = Some((call.sent, Some(call.zone)));
+            message.first_uncertain_attempt =
+                Some(UncertainAttempt { sent_at: call.sent, zone: Some(call.zone) });
         }
-        let gap = backoff::exponential(class.latency_objective, BACKOFF_BASE_OF_AIM, message.attempts)
-            .min(class.latency_objective.mul_f64(BACKOFF_CAP_OF_AIM));
-        message.not_before = now + gap.mul_f64(self.rng.f64());
+        message.not_before =
+            now + retry::backoff_delay(class.latency_objective, message.attempts, self.rng.f64());
         // A call that may still be running lets its key rest before the next message of the key.
         let unsettled = !was_not_processed
             && !matches!(finished.outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
-        if let (true, true, Some(key)) = (unsettled, class.ordered, message.taken.key) {
-            self.rests.retain(|_, until| *until > now);
-            self.rests.insert(key, now + self.settings.limits.ordering_key_hold);
+        if let Some(key) = message.ordering_key(&self.settings).filter(|_| unsettled) {
+            self.ordering.hold(now, key, now + self.settings.limits.ordering_key_hold);
         }
         // Only a call's last outcome counts for the route: its messages share one fate.
         call.unanswered -= 1;
@@ -450,7 +414,9 @@
         self.restand(finished.message);
         if finished.complete {
             self.close(finished.message);
-        } else if let Some(end) = self.messages.get(&finished.message).and_then(|m| self.last_send(m)) {
+        } else if let Some(end) =
+            self.messages.get(&finished.message).and_then(|m| idempotency::last_send_at(&self.settings, m))
+        {
             // What can never be sent again is answered at once: it would only fill what may be held and keep
             // its order key from the messages behind it.
             self.deadlines.insert((end.max(now), finished.message));
@@ -458,17 +424,6 @@
         self.forget_if_over(finished.message);
     }
 
-    /// Until when a message may be sent again, if that ends before its deadline.
-    fn last_send(&self, message: &Message) -> Option<Time> {
-        let class = self.class(message);
-        match (message.first_uncertain_attempt, class.idempotency) {
-            _ if message.attempts >= self.settings.max_attempts => Some(Time::ZERO),
-            (Some(_), Idempotency::NonIdempotent) => Some(Time::ZERO),
-            (Some((first, _)), Idempotency::IdempotentWithKey) => Some(window_end(class, first)),
-            _ => None,
-        }
-    }
-
     /// Frees the slot of a call and lets address, connections and route learn from its outcome.
     fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
@@ -546,10 +501,7 @@
             finished.outcome,
             AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled
         ) {
-            if route.latency.samples == 0 {
-                route.latency = Latency { samples: 0, ..self.usual };
-            }
-            route.latency.learn(finished.latency, LATENCY_GAIN);
+            route.latency.record_starting_from(&self.usual, finished.latency);
         }
         // With a success since it was sent, a lost call says nothing of the route. Nor do errors and resets
         // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
@@ -568,7 +520,7 @@
         }
         match finished.outcome {
             AttemptOutcome::Delivered => {
-                self.usual.learn(finished.latency, LATENCY_GAIN);
+                self.usual.record(finished.latency);
                 let served = route.served.rate(now, warm_up_secs(settings), 0.0);
                 let sick = route.spell.is_some() || route.returned.is_some();
                 route.share = if sick { served.max(route.share) } else { served };
@@ -664,7 +616,7 @@
     }
 
     fn stall_patience(&self, id: RouteId) -> Duration {
-        let usual = self.routes.get(&id).map_or(0.0, |route| route.latency.times(STALL_LATENCIES));
+        let usual = self.routes.get(&id).map_or(0.0, |route| route.latency.multiple_secs(STALL_LATENCIES));
         Duration::from_secs_f64(usual.max(shortest_objective_secs(&self.settings) * STALL_AIM))
     }
 
@@ -802,7 +754,9 @@
                     at + Duration::from_secs_f64((queue / pace.max(0.001)).min(warm_up_secs(&self.settings)));
                 let m = self.messages.get(&message);
                 if m.is_some_and(|m| {
-                    served < m.born + self.class(m).latency_objective.mul_f64(FEE_PATIENCE_OF_AIM)
+                    served
+                        < m.enqueued_at
+                            + m.class(&self.settings).latency_objective.mul_f64(FEE_PATIENCE_OF_AIM)
                 }) {
                     // Which message is best, and so how long it may wait, goes by the moment.
                     (look.always, look.wake) = (true, look.wake.into_iter().chain([at]).min());
@@ -810,7 +764,7 @@
                 }
             }
             let Some(endpoint) = self.address_for(now, route, message) else { continue };
-            let takes = self.routes[&route].latency.mean.max(0.001);
+            let takes = self.routes[&route].latency.mean_secs().max(0.001);
             return Some((route, endpoint, message, worth / takes));
         }
         None
@@ -831,7 +785,7 @@
         let loses = self.routes.get_mut(&route).is_some_and(|r| r.share_lost(now, &self.settings) > bearable);
         let mut best: Option<(bool, f64, MessageId)> = None;
         let some = self.best_of_many(now, route.0, loses);
-        let going = |m: &&Message| zones.iter().any(|zone| self.may_go(m, *zone));
+        let going = |m: &&Message| zones.iter().any(|zone| idempotency::may_go_to(&self.settings, m, *zone));
         let all = if some.is_some() { None } else { self.queues.get(&route.0) };
         let looked_at = some.into_iter().flatten().chain(all.into_iter().flat_map(Queue::ids));
         for message in looked_at.filter_map(|m| self.messages.get(&m)).filter(going) {
@@ -839,83 +793,39 @@
             if at.is_none_or(|at| at > now) {
                 earliest(&mut look.wake, at);
                 // When its window ends first, nothing is to be done at that time any more.
-                let over = self.last_send(message).map(|end| end + Duration::from_nanos(1));
+                let over = idempotency::last_send_at(&self.settings, message)
+                    .map(|end| end + Duration::from_nanos(1));
                 earliest(&mut look.change, over.filter(|_| at.is_some()));
                 continue;
             }
-            let last_try =
-                message.taken.deadline - self.class(message).latency_objective.mul_f64(UNSAFE_LAST_AIM);
-            if loses && !self.repeatable(message) && now < last_try {
+            let last_try = message.accepted.deadline
+                - message.class(&self.settings).latency_objective.mul_f64(UNSAFE_LAST_AIM);
+            if loses && !idempotency::is_resendable(message.class(&self.settings)) && now < last_try {
                 let fading =
                     now + self.settings.limits.overload_window.mul_f64(UNSAFE_LOSS_FALLS * UNSAFE_LOSS);
                 (look.always, look.wake) = (true, look.wake.into_iter().chain([fading.min(last_try)]).min());
                 continue;
             }
-            let fit = !trial || self.repeatable(message);
-            let worth = self.current_value(now, message);
+            let fit = !trial || idempotency::is_resendable(message.class(&self.settings));
+            let worth = message_value::current(&self.settings, now, message);
             if best.is_none_or(|(best_fit, most, _)| (fit, worth) > (best_fit, most)) {
-                best = Some((fit, worth, message.taken.id));
+                best = Some((fit, worth, message.accepted.id));
             }
         }
         best.map(|(_, worth, id)| (id, worth))
     }
 
-    fn class(&self, message: &Message) -> &Class {
-        &self.settings.classes[usize::from(message.taken.class.0)]
-    }
-
-    fn repeatable(&self, message: &Message) -> bool {
-        self.class(message).idempotency != Idempotency::NonIdempotent
-    }
-
     /// The one gate for every send: when this message may be sent; none if not before some event, or never.
     fn sendable_at(&self, now: Time, message: &Message) -> Option<Time> {
-        if message.closed || message.out.is_some() || self.last_send(message).is_some_and(|end| now > end) {
+        if message.completed
+            || message.call.is_some()
+            || idempotency::last_send_at(&self.settings, message).is_some_and(|end| now > end)
+        {
             return None;
         }
-        let class = self.class(message);
-        let mut at = message.not_before;
-        if let (true, Some(key)) = (class.ordered, message.taken.key) {
-            if self.keys.get(&key).and_then(|turn| turn.first()) != Some(&message.taken.id) {
-                return None;
-            }
-            at = at.max(self.keys_rest);
-            // The rest after an unsettled attempt binds the next messages of the key, not the same one.
-            if message.attempts == 0 {
-                at = at.max(self.rests.get(&key).copied().unwrap_or(Time::ZERO));
-            }
-        }
-        Some(at)
-    }
-
-    /// Worth still to be won, and what of it waiting would lose: on time before late, what is about to be
-    /// late before what is fresh, and what is about to run out before what may wait.
-    fn current_value(&self, now: Time, message: &Message) -> f64 {
-        // A repeat that must go before its window ends has nothing left after that.
-        let last = self.last_send(message).map(|end| (end - message.born).as_secs_f64());
-        let class = self.class(message);
-        let value = |age: f64| match last {
-            Some(end) if age > end => 0.0,
-            _ => class.value(self.settings.decay, age).0,
-        };
-        let latency_objective = class.latency_objective.as_secs_f64();
-        let age = (now - message.born).as_secs_f64();
-        self.full_value(message)
-            * ((1.0 + WAITING_LOSS) * value(age) - WAITING_LOSS * value(age + latency_objective))
-    }
-
-    /// Worth of a message on time.
-    fn full_value(&self, message: &Message) -> f64 {
-        let share = if message.over_quota { self.settings.over_quota_value_ratio } else { 1.0 };
-        self.class(message).priority_weight * share
-    }
-
-    /// Whether a message may go to a location: a repeat stays inside its group.
-    fn may_go(&self, message: &Message, zone: ZoneId) -> bool {
-        let class = self.class(message);
-        let bound = class.idempotency == Idempotency::IdempotentWithKey
-            && class.deduplication_scope == DeduplicationScope::Zone;
-        message.first_uncertain_attempt.is_none_or(|(_, first)| !bound || first == Some(zone))
+        let Some(key) = message.ordering_key(&self.settings) else { return Some(message.not_before) };
+        let turn = self.ordering.earliest_send(key, message.accepted.id, message.attempts > 0)?;
+        Some(message.not_before.max(turn))
     }
 
     /// The address of a route with the fewest calls out, sick ones last; inside the group of a repeat. Ties
@@ -925,7 +835,7 @@
         let endpoints = self.routes.get(&id)?.endpoints.iter();
         endpoints
             .filter_map(|endpoint| self.addresses.get(endpoint))
-            .filter(|a| self.is_open(a) && self.may_go(message, a.entry.zone))
+            .filter(|a| self.is_open(a) && idempotency::may_go_to(&self.settings, message, a.entry.zone))
             .min_by_key(|a| (a.avoid_until > now, a.calls_out, a.failures, a.preference))
             .map(|a| a.entry.id)
     }
@@ -953,13 +863,13 @@
         let mut carried = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
-            let attempt_timeout = self.time_out(now, id, message);
-            let last = self.messages.get(&message).and_then(|m| self.last_send(m));
+            let attempt_timeout = self.attempt_timeout(now, id, message);
+            let last = self.messages.get(&message).and_then(|m| idempotency::last_send_at(&self.settings, m));
             if let Some(m) = self.messages.get_mut(&message) {
                 // What shares its call may wait longer for the connection than this one has time.
-                let send_within = last.map_or(m.taken.deadline, |end| end.min(m.taken.deadline)) - now;
+                let send_within = last.map_or(m.accepted.deadline, |end| end.min(m.accepted.deadline)) - now;
                 m.attempts += 1;
-                m.out = Some(self.last_call);
+                m.call = Some(self.last_call);
                 self.actions.push(Action::StartAttempt {
                     message,
                     endpoint: to,
@@ -987,7 +897,8 @@
         let address = self.addresses.get(&to)?;
         let idle = now - address.used.filter(|used| now - *used < self.settings.connection_idle_timeout)?;
         let no_other_call = address.calls_out == 0;
-        let resendable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
+        let resendable =
+            self.messages.get(&first).is_some_and(|m| idempotency::is_resendable(m.class(&self.settings)));
         let next_call = NextCall { idle, no_other_call, resendable };
         match self.connection_reuse.decide(now, &self.settings, &next_call) {
             IdleConnections::Reuse(idle) => idle,
@@ -998,24 +909,11 @@
         }
     }
 
-    /// Follows the destination's own latency. An attempt that could not be followed by another gets all the
-    /// time that the message has: its time-out would be final.
-    fn time_out(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
-        let Some(m) = self.messages.get(&message) else { return Duration::ZERO };
-        let class = self.class(m);
-        let left = m.taken.deadline - now;
-        let Some(route) = self.routes.get(&id) else { return left };
-        let usual = route.latency.times(TIMEOUT_LATENCIES);
-        let latency_objective = class.latency_objective.as_secs_f64();
-        let span = Duration::from_secs_f64(
-            usual.clamp(latency_objective * TIMEOUT_AIMS.0, latency_objective * TIMEOUT_AIMS.1),
-        );
-        let first = m.first_uncertain_attempt.map_or(now, |(first, _)| first);
-        let last = m.attempts + 1 >= self.settings.max_attempts
-            || class.idempotency == Idempotency::NonIdempotent
-            || (class.idempotency == Idempotency::IdempotentWithKey && now + span > window_end(class, first));
-        let span = if last { left } else { span };
-        span.min(left)
+    /// The time-out of the next attempt of a message by a route.
+    fn attempt_timeout(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
+        let Some(message) = self.messages.get(&message) else { return Duration::ZERO };
+        let Some(route) = self.routes.get(&id) else { return message.accepted.deadline - now };
+        retry::attempt_timeout(&self.settings, now, message, &route.latency)
     }
 
     /// All slots taken while messages wait: the oldest call that hangs is called off, an unsafe one later.
@@ -1025,7 +923,7 @@
         }
         let hanging = |call: &&Call| {
             let mut carried = call.carried.iter().filter_map(|m| self.messages.get(m));
-            let safe = carried.all(|m| self.repeatable(m));
+            let safe = carried.all(|m| idempotency::is_resendable(m.class(&self.settings)));
             let patience = self.stall_patience(call.route) * if safe { 1 } else { UNSAFE_PATIENCE };
             now - call.sent > patience
         };
@@ -1036,7 +934,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.called_off = true;
         for message in &call.carried {
-            if let Some(m) = self.messages.get(message).filter(|m| m.out == Some(id)) {
+            if let Some(m) = self.messages.get(message).filter(|m| m.call == Some(id)) {
                 self.actions
                     .push(Action::CancelAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
             }
@@ -1128,8 +1026,3 @@
         spell.next_trial = now.max(self.told_wait) + gap.max(own).mul_f64(jitter);
     }
 }
-
-/// Until when a keyed message may be resent that may first have run in an attempt sent then.
-fn window_end(class: &Class, first: Time) -> Time {
-    first + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN)
-}
--- /dev/null
+++ b/src/scheduler/state/latency.rs
@@ -0,0 +1,54 @@
+//! Running estimate of latencies.
+
+use crate::model::Settings;
+use crate::scheduler::derived_settings::shortest_objective_secs;
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// Latency assumed before the first sample, as a ratio of the shortest latency objective.
+const INITIAL_OF_OBJECTIVE: f64 = 0.1;
+/// Least weight of the newest sample; the first few weigh more.
+const MIN_GAIN: f64 = 0.15;
+
+/// Running mean and mean deviation of latencies.
+#[derive(Clone, Copy, Default, Serialize, Deserialize)]
+pub struct Latency {
+    mean_secs: f64,
+    deviation_secs: f64,
+    samples: u32,
+}
+
+impl Latency {
+    /// What is assumed before the first sample.
+    pub fn initial(settings: &Settings) -> Latency {
+        let initial_secs = shortest_objective_secs(settings) * INITIAL_OF_OBJECTIVE;
+        Latency { mean_secs: initial_secs, deviation_secs: initial_secs, samples: 0 }
+    }
+
+    /// Adds a sample.
+    pub fn record(&mut self, sample: Duration) {
+        let sample_secs = sample.as_secs_f64();
+        let gain = MIN_GAIN.max(1.0 / f64::from(self.samples + 2));
+        self.deviation_secs += gain * ((sample_secs - self.mean_secs).abs() - self.deviation_secs);
+        self.mean_secs += gain * (sample_secs - self.mean_secs);
+        self.samples += 1;
+    }
+
+    /// Adds a sample; the first one starts from another estimate, with the weight of a first one.
+    pub fn record_starting_from(&mut self, estimate: &Latency, sample: Duration) {
+        if self.samples == 0 {
+            *self = Latency { samples: 0, ..*estimate };
+        }
+        self.record(sample);
+    }
+
+    /// The mean, in seconds.
+    pub fn mean_secs(&self) -> f64 {
+        self.mean_secs
+    }
+
+    /// A multiple of mean plus deviation, in seconds.
+    pub fn multiple_secs(&self, multiple: f64) -> f64 {
+        (self.mean_secs + self.deviation_secs) * multiple
+    }
+}
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -1,33 +1,18 @@
 //! What a courier keeps in mind: types and sums only. Every decision and tuned value is in `choice.rs`.
 
+pub mod latency;
+pub mod message;
 pub mod queue;
 pub mod ready_index;
+pub mod value_decay;
 
 use crate::model::*;
-use queue::Seq;
+pub use latency::Latency;
+pub use message::{Message, UncertainAttempt};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::time::Duration;
-
-/// A message between its hand-in and its end (and the end of its last attempt).
-#[derive(Serialize, Deserialize)]
-pub struct Message {
-    pub taken: AcceptedMessage,
-    /// Its place in the queue of its destination.
-    pub seq: Seq,
-    pub born: Time,
-    pub attempts: u32,
-    /// The call that carries it now.
-    pub out: Option<u64>,
-    /// When the first attempt that may have run was sent, and where: it fixes window and group.
-    pub first_uncertain_attempt: Option<(Time, Option<ZoneId>)>,
-    pub not_before: Time,
-    pub closed: bool,
-    /// A final answer is under way; until it is heard the message keeps its key.
-    pub unheard: bool,
-    /// Beyond its tenant's share, and so worth little.
-    pub over_quota: bool,
-}
+pub use value_decay::{RemainingValue, VALUE_STAGES};
 
 /// A call out: one slot, one fate, however many messages it carries.
 #[derive(Serialize, Deserialize)]
@@ -66,28 +51,6 @@
     pub used: Option<Time>,
 }
 
-/// Running mean and mean deviation of latencies, in seconds.
-#[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Latency {
-    pub mean: f64,
-    pub deviation: f64,
-    pub samples: u32,
-}
-
-impl Latency {
-    pub fn learn(&mut self, sample: Duration, least_gain: f64) {
-        let (sample, gain) = (sample.as_secs_f64(), least_gain.max(1.0 / f64::from(self.samples + 2)));
-        self.deviation += gain * ((sample - self.mean).abs() - self.deviation);
-        self.mean += gain * (sample - self.mean);
-        self.samples += 1;
-    }
-
-    /// So many times the mean and the deviation together.
-    pub fn times(&self, multiple: f64) -> f64 {
-        (self.mean + self.deviation) * multiple
-    }
-}
-
 /// A count of events that fades with time.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Decaying {
@@ -154,29 +117,6 @@
     pub out: BTreeSet<u64>,
 }
 
-impl Class {
-    /// What is left of the worth of a message at some age, in seconds, as a share; and the stage that it is in, which
-    /// grows with age: inside one, the share only falls or stays.
-    pub(crate) fn value(&self, decay: Decay, age: f64) -> (f64, usize) {
-        let (latency_objective, span) = (self.latency_objective.as_secs_f64(), self.deadline.as_secs_f64());
-        if age > span {
-            return (0.0, VALUE_STAGES - 1);
-        }
-        let late = (age - latency_objective).max(0.0);
-        let (value, least) = match decay {
-            Decay::Linear => (
-                1.0 - (1.0 - self.late_value_ratio) * late / (span - latency_objective).max(0.001),
-                f64::NEG_INFINITY,
-            ),
-            Decay::Halving => ((-late / latency_objective.max(0.001)).exp2(), self.late_value_ratio),
-        };
-        (value.max(least), usize::from(late > 0.0) + usize::from(value <= least))
-    }
-}
-
-/// On time, late, at its least, over.
-pub const VALUE_STAGES: usize = 4;
-
 impl Route {
     /// Puts in the tokens that have come since it was filled last.
     pub fn fill(&mut self, now: Time, rate: f64, burst: f64) {
@@ -191,13 +131,3 @@
         }
     }
 }
-
-/// Takes a message out of one of several lists, and the list if it is empty then.
-pub fn remove_from<K: Ord>(lists: &mut BTreeMap<K, Vec<MessageId>>, of: K, message: MessageId) {
-    if let Some(list) = lists.get_mut(&of) {
-        list.retain(|m| *m != message);
-        if list.is_empty() {
-            lists.remove(&of);
-        }
-    }
-}
--- /dev/null
+++ b/src/scheduler/state/value_decay.rs
@@ -0,0 +1,39 @@
+//! How the value of a message falls with its age.
+
+use crate::model::{Class, Decay};
+
+/// Stages of the value of a message: on time, late, at its least, past its deadline.
+pub const VALUE_STAGES: usize = 4;
+
+/// What is left of the value of a message at some age.
+#[derive(Clone, Copy)]
+pub struct RemainingValue {
+    /// As a ratio of its full value.
+    pub ratio: f64,
+    /// Grows with age, below [`VALUE_STAGES`]. Inside one stage the ratio only falls or stays.
+    pub stage: usize,
+}
+
+impl RemainingValue {
+    /// Of a message of some class, at an age in seconds.
+    pub fn at_age(class: &Class, decay: Decay, age_secs: f64) -> RemainingValue {
+        let objective_secs = class.latency_objective.as_secs_f64();
+        let deadline_secs = class.deadline.as_secs_f64();
+        if age_secs > deadline_secs {
+            return RemainingValue { ratio: 0.0, stage: VALUE_STAGES - 1 };
+        }
+        let late_secs = (age_secs - objective_secs).max(0.0);
+        let (ratio, least) = match decay {
+            Decay::Linear => (
+                1.0 - (1.0 - class.late_value_ratio) * late_secs
+                    / (deadline_secs - objective_secs).max(0.001),
+                f64::NEG_INFINITY,
+            ),
+            Decay::Halving => ((-late_secs / objective_secs.max(0.001)).exp2(), class.late_value_ratio),
+        };
+        RemainingValue {
+            ratio: ratio.max(least),
+            stage: usize::from(late_secs > 0.0) + usize::from(ratio <= least),
+        }
+    }
+}
