--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -52,28 +52,9 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Probe an endpoint. It counts as a call there.
-    Probe {
-        /// Which endpoint.
-        endpoint: EndpointId,
-    },
-    /// Send a note of at most 256 bytes to one courier, or to all.
-    SendNote {
-        /// A courier's number; all of them where absent.
-        to: Option<u16>,
-        /// What it says.
-        text: Vec<u8>,
-    },
-    /// A line for the operators.
-    Log {
-        /// What it says.
-        text: String,
-    },
     /// Begin, or end, a watch on the endpoint list.
     WatchEndpoints {
         /// Whether it begins.
         active: bool,
     },
-    /// Read the whole endpoint list once.
-    FetchEndpoints,
 }
