--- /dev/null
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -0,0 +1,43 @@
+//! The fingerprint of what handed-over state looks like and means. A handover snapshot is passed on only between
+//! processes of the same fingerprint; all others continue from the journal.
+
+use delivery_gateway::Parsed;
+
+/// A source file: its path from the package's root, and its text.
+pub struct SourceFile {
+    pub path: &'static str,
+    pub text: &'static str,
+}
+
+macro_rules! source_files {
+    ($($path:literal,)*) => {
+        &[$(SourceFile { path: $path, text: include_str!(concat!("../../../../", $path)) },)*]
+    };
+}
+
+/// The files whose text says what a handover snapshot looks like and means.
+pub const STATE_SOURCES: &[SourceFile] = source_files![
+    "src/bin/delivery-gateway/clock.rs",
+    "src/model/mod.rs",
+    "src/scheduler/mod.rs",
+    "src/scheduler/state/mod.rs",
+    "src/scheduler/state/queue.rs",
+];
+
+/// The fingerprint of this build under these settings: both processes must mean the same by each number of a class, a
+/// tenant, a destination kind and a zone.
+pub fn state_fingerprint(parsed: &Parsed) -> u32 {
+    fingerprint(STATE_SOURCES, parsed)
+}
+
+/// The fingerprint of a build whose state is defined by these files.
+pub fn fingerprint(sources: &[SourceFile], parsed: &Parsed) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    for source in sources {
+        hasher.update(source.path.as_bytes());
+        hasher.update(source.text.as_bytes());
+    }
+    let names = (&parsed.class_names, &parsed.tenant_names, &parsed.kind_names, &parsed.zone_names);
+    hasher.update(format!("{names:?}").as_bytes());
+    hasher.finalize()
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -0,0 +1,217 @@
+//! The successor's side: a new process becomes the owner of the state folder, and follows the predecessor until that
+//! has ended.
+
+use bytes::Bytes;
+use delivery_gateway::socket::is_momentary;
+use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
+use std::collections::HashMap;
+use std::fs::{File, TryLockError};
+use std::os::fd::OwnedFd;
+use std::path::Path;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream, UnixStream};
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::oneshot;
+use tokio::time::{sleep, timeout};
+use tracing::{info, warn};
+
+use super::codec::{split, FrameReader, FrameSender, FrameWriter, Received};
+use super::error::HandoverError;
+use super::messages::{BeginState, ToPredecessor, ToSuccessor, FORMAT};
+use super::timing::{ANSWER_TIMEOUT, CALL_DRAIN_TIMEOUT, CLOSE_GRACE, RETRY_DELAY};
+use crate::event_loop::{CarriedOverConstraints, HandoverSnapshot};
+use crate::events::{AdminOperation, AttemptResult, CallResult, GatewayEvent, StopReason};
+use crate::resp2::{ClientServer, TransferredConnection};
+
+/// What the predecessor has handed over.
+pub struct HandedOver {
+    /// What to continue from, beside the journal.
+    pub state: HandedOverState,
+    /// The socket at which clients connect.
+    pub listener: TcpListener,
+    /// The file whose lock the owner holds; it is locked.
+    pub lock: File,
+    /// The process that may still have calls in flight.
+    pub predecessor: PredecessorConnection,
+}
+
+/// What the successor continues from, beside the journal.
+pub enum HandedOverState {
+    /// The predecessor's state: both processes have the same fingerprint.
+    Snapshot(Box<HandoverSnapshot>),
+    /// What binds a process of another fingerprint. The predecessor has no calls in flight.
+    Constraints(CarriedOverConstraints),
+}
+
+/// Becomes the owner of a state folder: at once if it has none, else as soon as the owner hands over or ends.
+/// `socket` is where the owner can be asked. None if the predecessor has ended and left nothing but the journal.
+///
+/// # Errors
+/// The lock cannot be asked for, or what was handed over cannot be used: the next try would fail as well. The owner
+/// sees this process end, and continues.
+pub async fn become_owner(
+    lock: &File,
+    socket: &Path,
+    fingerprint: u32,
+) -> Result<Option<HandedOver>, HandoverError> {
+    let mut has_logged = false;
+    loop {
+        match lock.try_lock() {
+            Ok(()) => return Ok(None),
+            Err(TryLockError::WouldBlock) => {}
+            Err(TryLockError::Error(error)) if is_momentary(&error) => {
+                sleep(RETRY_DELAY).await;
+                continue;
+            }
+            Err(TryLockError::Error(error)) => return Err(HandoverError::Lock(error)),
+        }
+        match ask(socket, fingerprint).await {
+            Ok(begun) => return begun.into_handed_over().map(Some),
+            Err(error) if !has_logged => {
+                info!(%error, "another process owns the state folder and does not hand it over yet");
+                has_logged = true;
+            }
+            Err(_) => {}
+        }
+        sleep(RETRY_DELAY).await;
+    }
+}
+
+/// The predecessor's yes.
+struct Begun {
+    state: BeginState,
+    descriptors: Vec<OwnedFd>,
+    reader: FrameReader,
+    writer: FrameWriter,
+}
+
+async fn ask(socket: &Path, fingerprint: u32) -> Result<Begun, HandoverError> {
+    let stream = UnixStream::connect(socket)
+        .await
+        .map_err(|source| HandoverError::Connect { path: socket.to_owned(), source })?;
+    let (mut reader, writer) = split(stream);
+    writer.sender().send(&ToPredecessor::Hello { format: FORMAT, fingerprint });
+    let answer = timeout(CALL_DRAIN_TIMEOUT + ANSWER_TIMEOUT, reader.next()).await;
+    match answer.map_err(|_| HandoverError::NoAnswer)? {
+        Some(Received { message: ToSuccessor::Begin(state), descriptors }) => {
+            Ok(Begun { state, descriptors, reader, writer })
+        }
+        Some(_) => Err(HandoverError::Refused),
+        None => Err(HandoverError::ConnectionClosed),
+    }
+}
+
+impl Begun {
+    fn into_handed_over(self) -> Result<HandedOver, HandoverError> {
+        let mut descriptors = self.descriptors.into_iter();
+        let (Some(listener), Some(lock)) = (descriptors.next(), descriptors.next()) else {
+            return Err(HandoverError::MissingDescriptors);
+        };
+        let state = match self.state {
+            BeginState::Snapshot(bytes) => HandedOverState::Snapshot(Box::new(postcard::from_bytes(&bytes)?)),
+            BeginState::Constraints(constraints) => HandedOverState::Constraints(constraints),
+        };
+        let mut in_flight = HashMap::new();
+        if let HandedOverState::Snapshot(snapshot) = &state {
+            for (endpoint, messages) in snapshot.away() {
+                in_flight.extend(messages.into_iter().map(|message| (message, endpoint)));
+            }
+        }
+        let listener = TcpListener::from_std(listener.into()).map_err(HandoverError::Listener)?;
+        let predecessor = PredecessorConnection { reader: self.reader, writer: self.writer, in_flight };
+        Ok(HandedOver { state, listener, lock: lock.into(), predecessor })
+    }
+}
+
+/// The connection to the process that owned the folder before, as long as that has calls in flight.
+pub struct PredecessorConnection {
+    reader: FrameReader,
+    writer: FrameWriter,
+    /// The messages of its in-flight calls, and the endpoints that they went to.
+    in_flight: HashMap<MessageId, EndpointId>,
+}
+
+impl PredecessorConnection {
+    /// A function that cancels one of its calls, named by one of its messages.
+    pub fn call_canceller(&self) -> impl Fn(MessageId, StopReason) + Clone + 'static {
+        let sender = self.writer.sender();
+        move |message, reason| sender.send(&ToPredecessor::CancelCall { message, reason })
+    }
+
+    /// Takes over the predecessor's clients and the results of its calls until it has ended. Calls that are in flight
+    /// then count as reset: an endpoint may have processed them.
+    pub async fn follow(mut self, events: UnboundedSender<GatewayEvent>, clients: ClientServer) {
+        while let Some(Received { message, descriptors }) = self.reader.next().await {
+            match message {
+                ToSuccessor::ClientConnection { buffer, served, left } => {
+                    adopt_clients(&clients, descriptors, &buffer, served, left);
+                }
+                ToSuccessor::CallEnded { endpoint, messages, result } => {
+                    self.in_flight.retain(|message, _| !messages.contains(message));
+                    let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
+                }
+                ToSuccessor::AcceptanceNotReceived(message) => {
+                    let _ = events.send(GatewayEvent::AcceptanceNotReceived(message));
+                }
+                ToSuccessor::AdminRequest { request, operation } => {
+                    answer_admin_request(&events, self.writer.sender(), request, operation);
+                }
+                ToSuccessor::Refused | ToSuccessor::Begin(_) => {}
+            }
+        }
+        sleep(CLOSE_GRACE).await;
+        info!(broken_calls = self.in_flight.len(), "the previous process has ended");
+        for (message, endpoint) in self.in_flight {
+            let _ = events.send(broken_call(message, endpoint));
+        }
+    }
+}
+
+fn adopt_clients(
+    clients: &ClientServer,
+    descriptors: Vec<OwnedFd>,
+    buffer: &Bytes,
+    served: bool,
+    left: Duration,
+) {
+    for descriptor in descriptors {
+        match TcpStream::from_std(descriptor.into()) {
+            Ok(stream) => clients.adopt(TransferredConnection {
+                stream,
+                buffer: buffer.clone(),
+                served,
+                left,
+                waited: Duration::ZERO,
+            }),
+            Err(error) => warn!(%error, "cannot adopt a client connection of the previous process: closed"),
+        }
+    }
+}
+
+/// Passes a request on to the event loop, and its result back when there is one.
+fn answer_admin_request(
+    events: &UnboundedSender<GatewayEvent>,
+    predecessor: FrameSender,
+    request: u64,
+    operation: AdminOperation,
+) {
+    let (reply, result) = oneshot::channel();
+    let _ = events.send(GatewayEvent::Admin(operation, reply));
+    tokio::task::spawn_local(async move {
+        if let Ok(result) = result.await {
+            predecessor.send(&ToPredecessor::AdminResult { request, result });
+        }
+    });
+}
+
+/// A call that ended with the process that had made it.
+fn broken_call(message: MessageId, endpoint: EndpointId) -> GatewayEvent {
+    let attempt = AttemptResult {
+        outcome: AttemptOutcome::Reset,
+        latency: Duration::ZERO,
+        complete: false,
+        load_report: None,
+    };
+    let result = CallResult { attempts: vec![attempt], retry_after: None };
+    GatewayEvent::CallEnded { endpoint, messages: vec![message], result }
+}
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -40,7 +40,7 @@
 use crate::admin::AdminEndpoint;
 use crate::event_loop::{EventLoop, IDLE_OF_SLOTS};
 use crate::events::{Channels, GatewayEvent, ServicePhase};
-use crate::handover::{HandedOver, HandoverListener, HandoverResult};
+use crate::handover::{HandedOver, HandedOverState, HandoverError, HandoverListener, HandoverResult};
 use crate::journal::{Journal, JournalError};
 use crate::resp2::{ClientLimits, ClientServer};
 use crate::signals::{Handlers, Signals};
@@ -93,6 +93,8 @@
     Setting(#[from] SettingError),
     #[error(transparent)]
     Journal(#[from] JournalError),
+    #[error(transparent)]
+    Handover(#[from] HandoverError),
     #[error("the system: {0}")]
     System(std::io::Error),
     #[error("cannot listen at {0}: {1}")]
@@ -240,12 +242,12 @@
         .unwrap_or_else(|_| u64::from(crc32fast::hash(config.seed.as_bytes())));
 
     // No record is touched before the folder is this process's own.
-    let lock = persistently("opening the lock", || async { handover::lock_file(&state) }).await;
+    let lock = persistently("opening the lock", || async { handover::open_lock_file(&state) }).await;
     let mut lock = lock.map_err(StartError::System)?;
     let socket = handover::socket_path(&state);
-    let memory = handover::memory(&parsed);
+    let fingerprint = handover::state_fingerprint(&parsed);
     let begun = tokio::select! {
-        begun = handover::own(&lock, &socket, memory) => begun.map_err(StartError::System)?,
+        begun = handover::become_owner(&lock, &socket, fingerprint) => begun?,
         _ = terminate.recv() => return Ok(()),
     };
 
@@ -279,16 +281,18 @@
             driver.recover(&known);
             bind(&config.listen).await?.0
         }
-        Some(HandedOver { memory, listener, lock: held, old }) => {
+        Some(HandedOver { state, listener, lock: held, predecessor }) => {
             lock = held;
-            match memory {
-                Ok(baton) => driver.resume_from(baton, old.stop()),
-                Err(carried_over_constraints) => {
+            match state {
+                HandedOverState::Snapshot(snapshot) => {
+                    driver.resume_from(*snapshot, predecessor.call_canceller())
+                }
+                HandedOverState::Constraints(carried_over_constraints) => {
                     driver.recover(&known);
                     driver.apply_constraints(carried_over_constraints);
                 }
             }
-            tokio::task::spawn_local(old.follow(inputs.clone(), clients.clone()));
+            tokio::task::spawn_local(predecessor.follow(inputs.clone(), clients.clone()));
             listener
         }
     };
@@ -317,17 +321,17 @@
         let next = loop {
             let next = tokio::select! {
                 () = driver.run(&mut events) => return Ok(()),
-                next = offer.asked(memory) => next,
+                next = offer.next_successor(fingerprint) => next,
             };
             if *phase.borrow() != ServicePhase::ShuttingDown && driver.journal_is_flushed() {
                 break next;
             }
             next.refuse().await;
         };
-        if !next.shares_memory {
+        if !next.shares_state {
             info!("calls end before the hand-over: the other process cannot go on with them");
             driver.stop_starting_calls();
-            let end = Instant::now() + handover::FINISH;
+            let end = Instant::now() + handover::CALL_DRAIN_TIMEOUT;
             while driver.has_calls_in_flight() && Instant::now() < end {
                 tokio::select! {
                     () = driver.run(&mut events) => return Ok(()),
@@ -351,12 +355,12 @@
         };
         listener = returned.map_err(std::io::Error::other).map_err(StartError::System)?;
         driver.process_queued(&mut events);
-        if !next.shares_memory {
+        if !next.shares_state {
             driver.abort_calls(&mut events).await;
         }
         // What the journal does not hold yet would be lost to the other process.
         let given = if driver.journal_is_flushed() {
-            next.give(&mut driver, &mut events, &mut moved, &listener, &lock).await
+            next.hand_over(&mut driver, &mut events, &mut moved, &listener, &lock).await
         } else {
             next.refuse().await;
             HandoverResult::Refused
@@ -364,7 +368,7 @@
         match given {
             HandoverResult::Completed => return Ok(()),
             HandoverResult::Refused => driver.resume_phase(before),
-            HandoverResult::TakenBack(kept) => {
+            HandoverResult::Reverted(kept) => {
                 let untouched = driver.journal_is_untouched();
                 warn!(untouched, "the other process has gone before it was in service: this one goes on");
                 if untouched {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -275,7 +275,7 @@
     world.start().kill();
     world.refuse_unix_sockets();
     let courier = world.start();
-    courier.log_until("no hand-over is possible");
+    courier.log_until("no handover is possible");
     let mut client = courier.client();
     assert_eq!(client.enqueue("one", "9", "notice,k=a", 1, b"1"), "+OK");
     assert_eq!(world.call().id, "one");
@@ -288,7 +288,7 @@
     let stopped = world.start().kill();
     world.refuse_unix_sockets();
     let old = stopped.restart();
-    old.log_until("no hand-over is possible");
+    old.log_until("no handover is possible");
     world.permit_unix_sockets();
     let new = world.start_beside().listening();
     assert!(new.has_logged("the courier was handed over"));
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -51,7 +51,7 @@
         out.answer("200 OK", "");
         old.terminate();
         assert!(old.wait(Duration::from_secs(5)).success(), "{call:?}");
-        new.log_until("the process before has gone broken=0");
+        new.log_until("the previous process has ended broken_calls=0");
         assert!(!old.has_logged("the other process has gone"), "{call:?}");
         world.nothing();
     }
