--- a/src/bin/delivery-gateway/journal/error.rs
+++ b/src/bin/delivery-gateway/journal/error.rs
@@ -4,8 +4,6 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-use super::frame::MAX_PAYLOAD_BYTES;
-
 /// What was tried on one of the journal's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
@@ -50,8 +48,8 @@
     File { operation: FileOperation, path: PathBuf, source: io::Error },
     #[error("cannot encode a record: {0}; it is not written")]
     Encode(#[from] postcard::Error),
-    #[error("a record of {bytes} bytes is longer than {MAX_PAYLOAD_BYTES}; it is not written")]
-    RecordTooLong { bytes: usize },
+    #[error("a record of {bytes} bytes is longer than {limit}; it is not written")]
+    RecordTooLong { bytes: usize, limit: usize },
     #[error("live records would take {needed} of at most {limit} bytes; the message is not accepted")]
     LiveBytesExceeded { needed: u64, limit: u64 },
     #[error("the journal would take {needed} of at most {limit} bytes; the record is not written now")]
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -20,7 +20,7 @@
 pub fn encode_frame(record: &impl Serialize) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_stdvec(record)?;
     if payload.len() > MAX_PAYLOAD_BYTES {
-        return Err(JournalError::RecordTooLong { bytes: payload.len() });
+        return Err(JournalError::RecordTooLong { bytes: payload.len(), limit: MAX_PAYLOAD_BYTES });
     }
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend((payload.len() as u32).to_le_bytes());
