--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -1,7 +1,7 @@
 //! The fingerprint of what handed-over state looks like and means. A handover snapshot is passed on only between
 //! processes of the same fingerprint; all others continue from the journal.
 
-use delivery_gateway::Parsed;
+use delivery_gateway::ParsedSettings;
 
 /// A source file: its path from the package's root, and its text.
 pub struct SourceFile {
@@ -20,7 +20,7 @@
 /// where one is missing.
 pub const STATE_SOURCES: &[SourceFile] = source_files![
     "src/bin/delivery-gateway/clock.rs",
-    "src/bin/delivery-gateway/event_loop.rs",
+    "src/bin/delivery-gateway/event_loop/mod.rs",
     "src/bin/delivery-gateway/journal/clock_file.rs",
     "src/discovery/directory.rs",
     "src/model/action.rs",
@@ -35,23 +35,28 @@
     "src/model/settings.rs",
     "src/model/time.rs",
     "src/scheduler/admission.rs",
+    "src/scheduler/backoff.rs",
+    "src/scheduler/connection_reuse.rs",
+    "src/scheduler/derived_settings.rs",
     "src/scheduler/maintenance.rs",
     "src/scheduler/mod.rs",
     "src/scheduler/operators.rs",
+    "src/scheduler/quota.rs",
     "src/scheduler/reports.rs",
     "src/scheduler/state/mod.rs",
     "src/scheduler/state/queue.rs",
     "src/scheduler/state/ready_index.rs",
+    "src/scheduler/watch_backoff.rs",
 ];
 
 /// The fingerprint of this build under these settings: both processes must mean the same by each number of a class, a
 /// tenant, a destination kind and a zone.
-pub fn state_fingerprint(parsed: &Parsed) -> u32 {
+pub fn state_fingerprint(parsed: &ParsedSettings) -> u32 {
     fingerprint(STATE_SOURCES, parsed)
 }
 
 /// The fingerprint of a build whose state is defined by these files.
-pub fn fingerprint(sources: &[SourceFile], parsed: &Parsed) -> u32 {
+pub fn fingerprint(sources: &[SourceFile], parsed: &ParsedSettings) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for source in sources {
         hasher.update(source.path.as_bytes());
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -17,7 +17,7 @@
 
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointWatch};
 use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
-use delivery_gateway::{settings_from_json, Parsed, SettingError, Settings};
+use delivery_gateway::{settings_from_json, ParsedSettings, SettingError, Settings};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::ffi::OsString;
@@ -191,7 +191,7 @@
 
 /// What a driver is made of that the journal and the list do not tell.
 struct Plan {
-    parsed: Parsed,
+    parsed: ParsedSettings,
     seed: u64,
     endpoint_sockets: usize,
     disk: u64,
@@ -262,7 +262,7 @@
         endpoint_sockets: sockets.endpoints,
         disk: (config.limits.disk_mb * 1e6) as u64,
         state,
-        ends: Channels { inputs: inputs.clone(), notifications, watch, phase: phase.clone() },
+        ends: Channels { events: inputs.clone(), notifications, watch, phase: phase.clone() },
     };
     let mut driver = plan.driver().await?;
     let limits = ClientLimits {
--- a/tests/handover_fingerprint.rs
+++ b/tests/handover_fingerprint.rs
@@ -3,7 +3,7 @@
 #[path = "../src/bin/delivery-gateway/handover/fingerprint.rs"]
 mod fingerprint;
 
-use delivery_gateway::{settings_from_json, Parsed};
+use delivery_gateway::{settings_from_json, ParsedSettings};
 use fingerprint::{fingerprint, state_fingerprint, SourceFile, STATE_SOURCES};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -142,7 +142,7 @@
     SourceFile { path: source.path, text: source.text }
 }
 
-fn parsed() -> Parsed {
+fn parsed() -> ParsedSettings {
     settings_from_json(&json!({
         "Lanes": [{"Aim": 3_000_000_000_u64, "Name": "pay-notice"}],
         "MachineTypes": ["banks", "employer-systems"],
@@ -207,7 +207,7 @@
 fn a_change_of_any_name_in_the_settings_changes_the_fingerprint() {
     let parsed = parsed();
     let before = state_fingerprint(&parsed);
-    let names: [fn(&mut Parsed) -> &mut Vec<String>; 4] = [
+    let names: [fn(&mut ParsedSettings) -> &mut Vec<String>; 4] = [
         |parsed| &mut parsed.class_names,
         |parsed| &mut parsed.tenant_names,
         |parsed| &mut parsed.kind_names,
