--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -121,8 +121,8 @@
 #[test]
 fn no_decision_depends_on_the_list() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut files = vec![root.join("config/mod.rs")];
-    let mut folders = vec![root.join("scheduler"), root.join("model")];
+    let mut files = Vec::new();
+    let mut folders = vec![root.join("config"), root.join("scheduler"), root.join("model")];
     while let Some(folder) = folders.pop() {
         for entry in std::fs::read_dir(folder).unwrap() {
             let path = entry.unwrap().path();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,8 @@
-//! The settings mean the same as lines, on the bench's wire, and as nested JSON, in the courier's configuration.
+//! The settings mean the same as lines, on the simulator's wire, and as nested JSON, in the gateway's configuration.
 
-use delivery_gateway::{settings_from_json, settings_from_lines, SettingError};
+use delivery_gateway::*;
 use serde_json::json;
+use std::time::Duration;
 
 const LINES: &str = "Balancers=3
 FamilyInfo.CallsOut=28
@@ -55,5 +56,47 @@
 #[test]
 fn a_bad_value_is_named() {
     let error = settings_from_json(&json!({"Permissions": {"MostHeld": "many"}})).unwrap_err();
-    assert_eq!(error, SettingError::Value { path: "Permissions.MostHeld".into(), value: "many".into() });
+    let (path, value) = ("Permissions.MostHeld".into(), "many".into());
+    assert_eq!(error, SettingError::Value { path, value, expected: "a whole number" });
+}
+
+#[test]
+fn a_bad_entry_of_a_list_is_named() {
+    let error = settings_from_lines("FamilyInfo.KindBatch=1,four").unwrap_err();
+    assert_eq!(error.to_string(), "setting FamilyInfo.KindBatch: 'four' is not a whole number");
+    let error = settings_from_lines("Lanes.count=1\nLanes.0.Effect=none\n").unwrap_err();
+    let expected = "read_like, idempotency_key or non_idempotent";
+    assert_eq!(error.to_string(), format!("setting Lanes.0.Effect: 'none' is not {expected}"));
+}
+
+#[test]
+fn a_line_without_an_equals_sign_is_named() {
+    let error = settings_from_lines("Balancers=3\n\nLanes\n").unwrap_err();
+    assert_eq!(error, SettingError::Line { line: 3, text: "Lanes".into() });
+}
+
+/// Settings that are absent have the scheduler's own defaults, but for what stands here.
+#[test]
+fn absent_settings_have_their_defaults() {
+    let parsed = settings_from_lines("Lanes.count=1\nProjects.count=1\n").unwrap();
+    let class = Class {
+        idempotency: Idempotency::NonIdempotent,
+        deduplication_scope: DeduplicationScope::Zone,
+        idempotency_window: Duration::ZERO,
+        late_value_ratio: 0.0,
+        ..Class::default()
+    };
+    let expected = Settings {
+        classes: vec![class],
+        tenants: vec![Tenant { quota_per_sec: f64::INFINITY }],
+        destination_kinds: Vec::new(),
+        weights: WeightSource::Silent,
+        allow_cancel: false,
+        ..Settings::default()
+    };
+    assert_eq!(format!("{:?}", parsed.settings), format!("{expected:?}"));
+    assert_eq!((parsed.class_names, parsed.tenant_names), (vec![String::new()], vec![String::new()]));
+    assert_eq!((parsed.headroom_index, parsed.limit_index), (None, None));
+    let empty = settings_from_lines("").unwrap().settings;
+    assert!(empty.classes.is_empty() && empty.tenants.is_empty());
 }
