--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -307,8 +307,11 @@
     door.open(inputs.clone(), phases);
     loop {
         let accepting = tokio::task::spawn_local(clients.clone().serve(listener));
-        let watch =
-            EndpointWatch { agent: agent.clone(), rev: driver.endpoints_revision(), again: again.clone() };
+        let watch = EndpointWatch {
+            agent: agent.clone(),
+            revision: driver.endpoints_revision(),
+            reconnect: again.clone(),
+        };
         let first = std::mem::take(&mut first);
         let listed = inputs.clone();
         let tell = move |news| drop(listed.send(GatewayEvent::Discovery(news)));
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -1,7 +1,9 @@
 //! The notices that end messages, on their way to the platform.
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
+use delivery_gateway::discovery::{
+    connect, AgentAddress, Connection, DiscoveryError, AGENT_RESPONSE_TIMEOUT,
+};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -75,7 +77,7 @@
                         down = true;
                     }
                     if matches!(reason, DiscoveryError::TimedOut(_)) {
-                        patience = (patience * 2).min(ANSWER);
+                        patience = (patience * 2).min(AGENT_RESPONSE_TIMEOUT);
                     } else if !kept {
                         let _ = timeout(BACK_OFF, agent.changed()).await;
                     }
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -64,7 +64,7 @@
         let (ask_again, again) = watch::channel(());
         let first = self.hollow.initial_watch_delay();
         let tell = move |what| drop(news.send(what));
-        tokio::task::spawn_local(EndpointWatch { agent, rev, again }.run(first, tell));
+        tokio::task::spawn_local(EndpointWatch { agent, revision: rev, reconnect: again }.run(first, tell));
         loop {
             let wake = self.hollow.wakes_in();
             let what = tokio::select! {
--- a/src/discovery/agent.rs
+++ b/src/discovery/client.rs
@@ -15,7 +15,7 @@
 use crate::socket::{self, SteadyStream};
 
 /// The agent is on this machine: what it does not answer in this time it does not answer now.
-pub const ANSWER: Duration = Duration::from_millis(500);
+pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where discovery's agent is now; a new address is gone over to at once.
 pub type AgentAddress = watch::Receiver<String>;
@@ -56,9 +56,9 @@
 /// must be called inside a runtime.
 ///
 /// # Errors
-/// Whatever keeps the connection from coming up within [`ANSWER`].
+/// Whatever keeps the connection from coming up within [`AGENT_RESPONSE_TIMEOUT`].
 pub async fn connect(agent: &str) -> Result<Connection, DiscoveryError> {
-    let stream = timeout(ANSWER, connect_by_name(agent)).await??;
+    let stream = timeout(AGENT_RESPONSE_TIMEOUT, connect_by_name(agent)).await??;
     let (sender, connection) = http1::handshake(TokioIo::new(SteadyStream(stream))).await?;
     tokio::spawn(connection);
     Ok(sender)
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,10 +2,10 @@
 //! watch on it. Both are the real courier's, and serve whoever else hosts the decisions on a real list. They decide
 //! nothing, keep nothing on disk, and no file of the decisions depends on them.
 
-mod agent;
+mod client;
 mod directory;
 mod watch;
 
-pub use agent::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
+pub use client::{connect, AgentAddress, Connection, DiscoveryError, AGENT_RESPONSE_TIMEOUT};
 pub use directory::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory, EndpointIdTable};
 pub use watch::{EndpointWatch, WatchEvent};
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -8,15 +8,15 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::agent::{connect, AgentAddress, Connection, DiscoveryError, ANSWER};
+use super::client::{connect, AgentAddress, Connection, DiscoveryError, AGENT_RESPONSE_TIMEOUT};
 use super::directory::DiscoveryUpdate;
 use crate::{EndpointUpdate, WATCH_RESPONSE_TIMEOUT};
 
 /// The watch has an empty line every 2 s; silence for this long is an outage of discovery. What was missed counts
 /// as told after 6 s, so that there is no time for a longer wait.
-const SILENCE: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A list, or a line of the watch, that is longer is damage. One of 65,536 endpoints has about 10 MiB.
-const LONGEST_LIST: usize = 16 << 20;
+const MAX_LIST_BYTES: usize = 16 << 20;
 
 /// What the watch has to tell.
 #[derive(Debug)]
@@ -34,9 +34,9 @@
     /// Where to ask.
     pub agent: AgentAddress,
     /// The version of the list that is known already.
-    pub rev: u64,
+    pub revision: u64,
     /// What breaks is begun anew when the module says so.
-    pub again: watch::Receiver<()>,
+    pub reconnect: watch::Receiver<()>,
 }
 
 impl EndpointWatch {
@@ -66,13 +66,13 @@
             };
             let reason = result.err().map_or_else(|| "ended".to_owned(), |error| error.to_string());
             if !down {
-                warn!(reason, rev = self.rev, "the watch on the list broke");
+                warn!(reason, revision = self.revision, "the watch on the list broke");
                 down = true;
             }
-            self.again.mark_unchanged();
+            self.reconnect.mark_unchanged();
             tell(WatchEvent::Broken(why));
             tokio::select! {
-                Ok(()) = self.again.changed() => {}
+                Ok(()) = self.reconnect.changed() => {}
                 changed = agent.changed() => whole |= changed.is_ok(),
             }
         }
@@ -90,14 +90,14 @@
             let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
             let list = timeout(WATCH_RESPONSE_TIMEOUT, fetch(&mut connection, request)).await??;
             // An agent that has heard less than the one before must not take back a drain.
-            if list.revision >= self.rev {
-                self.rev = list.revision;
+            if list.revision >= self.revision {
+                self.revision = list.revision;
                 tell(WatchEvent::Updated(DiscoveryUpdate { is_snapshot: true, ..list }));
             }
             *whole = false;
-            timeout(ANSWER, connection.ready()).await??;
+            timeout(AGENT_RESPONSE_TIMEOUT, connection.ready()).await??;
         }
-        let request = Request::get(format!("/v1/endpoints?watch=1&after={}", self.rev))
+        let request = Request::get(format!("/v1/endpoints?watch=1&after={}", self.revision))
             .header("Host", agent)
             .body(Full::default())?;
         let response = timeout(WATCH_RESPONSE_TIMEOUT, connection.send_request(request)).await??;
@@ -111,7 +111,7 @@
         // Up to where there is no end of a line: a long one comes in many parts.
         let mut searched = 0;
         let mut told = false;
-        while let Some(part) = timeout(SILENCE, body.frame()).await? {
+        while let Some(part) = timeout(IDLE_TIMEOUT, body.frame()).await? {
             if part.is_err() && !told {
                 return Err(DiscoveryError::WatchNotServed);
             }
@@ -120,7 +120,7 @@
                 tell(WatchEvent::Established);
             }
             if *down {
-                info!(rev = self.rev, "the list is being watched again");
+                info!(revision = self.revision, "the list is being watched again");
                 *down = false;
             }
             let Ok(data) = part?.into_data() else { continue };
@@ -141,7 +141,7 @@
                 if !blank {
                     match serde_json::from_slice::<DiscoveryUpdate>(&buffer[..=end]) {
                         Ok(update) => {
-                            self.rev = update.revision;
+                            self.revision = update.revision;
                             tell(WatchEvent::Updated(update));
                         }
                         Err(error) if error.is_eof() => {
@@ -155,7 +155,7 @@
                 (begun, searched) = (0, 0);
             }
             searched = buffer.len();
-            if buffer.len() > LONGEST_LIST {
+            if buffer.len() > MAX_LIST_BYTES {
                 return Err(DiscoveryError::TooLong);
             }
         }
@@ -172,6 +172,6 @@
     if response.status() != StatusCode::OK {
         return Err(DiscoveryError::Status(response.status()));
     }
-    let body = Limited::new(response.into_body(), LONGEST_LIST).collect().await;
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
     Ok(serde_json::from_slice(&body.map_err(|_| DiscoveryError::TooLong)?.to_bytes())?)
 }
