--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -20,7 +20,7 @@
 /// where one is missing.
 pub const STATE_SOURCES: &[SourceFile] = source_files![
     "src/bin/delivery-gateway/clock.rs",
-    "src/bin/delivery-gateway/event_loop/mod.rs",
+    "src/bin/delivery-gateway/event_loop/in_flight.rs",
     "src/bin/delivery-gateway/event_loop/takeover.rs",
     "src/bin/delivery-gateway/journal/clock_file.rs",
     "src/discovery/directory.rs",
