--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -36,8 +36,8 @@
     /// Something has changed at a destination. Until the last look its routes were as they had been parked.
     pub(super) fn touch(&mut self, to: DestinationId) {
         self.agenda.touch(to);
-        for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.settle(self.last_round, burst(route.rate));
+        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
+            route.rate_limit.settle(self.last_round);
         }
     }
 
@@ -97,7 +97,7 @@
 
     /// The calls of a route stall in the order in which they were sent.
     pub(super) fn oldest_not_stalled(&mut self, id: RouteId) -> Option<u64> {
-        let calls = self.routes.get(&id)?.out.iter();
+        let calls = self.routes.get(&id)?.calls.iter();
         let waiting = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.stalled);
         let (skipped, found) = calls.enumerate().find(|(_, call)| waiting(call))?;
         self.agenda.work.calls += 1 + skipped as u64;
@@ -112,7 +112,7 @@
 
     /// Makes the agenda anew from the books: all is to be looked at.
     pub(super) fn rebuild_agenda(&mut self) {
-        self.routes.values_mut().for_each(|route| route.settle(self.last_round, burst(route.rate)));
+        self.routes.values_mut().for_each(|route| route.rate_limit.settle(self.last_round));
         self.agenda = Agenda::default();
         self.agenda.all = true;
         let hanging = self.calls.iter().filter(|(_, call)| call.stalled && !call.called_off);
@@ -120,15 +120,13 @@
         let gone = self.addresses.values().filter(|address| address.entry.mode == Availability::Removed);
         self.agenda.gone = gone.map(|address| address.entry.id).collect();
         self.agenda.circuit_records = self.routes.keys().copied().filter(|id| self.is_noted(*id)).collect();
-        let calling = self.routes.iter().filter(|(_, route)| !route.out.is_empty());
+        let calling = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
         calling.map(|(id, _)| *id).collect::<Vec<_>>().into_iter().for_each(|id| self.plan_stall(id));
     }
 
     /// Whether something of a route is to be remembered over a restart.
     pub(super) fn is_noted(&self, id: RouteId) -> bool {
-        let noted =
-            |route: &Route| route.failure_score > 0 || route.spell.is_some() || route.returned.is_some();
-        self.routes.get(&id).is_some_and(noted)
+        self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
 
     /// Forgets an endpoint that is gone and has no call out. What was learnt of its destination stays, except
@@ -140,7 +138,7 @@
         let route_id = self.route_of(&address.entry);
         if let Some(route) = self.routes.get_mut(&route_id) {
             route.endpoints.retain(|endpoint| *endpoint != id);
-            if route_id.1.is_some() {
+            if route_id.endpoint.is_some() {
                 self.routes.remove(&route_id);
                 self.plan_stall(route_id);
                 self.agenda.circuit_records.insert(route_id);
@@ -180,12 +178,12 @@
     }
 
     pub(super) fn note_demand(&mut self, now: Time, to: DestinationId) {
-        for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.demand.rate(now, warm_up_secs(&self.settings), 1.0);
+        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
+            route.traffic.record_demand(now, &self.settings);
         }
     }
 
     pub(super) fn calls_to(&self, destination: DestinationId) -> usize {
-        self.routes.range(routes_of(destination)).map(|(_, route)| route.out.len()).sum()
+        self.routes.range(RouteId::all_of(destination)).map(|(_, route)| route.calls.len()).sum()
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -12,23 +12,32 @@
 
 mod admission;
 mod backoff;
+mod call_outcome;
+mod circuit_breaker;
 mod connection_reuse;
 mod derived_settings;
 mod idempotency;
+mod loss_ratio;
 mod maintenance;
 mod message_value;
 mod operators;
 mod ordering;
 mod quota;
+mod rate_limit;
 mod reports;
 mod retry;
+mod retry_after;
+mod slow_start;
 mod state;
+mod traffic;
 mod watch_backoff;
 
+use circuit_breaker::CircuitBreaker;
 use connection_reuse::{ConnectionReuse, IdleConnections, NextCall};
-use derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs, warm_up_secs};
+use derived_settings::{shortest_objective_secs, warm_up_secs};
 use ordering::OrderingKeys;
 use quota::TenantQuotas;
+use rate_limit::{RateLimit, RatePhase, Token};
 use state::queue::{Queue, Seq};
 pub use state::ready_index::WorkCounters;
 use state::ready_index::{earliest, Agenda, Look};
@@ -44,64 +53,8 @@
 const STALL_AIM: f64 = 0.25;
 /// An unsafe call gets so many times that patience before it is called off: what it carries is lost then.
 const UNSAFE_PATIENCE: u32 = 2;
-/// First gap between trial calls, as a part of the fall window, and the longest one; both are jittered.
-const TRIAL_GAPS_OF_FALL: (f64, f64) = (0.1, 0.6);
-/// Own demand counts towards the fall budget up to so many times what was served here before.
-const DEMAND_OF_SERVED: f64 = 1.5;
-/// With fewer messages than this over a cold return's length a courier is light: it waits for a deadline at
-/// most, lest its messages run out untried, and such couriers are few enough at any one destination.
-const LIGHT: f64 = 2.0;
-/// After a refusal its next call comes by chance within so many calls of its pace more, for they are many.
-const LIGHT_SPREAD: f64 = 3.0;
-/// Shortest part of a gap that chance may leave: who failed together must not come back together.
-const TRIAL_JITTER_FROM: f64 = 0.25;
-/// A spell without success shorter than this part of the fall window needs no slow start.
-const BLIP_OF_FALL: f64 = 0.6;
-/// Evidence that opens a spell, and what each outcome adds: no connection says that it is down, a lost call
-/// or an error hints at it (two in a row, as a light courier has few), single refusals are everyday life.
-const SPELL_AFTER: u32 = 6;
-const EVIDENCE_NO_CONNECTION: u32 = 6;
-const EVIDENCE_LOST: u32 = 3;
-const EVIDENCE_REFUSED: u32 = 1;
-/// Part of the fall budget that is used: refused calls, batches and chance need the rest.
-const FALL_BUDGET_USED: f64 = 0.8;
-/// On `full` the rate falls to this part of what was sent of late, at most once in `CUT_EVERY`: twice without
-/// a success, then to the part of the fall budget, as it may be an outage, or all may have to slow down.
-const RATE_CUTS: [f64; 3] = [0.75, 0.5, 0.0];
-const CUT_EVERY: Duration = Duration::from_millis(500);
-/// Rate of a route at first, in even parts of the told one: what all begin with adds up, and where refused
-/// calls use the limit up as well, more than the limit means that nobody is served.
-const FIRST_RATE: f64 = 1.0;
-/// ... but at least so many calls until the shortest deadline.
-const FIRST_LEAST: f64 = 0.25;
-/// Told rates outside these bounds count as the nearest of them.
-const TOLD_RATES: (f64, f64) = (0.1, 1e6);
-/// Growth of a rate that binds with each answer, as a part of itself or of one call an aim: with the cuts it
-/// settles where a fixed part of the calls is refused, however many couriers share the limit.
-const RATE_GROWTH: f64 = 0.08;
-/// ... and up to so many times more, the further it is below the even part of what is told: that much there
-/// mostly is, and a courier that calls seldom would take minutes to get back to it.
-const BELOW_GROWTH: f64 = 6.0;
-/// A refusal with more than this share of the limit left, as told, is not for the limit.
-const ROOM_LEFT: f64 = 0.3;
-/// Growth where the share of the limit that is left is told: so many times that share.
-const TOLD_GROWTH: f64 = 2.0;
-/// What was sent of late: calls over about so many seconds.
-const LATE_S: f64 = 1.0;
-/// Tokens that may be saved up, in seconds of the rate; one call at least.
-const BURST_S: f64 = 0.4;
-/// A token is waited for at least and at most so many seconds at a time.
-const TOKEN_GAPS: (f64, f64) = (0.001, 3600.0);
-/// ... and at most so many in a slow start, whose pace grows meanwhile.
-const RAMP_GAP: f64 = 10.0;
-/// An unsafe message waits where this share more than usual of the calls of late may have run without being
-/// served: so often would its one try be lost, while those that can be repeated show when that is over.
-const UNSAFE_LOSS: f64 = 0.15;
-/// ... where losses count against so many served calls more than there were, ...
-const UNSAFE_LOSS_PRIOR: f64 = 2.0;
-/// ... and fade over so many fall windows. The last try goes this part of the aim before the deadline.
-const UNSAFE_LOSS_FALLS: f64 = 2.0;
-const UNSAFE_LAST_AIM: f64 = 1.0;
+/// An endpoint that failed is used last for this part of the overload window at first; doubles with each failure.
+const BASE_AVOIDANCE_OF_WINDOW: f64 = 0.1;
 /// A message waits for a cheaper route until this part of its aim has passed: the rest is for the call.
 const FEE_PATIENCE_OF_AIM: f64 = 0.25;
 /// Calls out to a destination in a spell, as a part of the free slots; one at least.
@@ -137,7 +90,7 @@
     calls: BTreeMap<u64, Call>,
     last_call: u64,
     /// Latency over all destinations: what one that was never called is assumed to need.
-    usual: Latency,
+    latency: Latency,
     connection_reuse: ConnectionReuse,
     watch_backoff: WatchBackoff,
     /// When this courier ends, if that is known.
@@ -162,8 +115,8 @@
 impl Scheduler {
     /// A courier that knows only its settings; `seed` is its one source of chance.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let usual = Latency::initial(&settings);
-        Scheduler { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Scheduler::default() }
+        let latency = Latency::initial(&settings);
+        Scheduler { settings, rng: fastrand::Rng::with_seed(seed), latency, ..Scheduler::default() }
     }
 
     /// Goes on in another process, in the place of a `fresh` courier with the same settings: nothing that
@@ -202,13 +155,12 @@
     /// When a client does well to come again with a message for this destination: what waits there has to go
     /// out first, and a told wait to pass.
     pub fn suggested_retry_after(&mut self, now: Time, to: DestinationId) -> Duration {
-        let objective = Duration::from_secs_f64(shortest_objective_secs(&self.settings));
         let waiting = self.queues.get(&to).map_or(0, Queue::len) as f64;
-        let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
+        let routes: Vec<RouteId> = self.routes.range(RouteId::all_of(to)).map(|(id, _)| *id).collect();
         let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
-        let wait = routes.iter().map(|id| self.routes[id].told_wait - now).min().unwrap_or_default();
-        let backlog = Duration::from_secs_f64((waiting / pace.max(0.001)).min(objective.as_secs_f64()));
-        wait.max(backlog).clamp(retry::base_backoff(objective), retry::max_backoff(objective))
+        let wait =
+            routes.iter().map(|id| self.routes[id].retry_after.remaining(now)).min().unwrap_or_default();
+        retry_after::suggested_delay(shortest_objective_secs(&self.settings), waiting, pace, wait)
     }
 
     /// After how long to watch the list for the first time: couriers that start together spread.
@@ -263,21 +215,17 @@
             } else {
                 self.agenda.gone.remove(&entry.id);
             }
-            let weight = self.weight_of(&entry);
-            let usual = self.usual;
-            let batch =
+            let batch_size =
                 self.settings.destination_kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
-            // Nor may the first calls of all come at once: each begins somewhere inside a call of its pace.
-            // What is not told has to be tried, and what is told far too low must not hold messages back.
-            let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
-            let part = if told { (FIRST_RATE / fleet_size(&self.settings)).min(1.0) } else { 1.0 };
-            let least = FIRST_LEAST / shortest_deadline_secs(&self.settings);
-            let (first, token) = ((weight * part).max(least), 1.0 - chance * (1.0 - part));
-            let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| {
-                let (rate, tokens, filled, latency, last_answer) = (first, token, now, usual, now);
-                Route { rate, tokens, filled, latency, last_answer, ..Route::default() }
+            let chance = self.rng.f64();
+            let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
+                rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
+                latency: self.latency,
+                circuit: CircuitBreaker::new(now),
+                ..Route::default()
             });
-            (route.weight, route.batch) = (weight, batch);
+            route.rate_limit.adopt_listed_limit(&self.settings, &entry);
+            route.batch_size = batch_size;
             if let Some(known) = self.addresses.get_mut(&entry.id) {
                 known.entry = entry;
                 continue;
@@ -347,27 +295,26 @@
 
     fn on_recalled(&mut self, now: Time, outage: CircuitRecord) {
         self.touch(outage.destination);
-        let (settings, chance) = (&self.settings, self.rng.f64());
-        let id = RouteId(outage.destination, outage.endpoint);
+        let chance = self.rng.f64();
+        let id = RouteId { destination: outage.destination, endpoint: outage.endpoint };
         let Some(route) = self.routes.get_mut(&id) else { return };
         self.agenda.circuit_records.insert(id);
-        (route.last_answer, route.failure_score) = (outage.last_success_at, outage.failure_score);
-        (route.returned, route.share) = (outage.slow_start_since, outage.baseline_rate);
-        if route.returned.is_some() {
-            route.tokens = 0.0;
+        route.circuit.restore(&outage);
+        route.traffic.restore_baseline(outage.baseline_rate);
+        route.slow_start.restore(outage.slow_start_since);
+        if route.slow_start.is_active() {
+            route.rate_limit.drain();
         }
-        if let Some(lost) = outage.calls_lost {
-            route.spell =
-                Some(Spell { began: outage.last_success_at, failed: true, lost, ..Spell::default() });
-            route.plan_trial(now, settings, chance);
+        if outage.calls_lost.is_some() {
+            route.schedule_probe(now, &self.settings, chance);
         }
     }
 
     fn on_told_wait(&mut self, now: Time, endpoint: EndpointId, wait: Duration) {
         let Some(id) = self.addresses.get(&endpoint).map(|a| self.route_of(&a.entry)) else { return };
-        self.touch(id.0);
+        self.touch(id.destination);
         if let Some(route) = self.routes.get_mut(&id) {
-            route.told_wait = route.told_wait.max(now + wait);
+            route.retry_after.extend(now + wait);
         }
     }
 
@@ -426,7 +373,7 @@
     /// Frees the slot of a call and lets address, connections and route learn from its outcome.
     fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
-            route.out.remove(&id);
+            route.calls.remove(&id);
         }
         self.agenda.hanging.remove(&id);
         let lost = matches!(
@@ -454,9 +401,12 @@
                 | AttemptOutcome::Reset
                 | AttemptOutcome::ErrorResponse => {
                     address.failures += 1;
-                    let gap =
-                        backoff::exponential(rules.overload_window, TRIAL_GAPS_OF_FALL.0, address.failures)
-                            .min(rules.warm_up);
+                    let gap = backoff::exponential(
+                        rules.overload_window,
+                        BASE_AVOIDANCE_OF_WINDOW,
+                        address.failures,
+                    )
+                    .min(rules.warm_up);
                     address.avoid_until = now + gap.mul_f64(self.rng.f64());
                 }
                 AttemptOutcome::MalformedResponse
@@ -486,119 +436,6 @@
 
     // ---- Health and pace ----
 
-    /// Health and pace of a route, from the outcome of one call.
-    fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
-        let (settings, chance) = (&self.settings, self.rng.f64());
-        let waiting = self.queues.get(&call.route.0).map_or(0, Queue::len) as f64;
-        let Some(route) = self.routes.get_mut(&call.route) else { return };
-        if let Some(limit) = finished.load_report.map(|a| a.limit_per_sec).filter(|limit| *limit > 0.0) {
-            route.weight = limit;
-        }
-        // A time-out is a sample too, of at least its length: else it would stay too short all through a slow
-        // spell, and each repeat would meet the first call still running.
-        if matches!(
-            finished.outcome,
-            AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled
-        ) {
-            route.latency.record_starting_from(&self.usual, finished.latency);
-        }
-        // With a success since it was sent, a lost call says nothing of the route. Nor do errors and resets
-        // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
-        let detached = &self.detached;
-        let sound = |a: &Address| {
-            a.entry.mode == Availability::Ready && a.failures == 0 && !detached.contains(&a.entry.id)
-        };
-        let alone = call.sent >= route.last_answer;
-        let all_sick = alone && !route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(sound);
-        let blip = settings.limits.overload_window.mul_f64(BLIP_OF_FALL);
-        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
-        match finished.outcome {
-            outcome if outcome.was_not_processed() => {}
-            AttemptOutcome::Delivered => drop(route.kept.rate(now, span, 1.0)),
-            _ => drop(route.lost.rate(now, span, 1.0)),
-        }
-        match finished.outcome {
-            AttemptOutcome::Delivered => {
-                self.usual.record(finished.latency);
-                let served = route.served.rate(now, warm_up_secs(settings), 0.0);
-                let sick = route.spell.is_some() || route.returned.is_some();
-                route.share = if sick { served.max(route.share) } else { served };
-                route.served.count += 1.0;
-                // A destination that gave no success for a while may be cold: it gets a slow start. Couriers
-                // that saw only the end of an outage are covered by counting from the last success.
-                if route.spell.as_ref().is_some_and(|s| s.failed && now - s.began > blip) {
-                    route.returned = Some(now);
-                    route.tokens = 0.0;
-                }
-                let left = finished
-                    .load_report
-                    .filter(|a| a.limit_per_sec > 0.0)
-                    .map(|a| a.headroom.clamp(0.0, 1.0));
-                if route.bound {
-                    let below = 1.0 - route.rate * fleet_size(settings) / route.weight.max(TOLD_RATES.0);
-                    let part = RATE_GROWTH * (1.0 + BELOW_GROWTH * below.clamp(0.0, 1.0));
-                    let growth = part * route.rate.min(shortest_objective_secs(settings).recip());
-                    let growth = left.map_or(growth, |left| TOLD_GROWTH * left * route.rate);
-                    route.rate += growth;
-                }
-                route.spell = None;
-                (route.failure_score, route.cuts) = (0, 0);
-                route.last_answer = now;
-                return;
-            }
-            // Shut, and told until when: all whom the door refused come back at one moment (issue of later
-            // mandeville: 480 of 490 calls at the fall). So the slow start begins there, by chance inside a
-            // call of its pace, and nothing is saved up behind the door.
-            AttemptOutcome::Rejected(Some(wait)) if wait > blip => {
-                (route.spell, route.returned) = (None, Some(route.told_wait));
-                (route.filled, route.tokens) = (route.told_wait, chance);
-                return;
-            }
-            AttemptOutcome::Rejected(_) => {
-                // Refused though there is room inside the limit: it is shut or hangs with its queue full.
-                let room =
-                    finished.load_report.is_some_and(|a| a.limit_per_sec > 0.0 && a.headroom > ROOM_LEFT);
-                route.failure_score += if room { EVIDENCE_LOST } else { EVIDENCE_REFUSED };
-                if now - route.last_cut > CUT_EVERY {
-                    let cut = RATE_CUTS[route.cuts.min(RATE_CUTS.len() - 1)];
-                    route.cuts += 1;
-                    // A clump must not wait at the pace of usual days until it has run out; where a call
-                    // carries many, what waits goes together, and a call an aim is enough.
-                    let an_aim = shortest_objective_secs(settings).recip();
-                    let (waiting, most) = if route.batch > 1 { (0.0, an_aim) } else { (waiting, f64::MAX) };
-                    let late = route.sent.rate(now, LATE_S, 0.0).min(most);
-                    let own = route.demand.rate(now, warm_up_secs(settings), 0.0);
-                    let late = late.max(own).max(route.weight / fleet_size(settings)).max(waiting * an_aim);
-                    let slowest = route.fall_part(now, settings, 0.0);
-                    route.rate = (cut * route.rate.min(late)).max(slowest.min(route.rate));
-                    route.last_cut = now;
-                }
-                // By chance, as all that were refused together would come back together.
-                let spread = if route.is_light(now, settings) { LIGHT_SPREAD } else { 1.0 };
-                route.tokens = route.tokens.min(-chance * spread);
-            }
-            AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if all_sick => {
-                route.failure_score += EVIDENCE_LOST
-            }
-            // It is up, and may yet be failing most calls.
-            AttemptOutcome::MalformedResponse if alone => route.failure_score += EVIDENCE_REFUSED,
-            AttemptOutcome::ConnectFailed if alone => route.failure_score += EVIDENCE_NO_CONNECTION,
-            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if alone => {
-                route.failure_score += EVIDENCE_LOST
-            }
-            _ => {}
-        }
-        if route.failure_score >= SPELL_AFTER
-            || (route.spell.is_some() && route.failure_score >= EVIDENCE_LOST)
-        {
-            let spell = route.spell.get_or_insert(Spell { began: route.last_answer, ..Spell::default() });
-            spell.failed = true;
-            spell.lost |= !matches!(finished.outcome, AttemptOutcome::Rejected(_));
-            route.plan_trial(now, settings, chance);
-            route.returned = None;
-        }
-    }
-
     /// Marks the calls that have been silent for too long, and says when the next one will have been.
     fn note_stalls(&mut self, now: Time) -> Option<Time> {
         while let Some(id) = self.agenda.stalls.due(now) {
@@ -625,69 +462,57 @@
         let stall = self.stall_patience(id);
         let slots_free = self.slots_free();
         let rate = self.pace(now, id);
-        let cold = Duration::from_secs_f64(warm_up_secs(&self.settings));
         let route = self.routes.get_mut(&id)?;
-        route.settle(self.last_round, burst(route.rate));
-        if route.told_wait > now {
-            earliest(&mut look.change, route.returned.map(|returned| returned + cold));
-            return Some(route.told_wait);
+        route.rate_limit.settle(self.last_round);
+        if route.retry_after.is_pending(now) {
+            earliest(&mut look.change, route.slow_start.ends_at(&self.settings));
+            return Some(route.retry_after.until());
         }
         // A slow start speeds up from moment to moment.
-        look.always |= route.returned.is_some();
+        look.always |= route.slow_start.is_active();
         if self.closing.is_some_and(|end| now + stall > end) {
             return None;
         }
         // Hung or dead destinations answer nothing: the silence itself opens the circuit, long before a
         // time-out would, so that only few calls are risked.
-        let oldest = route.out.first().and_then(|call| self.calls.get(call)).map(|call| call.sent);
-        if let (None, Some(sent)) = (&route.spell, oldest) {
-            let silent = sent.max(route.last_answer) + stall;
+        let oldest = route.calls.first().and_then(|call| self.calls.get(call)).map(|call| call.sent);
+        if let (false, Some(sent)) = (route.circuit.is_open(), oldest) {
+            let silent = route.circuit.silent_at(sent, stall);
             if now >= silent {
-                let (began, next_trial) = (route.last_answer.min(sent), now + stall);
-                route.spell = Some(Spell { began, next_trial, lost: true, ..Spell::default() });
+                route.circuit.open_on_silence(now, sent, stall);
                 self.agenda.circuit_records.insert(id);
             } else {
                 earliest(&mut look.change, Some(silent));
             }
         }
-        if let Some(spell) = &route.spell {
+        if let Some(next_probe_at) = route.circuit.next_probe_at() {
             // Trials that hang must not gather until they pin the slots of the healthy.
-            let least = ((route.out.len() + 1) as f64 / TRIAL_SLOTS).ceil() as usize;
-            let free = route.out.is_empty() || look.needs_slots(least, slots_free);
-            return free.then_some(spell.next_trial);
+            let least = ((route.calls.len() + 1) as f64 / TRIAL_SLOTS).ceil() as usize;
+            let free = route.calls.is_empty() || look.needs_slots(least, slots_free);
+            return free.then_some(next_probe_at);
         }
         // Bulkhead: no destination has more calls out than slots are left for all others.
-        if !route.out.is_empty() && !look.needs_slots(route.out.len() + 1, slots_free) {
+        if !route.calls.is_empty() && !look.needs_slots(route.calls.len() + 1, slots_free) {
             return None;
         }
-        let burst = if route.returned.is_some() { 1.0 } else { burst(rate) };
-        route.fill(now, rate, burst);
-        route.filling = true;
-        route.bound = route.tokens < 1.0;
-        if route.bound {
-            let left = (1.0 - route.tokens) / rate;
-            let longest = if route.returned.is_some() { RAMP_GAP } else { TOKEN_GAPS.1 };
-            let gap = left.clamp(TOKEN_GAPS.0, longest);
-            let due = now + Duration::from_secs_f64(gap);
-            // What is nearer than a gap may be is looked at at each step.
-            look.always |= left < gap;
-            earliest(&mut look.change, Some(due - Duration::from_secs_f64(TOKEN_GAPS.0)));
-            return Some(due);
+        let phase = if route.slow_start.is_active() { RatePhase::SlowStart } else { RatePhase::Steady };
+        match route.rate_limit.next_token(now, rate, phase) {
+            Token::Available => Some(now),
+            Token::Due { due, recheck_at, is_exact } => {
+                look.always |= !is_exact;
+                earliest(&mut look.change, Some(recheck_at));
+                Some(due)
+            }
         }
-        Some(now)
     }
 
     /// Calls a second that this courier may send a route now.
     fn pace(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
-        let Some(returned) = route.returned else { return route.rate };
-        let warmth = (now - returned).as_secs_f64() / warm_up_secs(&self.settings);
-        if warmth >= 1.0 {
-            route.returned = None;
+        if route.slow_start.finish_if_warm(now, &self.settings) {
             self.agenda.circuit_records.insert(id);
-            return route.rate;
         }
-        route.fall_part(now, &self.settings, warmth).min(route.rate)
+        route.rate_per_sec(now, &self.settings)
     }
 
     // ---- Choice ----
@@ -725,7 +550,7 @@
     /// the time that a slot is taken; if none, `look` tells when that may be.
     fn candidate(&mut self, now: Time, to: DestinationId, look: &mut Look) -> Option<Candidate> {
         let mut routes: Vec<(f64, RouteId)> =
-            self.routes.range(routes_of(to)).map(|(id, _)| (self.fee(*id), *id)).collect();
+            self.routes.range(RouteId::all_of(to)).map(|(id, _)| (self.fee(*id), *id)).collect();
         routes.sort_by(|a, b| a.0.total_cmp(&b.0));
         // The cheapest route that is sound but not free now: its fee, when it is free, messages a second.
         let mut cheaper: Option<(f64, Time, f64)> = None;
@@ -735,11 +560,10 @@
                 earliest(&mut look.wake, free);
                 let pace = self.pace(now, route);
                 let ready = |e: &EndpointId| self.addresses.get(e).is_some_and(|a| self.is_open(a));
-                let sound =
-                    |r: &&Route| r.spell.is_none() && r.returned.is_none() && r.endpoints.iter().any(ready);
+                let sound = |r: &&Route| !r.is_recovering() && r.endpoints.iter().any(ready);
                 let sound = self.routes.get(&route).filter(sound);
                 if let (None, Some(at), Some(sound)) = (cheaper, free, sound) {
-                    cheaper = Some((fee, at, pace * sound.batch as f64));
+                    cheaper = Some((fee, at, pace * sound.batch_size as f64));
                 }
                 continue;
             }
@@ -771,21 +595,24 @@
 
     /// What a message by this route costs; only routes apart have a fee.
     fn fee(&self, id: RouteId) -> f64 {
-        let zone =
-            id.1.and_then(|endpoint| self.addresses.get(&endpoint)).map(|a| usize::from(a.entry.zone.0));
+        let zone = id
+            .endpoint
+            .and_then(|endpoint| self.addresses.get(&endpoint))
+            .map(|a| usize::from(a.entry.zone.0));
         zone.and_then(|zone| self.settings.zone_costs.get(zone)).copied().unwrap_or(0.0)
     }
 
     /// The waiting message of most worth that may go to these locations now. A trial goes by repeatability.
     fn pick(&mut self, now: Time, route: RouteId, zones: &[ZoneId], look: &mut Look) -> Picked {
-        let trial = self.routes.get(&route).is_some_and(|r| r.spell.is_some());
+        let trial = self.routes.get(&route).is_some_and(|r| r.circuit.is_open());
         // What is lost on all routes alike is no reason to wait.
-        let bearable = UNSAFE_LOSS + self.connection_reuse.baseline_risk();
-        let loses = self.routes.get_mut(&route).is_some_and(|r| r.share_lost(now, &self.settings) > bearable);
+        let baseline = self.connection_reuse.baseline_risk();
+        let loses =
+            self.routes.get_mut(&route).is_some_and(|r| r.losses.is_high(now, &self.settings, baseline));
         let mut best: Option<(bool, f64, MessageId)> = None;
-        let some = self.best_of_many(now, route.0, loses);
+        let some = self.best_of_many(now, route.destination, loses);
         let going = |m: &&Message| zones.iter().any(|zone| idempotency::may_go_to(&self.settings, m, *zone));
-        let all = if some.is_some() { None } else { self.queues.get(&route.0) };
+        let all = if some.is_some() { None } else { self.queues.get(&route.destination) };
         let looked_at = some.into_iter().flatten().chain(all.into_iter().flat_map(Queue::ids));
         for message in looked_at.filter_map(|m| self.messages.get(&m)).filter(going) {
             let at = self.sendable_at(now, message);
@@ -797,11 +624,10 @@
                 earliest(&mut look.change, over.filter(|_| at.is_some()));
                 continue;
             }
-            let last_try = message.accepted.deadline
-                - message.class(&self.settings).latency_objective.mul_f64(UNSAFE_LAST_AIM);
+            let last_try =
+                loss_ratio::last_attempt_at(message.class(&self.settings), message.accepted.deadline);
             if loses && !idempotency::is_resendable(message.class(&self.settings)) && now < last_try {
-                let fading =
-                    now + self.settings.limits.overload_window.mul_f64(UNSAFE_LOSS_FALLS * UNSAFE_LOSS);
+                let fading = now + loss_ratio::recheck_delay(&self.settings);
                 (look.always, look.wake) = (true, look.wake.into_iter().chain([fading.min(last_try)]).min());
                 continue;
             }
@@ -846,19 +672,12 @@
         address.calls_out += 1;
         let zone = address.entry.zone;
         let Some(route) = self.routes.get_mut(&id) else { return };
-        route.tokens -= 1.0;
-        route.sent.rate(now, LATE_S, 1.0);
-        let mut room = route.batch;
-        if let Some(spell) = &mut route.spell {
-            spell.trials += 1;
-            // What is only refused comes back unharmed, so that a trial may carry all that a call can.
-            if spell.lost {
-                room = 1;
-            }
-        }
-        route.plan_trial(now, &self.settings, self.rng.f64());
+        route.rate_limit.take_token(now);
+        route.circuit.on_call_sent();
+        let room = if route.circuit.probe_may_be_lost() { 1 } else { route.batch_size };
+        route.schedule_probe(now, &self.settings, self.rng.f64());
         self.last_call += 1;
-        route.out.insert(self.last_call);
+        route.calls.insert(self.last_call);
         let mut carried = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
@@ -948,17 +767,7 @@
             .destination_kinds
             .get(usize::from(entry.kind.0))
             .is_some_and(|k| k.per_endpoint_limits);
-        RouteId(entry.destination, apart.then_some(entry.id))
-    }
-
-    fn weight_of(&self, entry: &Endpoint) -> f64 {
-        self.told_rate(entry).unwrap_or(self.settings.max_in_flight_calls as f64)
-    }
-
-    /// What the list tells of the calls a second that all couriers may make, if it does.
-    fn told_rate(&self, entry: &Endpoint) -> Option<f64> {
-        let told = self.settings.weights != WeightSource::Silent && entry.weight > 0.0;
-        told.then(|| entry.weight.clamp(TOLD_RATES.0, TOLD_RATES.1))
+        RouteId { destination: entry.destination, endpoint: apart.then_some(entry.id) }
     }
 
     fn slots_free(&self) -> usize {
@@ -976,52 +785,3 @@
         }
     }
 }
-
-/// The routes of a destination.
-fn routes_of(to: DestinationId) -> std::ops::RangeInclusive<RouteId> {
-    RouteId(to, None)..=RouteId(to, Some(EndpointId(u32::MAX)))
-}
-
-fn burst(rate: f64) -> f64 {
-    (rate * BURST_S).max(1.0)
-}
-
-impl Route {
-    /// Whether this courier has too few messages here for a figure of its own (`LIGHT`).
-    fn is_light(&mut self, now: Time, settings: &Settings) -> bool {
-        self.demand.rate(now, warm_up_secs(settings), 0.0) * warm_up_secs(settings) < LIGHT
-    }
-
-    /// The share of the calls of late that may have run without being served.
-    fn share_lost(&mut self, now: Time, settings: &Settings) -> f64 {
-        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
-        let (kept, lost) = (self.kept.rate(now, span, 0.0) * span, self.lost.rate(now, span, 0.0) * span);
-        lost / (lost + kept + UNSAFE_LOSS_PRIOR)
-    }
-
-    /// This courier's part of what all may send together, a second, so that a destination survives a return;
-    /// `warmth` runs from 0 to 1 over a cold one. It goes by what was served here before, which adds up to
-    /// what the destination can do however many want it (own demand does not: hunted day h1c8921, thirty
-    /// times the limit), or by the even part. Trials, slow starts and last cuts share this one budget.
-    fn fall_part(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
-        let demand = self.demand.rate(now, warm_up_secs(settings), 0.0);
-        let least = if self.is_light(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
-        let own = demand.clamp(self.share, self.share * DEMAND_OF_SERVED);
-        let part = own.max(self.weight / fleet_size(settings));
-        let share =
-            settings.limits.cold_capacity_ratio + (1.0 - settings.limits.cold_capacity_ratio) * warmth;
-        (part * share * settings.limits.overload_multiple * FALL_BUDGET_USED).max(least)
-    }
-
-    /// Sets when the next trial call of a spell may go: at growing, jittered gaps, and by this courier's part
-    /// of the fall budget; trials that are refused can also use up a small limit by themselves (i2aa64d).
-    fn plan_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
-        let own = Duration::from_secs_f64(self.fall_part(now, settings, 0.0).max(0.001).recip());
-        let Some(spell) = &mut self.spell else { return };
-        let (fall, (first, longest)) = (settings.limits.overload_window, TRIAL_GAPS_OF_FALL);
-        let gap = backoff::exponential(fall, first, spell.trials).min(fall.mul_f64(longest));
-        let jitter = TRIAL_JITTER_FROM + chance * (1.0 - TRIAL_JITTER_FROM);
-        // Behind a told wait no gap runs out: who waits together must not come back together.
-        spell.next_trial = now.max(self.told_wait) + gap.max(own).mul_f64(jitter);
-    }
-}
--- a/src/scheduler/operators.rs
+++ b/src/scheduler/operators.rs
@@ -25,11 +25,12 @@
         let Some(id) = self.addresses.get(&endpoint).map(|address| self.route_of(&address.entry)) else {
             return;
         };
-        self.touch(id.0);
+        self.touch(id.destination);
         if let Some(route) = self.routes.get_mut(&id) {
             self.agenda.circuit_records.insert(id);
-            (route.spell, route.failure_score, route.returned) = (None, 0, Some(now));
-            (route.filled, route.tokens) = (now, 0.0);
+            route.circuit.reset();
+            route.slow_start.begin(now);
+            route.rate_limit.restart(now, 0.0);
         }
     }
 
--- /dev/null
+++ b/src/scheduler/rate_limit.rs
@@ -0,0 +1,254 @@
+//! The rate at which a route is called: a token bucket whose rate falls with rejections and grows with successes.
+//!
+//! With these cuts and this growth the rate settles where a fixed part of the calls is rejected, however many gateways
+//! share the destination's limit.
+
+use super::derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs};
+use super::state::decaying_rate::DecayingRate;
+use crate::model::{Endpoint, LoadReport, Settings, Time, WeightSource};
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// What a rejection leaves of the rate: by the number of cuts since the last success. After the last one only the
+/// overload budget is left, as it may be an outage, or all gateways may have to slow down.
+const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
+/// Rejections within this time of a cut don't cut again: they were caused by the same rate.
+const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
+/// Rate of a route at first, in even shares of the listed limit. More than the limit over all gateways would serve
+/// nobody, as rejected calls use it up as well.
+const INITIAL_SHARES: f64 = 1.0;
+/// Rate of a route at first is at least so many calls within the shortest deadline.
+const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
+/// Listed limits, in calls a second, below this count as this.
+const MIN_LISTED_LIMIT_PER_SEC: f64 = 0.1;
+/// Listed limits, in calls a second, above this count as this.
+const MAX_LISTED_LIMIT_PER_SEC: f64 = 1e6;
+/// Growth with each success of a rate that limits, as a ratio of the rate, or of one call a latency objective where
+/// that is less.
+const GROWTH_RATIO: f64 = 0.08;
+/// Growth is up to so many times more, the further the rate is below an even share of the limit: that much mostly is
+/// there, and a gateway that calls seldom would take minutes to get back to it.
+const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
+/// Growth where the destination reports its headroom, in multiples of it.
+const GROWTH_OF_HEADROOM: f64 = 2.0;
+/// The time over which the rate of calls sent is taken.
+const SENT_SPAN_SECS: f64 = 1.0;
+/// Tokens that may be saved up, in seconds of the rate; one at least.
+const BURST_SECS: f64 = 0.4;
+/// Shortest wait for a token.
+const MIN_WAIT_SECS: f64 = 0.001;
+/// Longest wait for a token.
+const MAX_WAIT_SECS: f64 = 3600.0;
+/// Longest wait for a token during a slow start, as the rate grows meanwhile.
+const MAX_WAIT_IN_SLOW_START_SECS: f64 = 10.0;
+/// After a rejection a gateway with low traffic calls again within so many calls of its rate, by chance: such gateways
+/// are many.
+const LOW_TRAFFIC_SPREAD_CALLS: f64 = 3.0;
+
+/// What the rate goes by now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RatePhase {
+    /// By rejections and successes.
+    Steady,
+    /// By the slow start: nothing is saved up.
+    SlowStart,
+}
+
+/// Whether a call may be sent.
+#[derive(Clone, Copy, Debug)]
+pub enum Token {
+    /// It may.
+    Available,
+    /// Not before `due`; the rate may have changed by `recheck_at`, or, where `is_exact` is false, at any moment.
+    Due { due: Time, recheck_at: Time, is_exact: bool },
+}
+
+/// What a rejection goes by.
+pub struct Rejection {
+    /// Messages that wait for the destination.
+    pub waiting_messages: f64,
+    /// Messages that one call may carry.
+    pub batch_size: usize,
+    /// Messages a second for the route.
+    pub demand_per_sec: f64,
+    /// The lowest rate that a cut may lead to.
+    pub floor_per_sec: f64,
+    /// This gateway has low traffic there.
+    pub low_traffic: bool,
+    /// A random number in `0.0..1.0`.
+    pub chance: f64,
+}
+
+/// The rate limit of a route.
+#[derive(Default, Serialize, Deserialize)]
+pub struct RateLimit {
+    /// Calls a second that the destination takes from all gateways together, as listed or reported.
+    limit_per_sec: f64,
+    rate_per_sec: f64,
+    tokens: f64,
+    refilled_at: Time,
+    /// The last look at the bucket found no token: only then a success says that there could be more.
+    is_binding: bool,
+    /// The bucket was looked at and may be left alone since: tokens have come in up to the last step that looked.
+    refill_pending: bool,
+    last_cut_at: Time,
+    /// Cuts since the last success.
+    cuts: usize,
+    sent: DecayingRate,
+}
+
+impl RateLimit {
+    /// The limit of a route that is new. The first calls of all gateways must not come at the same moment: each begins
+    /// somewhere inside the interval between two calls; `chance` is a random number in `0.0..1.0`.
+    pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, chance: f64) -> RateLimit {
+        // A limit that isn't listed has to be found out, and one that is far too low must not hold messages back.
+        let share = match listed_limit_per_sec(settings, endpoint) {
+            Some(_) => (INITIAL_SHARES / fleet_size(settings)).min(1.0),
+            None => 1.0,
+        };
+        let least_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(settings);
+        let limit_per_sec = assumed_limit_per_sec(settings, endpoint);
+        RateLimit {
+            limit_per_sec,
+            rate_per_sec: (limit_per_sec * share).max(least_per_sec),
+            tokens: 1.0 - chance * (1.0 - share),
+            refilled_at: now,
+            ..RateLimit::default()
+        }
+    }
+
+    /// Takes the limit from an entry of the endpoint list.
+    pub fn adopt_listed_limit(&mut self, settings: &Settings, endpoint: &Endpoint) {
+        self.limit_per_sec = assumed_limit_per_sec(settings, endpoint);
+    }
+
+    /// Takes the limit from a load report that has one.
+    pub fn adopt_reported_limit(&mut self, report: Option<LoadReport>) {
+        if let Some(report) = report.filter(|report| report.limit_per_sec > 0.0) {
+            self.limit_per_sec = report.limit_per_sec;
+        }
+    }
+
+    /// Calls a second that the destination takes from all gateways together.
+    pub fn limit_per_sec(&self) -> f64 {
+        self.limit_per_sec
+    }
+
+    /// Calls a second that this gateway may send in the steady phase.
+    pub fn rate_per_sec(&self) -> f64 {
+        self.rate_per_sec
+    }
+
+    /// Refills the bucket at this rate and says whether a call may be sent.
+    pub fn next_token(&mut self, now: Time, rate_per_sec: f64, phase: RatePhase) -> Token {
+        let (burst, max_wait_secs) = match phase {
+            RatePhase::Steady => (burst(rate_per_sec), MAX_WAIT_SECS),
+            RatePhase::SlowStart => (1.0, MAX_WAIT_IN_SLOW_START_SECS),
+        };
+        self.refill(now, rate_per_sec, burst);
+        self.refill_pending = true;
+        self.is_binding = self.tokens < 1.0;
+        if !self.is_binding {
+            return Token::Available;
+        }
+        let missing_secs = (1.0 - self.tokens) / rate_per_sec;
+        let wait_secs = missing_secs.clamp(MIN_WAIT_SECS, max_wait_secs);
+        let due = now + Duration::from_secs_f64(wait_secs);
+        let recheck_at = due - Duration::from_secs_f64(MIN_WAIT_SECS);
+        Token::Due { due, recheck_at, is_exact: missing_secs >= wait_secs }
+    }
+
+    /// A call is sent.
+    pub fn take_token(&mut self, now: Time) {
+        self.tokens -= 1.0;
+        self.sent.record(now, SENT_SPAN_SECS);
+    }
+
+    /// Adds what a look at that time would have added, had there been one.
+    pub fn settle(&mut self, last_round_at: Time) {
+        if std::mem::take(&mut self.refill_pending) && self.refilled_at < last_round_at {
+            self.refill(last_round_at, self.rate_per_sec, burst(self.rate_per_sec));
+        }
+    }
+
+    fn refill(&mut self, now: Time, rate_per_sec: f64, burst: f64) {
+        self.tokens = (self.tokens + (now - self.refilled_at).as_secs_f64() * rate_per_sec).min(burst);
+        self.refilled_at = now;
+    }
+
+    /// Nothing is saved up for what comes now.
+    pub fn drain(&mut self) {
+        self.tokens = 0.0;
+    }
+
+    /// The bucket begins at this time, with so many tokens.
+    pub fn restart(&mut self, at: Time, tokens: f64) {
+        self.refilled_at = at;
+        self.tokens = tokens;
+    }
+
+    /// A call delivered.
+    pub fn on_success(&mut self, settings: &Settings, report: Option<LoadReport>) {
+        if self.is_binding {
+            self.rate_per_sec += self.growth_per_sec(settings, report);
+        }
+        self.cuts = 0;
+    }
+
+    fn growth_per_sec(&self, settings: &Settings, report: Option<LoadReport>) -> f64 {
+        if let Some(report) = report.filter(|report| report.limit_per_sec > 0.0) {
+            return GROWTH_OF_HEADROOM * report.headroom.clamp(0.0, 1.0) * self.rate_per_sec;
+        }
+        let limit_per_sec = self.limit_per_sec.max(MIN_LISTED_LIMIT_PER_SEC);
+        let below_share = 1.0 - self.rate_per_sec * fleet_size(settings) / limit_per_sec;
+        let ratio = GROWTH_RATIO * (1.0 + EXTRA_GROWTH_BELOW_SHARE * below_share.clamp(0.0, 1.0));
+        ratio * self.rate_per_sec.min(shortest_objective_secs(settings).recip())
+    }
+
+    /// A call was rejected without a Retry-After that matters.
+    pub fn on_rejection(&mut self, now: Time, settings: &Settings, rejection: &Rejection) {
+        if now - self.last_cut_at > MIN_CUT_INTERVAL {
+            self.cut(now, settings, rejection);
+        }
+        // By chance, as all that were rejected together would come back together.
+        let spread_calls = if rejection.low_traffic { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
+        self.tokens = self.tokens.min(-rejection.chance * spread_calls);
+    }
+
+    fn cut(&mut self, now: Time, settings: &Settings, rejection: &Rejection) {
+        let ratio = CUT_RATIOS[self.cuts.min(CUT_RATIOS.len() - 1)];
+        self.cuts += 1;
+        let call_per_objective = shortest_objective_secs(settings).recip();
+        // A clump of messages must not wait at the rate of ordinary times until it has run out. Where a call carries
+        // many, what waits goes together, and one call a latency objective is enough.
+        let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
+            (0.0, call_per_objective)
+        } else {
+            (rejection.waiting_messages, f64::MAX)
+        };
+        let sent_per_sec = self.sent.per_sec(now, SENT_SPAN_SECS).min(max_sent_per_sec);
+        let used_per_sec = sent_per_sec
+            .max(rejection.demand_per_sec)
+            .max(self.limit_per_sec / fleet_size(settings))
+            .max(waiting_messages * call_per_objective);
+        let floor_per_sec = rejection.floor_per_sec.min(self.rate_per_sec);
+        self.rate_per_sec = (ratio * self.rate_per_sec.min(used_per_sec)).max(floor_per_sec);
+        self.last_cut_at = now;
+    }
+}
+
+/// The limit that the endpoint list has for an endpoint, in calls a second over all gateways.
+fn listed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> Option<f64> {
+    let is_listed = settings.weights != WeightSource::Silent && endpoint.weight > 0.0;
+    is_listed.then(|| endpoint.weight.clamp(MIN_LISTED_LIMIT_PER_SEC, MAX_LISTED_LIMIT_PER_SEC))
+}
+
+/// The same, or what is assumed where none is listed.
+fn assumed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> f64 {
+    listed_limit_per_sec(settings, endpoint).unwrap_or(settings.max_in_flight_calls as f64)
+}
+
+/// Tokens that may be saved up at this rate.
+fn burst(rate_per_sec: f64) -> f64 {
+    (rate_per_sec * BURST_SECS).max(1.0)
+}
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -5,8 +5,8 @@
 impl Scheduler {
     /// The waits that were told and are not over, by one endpoint of each route.
     pub fn retry_after_delays(&self, now: Time) -> impl Iterator<Item = (EndpointId, Duration)> + '_ {
-        let waiting = self.routes.values().filter(move |route| route.told_wait > now);
-        waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.told_wait - now)))
+        let waiting = self.routes.values().filter(move |route| route.retry_after.is_pending(now));
+        waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.retry_after.remaining(now))))
     }
 
     /// Whether operators are emptying it.
@@ -24,20 +24,24 @@
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.agenda.circuit_records);
         self.agenda.work.routes += changed.len() as u64;
-        let told = |id: RouteId| CircuitChange { destination: id.0, endpoint: id.1, record: self.outage(id) };
-        changed.into_iter().map(told).collect()
+        let change = |id: RouteId| CircuitChange {
+            destination: id.destination,
+            endpoint: id.endpoint,
+            record: self.outage(id),
+        };
+        changed.into_iter().map(change).collect()
     }
 
     fn outage(&self, id: RouteId) -> Option<CircuitRecord> {
-        let route = self.routes.get(&id).filter(|_| self.is_noted(id))?;
+        let route = self.routes.get(&id).filter(|route| route.has_circuit_record())?;
         Some(CircuitRecord {
-            destination: id.0,
-            endpoint: id.1,
-            last_success_at: route.spell.as_ref().map_or(route.last_answer, |spell| spell.began),
-            failure_score: route.failure_score,
-            calls_lost: route.spell.as_ref().map(|spell| spell.lost),
-            slow_start_since: route.returned,
-            baseline_rate: route.share,
+            destination: id.destination,
+            endpoint: id.endpoint,
+            last_success_at: route.circuit.last_success_at(),
+            failure_score: route.circuit.failure_score(),
+            calls_lost: route.circuit.calls_lost(),
+            slow_start_since: route.slow_start.since(),
+            baseline_rate: route.traffic.baseline_per_sec(),
         })
     }
 
@@ -45,17 +49,16 @@
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
         let (to, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
         let (to, waiting) = (*to, queue.len());
-        let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
+        let routes: Vec<RouteId> = self.routes.range(RouteId::all_of(to)).map(|(id, _)| *id).collect();
         let state = |id: RouteId| {
             let pace = self.pace(now, id);
             let route = &self.routes[&id];
-            let (wait, sick) = (route.told_wait - now, route.spell.is_some());
             RouteStatus {
-                endpoint: id.1,
-                in_flight: route.out.len(),
+                endpoint: id.endpoint,
+                in_flight: route.calls.len(),
                 rate_limit_per_sec: pace,
-                retry_after: wait,
-                circuit_open: sick,
+                retry_after: route.retry_after.remaining(now),
+                circuit_open: route.circuit.is_open(),
             }
         };
         Some((to, waiting, routes.into_iter().map(state).collect()))
--- /dev/null
+++ b/src/scheduler/slow_start.rs
@@ -0,0 +1,89 @@
+//! Slow start of a destination that is back after an outage, and the budget that keeps it from being overloaded.
+//!
+//! A recovering destination can do only a part of its capacity, and fails again if it gets more than a multiple of
+//! that for the overload window. Half-open probes, slow starts and the lowest rate after rejections share one budget.
+
+use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
+use super::traffic::Traffic;
+use crate::model::{Settings, Time};
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// Part of the budget that is used: rejected calls, batches and chance need the rest.
+const USED_BUDGET_RATIO: f64 = 0.8;
+
+/// The slow start of a route, while one runs.
+#[derive(Default, Serialize, Deserialize)]
+pub struct SlowStart {
+    /// May lie in the future, where the destination said when it is back.
+    since: Option<Time>,
+}
+
+impl SlowStart {
+    /// One begins at this time.
+    pub fn begin(&mut self, at: Time) {
+        self.since = Some(at);
+    }
+
+    /// None runs any more, as the destination is out again.
+    pub fn cancel(&mut self) {
+        self.since = None;
+    }
+
+    /// Goes on with one that began before a restart.
+    pub fn restore(&mut self, since: Option<Time>) {
+        self.since = since;
+    }
+
+    /// When the one that runs began.
+    pub fn since(&self) -> Option<Time> {
+        self.since
+    }
+
+    /// Whether one runs.
+    pub fn is_active(&self) -> bool {
+        self.since.is_some()
+    }
+
+    /// When the one that runs ends.
+    pub fn ends_at(&self, settings: &Settings) -> Option<Time> {
+        let length = Duration::from_secs_f64(warm_up_secs(settings));
+        self.since.map(|since| since + length)
+    }
+
+    /// How far the one that runs has got, from 0 to 1; none where none runs or it has run out.
+    pub fn warmth(&self, now: Time, settings: &Settings) -> Option<f64> {
+        let warmth = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
+        (warmth < 1.0).then_some(warmth)
+    }
+
+    /// Ends one that has run out; says whether it did.
+    pub fn finish_if_warm(&mut self, now: Time, settings: &Settings) -> bool {
+        let is_over = self.since.is_some() && self.warmth(now, settings).is_none();
+        if is_over {
+            self.since = None;
+        }
+        is_over
+    }
+}
+
+/// This gateway's share of what a recovering destination may get, in calls a second.
+///
+/// `limit_per_sec` is what the destination takes from all gateways when it is well, `warmth` runs from 0 to 1 over a
+/// slow start. The share goes by what this gateway sends there in ordinary times, and is at least an even one.
+pub fn overload_budget_per_sec(
+    settings: &Settings,
+    now: Time,
+    traffic: &mut Traffic,
+    limit_per_sec: f64,
+    warmth: f64,
+) -> f64 {
+    // A gateway with low traffic gets one call a deadline, lest its messages run out unsent. Gateways are few that
+    // have low traffic and messages for one destination at the same time.
+    let least_per_sec =
+        if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
+    let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
+    let limits = &settings.limits;
+    let capacity_ratio = limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warmth;
+    (share_per_sec * capacity_ratio * limits.overload_multiple * USED_BUDGET_RATIO).max(least_per_sec)
+}
--- /dev/null
+++ b/src/scheduler/state/route.rs
@@ -0,0 +1,85 @@
+//! A route: what has one rate limit, one circuit breaker and one slow start. It only holds the state of the rules.
+
+use super::latency::Latency;
+use crate::model::{DestinationId, EndpointId, Settings, Time};
+use crate::scheduler::circuit_breaker::{CircuitBreaker, ProbeBudget};
+use crate::scheduler::loss_ratio::LossRatio;
+use crate::scheduler::rate_limit::RateLimit;
+use crate::scheduler::retry_after::RetryAfter;
+use crate::scheduler::slow_start::{overload_budget_per_sec, SlowStart};
+use crate::scheduler::traffic::Traffic;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
+
+/// A destination, or one endpoint of it where its endpoints have limits of their own.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct RouteId {
+    /// The destination.
+    pub destination: DestinationId,
+    /// The endpoint, where its endpoints are separate routes.
+    pub endpoint: Option<EndpointId>,
+}
+
+impl RouteId {
+    /// The ids that the routes of a destination can have.
+    pub fn all_of(destination: DestinationId) -> RangeInclusive<RouteId> {
+        let first = RouteId { destination, endpoint: None };
+        let last = RouteId { destination, endpoint: Some(EndpointId(u32::MAX)) };
+        first..=last
+    }
+}
+
+/// What is known of a route.
+#[derive(Default, Serialize, Deserialize)]
+pub struct Route {
+    /// Endpoints that its calls may go to.
+    pub endpoints: Vec<EndpointId>,
+    /// Messages that one call may carry.
+    pub batch_size: usize,
+    /// Calls in flight, the oldest first.
+    pub calls: BTreeSet<u64>,
+    pub traffic: Traffic,
+    pub latency: Latency,
+    pub losses: LossRatio,
+    pub rate_limit: RateLimit,
+    pub circuit: CircuitBreaker,
+    pub slow_start: SlowStart,
+    pub retry_after: RetryAfter,
+}
+
+impl Route {
+    /// Whether its circuit is open or its slow start runs.
+    pub fn is_recovering(&self) -> bool {
+        self.circuit.is_open() || self.slow_start.is_active()
+    }
+
+    /// Whether there is something to be remembered over a restart.
+    pub fn has_circuit_record(&self) -> bool {
+        self.circuit.has_history() || self.slow_start.is_active()
+    }
+
+    /// Calls a second that this gateway may send now.
+    pub fn rate_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
+        match self.slow_start.warmth(now, settings) {
+            Some(warmth) => {
+                self.overload_budget_per_sec(now, settings, warmth).min(self.rate_limit.rate_per_sec())
+            }
+            None => self.rate_limit.rate_per_sec(),
+        }
+    }
+
+    /// This gateway's share of what the destination may get at some point of its recovery, in calls a second.
+    pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
+        let limit_per_sec = self.rate_limit.limit_per_sec();
+        overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warmth)
+    }
+
+    /// Sets when the next half-open probe may be sent, if the circuit is open; `chance` is a random number in
+    /// `0.0..1.0`.
+    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, chance: f64) {
+        let calls_per_sec = self.overload_budget_per_sec(now, settings, 0.0);
+        let budget = ProbeBudget { calls_per_sec, not_before: self.retry_after.until(), chance };
+        self.circuit.schedule_probe(now, settings, &budget);
+    }
+}
