--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -1,4 +1,4 @@
-//! Journals that other builds have written, and what is in them that once did not fit.
+//! The journal's records: those that other builds have written, long lists, torn tails and compaction.
 
 #[path = "../src/bin/delivery-gateway/journal/mod.rs"]
 #[allow(dead_code)]
@@ -14,21 +14,21 @@
 use std::path::PathBuf;
 use world::*;
 
-/// A journal as it was written while destinations had 16 bits: compacted once, and gone on with. Of destinations 1, 300
-/// and 65535 some messages are held, whose deadlines are decades away; the first of 1 and of 300 were out, the second
-/// ones waited behind them for their turn. 65535 is held to be out, 40000 is not listed any more, and all else drains.
-const OF_16_BITS: &[&[u8]] = &[
-    // Targets
+/// A journal that was written while destinations had 16 bits: compacted once, then appended to. Messages of destinations
+/// 1, 300 and 65535 are pending, with deadlines decades away. The first of 1 and of 300 were in flight; the second ones
+/// waited behind them, in order. The circuit of 65535 is open, 40000 is not listed any more, and all else drains.
+const JOURNAL_WITH_16_BIT_DESTINATIONS: &[&[u8]] = &[
+    // Endpoints
     b"\xa3\x00\x00\x00\x9d\xb3\xdd\xc3\x06\x02\x01\x03\x03s-0\x0f127.0.0.1:39731\x08kingston\x05banks\
       \x01\x07SERVING\x00\x00\x00\x00\x00@\x8f@\x03s-1\x0f127.0.0.1:41093\x08kingston\x05banks\xac\x02\
       \x07SERVING\x00\x00\x00\x00\x00@\x8f@\x03s-2\x0f127.0.0.1:50553\x08kingston\x05banks\xff\xff\x03\
       \x07SERVING\x00\x00\x00\x00\x00@\x8f@",
     // Destinations
     b"\x0b\x00\x00\x00\xb5\x0aJ\x8a\x08\x04\x01\xac\x02\xc0\xb8\x02\xff\xff\x03",
-    // Outages
+    // AllCircuits
     b"\x18\x00\x00\x00\xd7&\x94\xb8\x07\x01\xff\xff\x03\x00\xe3\xaa\xa7\xa7\xa34\x0c\x01\x01\x00\x00\
       \x00\x00\x00\x00\x00\x00\x00",
-    // Whole
+    // Pending
     b"(\x00\x00\x00\x0f3J\xd9\x05\x01\x05out-1\x00\x06notice\xff\xff\x03\x01\x02o1\xb8\x9b\xa5\x84\xfd\
       J\x00\x05out 1\x01\x00\x00\x00",
     b"(\x00\x00\x00\x10\xf2F{\x05\x02\x05out-2\x00\x06notice\xff\xff\x03\x01\x02o2\xb9\x9b\xa5\x84\xfd\
@@ -37,34 +37,34 @@
       \x05low 1\x01\x00\x01\xb9\xab\xa7\xa7\xa34\x00\x00",
     // Tenant
     b"\x08\x00\x00\x00\x05\xcd\x7f\x9c\x09\x03\x05south",
-    // Whole
+    // Pending
     b"&\x00\x00\x00\xc6cg\xa5\x05\x04\x05low-2\x05\x06notice\x01\x01\x02l2\xbe\x9b\xa5\x84\xfdJ\x00\
       \x05low 2\x00\x00\x00\x00",
     // Tenant
     b"\x08\x00\x00\x00\x8b\xf3\xd8Y\x09\x04\x05south",
-    // Take
+    // Accepted
     b"K\x01\x00\x00\xf6\xbb\xca>\x00\x0c\x06fill-7\x00\x06notice\xac\x02\x01\x01f\xaa\x9e\xa5\x84\xfdJ\
       \x00\xac\x02xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\
       xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\
       xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\
       xxxxxxxxxxxxxxxxxxxxxxxx",
-    // Start
+    // AttemptStarted
     b"\x09\x00\x00\x00\xe8\x9b\xbf\x14\x01\x0c\xaa\xae\xa7\xa7\xa34\x00",
-    // Over
+    // Completed
     b"\x02\x00\x00\x00\xd0\x9b\x03,\x04\x0c",
-    // Take
+    // Accepted
     b"#\x00\x00\x00.\xe6N\xd1\x00\x0d\x05mid-1\x06\x06notice\xac\x02\x01\x02m1\xde\x9e\xa5\x84\xfdJ\
       \x00\x05mid 1",
     // Tenant
     b"\x08\x00\x00\x00\xee\xf3\x7fQ\x09\x0d\x05north",
-    // Start
+    // AttemptStarted
     b"\x09\x00\x00\x00No2\xc0\x01\x0d\xde\xae\xa7\xa7\xa34\x00",
-    // Take
+    // Accepted
     b"#\x00\x00\x00\xad\x87\xe1\xa6\x00\x0e\x05mid-2\x06\x06notice\xac\x02\x01\x02m2\xe0\x9e\xa5\x84\
       \xfdJ\x00\x05mid 2",
     // Tenant
     b"\x08\x00\x00\x00s\xe9\x97`\x09\x0e\x05north",
-    // Targets
+    // Endpoints
     b"9\x00\x00\x00\xd4\x8e\x0d\x97\x06\x02\x00\x01\x03s-0\x0f127.0.0.1:39731\x08kingston\x05banks\x01\
       \x08DRAINING\x00\x00\x00\x00\x00@\x8f@",
     b":\x00\x00\x00\xb4a\x0f2\x06\x02\x00\x01\x03s-1\x0f127.0.0.1:41093\x08kingston\x05banks\xac\x02\
@@ -73,53 +73,52 @@
       \x03\x08DRAINING\x00\x00\x00\x00\x00@\x8f@",
 ];
 
-/// Each message goes where it was to go, to a destination that is known as it was.
+/// Each message goes to its destination, and each destination is as it was.
 #[test]
 fn a_journal_of_16_bit_destinations_is_read() {
     let mut world = World::patient(3, 3.0);
     world.destinations = vec![1, 300, 65535];
     world.known.set(0);
-    world.append_to_journal(&OF_16_BITS.concat());
-    let courier = world.start();
-    courier.log_until("the journal was replayed held=6 rev=2");
-    let mut client = courier.client();
+    world.append_to_journal(&JOURNAL_WITH_16_BIT_DESTINATIONS.concat());
+    let gateway = world.start();
+    gateway.log_until("the journal was replayed held=6 rev=2");
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("unlisted", "0", "salary", 40000, b"x"), "+OK");
     assert!(client.enqueue("unknown", "0", "salary", 40001, b"x").starts_with("-ERR "));
     world.tell_all(3);
-    // A line for the outage would come before this one, had it been forgotten.
-    courier.log_until("the list has changed rev=3");
-    assert!(!courier.has_logged("destinations held to be out"));
-    // What was out may have run: it is tried again inside its window alone.
-    let was_out = BTreeMap::from([("low-1", 0), ("mid-1", 1)]);
-    let waited = BTreeMap::from([("low-2", 0), ("mid-2", 1), ("out-1", 2), ("out-2", 2)]);
-    let mut left: BTreeSet<&str> = waited.keys().copied().collect();
+    // A line for the circuit would come before this one, had it been closed.
+    gateway.log_until("the list has changed rev=3");
+    assert!(!gateway.has_logged("destinations held to be out"));
+    // An attempt that was in flight may have run: it is retried inside its idempotency window alone.
+    let had_attempt = BTreeMap::from([("low-1", 0), ("mid-1", 1)]);
+    let had_none = BTreeMap::from([("low-2", 0), ("mid-2", 1), ("out-1", 2), ("out-2", 2)]);
+    let mut left: BTreeSet<&str> = had_none.keys().copied().collect();
     while !left.is_empty() {
         let call = world.call_among_notices();
-        let to = waited.get(call.id.as_str()).or(was_out.get(call.id.as_str()));
+        let to = had_none.get(call.id.as_str()).or(had_attempt.get(call.id.as_str()));
         assert_eq!(to, Some(&call.endpoint), "{}", call.id);
         assert_eq!(call.body, call.id.replace('-', " ").as_bytes());
         left.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
-    courier.log_until("destinations held to be out before=1 after=0");
+    gateway.log_until("destinations held to be out before=1 after=0");
 }
 
-/// Destinations beyond 16 bits keep theirs apart from those that are the same but for the bits above, over compaction
-/// and a kill.
+/// Destinations that differ only in the bits above the lowest 16 are kept apart, over compaction and a kill.
 #[test]
 fn destinations_have_32_bits() {
     const WIDE: u32 = 70_000;
     let mut world = World::patient(3, 0.006);
     world.destinations = vec![WIDE, WIDE % 65_536, u32::MAX];
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert!(client.enqueue("unknown", "0", "salary", u32::MAX % 65_536, b"x").starts_with("-ERR "));
     let enqueue = |client: &mut Client, id: &str, key: &str, destination| {
         assert_eq!(client.enqueue(id, key, &format!("notice,k={id}"), destination, id.as_bytes()), "+OK");
     };
     enqueue(&mut client, "wide-1", "1", WIDE);
     enqueue(&mut client, "most-1", "2", u32::MAX);
-    let out = [world.call(), world.call()];
+    let in_flight = [world.call(), world.call()];
     enqueue(&mut client, "wide-2", "1", WIDE);
     enqueue(&mut client, "most-2", "2", u32::MAX);
     let mut size = 0;
@@ -137,31 +136,31 @@
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
-    let courier = courier.kill_and_restart();
-    drop(out);
+    let gateway = gateway.kill_and_restart();
+    drop(in_flight);
     let to = BTreeMap::from([("wide-1", 0), ("wide-2", 0), ("most-1", 2), ("most-2", 2)]);
     let mut seen = BTreeSet::new();
     while seen.len() < to.len() {
         let call = world.call_among_notices();
-        // The last one of those that filled the journal may have been out.
+        // The last one of those that filled the journal may have been in flight.
         if !call.id.starts_with("fill-") {
             assert_eq!(to.get(call.id.as_str()), Some(&call.endpoint), "{}", call.id);
             seen.insert(call.id.clone());
         }
         call.answer("200 OK", "");
     }
-    assert_eq!(courier.client().enqueue("after", "0", "salary", u32::MAX, b"x"), "+OK");
+    assert_eq!(gateway.client().enqueue("after", "0", "salary", u32::MAX, b"x"), "+OK");
     assert_eq!(world.call_among_notices().endpoint, 2);
 }
 
-/// A folder for a journal alone; it is removed at the end.
-struct Folder(PathBuf);
+/// A state folder with a journal alone; it is removed at the end.
+struct StateFolder(PathBuf);
 
-impl Folder {
+impl StateFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("delivery-gateway-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        StateFolder(path)
     }
 
     fn journal(&self, disk: u64) -> Journal {
@@ -173,13 +172,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for StateFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn outage(rng: &mut fastrand::Rng, CircuitKey { destination, uid }: CircuitKey) -> PersistedCircuit {
+fn random_circuit(rng: &mut fastrand::Rng, CircuitKey { destination, uid }: CircuitKey) -> PersistedCircuit {
     PersistedCircuit {
         destination,
         uid,
@@ -191,38 +190,41 @@
     }
 }
 
-fn assert_noted(journal: &Journal, known: &BTreeMap<CircuitKey, PersistedCircuit>) {
+fn assert_circuits(journal: &Journal, expected: &BTreeMap<CircuitKey, PersistedCircuit>) {
     let circuit_records = &journal.state.circuits;
-    assert_eq!(circuit_records.iter().collect::<Vec<_>>(), known.values().collect::<Vec<_>>());
-    assert_eq!(circuit_records.open_count(), known.values().filter(|note| note.calls_lost.is_some()).count());
+    assert_eq!(circuit_records.iter().collect::<Vec<_>>(), expected.values().collect::<Vec<_>>());
+    assert_eq!(
+        circuit_records.open_count(),
+        expected.values().filter(|circuit| circuit.calls_lost.is_some()).count()
+    );
 }
 
-/// Outages that are noted one by one come back as they are, over kills and compactions, and a tail that is torn
-/// anywhere takes back no more than the last change.
+/// Circuits that change one by one are read as they were, over kills and compactions. A tail that is torn anywhere loses
+/// no more than the last change.
 #[test]
-fn outages_are_noted_as_they_change() {
-    let folder = Folder::new("outages");
+fn circuit_changes_survive_kills_compactions_and_torn_tails() {
+    let folder = StateFolder::new("circuits");
     const DISK: u64 = 20_000;
     let mut compacted = 0;
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut journal = folder.journal(DISK);
-        let mut known: BTreeMap<CircuitKey, PersistedCircuit> =
-            journal.state.circuits.iter().map(|note| (note.key(), note.clone())).collect();
+        let mut expected: BTreeMap<CircuitKey, PersistedCircuit> =
+            journal.state.circuits.iter().map(|circuit| (circuit.key(), circuit.clone())).collect();
         for _ in 0..200 {
-            let before = (folder.bytes(), known.clone());
+            let before = (folder.bytes(), expected.clone());
             let uid = rng.bool().then(|| format!("s-{}", rng.u32(..4)));
             let key = CircuitKey { destination: 70_000 * rng.u32(..8), uid };
             let change = if rng.u32(..3) > 0 {
-                let note = outage(&mut rng, key);
-                known.insert(note.key(), note.clone());
-                PersistedCircuitChange::Updated(note)
+                let circuit = random_circuit(&mut rng, key);
+                expected.insert(circuit.key(), circuit.clone());
+                PersistedCircuitChange::Updated(circuit)
             } else {
-                known.remove(&key);
+                expected.remove(&key);
                 PersistedCircuitChange::Removed(key)
             };
             journal.record_circuits(&[change]).unwrap();
-            assert_noted(&journal, &known);
+            assert_circuits(&journal, &expected);
             let now = folder.bytes();
             let grown = now.starts_with(&before.0);
             compacted += u32::from(!grown);
@@ -231,31 +233,31 @@
                 if grown && rng.bool() {
                     let torn = rng.usize(before.0.len()..now.len());
                     std::fs::write(folder.0.join("journal"), &now[..torn]).unwrap();
-                    known = before.1;
+                    expected = before.1;
                 }
                 journal = folder.journal(DISK);
-                assert_noted(&journal, &known);
+                assert_circuits(&journal, &expected);
             }
         }
     }
     assert!(compacted > 0);
 }
 
-/// Outages of more destinations than one record can hold outlast a compaction.
+/// Circuits of more destinations than one record can hold outlast a compaction.
 #[test]
-fn any_number_of_outages_is_compacted() {
+fn any_number_of_circuits_is_compacted() {
     const COUNT: u32 = 70_000;
     const DISK: u64 = 40_000_000;
-    let folder = Folder::new("many-outages");
+    let folder = StateFolder::new("many-circuits");
     let mut rng = fastrand::Rng::with_seed(7);
     let name = "a-name-that-is-as-long-as-those-that-are-in-use-in-the-field";
-    let known: BTreeMap<CircuitKey, PersistedCircuit> = (0..COUNT)
-        .map(|to| outage(&mut rng, CircuitKey { destination: to, uid: Some(format!("{name}-{to}")) }))
-        .map(|note| (note.key(), note))
+    let expected: BTreeMap<CircuitKey, PersistedCircuit> = (0..COUNT)
+        .map(|to| random_circuit(&mut rng, CircuitKey { destination: to, uid: Some(format!("{name}-{to}")) }))
+        .map(|circuit| (circuit.key(), circuit))
         .collect();
     let mut journal = folder.journal(DISK);
     let all: Vec<PersistedCircuitChange> =
-        known.values().cloned().map(PersistedCircuitChange::Updated).collect();
+        expected.values().cloned().map(PersistedCircuitChange::Updated).collect();
     journal.record_circuits(&all).unwrap();
     let whole = folder.bytes().len();
     assert!(whole > 4 << 20, "{whole} bytes would fit one record");
@@ -265,39 +267,39 @@
         journal.record_circuits(&all).unwrap();
     }
     drop(journal);
-    assert_noted(&folder.journal(DISK), &known);
+    assert_circuits(&folder.journal(DISK), &expected);
 }
 
-/// What was noted of an outage since the start binds the next process: one call is on trial.
+/// A circuit that opened since the start is open for the next process: it sends one probe at a time.
 #[test]
-fn an_outage_outlasts_a_kill() {
+fn an_open_circuit_outlasts_a_kill() {
     let world = World::patient(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     for id in ["a", "b", "c", "d"] {
         assert_eq!(client.enqueue(id, "0", &format!("notice,k={id}"), 1, b"x"), "+OK");
     }
     (0..4).for_each(|_| world.call().reset());
-    courier.log_until("destinations held to be out before=0 after=1");
-    let courier = courier.kill_and_restart();
-    // A line for the outage would come before the one for the operators, had it been forgotten.
-    assert_eq!(courier.operate("POST /_lameduck/on"), 200);
-    courier.log_until("operators have told to empty");
-    assert!(!courier.has_logged("destinations held to be out"));
-    assert_eq!(courier.operate("POST /_lameduck/off"), 200);
+    gateway.log_until("destinations held to be out before=0 after=1");
+    let gateway = gateway.kill_and_restart();
+    // A line for the circuit would come before the one for the operators, had it been closed.
+    assert_eq!(gateway.operate("POST /_lameduck/on"), 200);
+    gateway.log_until("operators have told to empty");
+    assert!(!gateway.has_logged("destinations held to be out"));
+    assert_eq!(gateway.operate("POST /_lameduck/off"), 200);
     let mut left = BTreeSet::from(["a", "b", "c", "d"]);
     while !left.is_empty() {
         let call = world.call();
         left.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
-    courier.log_until("destinations held to be out before=1 after=0");
+    gateway.log_until("destinations held to be out before=1 after=0");
 }
 
-/// An update whose record would be too long.
-fn long_update(rev: u64, all: bool, count: u32) -> DiscoveryUpdate {
-    let target = |number| DiscoveredEndpoint {
-        uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{rev}-{number}"),
+/// Endpoints whose update would be too long for one record.
+fn many_endpoints(revision: u64, count: u32) -> Vec<DiscoveredEndpoint> {
+    let endpoint = |number| DiscoveredEndpoint {
+        uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{revision}-{number}"),
         address: "127.0.0.1:9".to_owned(),
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
@@ -305,133 +307,151 @@
         state: "SERVING".to_owned(),
         capacity_hint: 1.0,
     };
-    DiscoveryUpdate { revision: rev, is_snapshot: all, endpoints: (0..count).map(target).collect() }
+    (0..count).map(endpoint).collect()
+}
+
+fn long_snapshot(revision: u64, count: u32) -> DiscoveryUpdate {
+    DiscoveryUpdate { revision, is_snapshot: true, endpoints: many_endpoints(revision, count) }
+}
+
+fn long_delta(revision: u64, count: u32) -> DiscoveryUpdate {
+    DiscoveryUpdate { revision, is_snapshot: false, endpoints: many_endpoints(revision, count) }
 }
 
-/// What a journal holds of the list: its version, how many endpoints, and their least uid.
-fn listed(journal: &Journal) -> (u64, usize, Option<&str>) {
+/// What a journal holds of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+struct EndpointList {
+    revision: u64,
+    count: usize,
+    first_uid: Option<String>,
+}
+
+fn endpoint_list(journal: &Journal) -> EndpointList {
     let state = &journal.state;
-    (state.endpoints_revision, state.endpoints.len(), state.endpoints.keys().next().map(String::as_str))
+    EndpointList {
+        revision: state.endpoints_revision,
+        count: state.endpoints.len(),
+        first_uid: state.endpoints.keys().next().cloned(),
+    }
 }
 
-/// A list that no record can hold is there whole or not at all, wherever its tail is torn; what was left of it spoils
-/// nothing that comes after it.
+/// An endpoint list that no record can hold is applied completely or not at all, wherever its tail is torn. What is left
+/// of it changes nothing that comes after it.
 #[test]
-fn a_list_of_many_records_counts_whole_or_not_at_all() {
+fn an_endpoint_list_of_many_records_is_applied_completely_or_not_at_all() {
     const MANY: u32 = 50_000;
     const DISK: u64 = 100_000_000;
-    let folder = Folder::new("long-list");
+    let folder = StateFolder::new("long-list");
     let mut journal = folder.journal(DISK);
-    journal.record_endpoints(long_update(1, true, 3)).unwrap();
+    journal.record_endpoints(long_snapshot(1, 3)).unwrap();
     let small = folder.bytes();
-    let before = listed(&journal);
-    assert_eq!((before.0, before.1), (1, 3));
+    let before = endpoint_list(&journal);
+    assert_eq!((before.revision, before.count), (1, 3));
     let mut whole = folder.journal(DISK);
-    whole.record_endpoints(long_update(2, true, MANY)).unwrap();
+    whole.record_endpoints(long_snapshot(2, MANY)).unwrap();
     let bytes = folder.bytes();
     assert!(bytes.len() > small.len() + (4 << 20), "{} bytes would fit one record", bytes.len());
     drop(whole);
     let whole = folder.journal(DISK);
-    let after = listed(&whole);
-    assert_eq!((after.0, after.1), (2, MANY as usize));
+    let after = endpoint_list(&whole);
+    assert_eq!((after.revision, after.count), (2, MANY as usize));
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..12 {
         let torn = rng.usize(small.len()..bytes.len());
         std::fs::write(folder.0.join("journal"), &bytes[..torn]).unwrap();
-        assert_eq!(listed(&folder.journal(DISK)), before, "torn at {torn}");
-        // A change of what was known, and the same list once more.
+        assert_eq!(endpoint_list(&folder.journal(DISK)), before, "torn at {torn}");
+        // Either the same list once more, or a change of the one before.
         let again = rng.bool();
         if again {
-            folder.journal(DISK).record_endpoints(long_update(2, true, MANY)).unwrap();
-            assert_eq!(listed(&folder.journal(DISK)), after, "torn at {torn}");
+            folder.journal(DISK).record_endpoints(long_snapshot(2, MANY)).unwrap();
+            assert_eq!(endpoint_list(&folder.journal(DISK)), after, "torn at {torn}");
         } else {
-            folder.journal(DISK).record_endpoints(long_update(3, false, 2)).unwrap();
-            let (rev, count, _) = listed(&folder.journal(DISK));
-            assert_eq!((rev, count), (3, 5), "torn at {torn}");
+            folder.journal(DISK).record_endpoints(long_delta(3, 2)).unwrap();
+            let changed = endpoint_list(&folder.journal(DISK));
+            assert_eq!((changed.revision, changed.count), (3, 5), "torn at {torn}");
         }
     }
 }
 
-/// A long list, a long change and more destinations than a record holds outlast a compaction.
+/// A long snapshot, a long delta and more destinations than a record holds outlast a compaction.
 #[test]
-fn a_long_list_is_compacted() {
+fn a_long_endpoint_list_is_compacted() {
     const MANY: u32 = 50_000;
     const DISK: u64 = 50_000_000;
     /// From here on, each takes four bytes.
     const FAR: u32 = 1 << 21;
-    let folder = Folder::new("compacted-list");
+    let folder = StateFolder::new("compacted-list");
     let mut journal = folder.journal(DISK);
     journal.state.destinations.extend(FAR..FAR + (11 << 17));
     let mut size = 0;
-    let mut rev = 0;
+    let mut revision = 0;
     while folder.bytes().len() >= size {
         size = folder.bytes().len();
-        rev += 2;
-        journal.record_endpoints(long_update(rev, true, MANY)).unwrap();
-        journal.record_endpoints(long_update(rev + 1, false, MANY)).unwrap();
+        revision += 2;
+        journal.record_endpoints(long_snapshot(revision, MANY)).unwrap();
+        journal.record_endpoints(long_delta(revision + 1, MANY)).unwrap();
     }
-    let known = listed(&journal);
-    assert_eq!((known.0, known.1), (rev + 1, 2 * MANY as usize));
+    let expected = endpoint_list(&journal);
+    assert_eq!((expected.revision, expected.count), (revision + 1, 2 * MANY as usize));
     let again = folder.journal(DISK);
-    assert_eq!(listed(&again), known);
+    assert_eq!(endpoint_list(&again), expected);
     assert!(again.state.endpoints.keys().eq(journal.state.endpoints.keys()));
     assert_eq!(again.state.destinations, journal.state.destinations);
 }
 
-/// So many endpoints that their list fits no record, first as the start knows them and then as the watch tells them: a
-/// process that was killed knows them all.
+/// So many endpoints that their list fits no record, first from the configuration and then from the watch: after a kill
+/// all are still listed.
 #[test]
-fn a_list_beyond_one_record_outlasts_a_kill() {
+fn an_endpoint_list_beyond_one_record_outlasts_a_kill() {
     const MANY: u32 = 80_000;
     let mut world = World::patient(1, 60.0);
     world.enlarge(MANY as usize);
     world.apart = true;
-    // One that stays out is held when the process is killed.
-    let send = |courier: &Scheduler, id: &str, destination| {
-        assert_eq!(courier.client().enqueue(id, "0", "salary", destination, b"x"), "+OK");
+    // One that stays in flight is pending when the process is killed.
+    let send = |gateway: &Scheduler, id: &str, destination| {
+        assert_eq!(gateway.client().enqueue(id, "0", "salary", destination, b"x"), "+OK");
         let call = world.call_among_notices();
         assert_eq!(call.id, id);
         call
     };
-    let courier = world.start();
-    let _out = send(&courier, "known", MANY);
+    let gateway = world.start();
+    let _out = send(&gateway, "known", MANY);
     assert!(world.journal().len() > 4 << 20);
     world.known.set(1);
-    let courier = courier.kill_and_restart();
-    courier.log_until("the journal was replayed held=1 rev=1");
-    send(&courier, "replayed", MANY - 1).answer("200 OK", "");
+    let gateway = gateway.kill_and_restart();
+    gateway.log_until("the journal was replayed held=1 rev=1");
+    send(&gateway, "replayed", MANY - 1).answer("200 OK", "");
     world.tell_all(2);
-    courier.log_until("the list has changed rev=2 changed=80000");
-    let _out = send(&courier, "watched", MANY - 2);
-    let courier = courier.kill_and_restart();
-    let replayed = courier.log_until("the journal was replayed");
+    gateway.log_until("the list has changed rev=2 changed=80000");
+    let _out = send(&gateway, "watched", MANY - 2);
+    let gateway = gateway.kill_and_restart();
+    let replayed = gateway.log_until("the journal was replayed");
     assert!(replayed.ends_with("rev=2"), "{replayed}");
-    send(&courier, "again", MANY - 3).answer("200 OK", "");
-    assert!(!courier.has_logged("cannot be written"));
+    send(&gateway, "again", MANY - 3).answer("200 OK", "");
+    assert!(!gateway.has_logged("cannot be written"));
 }
 
-/// An attempt without an outcome in the journal may have run, also if another one was begun after it: the window for
-/// repeats counts from the first.
+/// An attempt without an outcome in the journal may have run, also if another one was started after it: the idempotency
+/// window counts from the first.
 #[test]
-fn an_attempt_whose_outcome_is_missing_may_have_run() {
-    let folder = std::env::temp_dir().join(format!("delivery-gateway-journal-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+fn an_attempt_without_an_outcome_counts_as_uncertain() {
+    const DISK: u64 = 1 << 20;
+    let folder = StateFolder::new("journal");
     let (first, second) = (SentRecord { sent_ms: 1_000, zone: 1 }, SentRecord { sent_ms: 2_000, zone: 2 });
-    let mut journal = Journal::open(&folder, 1 << 20).unwrap();
-    let number = journal.accept(taken("m1")).unwrap();
+    let mut journal = folder.journal(DISK);
+    let number = journal.accept(accepted_record("m1")).unwrap();
     journal.record_attempt(number, first).unwrap();
     journal.record_attempt(number, second).unwrap();
     journal.record_attempt_outcome(number, false).unwrap();
-    let journal = Journal::open(&folder, 1 << 20).unwrap();
+    let journal = folder.journal(DISK);
     let pending: &PendingMessage = &journal.state.pending[&number];
     assert_eq!(
         (pending.attempts, pending.first_uncertain_attempt, pending.in_flight),
         (2, Some(first), None)
     );
-    std::fs::remove_dir_all(&folder).unwrap();
 }
 
-fn taken(id: &str) -> AcceptedRecord {
+fn accepted_record(id: &str) -> AcceptedRecord {
     AcceptedRecord {
         id: id.to_owned(),
         ordering_key: 0,
@@ -445,20 +465,20 @@
     }
 }
 
-/// A courier that has lived without trouble leaves a journal in which the build before finds only records that it
-/// knows: journal time is kept beside it.
+/// A gateway that has met no fault leaves a journal in which the build before finds only kinds of record that it reads:
+/// journal time is kept beside it.
 #[test]
-fn an_untroubled_journal_has_only_records_of_the_build_before() {
+fn a_journal_without_faults_has_only_record_kinds_of_the_build_before() {
     const LAST_KNOWN_KIND: u8 = 12;
     let world = World::patient(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("r1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     assert_eq!(client.enqueue("r2", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
     assert!(world.notice().contains("failed"));
-    drop(courier.kill_and_restart());
+    drop(gateway.kill_and_restart());
     let journal = world.journal();
     let (mut at, mut records) = (0, 0);
     while let Some(head) = journal[at..].first_chunk::<4>() {
@@ -469,13 +489,13 @@
     assert!(records > 5 && at == journal.len(), "{records} records, {at} of {} bytes", journal.len());
 }
 
-/// A list that the disk has no room for keeps no message from being accepted, tried and ended.
+/// An endpoint list that the disk has no room for keeps no message from being accepted, attempted and completed.
 #[test]
-fn a_list_beyond_the_disk_holds_up_no_message() {
-    let folder = std::env::temp_dir().join(format!("delivery-gateway-full-disk-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let mut journal = Journal::open(&folder, 20_000).unwrap();
-    let target = |number: u32| DiscoveredEndpoint {
+fn an_endpoint_list_beyond_the_disk_blocks_no_message() {
+    const DISK: u64 = 20_000;
+    let folder = StateFolder::new("full-disk");
+    let mut journal = folder.journal(DISK);
+    let endpoint = |number: u32| DiscoveredEndpoint {
         uid: format!("s-{number}"),
         address: "127.0.0.1:1".to_owned(),
         zone: "kingston".to_owned(),
@@ -484,17 +504,14 @@
         state: "SERVING".to_owned(),
         capacity_hint: 1.0,
     };
-    let targets = (0..1000).map(target).collect();
-    assert!(journal
-        .record_endpoints(DiscoveryUpdate { revision: 2, is_snapshot: true, endpoints: targets })
-        .is_err());
-    let number = journal.accept(taken("m1")).unwrap();
+    let endpoints = (0..1000).map(endpoint).collect();
+    assert!(journal.record_endpoints(DiscoveryUpdate { revision: 2, is_snapshot: true, endpoints }).is_err());
+    let number = journal.accept(accepted_record("m1")).unwrap();
     journal.record_attempt(number, SentRecord { sent_ms: 1_000, zone: 1 }).unwrap();
     journal.record_attempt_outcome(number, true).unwrap();
-    let journal = Journal::open(&folder, 20_000).unwrap();
+    let journal = folder.journal(DISK);
     assert_eq!(
         journal.state.pending[&number].first_uncertain_attempt,
         Some(SentRecord { sent_ms: 1_000, zone: 1 })
     );
-    std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -1,4 +1,5 @@
-//! A folder that lasts and cannot be written for a while: what was taken on is still owed, once, and inside all rules.
+//! A state folder that cannot be written for a while: each accepted message still gets one final outcome, and no rule is
+//! broken.
 //! The faults come from the shim (`fault-shim/`).
 
 mod world;
@@ -14,40 +15,40 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A final answer is told only once no restart can forget it: what was given back may come again elsewhere.
+/// A final outcome is announced only once no restart can lose it: a message that was returned may be enqueued elsewhere.
 #[test]
-fn a_verdict_that_cannot_be_written_is_not_told_before_it_can() {
+fn a_final_outcome_is_announced_only_after_it_is_written() {
     let world = World::faulty(1, 1);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("v1", "0", "notice,k=aa", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("v1", "0", "notice,k=aa", 1, b"x"), "+OK");
     let call = world.call();
     world.fail(SystemCall::StateWrite, Fault::always(&DISK));
-    // Never run, and no attempt left: it is given back.
+    // Not processed, and no attempt left: it is returned.
     call.answer("504 Gateway Timeout", "");
     world.nothing();
     world.faults().clear(SystemCall::StateWrite).unwrap();
     assert!(world.notice().contains(r#""id":"v1","state":"returned""#));
-    let _courier = courier.kill_and_restart();
-    // Told once more at most, and never sent.
+    let _courier = gateway.kill_and_restart();
+    // Announced once more at most, and never sent.
     world.no_call();
 }
 
-/// A change of the list that could not be written is not lost behind the next one that can.
+/// A change of the endpoint list that could not be written is not lost behind the next one that can.
 #[test]
-fn a_list_that_could_not_be_written_is_written_later() {
+fn an_endpoint_list_that_could_not_be_written_is_written_later() {
     let world = World::faulty(2, 1);
-    let courier = world.start();
+    let gateway = world.start();
     world.fail(SystemCall::StateWrite, Fault::always(&DISK));
     world.remove(0);
-    courier.log_until("the list has changed");
+    gateway.log_until("the list has changed");
     world.faults().clear(SystemCall::StateWrite).unwrap();
     world.serve_again(1, 3);
-    courier.log_times("the list has changed", 2);
-    let stopped = courier.kill();
-    // Nobody tells the next process.
+    gateway.log_times("the list has changed", 2);
+    let stopped = gateway.kill();
+    // The next process gets no list from discovery.
     world.silence_discovery(true);
-    let courier = stopped.restart();
-    let mut client = courier.client();
+    let gateway = stopped.restart();
+    let mut client = gateway.client();
     for number in 0..6 {
         assert_eq!(client.enqueue(&format!("l{number}"), "0", "notice,k=aa", 1, b"x"), "+OK");
         let call = world.call();
@@ -58,10 +59,10 @@
 
 /// A record that is half written when the disk fails is no part of the journal, and what comes after it is.
 #[test]
-fn a_torn_record_takes_nothing_with_it() {
+fn a_torn_record_loses_no_other_record() {
     let world = World::faulty(1, 1);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     for round in 0..4 {
@@ -72,21 +73,21 @@
     assert_eq!(client.enqueue("t2", "0", "salary", 1, b"x"), "+OK");
     assert_eq!(world.call().id, "t2");
     drop(call);
-    let _courier = courier.kill_and_restart();
-    let mut told = [world.notice(), world.notice()];
-    told.sort();
-    assert_eq!(told, [failed("t1"), failed("t2")]);
+    let _courier = gateway.kill_and_restart();
+    let mut announced = [world.notice(), world.notice()];
+    announced.sort();
+    assert_eq!(announced, [failed("t1"), failed("t2")]);
     world.nothing();
 }
 
-/// Attempts that cannot be written down are not made, and cost a message none of those that it has: it goes out as
-/// soon as the disk can be written again.
+/// Attempts that cannot be recorded are not made, and do not count as attempts of the message: it is sent as soon as the
+/// disk can be written again.
 #[test]
 fn a_disk_that_fails_for_a_while_uses_up_no_attempts() {
     let mut world = World::faulty(1, 1);
     world.latency_objective = 3;
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("d1", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     assert_eq!(client.enqueue("d2", "0", "salary", 1, b"x"), "+OK");
