--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,177 +1,206 @@
-//! The watch on the list.
+//! The watch on the endpoint list: one long response of the agent, with a line for each change.
+//!
+//! It owns the revision of the list that was last seen, and reconnects when it is asked to, or when the agent's address
+//! changes. It never decides when to reconnect after a failure: the scheduler does.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::{Request, StatusCode};
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::client::{connect, AgentAddress, Connection, DiscoveryError, AGENT_RESPONSE_TIMEOUT};
-use super::directory::DiscoveryUpdate;
+use super::client::{connect, AgentAddress, Connection, AGENT_RESPONSE_TIMEOUT};
+use super::error::DiscoveryError;
+use super::update::DiscoveryUpdate;
+use super::update_decoder::{UpdateDecoder, MAX_UPDATE_BYTES};
 use crate::{EndpointUpdate, WATCH_RESPONSE_TIMEOUT};
 
-/// The watch has an empty line every 2 s; silence for this long is an outage of discovery. What was missed counts
-/// as told after 6 s, so that there is no time for a longer wait.
+/// Longest time without a byte on an open watch, which has a heartbeat every 2 s. A missed change has to be in force
+/// after 6 s, which leaves no time for a longer one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A list, or a line of the watch, that is longer is damage. One of 65,536 endpoints has about 10 MiB.
-const MAX_LIST_BYTES: usize = 16 << 20;
+/// Path of the endpoint list.
+const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
-/// What the watch has to tell.
+/// What the watch announces.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The whole list, or what has changed in it.
+    /// The complete endpoint list, or what has changed in it.
     Updated(DiscoveryUpdate),
     /// The watch is up.
     Established,
-    /// It is not: [`EndpointUpdate::WatchFailed`], or [`EndpointUpdate::WatchRejected`] as discovery has more to do than it can.
+    /// The watch failed: [`EndpointUpdate::WatchFailed`], or [`EndpointUpdate::WatchRejected`] if the agent is
+    /// overloaded.
     Broken(EndpointUpdate),
 }
 
-/// The watch on the list, from its last version on.
+/// The watch on the endpoint list, from a revision on.
 pub struct EndpointWatch {
-    /// Where to ask.
+    /// The present address of the agent.
     pub agent: AgentAddress,
-    /// The version of the list that is known already.
+    /// The revision of the endpoint list that is known already.
     pub revision: u64,
-    /// What breaks is begun anew when the module says so.
+    /// Signals that a watch that failed is to be begun again.
     pub reconnect: watch::Receiver<()>,
 }
 
 impl EndpointWatch {
-    /// Begins after some time, and says what it hears; ends when nobody can tell any more where the agent is.
-    pub async fn run(mut self, first: Duration, tell: impl Fn(WatchEvent)) {
-        let mut down = false;
-        let mut agent = self.agent.clone();
-        // Another agent may know another list: it is asked for the whole of it first, and at once.
-        let mut whole = timeout(first, agent.changed()).await.is_ok();
+    /// Watches the endpoint list, for the first time after `initial_delay`, and passes what it sees to `notify`. Ends
+    /// when the sender of the agent's address is dropped.
+    pub async fn run(self, initial_delay: Duration, notify: impl Fn(WatchEvent)) {
+        let EndpointWatch { mut agent, revision, mut reconnect } = self;
+        let mut session =
+            Session { revision, start: WatchStart::LastRevision, is_failure_logged: false, notify };
+        if timeout(initial_delay, agent.changed()).await.is_ok() {
+            session.start = WatchStart::Snapshot;
+        }
         loop {
             let address = agent.borrow_and_update().clone();
-            let result = tokio::select! {
-                result = self.once(&address, &mut whole, &tell, &mut down) => result,
+            let error = tokio::select! {
+                error = session.watch(&address) => error,
                 changed = agent.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    (whole, down) = (true, false);
+                    session.start = WatchStart::Snapshot;
+                    session.is_failure_logged = false;
                     continue;
                 }
             };
-            let why = match &result {
-                Err(
-                    DiscoveryError::Status(StatusCode::SERVICE_UNAVAILABLE) | DiscoveryError::WatchNotServed,
-                ) => EndpointUpdate::WatchRejected,
-                _ => EndpointUpdate::WatchFailed,
-            };
-            let reason = result.err().map_or_else(|| "ended".to_owned(), |error| error.to_string());
-            if !down {
-                warn!(reason, revision = self.revision, "the watch on the list broke");
-                down = true;
-            }
-            self.reconnect.mark_unchanged();
-            tell(WatchEvent::Broken(why));
+            session.log_failure(&error);
+            // A signal to reconnect counts only if it answers the failure that is announced now.
+            reconnect.mark_unchanged();
+            (session.notify)(WatchEvent::Broken(announcement(&error)));
             tokio::select! {
-                Ok(()) = self.reconnect.changed() => {}
-                changed = agent.changed() => whole |= changed.is_ok(),
+                Ok(()) = reconnect.changed() => {}
+                changed = agent.changed() => if changed.is_ok() {
+                    session.start = WatchStart::Snapshot;
+                },
             }
         }
     }
+}
 
-    async fn once(
-        &mut self,
-        agent: &str,
-        whole: &mut bool,
-        tell: &impl Fn(WatchEvent),
-        down: &mut bool,
-    ) -> Result<(), DiscoveryError> {
+/// How the scheduler is told of a failure.
+fn announcement(error: &DiscoveryError) -> EndpointUpdate {
+    match error {
+        DiscoveryError::Status(StatusCode::SERVICE_UNAVAILABLE) | DiscoveryError::WatchNotServed => {
+            EndpointUpdate::WatchRejected
+        }
+        _ => EndpointUpdate::WatchFailed,
+    }
+}
+
+/// What the next watch begins with.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WatchStart {
+    /// The complete list: the agent is another one, which may know another list.
+    Snapshot,
+    /// The changes after the revision that was last seen.
+    LastRevision,
+}
+
+/// What outlasts a single watch.
+struct Session<N> {
+    revision: u64,
+    start: WatchStart,
+    /// Whether the present failure has been logged; repeated ones are not.
+    is_failure_logged: bool,
+    notify: N,
+}
+
+impl<N: Fn(WatchEvent)> Session<N> {
+    /// Watches at one agent until that fails.
+    async fn watch(&mut self, agent: &str) -> DiscoveryError {
+        match self.connect_and_follow(agent).await {
+            Ok(()) => DiscoveryError::WatchEnded,
+            Err(error) => error,
+        }
+    }
+
+    async fn connect_and_follow(&mut self, agent: &str) -> Result<(), DiscoveryError> {
         let mut connection = connect(agent).await?;
-        if *whole {
-            let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
-            let list = timeout(WATCH_RESPONSE_TIMEOUT, fetch(&mut connection, request)).await??;
-            // An agent that has heard less than the one before must not take back a drain.
-            if list.revision >= self.revision {
-                self.revision = list.revision;
-                tell(WatchEvent::Updated(DiscoveryUpdate { is_snapshot: true, ..list }));
-            }
-            *whole = false;
+        if self.start == WatchStart::Snapshot {
+            self.fetch_snapshot(&mut connection, agent).await?;
+            self.start = WatchStart::LastRevision;
             timeout(AGENT_RESPONSE_TIMEOUT, connection.ready()).await??;
         }
-        let request = Request::get(format!("/v1/endpoints?watch=1&after={}", self.revision))
-            .header("Host", agent)
-            .body(Full::default())?;
-        let response = timeout(WATCH_RESPONSE_TIMEOUT, connection.send_request(request)).await??;
-        if response.status() != StatusCode::OK {
-            return Err(DiscoveryError::Status(response.status()));
+        let path = format!("{ENDPOINTS_PATH}?watch=1&after={}", self.revision);
+        let response = timeout(WATCH_RESPONSE_TIMEOUT, get(&mut connection, agent, &path)).await??;
+        self.follow(response.into_body()).await
+    }
+
+    /// Requests the complete list, and announces it unless it is older than the one that is known: an agent that is
+    /// behind must not undo a drain.
+    async fn fetch_snapshot(
+        &mut self,
+        connection: &mut Connection,
+        agent: &str,
+    ) -> Result<(), DiscoveryError> {
+        let request = async {
+            let response = get(connection, agent, ENDPOINTS_PATH).await?;
+            let body = Limited::new(response.into_body(), MAX_UPDATE_BYTES).collect().await;
+            let body = body.map_err(|_| DiscoveryError::UnterminatedUpdate)?;
+            Ok::<DiscoveryUpdate, DiscoveryError>(serde_json::from_slice(&body.to_bytes())?)
+        };
+        let list = timeout(WATCH_RESPONSE_TIMEOUT, request).await??;
+        if list.revision >= self.revision {
+            self.revision = list.revision;
+            (self.notify)(WatchEvent::Updated(DiscoveryUpdate { is_snapshot: true, ..list }));
         }
-        let mut body = response.into_body();
-        let mut buffer: Vec<u8> = Vec::new();
-        // Up to where the buffer holds lines of an object that is not whole yet: lists may come indented.
-        let mut begun = 0;
-        // Up to where there is no end of a line: a long one comes in many parts.
-        let mut searched = 0;
-        let mut told = false;
-        while let Some(part) = timeout(IDLE_TIMEOUT, body.frame()).await? {
-            if part.is_err() && !told {
-                return Err(DiscoveryError::WatchNotServed);
-            }
-            if !told {
-                told = true;
-                tell(WatchEvent::Established);
-            }
-            if *down {
-                info!(revision = self.revision, "the list is being watched again");
-                *down = false;
-            }
-            let Ok(data) = part?.into_data() else { continue };
-            buffer.extend_from_slice(&data);
-            while let Some(end) = buffer[searched..].iter().position(|byte| *byte == b'\n') {
-                let end = searched + end;
-                searched = end + 1;
-                let line = &buffer[begun..=end];
-                let blank = line.trim_ascii().is_empty();
-                if begun > 0 && blank {
-                    return Err(DiscoveryError::TooLong);
-                }
-                // What is indented belongs to the object, whose end alone is worth a look.
-                if begun > 0 && line[0].is_ascii_whitespace() {
-                    begun = end + 1;
-                    continue;
-                }
-                if !blank {
-                    match serde_json::from_slice::<DiscoveryUpdate>(&buffer[..=end]) {
-                        Ok(update) => {
-                            self.revision = update.revision;
-                            tell(WatchEvent::Updated(update));
-                        }
-                        Err(error) if error.is_eof() => {
-                            begun = end + 1;
-                            continue;
-                        }
-                        Err(error) => return Err(error.into()),
-                    }
+        Ok(())
+    }
+
+    /// Announces the updates of an open watch until it ends.
+    async fn follow(&mut self, mut body: Incoming) -> Result<(), DiscoveryError> {
+        let mut decoder = UpdateDecoder::default();
+        let mut is_established = false;
+        while let Some(frame) = timeout(IDLE_TIMEOUT, body.frame()).await? {
+            if !is_established {
+                if frame.is_err() {
+                    return Err(DiscoveryError::WatchNotServed);
                 }
-                buffer.drain(..=end);
-                (begun, searched) = (0, 0);
+                is_established = true;
+                (self.notify)(WatchEvent::Established);
+                self.log_recovery();
             }
-            searched = buffer.len();
-            if buffer.len() > MAX_LIST_BYTES {
-                return Err(DiscoveryError::TooLong);
+            let Ok(data) = frame?.into_data() else { continue };
+            decoder.push(&data);
+            while let Some(update) = decoder.next_update()? {
+                self.revision = update.revision;
+                (self.notify)(WatchEvent::Updated(update));
             }
         }
         Ok(())
     }
+
+    fn log_failure(&mut self, error: &DiscoveryError) {
+        if !self.is_failure_logged {
+            warn!(reason = error.to_string(), revision = self.revision, "endpoint watch failed");
+            self.is_failure_logged = true;
+        }
+    }
+
+    fn log_recovery(&mut self) {
+        if self.is_failure_logged {
+            info!(revision = self.revision, "endpoint watch established again");
+            self.is_failure_logged = false;
+        }
+    }
 }
 
-/// The whole list.
-async fn fetch(
+/// Sends a request for a path; any status but 200 is an error.
+async fn get(
     connection: &mut Connection,
-    request: Request<Full<Bytes>>,
-) -> Result<DiscoveryUpdate, DiscoveryError> {
+    agent: &str,
+    path: &str,
+) -> Result<Response<Incoming>, DiscoveryError> {
+    let request = Request::get(path).header("Host", agent).body(Full::<Bytes>::default())?;
     let response = connection.send_request(request).await?;
-    if response.status() != StatusCode::OK {
-        return Err(DiscoveryError::Status(response.status()));
+    match response.status() {
+        StatusCode::OK => Ok(response),
+        status => Err(DiscoveryError::Status(status)),
     }
-    let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
-    Ok(serde_json::from_slice(&body.map_err(|_| DiscoveryError::TooLong)?.to_bytes())?)
 }
--- a/tests/courier.rs
+++ b/tests/courier.rs
@@ -373,7 +373,7 @@
     let mut client = courier.client();
     assert_eq!(client.enqueue("q1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
-    courier.log_until("the watch on the list broke");
+    courier.log_until("endpoint watch failed");
     assert_eq!(courier.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     world.drain(0);
@@ -400,7 +400,7 @@
     }
     world.tell_text("{\n  \"rev\": 3,\n");
     world.tell_text("\n");
-    courier.log_until("the watch on the list broke");
+    courier.log_until("endpoint watch failed");
 }
 
 /// Discovery that is slow, as a whole fleet asks at once, is asked once: who hung up after half a second asked
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! The reader of the list, by itself.
+//! The directory of endpoints and the forms of the endpoint list, by themselves.
 
-use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory, EndpointState};
 use delivery_gateway::*;
 use std::path::Path;
 
@@ -30,7 +30,7 @@
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
         destination: 70_000,
-        state: state.to_owned(),
+        state: state.into(),
         capacity_hint: 3.5,
     }
 }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_become_numbers_that_stay() {
+fn names_keep_their_numbers() {
     let mut directory = directory();
     let first = directory.apply(&update(true, vec![target("a", "SERVING"), target("b", "DRAINING")]));
     assert!(
@@ -63,29 +63,51 @@
     assert_eq!(directory.address(EndpointId(3)), Some(([127, 0, 0, 1], 9).into()));
 }
 
-/// An endpoint without an address that can be read gets nothing new.
+/// An endpoint with an unreadable address is sent no new calls.
 #[test]
-fn an_address_that_cannot_be_read_drains() {
+fn an_unreadable_address_counts_as_draining() {
     let mut directory = directory();
     let target = DiscoveredEndpoint { address: "nowhere".to_owned(), ..target("a", "SERVING") };
     assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Availability::Draining)]);
     assert!(!directory.is_open(EndpointId(1)));
 }
 
-/// What a whole list does not name is gone, and is forgotten unless it is needed or left out.
+/// A state is a string on the wire and in the journal, known or not; one that is not known drains.
 #[test]
-fn the_gone_are_forgotten_once_nobody_needs_them() {
+fn endpoint_states_are_encoded_by_their_names() {
+    for (name, availability) in [
+        ("SERVING", Availability::Ready),
+        ("DRAINING", Availability::Draining),
+        ("DELETED", Availability::Removed),
+        ("PAUSED", Availability::Draining),
+        ("", Availability::Draining),
+    ] {
+        let state = EndpointState::from(name);
+        let bytes = postcard::to_allocvec(&state).unwrap();
+        assert_eq!(bytes, postcard::to_allocvec(&name.to_owned()).unwrap());
+        assert_eq!(postcard::from_bytes::<EndpointState>(&bytes).unwrap(), state);
+        let json = serde_json::to_string(&state).unwrap();
+        assert_eq!(json, format!("\"{name}\""));
+        assert_eq!(serde_json::from_str::<EndpointState>(&json).unwrap(), state);
+        let listed = directory().apply(&update(true, vec![target("a", name)]));
+        assert_eq!(entries(listed), [(1, availability)], "{name}");
+    }
+}
+
+/// What a snapshot does not name is removed, and is forgotten unless it is needed or disabled.
+#[test]
+fn removed_endpoints_are_forgotten_once_nobody_needs_them() {
     let mut directory = directory();
     let all = ["a", "b", "c", "d"].map(|uid| target(uid, "SERVING"));
     directory.apply(&update(true, all.to_vec()));
     directory.set_disabled("c", true);
     directory.apply(&update(true, vec![target("d", "SERVING")]));
-    let gone = |directory: &EndpointDirectory| {
+    let removed = |directory: &EndpointDirectory| {
         (1..=4).map(|id| directory.is_removed(EndpointId(id))).collect::<Vec<_>>()
     };
-    assert_eq!(gone(&directory), [true, true, true, false]);
+    assert_eq!(removed(&directory), [true, true, true, false]);
     directory.forget_removed(|id| id == EndpointId(2));
-    assert_eq!(gone(&directory), [false, true, false, false]);
+    assert_eq!(removed(&directory), [false, true, false, false]);
     let number = |directory: &EndpointDirectory, uid: &str| directory.endpoint_id(uid).map(|id| id.0);
     assert_eq!(["a", "b", "c", "d"].map(|uid| number(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
     directory.forget_removed(|_| false);
@@ -95,20 +117,20 @@
         looked_at.borrow_mut().push(id.0);
         false
     });
-    assert_eq!(*looked_at.borrow(), [3], "only what operators leave out is not listed and not forgotten");
-    // One that comes back keeps its number only while it is known.
+    assert_eq!(*looked_at.borrow(), [3], "only what is disabled is unlisted and not forgotten");
+    // One that is listed again keeps its number only while it is known.
     directory.apply(&update(false, vec![target("a", "SERVING"), target("c", "SERVING")]));
     assert_eq!(["a", "c"].map(|uid| number(&directory, uid)), [Some(5), Some(3)]);
     assert!(directory.is_open(EndpointId(5)) && !directory.is_open(EndpointId(3)));
     directory.set_disabled("c", false);
     assert!(directory.is_open(EndpointId(3)) && !directory.has_removed());
-    // Numbers of another process: those that the list does not name any more are forgotten, too.
+    // Numbers of another process: those that the list no longer names are forgotten, too.
     let mut next = self::directory();
     next.adopt_ids(directory.id_table());
     next.apply_snapshot(&[target("d", "SERVING"), target("e", "SERVING")]);
     next.forget_removed(|id| id == EndpointId(5));
     assert_eq!(["a", "c", "d", "e"].map(|uid| number(&next, uid)), [Some(5), None, Some(4), Some(6)]);
-    // What operators use again without its being listed leaves no number behind.
+    // What is enabled again without being listed leaves no number behind.
     next.set_disabled("f", true);
     next.forget_removed(|_| false);
     assert_eq!(number(&next, "f"), Some(7));
@@ -117,9 +139,9 @@
     assert_eq!((number(&next, "f"), next.has_removed()), (None, false));
 }
 
-/// The decisions know nothing of the list that discovery tells.
+/// The scheduler, its types and the settings know nothing of the form in which discovery has the list.
 #[test]
-fn no_decision_depends_on_the_list() {
+fn the_scheduler_does_not_depend_on_discovery() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
     let mut folders = vec![root.join("config"), root.join("scheduler"), root.join("model")];
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointState};
 use journal::{AcceptedRecord, CircuitKey, CircuitNote, CircuitNoteChange, Journal, SentRecord};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -299,7 +299,7 @@
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
         destination: number,
-        state: "SERVING".to_owned(),
+        state: EndpointState::Serving,
         capacity_hint: 1.0,
     };
     DiscoveryUpdate { revision: rev, is_snapshot: all, endpoints: (0..count).map(target).collect() }
@@ -475,7 +475,7 @@
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
         destination: 1,
-        state: "SERVING".to_owned(),
+        state: EndpointState::Serving,
         capacity_hint: 1.0,
     };
     let targets = (0..1000).map(target).collect();
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -37,7 +37,7 @@
     let world = apart(2);
     let courier = world.start();
     let _out = begin_six_seconds(&world, &courier, 2);
-    courier.log_until("the watch on the list broke");
+    courier.log_until("endpoint watch failed");
     world.drain(0);
     knows_of_the_drain(&world, &courier, 1);
 }
@@ -48,7 +48,7 @@
     let world = apart(2);
     world.silence_discovery(true);
     let courier = world.start();
-    courier.log_until("the watch on the list broke");
+    courier.log_until("endpoint watch failed");
     // The next call is out by the end of this, and hangs too: none is answered that came before the return.
     world.no_call();
     world.drain(0);
@@ -85,7 +85,7 @@
         assert_eq!(call.id, id);
         call.answer("200 OK", "");
     }
-    courier.log_until("the watch on the list broke");
+    courier.log_until("endpoint watch failed");
     fill(&mut crowd);
     // What has failed is told through what is left.
     assert_eq!(courier.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
