--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -11,6 +11,7 @@
 mod fault_page;
 mod fit;
 mod measure;
+mod processor_time;
 mod report;
 mod restart;
 mod scheduler_sweeps;
--- a/src/bin/testbed/measure.rs
+++ b/src/bin/testbed/measure.rs
@@ -4,11 +4,11 @@
 use crate::bounds::{allocated, Guard, NotRun};
 use crate::experiment::{Experiment, Sweep};
 use crate::fit::median;
+use crate::processor_time::processor_time;
 use crate::report::{Figure, Point};
 use crate::scheduler_sweeps::Rig;
 use hdrhistogram::Histogram;
-use rustix::time::{clock_gettime, ClockId};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use tracing::info;
 
 /// Steps that a size is measured for at least in a round, however long they take.
@@ -16,12 +16,6 @@
 /// Times of a step that can be told apart: up to ten seconds, to a hundredth.
 const LONGEST_STEP_NS: u64 = 10_000_000_000;
 
-/// Processor time of this thread so far.
-pub fn processor_time() -> Duration {
-    let time = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
-}
-
 /// A size that is being measured.
 struct Measured {
     size: u64,
--- a/src/bin/testbed/scheduler_sweeps.rs
+++ b/src/bin/testbed/scheduler_sweeps.rs
@@ -6,7 +6,7 @@
 
 use crate::bounds::{Guard, NotRun};
 use crate::experiment::{Experiment, Kind};
-use crate::measure::processor_time;
+use crate::processor_time::processor_time;
 use crate::report::{Figure, Figures};
 use crate::simulated::{reader, Hollow, Script};
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory};
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -5,7 +5,7 @@
 use crate::bounds::{allocated, Guard, NotRun};
 use crate::experiment::{Experiment, Kind, Sweep};
 use crate::fit::median;
-use crate::measure::processor_time;
+use crate::processor_time::processor_time;
 use crate::report::{Figure, Figures, Point};
 use crate::simulated::{reader, Hollow, Script};
 use crate::stubs::{locked, target, Agent, Capacity};
