--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -5,7 +5,7 @@
 use crate::bounds::{allocated, Guard, NotRun};
 use crate::experiment::{Experiment, Kind, Sweep};
 use crate::fit::median;
-use crate::measure::processor_time;
+use crate::processor_time::processor_time;
 use crate::report::{Figure, Figures, Point};
 use crate::simulated::{reader, Hollow, Script};
 use crate::stubs::{locked, target, Agent, Capacity};
@@ -64,7 +64,7 @@
         let (ask_again, again) = watch::channel(());
         let first = self.hollow.initial_watch_delay();
         let tell = move |what| drop(news.send(what));
-        tokio::task::spawn_local(EndpointWatch { agent, rev, again }.run(first, tell));
+        tokio::task::spawn_local(EndpointWatch { agent, revision: rev, reconnect: again }.run(first, tell));
         loop {
             let wake = self.hollow.wakes_in();
             let what = tokio::select! {
--- /dev/null
+++ b/src/discovery/client.rs
@@ -0,0 +1,48 @@
+//! The connection to discovery's agent, for the endpoint watch and for outcome notifications.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::io;
+use std::time::Duration;
+use tokio::net::{lookup_host, TcpStream};
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use super::error::DiscoveryError;
+use crate::socket::{self, SteadyStream};
+
+/// Time within which the agent, which is on this machine, connects and answers a short request.
+pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The present address of discovery's agent, as `host:port`. Whoever waits on it switches to a new address at once.
+pub type AgentAddress = watch::Receiver<String>;
+
+/// A connection to the agent, for one request at a time.
+pub type Connection = SendRequest<Full<Bytes>>;
+
+/// Connects to the agent at an address. A task of its own drives the connection until it ends, so this must be called
+/// inside a runtime.
+///
+/// # Errors
+/// [`DiscoveryError::TimedOut`] after [`AGENT_RESPONSE_TIMEOUT`]; [`DiscoveryError::Io`] or [`DiscoveryError::Http`]
+/// for what keeps the connection from coming up before.
+pub async fn connect(agent: &str) -> Result<Connection, DiscoveryError> {
+    let stream = timeout(AGENT_RESPONSE_TIMEOUT, connect_by_name(agent)).await??;
+    let (sender, connection) = http1::handshake(TokioIo::new(SteadyStream(stream))).await?;
+    tokio::spawn(connection);
+    Ok(sender)
+}
+
+/// Connects to the first address of a name that accepts.
+async fn connect_by_name(agent: &str) -> io::Result<TcpStream> {
+    let mut last_error = io::Error::new(io::ErrorKind::NotFound, "the name has no address");
+    for address in lookup_host(agent).await? {
+        match socket::connect(address).await {
+            Ok(stream) => return Ok(stream),
+            Err(error) => last_error = error,
+        }
+    }
+    Err(last_error)
+}
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -36,15 +36,15 @@
     /// Something has changed at a destination. Until the last look its routes were as they had been parked.
     pub(super) fn touch(&mut self, to: DestinationId) {
         self.agenda.touch(to);
-        for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.settle(self.last_round, burst(route.rate));
+        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
+            route.rate_limit.settle(self.last_round);
         }
     }
 
     /// How a message stands in its queue: one that was never tried differs from its like in its age alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
-        let turns = self.class(message).ordered && message.taken.key.is_some();
-        if message.out.is_some() {
+        let turns = message.ordering_key(&self.settings).is_some();
+        if message.call.is_some() {
             Standing::Out
         } else if turns
             || message.first_uncertain_attempt.is_some()
@@ -52,15 +52,15 @@
         {
             Standing::Apart
         } else {
-            let lane = (message.taken.class, message.over_quota);
-            Standing::Among { lane, born: message.born, not_before: message.not_before }
+            let lane = (message.accepted.class, message.over_quota);
+            Standing::Among { lane, born: message.enqueued_at, not_before: message.not_before }
         }
     }
 
     /// To be told whenever what `standing` goes by has changed.
     pub(super) fn restand(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let (seq, to, standing) = (message.seq, message.taken.destination, self.standing(message));
+        let (seq, to, standing) = (message.seq, message.accepted.destination, self.standing(message));
         if let Some(queue) = self.queues.get_mut(&to) {
             queue.stands(seq, standing);
         }
@@ -81,7 +81,7 @@
             let stage = |lane: Lane, born: Time| {
                 let (age, latency_objective) =
                     ((now - born).as_secs_f64(), class(lane).latency_objective.as_secs_f64());
-                let value = |age: f64| class(lane).value(self.settings.decay, age).1;
+                let value = |age: f64| RemainingValue::at_age(class(lane), self.settings.decay, age).stage;
                 value(age) + value(age + latency_objective)
             };
             index.advance(now, stage);
@@ -97,7 +97,7 @@
 
     /// The calls of a route stall in the order in which they were sent.
     pub(super) fn oldest_not_stalled(&mut self, id: RouteId) -> Option<u64> {
-        let calls = self.routes.get(&id)?.out.iter();
+        let calls = self.routes.get(&id)?.calls.iter();
         let waiting = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.stalled);
         let (skipped, found) = calls.enumerate().find(|(_, call)| waiting(call))?;
         self.agenda.work.calls += 1 + skipped as u64;
@@ -112,7 +112,7 @@
 
     /// Makes the agenda anew from the books: all is to be looked at.
     pub(super) fn rebuild_agenda(&mut self) {
-        self.routes.values_mut().for_each(|route| route.settle(self.last_round, burst(route.rate)));
+        self.routes.values_mut().for_each(|route| route.rate_limit.settle(self.last_round));
         self.agenda = Agenda::default();
         self.agenda.all = true;
         let hanging = self.calls.iter().filter(|(_, call)| call.stalled && !call.called_off);
@@ -120,15 +120,13 @@
         let gone = self.addresses.values().filter(|address| address.entry.mode == Availability::Removed);
         self.agenda.gone = gone.map(|address| address.entry.id).collect();
         self.agenda.circuit_records = self.routes.keys().copied().filter(|id| self.is_noted(*id)).collect();
-        let calling = self.routes.iter().filter(|(_, route)| !route.out.is_empty());
+        let calling = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
         calling.map(|(id, _)| *id).collect::<Vec<_>>().into_iter().for_each(|id| self.plan_stall(id));
     }
 
     /// Whether something of a route is to be remembered over a restart.
     pub(super) fn is_noted(&self, id: RouteId) -> bool {
-        let noted =
-            |route: &Route| route.failure_score > 0 || route.spell.is_some() || route.returned.is_some();
-        self.routes.get(&id).is_some_and(noted)
+        self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
 
     /// Forgets an endpoint that is gone and has no call out. What was learnt of its destination stays, except
@@ -140,7 +138,7 @@
         let route_id = self.route_of(&address.entry);
         if let Some(route) = self.routes.get_mut(&route_id) {
             route.endpoints.retain(|endpoint| *endpoint != id);
-            if route_id.1.is_some() {
+            if route_id.endpoint.is_some() {
                 self.routes.remove(&route_id);
                 self.plan_stall(route_id);
                 self.agenda.circuit_records.insert(route_id);
@@ -149,11 +147,11 @@
     }
 
     pub(super) fn close(&mut self, id: MessageId) {
-        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.closed) {
-            message.closed = true;
+        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.completed) {
+            message.completed = true;
             self.open -= 1;
-            self.deadlines.remove(&(message.taken.deadline, id));
-            let to = message.taken.destination;
+            self.deadlines.remove(&(message.accepted.deadline, id));
+            let to = message.accepted.destination;
             if let Some(queue) = self.queues.get_mut(&to) {
                 queue.remove(message.seq);
                 if queue.is_empty() {
@@ -167,24 +165,25 @@
 
     /// A message is forgotten once it is answered and has nothing out; until then its key stays taken.
     pub(super) fn forget_if_over(&mut self, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|m| !m.closed || m.unheard || m.out.is_some()) {
+        if self.messages.get(&id).is_none_or(|m| !m.completed || m.awaits_acknowledgement || m.call.is_some())
+        {
             return;
         }
-        if let Some(key) = self.messages.remove(&id).and_then(|m| m.taken.key) {
-            remove_from(&mut self.keys, key, id);
+        if let Some(key) = self.messages.remove(&id).and_then(|m| m.accepted.key) {
             // The next of its key has its turn now, wherever it goes.
-            let next = self.keys.get(&key).and_then(|turn| self.messages.get(turn.first()?));
-            next.map(|m| m.taken.destination).into_iter().for_each(|to| self.touch(to));
+            let next = self.ordering.remove(key, id).and_then(|next| self.messages.get(&next));
+            let to = next.map(|message| message.accepted.destination);
+            to.into_iter().for_each(|to| self.touch(to));
         }
     }
 
     pub(super) fn note_demand(&mut self, now: Time, to: DestinationId) {
-        for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.demand.rate(now, warm_up_secs(&self.settings), 1.0);
+        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
+            route.traffic.record_demand(now, &self.settings);
         }
     }
 
     pub(super) fn calls_to(&self, destination: DestinationId) -> usize {
-        self.routes.range(routes_of(destination)).map(|(_, route)| route.out.len()).sum()
+        self.routes.range(RouteId::all_of(destination)).map(|(_, route)| route.calls.len()).sum()
     }
 }
