--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -20,7 +20,8 @@
 /// where one is missing.
 pub const STATE_SOURCES: &[SourceFile] = source_files![
     "src/bin/delivery-gateway/clock.rs",
-    "src/bin/delivery-gateway/event_loop/mod.rs",
+    "src/bin/delivery-gateway/event_loop/in_flight.rs",
+    "src/bin/delivery-gateway/event_loop/takeover.rs",
     "src/bin/delivery-gateway/journal/clock_file.rs",
     "src/discovery/directory.rs",
     "src/model/action.rs",
@@ -38,14 +39,21 @@
     "src/scheduler/backoff.rs",
     "src/scheduler/connection_reuse.rs",
     "src/scheduler/derived_settings.rs",
+    "src/scheduler/idempotency.rs",
     "src/scheduler/maintenance.rs",
+    "src/scheduler/message_value.rs",
     "src/scheduler/mod.rs",
     "src/scheduler/operators.rs",
+    "src/scheduler/ordering.rs",
     "src/scheduler/quota.rs",
     "src/scheduler/reports.rs",
+    "src/scheduler/retry.rs",
+    "src/scheduler/state/latency.rs",
+    "src/scheduler/state/message.rs",
     "src/scheduler/state/mod.rs",
     "src/scheduler/state/queue.rs",
     "src/scheduler/state/ready_index.rs",
+    "src/scheduler/state/value_decay.rs",
     "src/scheduler/watch_backoff.rs",
 ];
 
--- a/src/bin/delivery-gateway/handover/predecessor.rs
+++ b/src/bin/delivery-gateway/handover/predecessor.rs
@@ -123,7 +123,7 @@
             warn!(%error, "cannot hand over: this process continues");
             return HandoverResult::Reverted(Vec::new());
         }
-        event_loop.pause_idle_connections(true);
+        event_loop.pause_idle_connections();
         info!("handing over to another process");
         let SuccessorConnection { mut reader, writer, .. } = self;
         let mut relay = Relay::new(event_loop, writer.sender());
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -311,8 +311,11 @@
     door.open(inputs.clone(), phases);
     loop {
         let accepting = tokio::task::spawn_local(clients.clone().serve(listener));
-        let watch =
-            EndpointWatch { agent: agent.clone(), rev: driver.endpoints_revision(), again: again.clone() };
+        let watch = EndpointWatch {
+            agent: agent.clone(),
+            revision: driver.endpoints_revision(),
+            reconnect: again.clone(),
+        };
         let first = std::mem::take(&mut first);
         let listed = inputs.clone();
         let tell = move |news| drop(listed.send(GatewayEvent::Discovery(news)));
@@ -372,7 +375,7 @@
                 let untouched = driver.journal_is_untouched();
                 warn!(untouched, "the other process has gone before it was in service: this one goes on");
                 if untouched {
-                    driver.pause_idle_connections(false);
+                    driver.resume_idle_connections();
                     kept.into_iter().for_each(|input| driver.handle(input));
                 } else {
                     // What the other one did is in the journal alone, and so is what may have run there.
