--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -543,7 +543,7 @@
                 EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
-                let is_written = !matches!(error, JournalError::TornTail) && self.journal.has_unclean_tail();
+                let is_written = !matches!(error, JournalError::TornTail) && self.journal.has_torn_tail();
                 self.note(Err(error));
                 if is_written {
                     // The next process may find it accepted: who is refused would hand it in again.
@@ -638,7 +638,7 @@
             self.over(message);
         } else {
             let written = match ended.outcome {
-                AttemptOutcome::LocalFailure => self.journal.record_local_failure(message.0),
+                AttemptOutcome::LocalFailure => self.journal.record_attempt_not_sent(message.0),
                 outcome => self.journal.record_attempt_outcome(message.0, !outcome.was_not_processed()),
             };
             self.note(written);
@@ -672,7 +672,7 @@
     fn forget(&mut self, message: MessageId) {
         if let Some(held) = self.journal.state.pending.get(&message.0) {
             self.pending.remove(&held.message.id);
-            let written = self.journal.remove(message.0);
+            let written = self.journal.complete(message.0);
             self.note(written);
         }
     }
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether a failed write may have left a whole record behind the end, which the next process would apply.
-    pub fn has_unclean_tail(&self) -> bool {
+    pub fn has_torn_tail(&self) -> bool {
         self.file.has_torn_tail()
     }
 
@@ -132,7 +132,7 @@
     /// # Errors
     /// It is not accepted: it cannot be written, or there is no room for it. After
     /// [`TornTail`](JournalError::TornTail) nothing was written; after other errors see
-    /// [`has_unclean_tail`](Self::has_unclean_tail).
+    /// [`has_torn_tail`](Self::has_torn_tail).
     pub fn accept(&mut self, message: AcceptedRecord) -> Result<u32, JournalError> {
         self.file.truncate_tail();
         if self.file.has_torn_tail() {
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     /// The record is deferred.
-    pub fn record_local_failure(&mut self, number: u32) -> Result<(), JournalError> {
+    pub fn record_attempt_not_sent(&mut self, number: u32) -> Result<(), JournalError> {
         self.end_attempt(number, Record::AttemptNotSent { number })
     }
 
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     /// The record is deferred.
-    pub fn remove(&mut self, number: u32) -> Result<(), JournalError> {
+    pub fn complete(&mut self, number: u32) -> Result<(), JournalError> {
         let Some(pending) = self.state.pending.get(&number) else { return Ok(()) };
         self.live_bytes = self.live_bytes.saturating_sub(live_bytes(&pending.message));
         self.write_or_defer(Record::Completed { number })
