--- a/src/bin/delivery-gateway/handover/messages.rs
+++ b/src/bin/delivery-gateway/handover/messages.rs
@@ -30,11 +30,18 @@
     Refused,
     /// The successor owns the state folder from now on. The descriptors are the listener and the lock.
     Begin(BeginState),
-    /// A client's connection, as the descriptor, with the bytes that were read and not handled.
-    ClientConnection { buffer: Bytes, served: bool, left: Duration },
+    /// A client's connection; the descriptor is its socket.
+    ClientConnection {
+        /// What was read of its next request.
+        buffer: Bytes,
+        /// It has had a request answered.
+        served: bool,
+        /// What is left of the time in which more must arrive.
+        left: Duration,
+    },
     /// An in-flight call has ended.
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
-    /// A client was gone before it could be told that its message was accepted.
+    /// A client disconnected before it was answered that its message was accepted.
     AcceptanceNotReceived(MessageId),
     /// A request that operators have sent to the predecessor's admin endpoint.
     AdminRequest { request: u64, operation: AdminOperation },
--- a/src/bin/delivery-gateway/handover/predecessor.rs
+++ b/src/bin/delivery-gateway/handover/predecessor.rs
@@ -97,8 +97,8 @@
     Refused,
     /// This process is done.
     Completed,
-    /// The successor has ended before this process was told to: this one continues, and handles these events, which
-    /// have come meanwhile.
+    /// The successor has ended, and this process had no order to: it continues, and handles these events, which have
+    /// arrived meanwhile.
     Reverted(Vec<GatewayEvent>),
 }
 
