--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -272,7 +272,7 @@
 
     fn record_attempt_outcome(&mut self, message: MessageId, outcome: AttemptOutcome) {
         let recorded = match outcome {
-            AttemptOutcome::LocalFailure => self.journal.record_local_failure(message.0),
+            AttemptOutcome::LocalFailure => self.journal.record_attempt_not_sent(message.0),
             outcome => self.journal.record_attempt_outcome(message.0, !outcome.was_not_processed()),
         };
         self.journal_errors.log_failure(recorded);
