--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -38,20 +38,35 @@
     drop(silent);
 }
 
-/// Who is inside a request when places are short may have written the rest of it: the connection ends with an error
-/// and not without a word, which would lose the request.
+/// A client that is inside a request when connection slots run short may have written the rest of it: its connection
+/// ends with an error rather than without a word, which would lose the request.
+///
+/// The gateway is stopped while the clients connect and send, so that each connection has its part of a request, or its
+/// whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a word.
 #[test]
-fn half_spoken_requests_that_give_way_get_an_error() {
+fn partial_requests_that_are_evicted_get_an_error() {
     let mut world = World::new(1, 3.0);
-    world.sockets = 256;
+    // Slots for 48 connections: all clients together fit the listener's queue of 128 while the gateway is stopped.
+    world.sockets = 128;
     let courier = world.start();
-    let mut halves: Vec<Client> = (0..128).map(|_| courier.client().within(OWED)).collect();
-    halves.iter_mut().for_each(|half| half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh"));
-    // Their clients would have stopped waiting by now.
-    std::thread::sleep(Duration::from_millis(450));
-    let mut others: Vec<Client> = (0..20).map(|_| courier.client().within(OWED)).collect();
-    others.iter_mut().for_each(|other| assert_eq!(other.ask(&["PING"]), "+PONG"));
-    halves[..20].iter_mut().for_each(|half| assert!(half.line().starts_with("-ERR ")));
+    let (mut partial, mut whole) = (Vec::new(), Vec::new());
+    courier.while_stopped(|| {
+        for _ in 0..64 {
+            let mut client = courier.client().within(OWED);
+            client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
+            partial.push(client);
+        }
+        for _ in 0..20 {
+            let mut client = courier.client().within(OWED);
+            client.command(&["PING"]);
+            whole.push(client);
+        }
+    });
+    whole.iter_mut().for_each(|client| assert_eq!(client.line(), "+PONG"));
+    for (number, client) in partial.iter_mut().enumerate() {
+        let line = client.line();
+        assert!(line.starts_with("-ERR "), "{line:?} on connection {number}");
+    }
 }
 
 /// A request's time runs from its last byte on, also while its connection waits for a place: what it waited at most is
