--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -8,8 +8,8 @@
 
 struct Instance {
     courier: Scheduler,
-    left_at: Option<usize>,
-    limit_at: Option<usize>,
+    headroom_index: Option<usize>,
+    limit_index: Option<usize>,
 }
 
 /// All instances of this process, and the numbered lists that they refer to.
@@ -42,7 +42,9 @@
                 if !touched.contains(&who) {
                     touched.push(who);
                 }
-                guarded(who, &mut replies, || instance.courier.handle(now, event));
+                if let Some(event) = event {
+                    guarded(who, &mut replies, || instance.courier.handle(now, event));
+                }
             }
         }
         let mut actions = Vec::new();
@@ -56,14 +58,15 @@
         Ok(replies)
     }
 
-    /// The event of a record, or none where the record concerns the table alone.
-    fn translate(&mut self, record: Record) -> Result<Option<(u16, Event)>, HostError> {
-        Ok(Some(match record {
+    /// The instance that a record concerns, with its event unless the scheduler ignores such records; nothing where
+    /// the record concerns the table alone.
+    fn translate(&mut self, record: Record) -> Result<Option<(u16, Option<Event>)>, HostError> {
+        let (who, event) = match record {
             Record::NewInstance { who, nonce, config } => {
-                let Parsed { settings, left_at, limit_at, .. } =
+                let ParsedSettings { settings, headroom_index, limit_index, .. } =
                     settings_from_lines(&config).map_err(|error| HostError::Setting { who, error })?;
                 let courier = Scheduler::new(settings, nonce);
-                self.instances.insert(who, Instance { courier, left_at, limit_at });
+                self.instances.insert(who, Instance { courier, headroom_index, limit_index });
                 return Ok(None);
             }
             Record::Teardown { who } => {
@@ -97,24 +100,24 @@
                 };
                 (who, Event::MessageAccepted(accepted))
             }
-            Record::ProbeDone { who, code, delay, endpoint, .. } => {
-                let outcome = outcome(code, 0)?;
-                let endpoint = EndpointId(endpoint);
-                (who, Event::ProbeFinished { endpoint, outcome, latency: Duration::from_nanos(delay) })
+            // Still an error where its code is unknown.
+            Record::ProbeDone { who, code, .. } => {
+                outcome(code, 0)?;
+                return Ok(Some((who, None)));
             }
             Record::ClientGone { who, call } => (who, Event::MessageAbandoned(MessageId(call))),
-            Record::FirstByte { who, call, .. } => (who, Event::ResponseStarted(MessageId(call))),
+            Record::FirstByte { who, .. } | Record::NoteFrom { who, .. } => return Ok(Some((who, None))),
             Record::FinishedAttempt(record) => (record.who, self.finished(&record)?),
             Record::TickDue { who, cookie } => (who, Event::TimerFired(cookie)),
-            Record::NoteFrom { who, from, msg } => (who, Event::PeerNote { from, text: msg }),
-        }))
+        };
+        Ok(Some((who, Some(event))))
     }
 
     fn finished(&self, record: &FinishedRecord) -> Result<Event, HostError> {
         let instance = self.instances.get(&record.who);
         let value = |at: Option<usize>| at.and_then(|at| record.report.get(at)).map(|v| f64::from(*v));
-        let left = value(instance.and_then(|i| i.left_at));
-        let limit = value(instance.and_then(|i| i.limit_at));
+        let left = value(instance.and_then(|i| i.headroom_index));
+        let limit = value(instance.and_then(|i| i.limit_index));
         Ok(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(record.call),
             endpoint: EndpointId(record.endpoint),
@@ -194,10 +197,6 @@
         }
         Action::SetTimer { after, token } => Reply::After { who, after: nanos(after), cookie: token },
         Action::CloseIdleConnections { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
-        Action::Probe { endpoint } => Reply::SoundOut { who, endpoint: endpoint.0 },
-        Action::SendNote { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
-        Action::Log { text } => Reply::Log { who, words: text },
         Action::WatchEndpoints { active } => Reply::KeepInformed { who, active },
-        Action::FetchEndpoints => Reply::Refresh { who },
     }
 }
--- a/src/bin/testbed/simulated.rs
+++ b/src/bin/testbed/simulated.rs
@@ -11,10 +11,10 @@
 
 /// The reader of the list, for the one kind and the one zone of the experiments.
 pub fn reader(settings: &Settings) -> EndpointDirectory {
-    EndpointDirectory::new(&Parsed {
+    EndpointDirectory::new(&ParsedSettings {
         settings: settings.clone(),
-        left_at: None,
-        limit_at: None,
+        headroom_index: None,
+        limit_index: None,
         class_names: Vec::new(),
         tenant_names: Vec::new(),
         kind_names: vec!["banks".into()],
@@ -220,12 +220,8 @@
                 }
                 Action::SetTimer { after, token } => self.wake = Some((self.now + after, token)),
                 Action::WatchEndpoints { .. } => self.watch_due = true,
-                // There are no connections to close, and no log.
-                Action::CloseIdleConnections { .. }
-                | Action::FetchEndpoints
-                | Action::Probe { .. }
-                | Action::SendNote { .. }
-                | Action::Log { .. } => {}
+                // There are no connections to close.
+                Action::CloseIdleConnections { .. } => {}
             }
         }
         self.actions = actions;
--- a/tests/operators.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' door: maintenance of endpoints and emptying, over loopback sockets and in the module alone.
+//! The admin endpoint: disabling endpoints and lame duck, over loopback sockets and in the scheduler alone.
 
 mod common;
 mod world;
@@ -11,7 +11,7 @@
 use world::*;
 
 #[test]
-fn what_is_no_call_gets_a_plain_no() {
+fn malformed_admin_requests_get_a_plain_error() {
     let world = World::new(1, 3.0);
     let courier = world.start();
     assert_eq!(courier.operate("GET /_ready"), 200);
@@ -39,12 +39,12 @@
     assert_eq!(status(long), 431);
 }
 
-/// Callers that keep their connections without a whole call delay nobody, however many they are.
+/// Callers that keep their connections without a whole request delay nobody, however many they are.
 #[test]
-fn slow_callers_give_way() {
+fn slow_admin_callers_are_evicted() {
     let world = World::new(1, 3.0);
     let courier = world.start();
-    // As many as the door takes at all.
+    // As many as the admin endpoint serves at a time.
     let slow: Vec<_> = (0..16)
         .map(|_| {
             let mut stream = courier.operator();
@@ -52,20 +52,21 @@
             stream
         })
         .collect();
-    // A door that made no room for it would answer only once it had given all of them up, the last one too.
+    // Without evictions it would respond only once it had given up all of them, the last one too.
     assert_eq!(courier.operate("GET /_ready"), 200);
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
     assert_eq!(slow.next().map(status), Some(408));
-    // The last ones still have their places.
+    // The last ones are still connected.
     let mut last = slow.next_back().unwrap();
     last.write_all(b"\r\n").unwrap();
     assert_eq!(status(last), 200);
 }
 
-/// The yes binds whatever the list says, after a second call, and over a restart, until it is taken back.
+/// The change holds whatever the endpoint list says, after a second request, and over a restart, until it is
+/// undone.
 #[test]
-fn a_detached_endpoint_gets_nothing_until_it_is_attached() {
+fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
     let world = World::patient(2, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
@@ -75,13 +76,13 @@
     world.serve_again(0, 3);
     courier.log_times("the list has changed", 2);
     for round in 0..2 {
-        // Both are free: without the ban some of these would go to the first one.
+        // Both are free: without the change some of these would go to the first one.
         let mut client = courier.client();
         for number in 0..4 {
             let id = format!("d{round}{number}");
             assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         }
-        // After a kill there may be notices too: for calls whose answers it had not read.
+        // After a kill there may be notifications too: for calls whose responses had not been read.
         let calls: Vec<Call> = (0..4).map(|_| world.call_among_notices()).collect();
         assert!(calls.iter().all(|call| call.endpoint == 1));
         calls.into_iter().for_each(|call| call.answer("200 OK", ""));
@@ -104,14 +105,15 @@
     call.answer("200 OK", "");
 }
 
-/// A call that still waits for its connection when the ban is told is not made once the connection is up.
+/// A call that still waits for its connection when its endpoint is disabled is not made once the connection
+/// is up.
 #[test]
-fn a_ban_withdraws_calls_that_are_connecting() {
+fn disabling_an_endpoint_withdraws_calls_that_are_connecting() {
     let mut world = World::new(2, 3.0);
     let hanging = world.hang_connections(0);
     let courier = world.start();
     let mut client = courier.client();
-    // Of two messages one goes to each endpoint, as each has the fewest calls out in its turn.
+    // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["c1", "c2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
@@ -126,9 +128,9 @@
     second.answer("200 OK", "");
 }
 
-/// A courier that is emptied says no, lets its clients go, delivers what it has, and goes back to work.
+/// A lame duck fails its health check, releases its clients, delivers what it has, and returns to service.
 #[test]
-fn a_lame_duck_lets_its_clients_go_and_comes_back() {
+fn a_lame_duck_releases_its_clients_and_returns_to_service() {
     let world = World::patient(1, 3.0);
     let courier = world.start();
     let (mut idle, mut half) = (courier.client(), courier.client());
@@ -139,11 +141,11 @@
     assert_eq!(courier.operate("POST /_lameduck/on"), 200);
     assert_eq!(courier.operate("POST /_lameduck/on"), 200);
     assert!(idle.is_closed());
-    // A request that has begun is answered, on the way out.
+    // A request that has begun is answered on the way out.
     half.send(b"NG\r\n");
     assert!(half.line().starts_with("-ERR"));
     assert!(half.is_closed());
-    // So is a first one on a connection that was on its way.
+    // So is the first one of a connection that was on its way.
     let mut late = courier.client();
     assert_eq!(late.enqueue("l2", "0", "salary", 1, b"x"), "+OK");
     assert!(late.is_closed());
@@ -158,13 +160,14 @@
     world.nothing();
 }
 
-/// Past the time in which clients hear of it, an emptied courier takes nothing on.
+/// Once clients have had time to notice, a lame duck accepts nothing.
 #[test]
-fn a_lame_duck_takes_nothing_on_after_a_while() {
+fn a_lame_duck_accepts_nothing_after_its_grace() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
     bench.tell(Event::LameDuck(true));
     let class = (ClassId(0), &safe());
-    let admits = |bench: &mut Bench| bench.courier.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
+    let admits =
+        |bench: &mut Bench| bench.scheduler.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
     assert!(admits(&mut bench));
     bench.now = bench.now + ms(2000);
     bench.tell(Event::LameDuck(true));
@@ -174,9 +177,9 @@
     assert!(admits(&mut bench));
 }
 
-/// What comes back from the operators may have been restarted: it is served slowly at first.
+/// An enabled endpoint may have been restarted: it is served slowly at first.
 #[test]
-fn an_attached_endpoint_counts_as_cold() {
+fn an_enabled_endpoint_gets_a_slow_start() {
     let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(
         Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![safe()]) },
@@ -191,7 +194,7 @@
     (1..=40).for_each(|id| bench.accept(id, 0, 3, None));
     assert_eq!(bench.routes(), []);
     bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(11)));
-    // One that was never left out is as warm as ever.
+    // One that was never disabled is as warm as ever.
     bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(12)));
     (41..=60).for_each(|id| bench.accept(id, 0, 4, None));
     let (mut cold, mut warm) = (0, 0);
@@ -203,7 +206,7 @@
         }
         bench.now = bench.now + ms(5);
     }
-    // At most what the rule on cold returns lets one courier send in a second: 2.0 x 100/s from 20% on.
+    // At most what the overload limit lets one gateway send in a second: 2.0 x 100/s from 20% on.
     assert!((1..=40).contains(&cold) && warm == 20, "{cold} and {warm}");
-    assert!(bench.courier.circuit_records().any(|outage| outage.slow_start_since.is_some()));
+    assert!(bench.scheduler.circuit_records().any(|outage| outage.slow_start_since.is_some()));
 }
--- a/tests/outages.rs
+++ b/tests/circuit_records.rs
@@ -1,4 +1,4 @@
-//! What the module tells of outages as they change adds up to what it remembers.
+//! The circuit changes that the scheduler reports add up to its circuit records.
 
 mod common;
 
@@ -22,9 +22,9 @@
     Endpoint { kind: DestinationKindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
 }
 
-/// The changes since a hand-over or a start come on top of all that was known then, or of nothing.
+/// Changes since a hand-over or a start come on top of all records known then, or of none.
 #[test]
-fn changes_of_outages_add_up() {
+fn circuit_changes_add_up_to_the_circuit_records() {
     let mut circuit_records = 0;
     for seed in 0..30 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -51,19 +51,19 @@
                 1 => bench.tell(Event::EndpointDisabled(EndpointId(rng.u32(..16)))),
                 2 | 3 => bench.tell(Event::EndpointEnabled(EndpointId(rng.u32(..16)))),
                 4 if step % 5 == 0 => {
-                    let before: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+                    let before: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
                     bench.restart(settings.clone(), step.into(), all(Availability::Ready));
                     before.into_iter().for_each(|outage| bench.tell(Event::CircuitRestored(outage)));
                     (known, out) = (BTreeMap::new(), Vec::new());
                 }
                 5 if step % 5 == 0 => {
                     let fresh = Scheduler::new(settings.clone(), step.into());
-                    bench.courier = std::mem::take(&mut bench.courier).resumed(fresh);
+                    bench.scheduler = std::mem::take(&mut bench.scheduler).resumed(fresh);
                 }
                 6..20 => bench.accept(step, 0, rng.u16(1..5), None),
                 _ if !out.is_empty() => {
                     let (message, endpoint, _): Sent = out.swap_remove(rng.usize(..out.len()));
-                    // Each endpoint has its bad spells.
+                    // Each endpoint has its intervals of failure.
                     let bad = (step / 100 + endpoint) % 3 == 0;
                     let outcome =
                         if bad { OUTCOMES[rng.usize(..OUTCOMES.len())] } else { AttemptOutcome::Delivered };
@@ -73,14 +73,14 @@
             }
             out.extend(bench.routes());
             for CircuitChange { destination, endpoint, record: outage } in
-                bench.courier.take_circuit_changes()
+                bench.scheduler.take_circuit_changes()
             {
                 match outage {
                     Some(outage) => drop(known.insert((destination, endpoint), outage)),
                     None => drop(known.remove(&(destination, endpoint))),
                 }
             }
-            let mut all: Vec<CircuitRecord> = bench.courier.circuit_records().collect();
+            let mut all: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
             all.sort_by_key(|outage| (outage.destination, outage.endpoint));
             assert_eq!(known.values().copied().collect::<Vec<_>>(), all, "seed {seed}, step {step}");
             circuit_records += all.len();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A courier under test, with a clock of its own and a record of what it did.
+//! A scheduler under test, with a clock of its own and a record of what it asked for.
 #![allow(dead_code)]
 
-pub mod crowd;
+pub mod recovering_fleet;
 
 use delivery_gateway::*;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A message of a live client, handed in now.
+/// A message of a live client, enqueued now.
 pub fn accepted(
     now: Time,
     id: u32,
@@ -56,11 +56,11 @@
     }
 }
 
-/// A route that the courier asked for: message, endpoint, time-out.
+/// An attempt that the scheduler started: message, endpoint, timeout.
 pub type Sent = (u32, u32, Duration);
 
 pub struct Bench {
-    pub courier: Scheduler,
+    pub scheduler: Scheduler,
     pub now: Time,
     pub settings: Settings,
     attempts: std::collections::BTreeMap<u32, u16>,
@@ -69,7 +69,7 @@
 impl Bench {
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut bench = Bench {
-            courier: Scheduler::new(settings.clone(), 1),
+            scheduler: Scheduler::new(settings.clone(), 1),
             now: Time::ZERO + Duration::from_secs(100),
             settings,
             attempts: Default::default(),
@@ -79,7 +79,7 @@
     }
 
     pub fn tell(&mut self, event: Event) {
-        self.courier.handle(self.now, event);
+        self.scheduler.handle(self.now, event);
     }
 
     pub fn accept(&mut self, id: u32, class: u8, destination: u16, key: Option<u64>) {
@@ -89,7 +89,7 @@
 
     pub fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.courier.decide(self.now, &mut actions);
+        self.scheduler.decide(self.now, &mut actions);
         for action in &actions {
             if let Action::StartAttempt { message, .. } = action {
                 *self.attempts.entry(message.0).or_default() += 1;
@@ -108,7 +108,8 @@
         self.decide().iter().filter_map(routed).collect()
     }
 
-    /// Lets time pass in small steps, deciding at each; stops at the first step with a route or a final answer.
+    /// Advances time in small steps, deciding at each; stops at the first step with an attempt or a final
+    /// outcome.
     pub fn until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
@@ -122,9 +123,9 @@
         Vec::new()
     }
 
-    /// The same world with a courier of other settings and another seed.
+    /// The same bench with a new scheduler of other settings and another seed.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
-        self.courier = Scheduler::new(settings.clone(), seed);
+        self.scheduler = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
         self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
     }
@@ -133,7 +134,7 @@
         self.finish_telling(message, endpoint, outcome, latency, None);
     }
 
-    /// A refusal that tells which share of which limit is left.
+    /// A rejection with a load report.
     pub fn refuse(&mut self, message: u32, endpoint: u32, left: f64, limit: f64) {
         self.finish_telling(
             message,
@@ -164,3 +165,8 @@
         }));
     }
 }
+
+/// One class of message, and endpoint 7 of destination 1.
+pub fn one(class: Class) -> Bench {
+    Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
+}
--- a/tests/common/crowd.rs
+++ b/tests/common/recovering_fleet.rs
@@ -1,75 +1,76 @@
-//! Many couriers and one partner that has an outage and comes back cold: how much is sent to it, and by whom.
+//! Many gateways and one destination that has an outage and recovers: how much is sent to it, and by whom.
 
 use super::{accepted, endpoint, ms};
 use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the partner does with calls while it is out.
+/// What the destination does with calls during its outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Refuses, and tells how long it stays shut.
+    /// Rejects, with a Retry-After until it recovers.
     ShutAndTells,
-    /// Refuses without a word on when it opens.
+    /// Rejects without a Retry-After.
     Shut,
-    /// Takes no connection.
+    /// Accepts no connection.
     Down,
-    /// Takes calls and never answers.
+    /// Accepts calls and never responds.
     Hung,
 }
 
-/// What a crowd is put through.
+/// What a fleet is put through.
 #[derive(Clone, Copy)]
 pub struct Plan {
     pub outage: OutageKind,
     pub fleet_size: u32,
-    /// Calls a second that the warm partner takes.
+    /// Calls a second that the destination serves when it is warm.
     pub capacity: f64,
-    /// What the list tells of that, over the truth.
+    /// Announced rate relative to that.
     pub told: f64,
-    /// Messages a second, over the capacity.
+    /// Messages a second, relative to the capacity.
     pub load: f64,
     /// Messages that a call may carry.
     pub batch: usize,
     /// How long all is well before the outage.
     pub quiet: Duration,
-    /// Refused calls use the partner's limit up as well.
+    /// Rejected calls use up the destination's limit as well.
     pub counted: bool,
     pub seed: u64,
 }
 
-/// What was seen of one run.
+/// What was seen in one run.
 pub struct Seen {
-    /// The most that couriers which saw the outage sent in a fall window, over what the partner survives.
+    /// The most that gateways which saw the outage sent in an overload window, relative to what the
+    /// destination survives.
     pub worst: f64,
-    /// Share of the messages handed in since the return that were delivered.
+    /// Ratio of the messages enqueued since the recovery that were delivered.
     pub delivered: f64,
-    /// Calls served before the outage, over what the partner could have taken.
+    /// Calls served before the outage, relative to what the destination could have served.
     pub served: f64,
-    /// Share of the calls before the outage that were refused.
+    /// Ratio of the calls before the outage that were rejected.
     pub refused: f64,
 }
 
-/// How unevenly messages fall on couriers: at 0 alike, at 1 a few carry most.
+/// How unevenly messages are spread over gateways: at 0 evenly, at 1 a few carry most.
 const SKEW: f64 = 0.9;
-/// Weight of a further message in a call, against the call itself.
+/// Weight of a further message in a call, relative to the call itself.
 const ITEM: f64 = 0.15;
 const OUT_FOR: Duration = Duration::from_secs(14);
 const STEP: Duration = Duration::from_millis(5);
 const TO: EndpointId = EndpointId(7);
 
 struct Member {
-    courier: Scheduler,
+    scheduler: Scheduler,
     wake: Option<(Time, u64)>,
     /// Its part of all messages.
     part: f64,
-    /// Has news to act on.
+    /// Has events to act on.
     touched: bool,
-    /// Saw a failure or a refusal while the partner was out.
+    /// Saw a failure or a rejection during the outage.
     aware: bool,
 }
 
-/// The outcome of an attempt, on its way to the courier.
+/// The outcome of an attempt, on its way to the gateway.
 struct Coming {
     member: usize,
     message: MessageId,
@@ -78,7 +79,7 @@
     sent: Time,
 }
 
-struct Crowd {
+struct RecoveringFleet {
     plan: Plan,
     settings: Settings,
     chance: fastrand::Rng,
@@ -87,42 +88,46 @@
     back: Time,
     members: Vec<Member>,
     coming: BTreeMap<(Time, usize), Coming>,
-    /// Attempts made of each message, and over all.
+    /// Attempts of each message, and in all.
     attempts: BTreeMap<MessageId, u16>,
     count: usize,
-    /// Calls that the partner takes before it refuses.
+    /// Calls that the destination accepts before it rejects.
     room: f64,
-    /// What couriers that saw the outage sent since the return, by weight.
+    /// What gateways that saw the outage sent since the recovery, by weight.
     weights: Vec<(Time, f64)>,
     since_return: BTreeSet<MessageId>,
     delivered: usize,
-    /// Calls before the outage: all, and those refused.
+    /// Calls before the outage: all, and those rejected.
     early: (usize, usize),
 }
 
-/// Lets a crowd live through the outage and the cold return.
+/// Runs a fleet through the outage and the recovery.
 pub fn live_through(plan: Plan) -> Seen {
-    let mut crowd = Crowd::new(plan);
-    let (cold, fall) = (crowd.settings.limits.warm_up, crowd.settings.limits.overload_window);
+    let mut recovering_fleet = RecoveringFleet::new(plan);
+    let (cold, fall) =
+        (recovering_fleet.settings.limits.warm_up, recovering_fleet.settings.limits.overload_window);
     let mut worst = 0.0_f64;
-    while crowd.now < crowd.back + cold {
-        crowd.now = crowd.now + STEP;
-        crowd.room = (crowd.room + crowd.capacity() * STEP.as_secs_f64()).min(crowd.capacity() / 2.0 + 1.0);
-        crowd.hand_in();
-        crowd.wake();
-        crowd.tell_outcomes();
-        (0..crowd.members.len()).for_each(|member| crowd.act(member));
-        if crowd.now >= crowd.back {
-            let survives = crowd.settings.limits.overload_multiple * crowd.capacity() * fall.as_secs_f64();
-            let recent = crowd.weights.iter().filter(|(at, _)| crowd.now - *at < fall);
+    while recovering_fleet.now < recovering_fleet.back + cold {
+        recovering_fleet.now = recovering_fleet.now + STEP;
+        recovering_fleet.room = (recovering_fleet.room + recovering_fleet.capacity() * STEP.as_secs_f64())
+            .min(recovering_fleet.capacity() / 2.0 + 1.0);
+        recovering_fleet.hand_in();
+        recovering_fleet.wake();
+        recovering_fleet.tell_outcomes();
+        (0..recovering_fleet.members.len()).for_each(|member| recovering_fleet.act(member));
+        if recovering_fleet.now >= recovering_fleet.back {
+            let survives = recovering_fleet.settings.limits.overload_multiple
+                * recovering_fleet.capacity()
+                * fall.as_secs_f64();
+            let recent = recovering_fleet.weights.iter().filter(|(at, _)| recovering_fleet.now - *at < fall);
             worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
         }
     }
-    let (calls, refused) = crowd.early;
+    let (calls, refused) = recovering_fleet.early;
     let could = plan.capacity * plan.quiet.as_secs_f64();
     Seen {
         worst,
-        delivered: crowd.delivered as f64 / crowd.since_return.len().max(1) as f64,
+        delivered: recovering_fleet.delivered as f64 / recovering_fleet.since_return.len().max(1) as f64,
         served: (calls - refused) as f64 / could,
         refused: refused as f64 / calls.max(1) as f64,
     }
@@ -153,7 +158,7 @@
     }
 }
 
-impl Crowd {
+impl RecoveringFleet {
     fn new(plan: Plan) -> Self {
         let settings = settings_of(&plan);
         let start = Time::ZERO + Duration::from_secs(100);
@@ -161,12 +166,12 @@
         let shares: Vec<f64> = (0..plan.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
         let all: f64 = shares.iter().sum();
         let member = |(number, share): (usize, &f64)| {
-            let mut courier = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
-            courier.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
-            Member { courier, wake: None, part: share / all, touched: true, aware: false }
+            let mut scheduler = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
+            scheduler.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
+            Member { scheduler, wake: None, part: share / all, touched: true, aware: false }
         };
         let members = shares.iter().enumerate().map(member).collect();
-        Crowd {
+        RecoveringFleet {
             plan,
             members,
             settings,
@@ -189,7 +194,7 @@
         self.now >= self.out_from && self.now < self.back
     }
 
-    /// Calls a second that the partner can do at this moment.
+    /// Calls a second that the destination can serve at this moment.
     fn capacity(&self) -> f64 {
         let rules = &self.settings.limits;
         let warmth = ((self.now - self.back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
@@ -212,7 +217,7 @@
             }
             let class = (ClassId(0), &self.settings.classes[0]);
             let accepted = accepted(self.now, id.0, class, 1, None);
-            member.courier.handle(self.now, Event::MessageAccepted(accepted));
+            member.scheduler.handle(self.now, Event::MessageAccepted(accepted));
             member.touched = true;
         }
     }
@@ -220,7 +225,7 @@
     fn wake(&mut self) {
         for member in &mut self.members {
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= self.now) {
-                member.courier.handle(self.now, Event::TimerFired(token));
+                member.scheduler.handle(self.now, Event::TimerFired(token));
                 member.touched = true;
             }
         }
@@ -243,7 +248,7 @@
                 load_report: None,
             };
             let member = &mut self.members[member];
-            member.courier.handle(self.now, Event::AttemptFinished(finished));
+            member.scheduler.handle(self.now, Event::AttemptFinished(finished));
             member.aware |= out && !complete;
             member.touched = true;
         }
@@ -254,8 +259,8 @@
             return;
         }
         let mut actions = Vec::new();
-        self.members[member].courier.decide(self.now, &mut actions);
-        // What goes in one turn is one call: one fate, a little weight for each further message.
+        self.members[member].scheduler.decide(self.now, &mut actions);
+        // Attempts of one step share one call: one outcome, and a little weight for each further message.
         let mut fate = None;
         for action in actions {
             match action {
@@ -278,7 +283,7 @@
         }
     }
 
-    /// What becomes of a call sent now, and when that is known.
+    /// The outcome of a call sent now, and when it is known.
     fn call(&mut self, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
         let soon = ms(50);
         if !self.out() {
@@ -295,7 +300,7 @@
             return (AttemptOutcome::Delivered, ms(200));
         }
         match self.plan.outage {
-            // A wait counts from its answer.
+            // A Retry-After counts from its response.
             OutageKind::ShutAndTells => {
                 (AttemptOutcome::Rejected(Some((self.back - self.now).saturating_sub(soon))), soon)
             }
