--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -349,7 +349,7 @@
         let settle = async {
             let listener = accepting.await;
             let gate = timeout(SETTLE, &mut shut).await;
-            let _ = timeout(SETTLE, clients.all_moved()).await;
+            let _ = timeout(SETTLE, clients.all_transferred()).await;
             (listener, gate)
         };
         let (returned, gate) = tokio::select! {
--- /dev/null
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -0,0 +1,130 @@
+//! RESP2 on the wire: requests as arrays of bulk strings, bounded before anything is stored, and replies.
+
+use bytes::{Buf, Bytes, BytesMut};
+use std::time::Duration;
+use thiserror::Error;
+
+use crate::events::EnqueueReply;
+
+/// Words of one request.
+const MAX_WORDS: usize = 16;
+/// Bytes of the longest word of a request, which is the body of a message.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// Bytes of a request besides its longest word: a key, an id, fields and their lengths.
+pub const MAX_BYTES_BESIDE_BODY: usize = 4 << 10;
+/// Bytes of a line that announces a count or a length.
+const MAX_LENGTH_LINE_BYTES: usize = 32;
+const LINE_END: &[u8; 2] = b"\r\n";
+
+/// Why bytes are no request. Requests behind them cannot be told apart any more, so that the connection ends.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum RespError {
+    /// Not an array of bulk strings.
+    #[error("Protocol error: expected an array of bulk strings")]
+    Malformed,
+    /// More words or bytes than a request may have.
+    #[error("Protocol error: too long")]
+    TooLong,
+}
+
+/// A reply to one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reply<'a> {
+    /// The message is accepted, by this request or an earlier one.
+    Ok,
+    /// The gateway serves.
+    Pong,
+    /// The message is rejected, and may be enqueued again after the time given, if any.
+    Busy(Option<Duration>),
+    /// The request is in error.
+    Error(&'a str),
+}
+
+impl Reply<'_> {
+    /// Appends the reply to what is to be written.
+    pub fn encode(self, output: &mut Vec<u8>) {
+        match self {
+            Reply::Ok => output.extend_from_slice(b"+OK\r\n"),
+            Reply::Pong => output.extend_from_slice(b"+PONG\r\n"),
+            Reply::Busy(None) => output.extend_from_slice(b"-BUSY\r\n"),
+            Reply::Busy(Some(retry_after)) => {
+                output.extend_from_slice(format!("-BUSY {}\r\n", retry_after.as_millis()).as_bytes());
+            }
+            Reply::Error(text) => output.extend_from_slice(format!("-ERR {text}\r\n").as_bytes()),
+        }
+    }
+}
+
+impl From<&EnqueueReply> for Reply<'static> {
+    fn from(reply: &EnqueueReply) -> Self {
+        match *reply {
+            EnqueueReply::Accepted(_) | EnqueueReply::AlreadyAccepted => Reply::Ok,
+            EnqueueReply::Rejected(retry_after) => Reply::Busy(retry_after),
+            EnqueueReply::Error(text) => Reply::Error(text),
+        }
+    }
+}
+
+/// Takes the first complete request out of the buffer, as its words; none while it is incomplete.
+///
+/// Requests are arrays of bulk strings and nothing else, so that depth and size are bounded before anything is stored.
+/// General RESP decoders recurse as deep as their input says.
+///
+/// # Errors
+/// The bytes are no request, or the request is too long. The buffer stays as it was.
+pub fn decode_request(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
+    let Some(header) = length_line(buffer, 0, b'*')? else { return Ok(None) };
+    if header.value > MAX_WORDS {
+        return Err(RespError::TooLong);
+    }
+    let mut spans = Vec::with_capacity(header.value);
+    let mut longest_word = 0;
+    let mut position = header.end;
+    for _ in 0..header.value {
+        let Some(word) = length_line(buffer, position, b'$')? else { return Ok(None) };
+        if word.value > MAX_BODY_BYTES {
+            return Err(RespError::TooLong);
+        }
+        let word_end = word.end + word.value;
+        longest_word = longest_word.max(word.value);
+        if word_end - longest_word > MAX_BYTES_BESIDE_BODY {
+            return Err(RespError::TooLong);
+        }
+        match buffer.get(word_end..word_end + LINE_END.len()) {
+            None => return Ok(None),
+            Some(line_end) if line_end == LINE_END => {}
+            Some(_) => return Err(RespError::Malformed),
+        }
+        spans.push(word.end..word_end);
+        position = word_end + LINE_END.len();
+    }
+    let frame = buffer.split_to(position).freeze();
+    Ok(Some(spans.into_iter().map(|span| frame.slice(span)).collect()))
+}
+
+/// A line that announces a count or a length.
+struct LengthLine {
+    value: usize,
+    /// Where the line has ended, counted from the start of the buffer.
+    end: usize,
+}
+
+/// Reads the line that starts with `prefix` at a position of the buffer; none while it is incomplete.
+fn length_line(buffer: &BytesMut, start: usize, prefix: u8) -> Result<Option<LengthLine>, RespError> {
+    let mut line = &buffer[start..];
+    match line.first() {
+        None => return Ok(None),
+        Some(first) if *first != prefix => return Err(RespError::Malformed),
+        Some(_) => line.advance(1),
+    }
+    let Some(newline) = line.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
+        return if line.len() < MAX_LENGTH_LINE_BYTES { Ok(None) } else { Err(RespError::Malformed) };
+    };
+    let digits = line[..newline].strip_suffix(b"\r").ok_or(RespError::Malformed)?;
+    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
+        return Err(RespError::Malformed);
+    }
+    let digits = std::str::from_utf8(digits).map_err(|_| RespError::Malformed)?;
+    let value = digits.parse().map_err(|_| RespError::TooLong)?;
+    Ok(Some(LengthLine { value, end: start + newline + 2 }))
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -0,0 +1,421 @@
+//! One client's connection: reads requests, has them answered in their order, and ends when its client is late, its
+//! slot is needed, or the process shuts down. While the process is replaced, the connection is transferred instead.
+
+use bytes::{Bytes, BytesMut};
+use delivery_gateway::socket::{not_now, send_at_once, try_transfer, write_all, Transfer};
+use socket2::SockRef;
+use std::io::{self, Read};
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc::UnboundedSender, oneshot, watch, SemaphorePermit};
+use tokio::task::yield_now;
+use tokio::time::{sleep_until, timeout, timeout_at, Instant};
+use tracing::debug;
+
+use super::codec::{decode_request, Reply};
+use super::connection_slots::{ConnectionSlot, ConnectionState};
+use super::drain::drain;
+use crate::events::{EnqueueReply, EnqueueRequest, GatewayEvent, ServicePhase};
+
+/// Bytes read at once, as far as they have come. A request that needs more waits for a permit for long requests.
+const READ_BYTES: usize = 4 << 10;
+/// How long a connection may stay with a part of a request. Clients wait 400 ms for a reply.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a connection may stay between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A client that does not read its reply for this long is not waiting for it.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// While the process shuts down or is a lame duck, a new connection may take this long to bring its first request.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Replies to pipelined requests are written together up to this size.
+const MAX_BUFFERED_REPLY_BYTES: usize = 4 << 10;
+/// Requests of one connection that are answered before the others get their turn.
+const REQUESTS_PER_TURN: u32 = 16;
+
+/// A client's connection on its way to the next process: between two bytes, with nothing left to write.
+pub struct TransferredConnection {
+    /// The connection itself.
+    pub stream: TcpStream,
+    /// What was read of its next request.
+    pub buffer: Bytes,
+    /// Whether it had a request answered.
+    pub served: bool,
+    /// What is left of the time in which more must come.
+    pub left: Duration,
+    /// How long it may have waited to be accepted, with its first request unread.
+    pub waited: Duration,
+}
+
+/// A client's connection in this process.
+pub struct ClientConnection {
+    transfers: UnboundedSender<TransferredConnection>,
+    /// Requests answered.
+    answered: u32,
+    /// How long its next request may have waited unread before the connection was accepted.
+    unread_for: Duration,
+    // Declared before the slot: the descriptor is closed by the time that the slot is free.
+    stream: TcpStream,
+    events: UnboundedSender<GatewayEvent>,
+    phase: watch::Receiver<ServicePhase>,
+    /// What was read and not decoded yet.
+    input: BytesMut,
+    /// Replies not written yet.
+    output: Vec<u8>,
+    slot: ConnectionSlot,
+}
+
+/// What came of reading on.
+enum ReadOutcome {
+    /// More bytes are in the buffer.
+    Data,
+    /// The client has closed its side, or its connection may be closed.
+    Closed,
+    /// The request did not become complete in its time.
+    Incomplete,
+    /// The service phase has changed.
+    PhaseChanged,
+}
+
+/// What came of answering a request.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ServeOutcome {
+    Answered,
+    /// The event loop has ended: there is no reply.
+    GatewayEnded,
+}
+
+impl ClientConnection {
+    /// Takes a connection up in the state that it is in.
+    pub fn new(
+        transferred: TransferredConnection,
+        events: UnboundedSender<GatewayEvent>,
+        phase: watch::Receiver<ServicePhase>,
+        transfers: UnboundedSender<TransferredConnection>,
+        slot: ConnectionSlot,
+    ) -> Self {
+        ClientConnection {
+            transfers,
+            answered: u32::from(transferred.served),
+            unread_for: transferred.waited,
+            stream: transferred.stream,
+            events,
+            phase,
+            input: BytesMut::from(transferred.buffer),
+            output: Vec::new(),
+            slot,
+        }
+    }
+
+    /// Numbers it among the connections of the process, for the log.
+    pub fn number(&self) -> u64 {
+        self.slot.number
+    }
+
+    /// Serves the connection until it ends. `deadline` is when what is due next must have come: the first request, the
+    /// rest of one, or another one.
+    ///
+    /// # Errors
+    /// The connection is broken, or the client did not read a reply in time.
+    pub async fn run(mut self, mut deadline: Instant) -> io::Result<()> {
+        send_at_once(&self.stream);
+        let slots = self.slot.slots().clone();
+        let mut long_request: Option<SemaphorePermit> = None;
+        if !self.input.is_empty() {
+            self.slot.set_state(ConnectionState::PartialRequest);
+        } else if self.answered > 0 {
+            self.slot.set_state(ConnectionState::Idle);
+        }
+        loop {
+            match decode_request(&mut self.input) {
+                Ok(Some(words)) => {
+                    if self.serve(&words).await? == ServeOutcome::GatewayEnded {
+                        return Ok(());
+                    }
+                    if self.input.is_empty() {
+                        // Gives back the memory of a long request, and then its permit.
+                        self.input = BytesMut::new();
+                        long_request = None;
+                    }
+                    deadline = self.await_next_request();
+                    continue;
+                }
+                Ok(None) => {}
+                Err(error) => return self.refuse(&error.to_string()).await,
+            }
+            self.flush().await?;
+            if *self.phase.borrow() == ServicePhase::HandingOver {
+                self.transfer(deadline);
+                return Ok(());
+            }
+            if self.input.len() >= READ_BYTES && long_request.is_none() {
+                match timeout_at(deadline, slots.long_requests.acquire()).await {
+                    Ok(Ok(permit)) => long_request = Some(permit),
+                    Ok(Err(_)) | Err(_) => return self.refuse("too many long requests").await,
+                }
+            }
+            let was_between_requests = self.input.is_empty();
+            match self.read(deadline).await? {
+                ReadOutcome::Data if was_between_requests => deadline = self.await_rest_of_request(),
+                ReadOutcome::Data | ReadOutcome::PhaseChanged => {}
+                ReadOutcome::Closed => return Ok(()),
+                ReadOutcome::Incomplete => return self.refuse("the request did not come to its end").await,
+            }
+        }
+    }
+
+    /// Enters the state after a reply, and returns when the next request, or the rest of it, must have come.
+    fn await_next_request(&self) -> Instant {
+        if !self.input.is_empty() {
+            return self.await_rest_of_request();
+        }
+        let deadline = Instant::now() + IDLE_TIMEOUT;
+        self.slot.set_state(ConnectionState::Idle);
+        deadline
+    }
+
+    /// Enters the state within a request, and returns when the rest of it must have come.
+    fn await_rest_of_request(&self) -> Instant {
+        let deadline = Instant::now() + PARTIAL_REQUEST_TIMEOUT;
+        self.slot.set_state(ConnectionState::PartialRequest);
+        deadline
+    }
+
+    /// Hands the connection to the next process.
+    fn transfer(self, deadline: Instant) {
+        let ClientConnection { stream, transfers, input, answered, slot, unread_for, .. } = self;
+        let connection = TransferredConnection {
+            stream,
+            buffer: input.freeze(),
+            served: answered > 0,
+            left: deadline.saturating_duration_since(Instant::now()),
+            waited: unread_for,
+        };
+        // Sent before its slot is free, so that who waits for the last slot finds the connection there.
+        let _ = transfers.send(connection);
+        drop(slot);
+    }
+
+    /// Reads more of a request. While the process shuts down or is a lame duck, a connection is closed between two
+    /// requests, but never with a part of one read, and a new one may still bring its first.
+    async fn read(&mut self, deadline: Instant) -> io::Result<ReadOutcome> {
+        let is_between_requests = self.input.is_empty();
+        let phase = *self.phase.borrow_and_update();
+        if phase == ServicePhase::HandingOver {
+            return Ok(ReadOutcome::PhaseChanged);
+        }
+        if is_between_requests && phase != ServicePhase::Serving {
+            return self.read_last_request().await;
+        }
+        let eviction = self.slot.eviction();
+        loop {
+            tokio::select! {
+                biased;
+                // The buffer grows only when there is something to read: idle connections hold no memory.
+                ready = self.stream.readable() => ready?,
+                () = eviction.notified() => {
+                    self.log_closing("another connection needs its slot");
+                    let outcome = self.read_now().await?;
+                    if is_between_requests {
+                        return Ok(outcome);
+                    }
+                    return Ok(self.evicted_within_request(outcome));
+                }
+                () = sleep_until(deadline) => {
+                    self.log_closing("timed out");
+                    if is_between_requests {
+                        return self.read_now().await;
+                    }
+                    return Ok(ReadOutcome::Incomplete);
+                }
+                // The caller looks again: what has come meanwhile is read first.
+                Ok(()) = self.phase.changed() => return Ok(ReadOutcome::PhaseChanged),
+            }
+            if let Some(outcome) = self.try_read().await? {
+                return Ok(outcome);
+            }
+        }
+    }
+
+    /// What a connection between two requests still brings while the process shuts down or is a lame duck.
+    async fn read_last_request(&mut self) -> io::Result<ReadOutcome> {
+        if self.answered == 0 {
+            if let Ok(outcome) = timeout(LAST_REQUEST_TIMEOUT, self.read_ready()).await {
+                return outcome;
+            }
+        }
+        self.log_closing("shutting down or lame duck");
+        self.read_now().await
+    }
+
+    /// Of a request that has begun, the rest may be on its way: it gets an error rather than a close without a word,
+    /// or goes on where more of it has come.
+    fn evicted_within_request(&self, outcome: ReadOutcome) -> ReadOutcome {
+        match outcome {
+            ReadOutcome::Closed => ReadOutcome::Incomplete,
+            ReadOutcome::Data => {
+                self.slot.set_state(ConnectionState::PartialRequest);
+                ReadOutcome::Data
+            }
+            other => other,
+        }
+    }
+
+    /// Logs why the connection is about to be closed. What has come by then is still served.
+    fn log_closing(&self, reason: &str) {
+        debug!(
+            number = self.number(),
+            answered = self.answered,
+            undecoded_bytes = self.input.len(),
+            reason,
+            "closing client connection"
+        );
+    }
+
+    /// Waits until more has come.
+    async fn read_ready(&mut self) -> io::Result<ReadOutcome> {
+        loop {
+            self.stream.readable().await?;
+            if let Some(outcome) = self.try_read().await? {
+                return Ok(outcome);
+            }
+        }
+    }
+
+    /// Reads what has come as far as the runtime knows. It may say that something has, and be wrong: then none.
+    async fn try_read(&mut self) -> io::Result<Option<ReadOutcome>> {
+        self.input.reserve(READ_BYTES);
+        let ClientConnection { stream, input, .. } = self;
+        match try_transfer(|| stream.try_read_buf(input))? {
+            Transfer::Bytes(0) => Ok(Some(ReadOutcome::Closed)),
+            Transfer::Bytes(_) => Ok(Some(ReadOutcome::Data)),
+            Transfer::Nothing => Ok(None),
+            Transfer::NotNow => {
+                not_now().await;
+                Ok(None)
+            }
+        }
+    }
+
+    /// Reads what has come already, without waiting; closed if there is nothing. Asks the system itself: bytes that
+    /// the runtime does not know of yet would be lost with the connection.
+    async fn read_now(&mut self) -> io::Result<ReadOutcome> {
+        loop {
+            let mut bytes = [0; READ_BYTES];
+            match try_transfer(|| (&*SockRef::from(&self.stream)).read(&mut bytes))? {
+                Transfer::Nothing | Transfer::Bytes(0) => return Ok(ReadOutcome::Closed),
+                Transfer::Bytes(count) => {
+                    self.input.extend_from_slice(&bytes[..count]);
+                    return Ok(ReadOutcome::Data);
+                }
+                Transfer::NotNow => not_now().await,
+            }
+        }
+    }
+
+    /// Whether the client has closed its side. One that did so before its reply has stopped waiting, and may be
+    /// enqueuing the message elsewhere already. One with more requests on the way has not.
+    fn client_has_closed(&mut self) -> bool {
+        let ClientConnection { stream, input, .. } = self;
+        if !input.is_empty() {
+            return false;
+        }
+        match try_transfer(|| stream.try_read_buf(input)) {
+            Ok(transfer) => transfer == Transfer::Bytes(0),
+            Err(_) => true,
+        }
+    }
+
+    /// Answers one request, and lets other connections have their turn after some.
+    async fn serve(&mut self, words: &[Bytes]) -> io::Result<ServeOutcome> {
+        self.slot.set_state(ConnectionState::Serving);
+        if self.answer(words).await? == ServeOutcome::GatewayEnded {
+            return Ok(ServeOutcome::GatewayEnded);
+        }
+        self.answered += 1;
+        if self.answered.is_multiple_of(REQUESTS_PER_TURN) {
+            yield_now().await;
+        }
+        Ok(ServeOutcome::Answered)
+    }
+
+    async fn answer(&mut self, words: &[Bytes]) -> io::Result<ServeOutcome> {
+        let command = words.first().map(|word| word.to_ascii_uppercase());
+        let reply = match command.as_deref() {
+            Some(b"PING") => self.ping(),
+            Some(b"ENQUEUE") => match EnqueueRequest::try_from(words) {
+                Ok(mut request) => {
+                    let unread_for = std::mem::take(&mut self.unread_for);
+                    request.time_left = request.time_left.saturating_sub(unread_for);
+                    if !self.client_has_closed() {
+                        return self.enqueue(request).await;
+                    }
+                    // A client that has closed its sending side alone still reads this.
+                    Reply::Busy(None)
+                }
+                Err(error) => return self.reply(Reply::Error(&error.to_string())).await,
+            },
+            _ => Reply::Error("unknown command"),
+        };
+        self.reply(reply).await
+    }
+
+    fn ping(&self) -> Reply<'static> {
+        if *self.phase.borrow() == ServicePhase::LameDuck {
+            Reply::Error("being emptied")
+        } else {
+            Reply::Pong
+        }
+    }
+
+    /// Buffers a reply; replies to pipelined requests are written together.
+    async fn reply(&mut self, reply: Reply<'_>) -> io::Result<ServeOutcome> {
+        reply.encode(&mut self.output);
+        if self.output.len() >= MAX_BUFFERED_REPLY_BYTES {
+            self.flush().await?;
+        }
+        Ok(ServeOutcome::Answered)
+    }
+
+    /// Has the event loop decide on a message, and writes its reply at once.
+    async fn enqueue(&mut self, request: EnqueueRequest) -> io::Result<ServeOutcome> {
+        // Earlier replies must not be lost with this one, nor this one with those.
+        self.flush().await?;
+        let (reply_to, reply) = oneshot::channel();
+        if self.events.send(GatewayEvent::Enqueue(request, reply_to)).is_err() {
+            return Ok(ServeOutcome::GatewayEnded);
+        }
+        let Ok(reply) = reply.await else { return Ok(ServeOutcome::GatewayEnded) };
+        Reply::from(&reply).encode(&mut self.output);
+        let written = self.flush().await;
+        if let (Err(_), EnqueueReply::Accepted(message)) = (&written, reply) {
+            // The client never got the acceptance, and enqueues the message again under another id.
+            let _ = self.events.send(GatewayEvent::AcceptanceNotReceived(message));
+        }
+        written.map(|()| ServeOutcome::Answered)
+    }
+
+    async fn flush(&mut self) -> io::Result<()> {
+        if !self.output.is_empty() {
+            timeout(WRITE_TIMEOUT, write_all(&self.stream, &self.output)).await??;
+            self.output.clear();
+        }
+        Ok(())
+    }
+
+    /// Sends the client its error and closes: ends the sending side, and discards what still comes until the client
+    /// closes too, so that the error arrives.
+    async fn refuse(mut self, error: &str) -> io::Result<()> {
+        debug!(number = self.number(), answered = self.answered, error, "refusing client connection");
+        self.slot.set_state(ConnectionState::Refused);
+        self.input = BytesMut::new();
+        Reply::Error(error).encode(&mut self.output);
+        self.flush().await?;
+        self.stream.shutdown().await?;
+        let eviction = self.slot.eviction();
+        tokio::select! {
+            drained = drain(&self.stream) => drained,
+            () = eviction.notified() => Ok(()),
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -0,0 +1,133 @@
+//! The words of an `ENQUEUE` request and its themed field names, mapped once to the terms of [`EnqueueRequest`].
+
+use bytes::Bytes;
+use std::time::Duration;
+use thiserror::Error;
+
+use super::codec::MAX_BODY_BYTES;
+use crate::events::EnqueueRequest;
+use crate::journal::AcceptedRecord;
+
+/// Characters of an id or an idempotency key.
+const MAX_TOKEN_CHARS: usize = 128;
+
+/// Names of the fields on the wire, in a list of `name=value` separated by commas.
+mod field {
+    pub const CLASS: &str = "c";
+    /// Absent for messages without a tenant.
+    pub const TENANT: &str = "t";
+    pub const DESTINATION: &str = "dest";
+    /// How long the message may still be delivered, in milliseconds.
+    pub const TIME_LEFT: &str = "d";
+    pub const IDEMPOTENCY_KEY: &str = "k";
+    /// `1` where another gateway may have accepted the message before.
+    pub const REDELIVERED: &str = "again";
+}
+
+/// Why an `ENQUEUE` request is in error. The client gets the text; its connection goes on.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum EnqueueError {
+    /// A word is missing, or there is one too many.
+    #[error("ENQUEUE takes a key, an id, fields and a body")]
+    WordCount,
+    /// More than [`MAX_BODY_BYTES`].
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// The ordering key is no hexadecimal number of 64 bits.
+    #[error("the key is not hexadecimal")]
+    OrderingKey,
+    /// The id cannot go into a header and a notification.
+    #[error("the id has other characters than an id may have")]
+    Id,
+    /// The fields are not UTF-8.
+    #[error("the fields are not text")]
+    Fields,
+    /// The idempotency key cannot go into a header.
+    #[error("k has other characters than a key may have")]
+    IdempotencyKey,
+    /// The class is not given.
+    #[error("c is missing")]
+    ClassMissing,
+    /// The destination is not given, or not as a number.
+    #[error("dest is missing or no number")]
+    Destination,
+    /// The time left is not given, or not as a number of milliseconds.
+    #[error("d is missing or no number")]
+    TimeLeft,
+}
+
+/// The fields of a request.
+struct Fields<'a>(&'a str);
+
+impl<'a> Fields<'a> {
+    /// The value of the first field of this name.
+    fn get(&self, name: &str) -> Option<&'a str> {
+        let mut pairs = self.0.split(',').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(found, _)| *found == name).map(|(_, value)| value)
+    }
+}
+
+impl TryFrom<&[Bytes]> for EnqueueRequest {
+    type Error = EnqueueError;
+
+    /// Reads `ENQUEUE ordering-key id fields body`.
+    fn try_from(words: &[Bytes]) -> Result<Self, EnqueueError> {
+        let [_command, ordering_key, id, fields, body] = words else {
+            return Err(EnqueueError::WordCount);
+        };
+        if body.len() > MAX_BODY_BYTES {
+            return Err(EnqueueError::BodyTooLong);
+        }
+        let ordering_key = text(ordering_key)
+            .and_then(|key| u64::from_str_radix(key, 16).ok())
+            .ok_or(EnqueueError::OrderingKey)?;
+        let id = text(id).filter(|id| is_token(id)).ok_or(EnqueueError::Id)?;
+        let fields = Fields(text(fields).ok_or(EnqueueError::Fields)?);
+        let idempotency_key = fields.get(field::IDEMPOTENCY_KEY);
+        if idempotency_key.is_some_and(|key| !is_token(key)) {
+            return Err(EnqueueError::IdempotencyKey);
+        }
+        let class = fields.get(field::CLASS).ok_or(EnqueueError::ClassMissing)?;
+        let destination = fields
+            .get(field::DESTINATION)
+            .and_then(|number| number.parse().ok())
+            .ok_or(EnqueueError::Destination)?;
+        let time_left_ms = fields
+            .get(field::TIME_LEFT)
+            .and_then(|number| number.parse().ok())
+            .ok_or(EnqueueError::TimeLeft)?;
+        Ok(EnqueueRequest {
+            id: id.to_owned(),
+            ordering_key,
+            class: class.to_owned(),
+            tenant: fields.get(field::TENANT).unwrap_or_default().to_owned(),
+            destination,
+            time_left: Duration::from_millis(time_left_ms),
+            idempotency_key: idempotency_key.map(str::to_owned),
+            redelivered: fields.get(field::REDELIVERED) == Some("1"),
+            // A copy: a slice would keep all that was read with it in memory.
+            body: Bytes::copy_from_slice(body),
+        })
+    }
+}
+
+impl EnqueueRequest {
+    /// Whether it enqueues a message that is pending already. The time left differs from request to request.
+    pub fn is_same(&self, pending: &AcceptedRecord) -> bool {
+        self.ordering_key == pending.ordering_key
+            && self.class == pending.class
+            && self.destination == pending.destination
+            && self.idempotency_key == pending.idempotency_key
+            && self.body == pending.body
+    }
+}
+
+fn text(word: &Bytes) -> Option<&str> {
+    std::str::from_utf8(word).ok()
+}
+
+/// Whether a text can go into a header and a notification as it is.
+fn is_token(text: &str) -> bool {
+    (1..=MAX_TOKEN_CHARS).contains(&text.len())
+        && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte))
+}
