--- a/src/bin/delivery-gateway/event_loop/in_flight.rs
+++ b/src/bin/delivery-gateway/event_loop/in_flight.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use crate::events::StopReason;
-use crate::http_client::connection::Descriptor;
+use crate::http_client::Descriptor;
 
 /// A call in flight, in terms that the next process understands.
 #[derive(Debug, Serialize, Deserialize)]
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -734,8 +734,8 @@
             let Action::StartAttempt { message, attempt_timeout, send_within, .. } = *route else { continue };
             let load = self.journal.state.pending.get(&message.0).map(|held| OutgoingMessage {
                 message,
-                leave_by: decided + send_within,
-                over: self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms)),
+                send_by: decided + send_within,
+                expires_at: self.clock.instant(self.clock.scheduler_time(held.message.deadline_ms)),
                 id: held.message.id.clone(),
                 idempotency_key: held.message.idempotency_key.clone(),
                 body: held.message.body.clone(),
@@ -843,7 +843,7 @@
                 "an attempt begins"
             );
         }
-        let mut call = Call { endpoint, address, loads, attempt_timeout };
+        let mut call = Call { endpoint, address, messages: loads, attempt_timeout };
         let (pool, inputs) = (self.pool.clone(), self.events.clone());
         tokio::task::spawn_local(async move {
             let too_late = |messages: Vec<MessageId>| {
@@ -851,7 +851,7 @@
                 let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
             };
             let ended = pool.call(&mut call, stopped, sent, too_late).await;
-            let messages = call.loads.iter().map(|load| load.message).collect();
+            let messages = call.messages.iter().map(|load| load.message).collect();
             let _ = inputs.send(GatewayEvent::CallEnded { endpoint, messages, result: ended });
         });
     }
--- /dev/null
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -0,0 +1,323 @@
+//! One call: acquires a connection, sends the messages of the call, and tells what became of each.
+//!
+//! What may have run at the endpoint is never reported as not sent: only a call of which no byte was written, or one
+//! whose complete response says so, has not run.
+
+use bytes::Bytes;
+use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
+use http_body_util::{BodyExt, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::Response;
+use std::cell::Cell;
+use std::ops::ControlFlow;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::yield_now;
+use tokio::time::{sleep_until, timeout, timeout_at, Instant};
+
+use super::connection::{Connection, ConnectionOrigin};
+use super::pool::{AcquiredConnection, Pool};
+use super::request::{Call, CallKind};
+use super::response::{read_head, BatchStates, Headers};
+use super::wire::Wire;
+use crate::events::{AttemptResult, CallResult, StopReason};
+
+/// From the first byte of a response to the end of its head: one that takes longer is broken.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
+/// The body of a response for one message means nothing; a longer one, or a longer wait for its end, is not worth the
+/// connection.
+const MAX_BODY_BYTES: u64 = 64 << 10;
+const BODY_TIMEOUT: Duration = Duration::from_millis(500);
+
+impl Pool {
+    /// Makes one call. `sent` turns true with its first byte. Messages that may not be sent any more before that go to
+    /// `too_late` and are no part of the call from then on: nothing may be sent that has had its final outcome.
+    pub async fn call(
+        self: &Rc<Self>,
+        call: &mut Call,
+        stop: oneshot::Receiver<StopReason>,
+        sent: Rc<Cell<bool>>,
+        too_late: impl Fn(Vec<MessageId>),
+    ) -> CallResult {
+        let started = Instant::now();
+        let deadline = started + call.attempt_timeout;
+        let mut attempt = Attempt { pool: self, call, stop, sent, started, deadline };
+        loop {
+            let acquired = match attempt.connect(&too_late).await {
+                Ok(acquired) => acquired,
+                Err(outcome) => return attempt.result(outcome),
+            };
+            if let ControlFlow::Break(result) = attempt.send(acquired).await {
+                return result;
+            }
+        }
+    }
+}
+
+/// A call that is being made.
+struct Attempt<'a> {
+    pool: &'a Rc<Pool>,
+    call: &'a mut Call,
+    stop: oneshot::Receiver<StopReason>,
+    sent: Rc<Cell<bool>>,
+    started: Instant,
+    deadline: Instant,
+}
+
+/// What came first once the request was on its way.
+enum CallEvent {
+    /// The head of a response.
+    Head(Response<Incoming>),
+    Ended(EndWithoutHead),
+}
+
+/// How a call ended without the head of a response.
+#[derive(Clone, Copy)]
+enum EndWithoutHead {
+    Broken,
+    TimedOut,
+    /// By a reason, or as nobody waits for its result any more.
+    Stopped(Option<StopReason>),
+}
+
+impl Attempt<'_> {
+    /// Waits for a connection, and takes messages out of the call that may not be sent any more meanwhile.
+    async fn connect(
+        &mut self,
+        too_late: &impl Fn(Vec<MessageId>),
+    ) -> Result<AcquiredConnection, AttemptOutcome> {
+        let connect_by = self.deadline.min(self.started + self.pool.connect_timeout());
+        let mut acquiring = pin!(self.pool.acquire(self.call.endpoint, self.call.address, connect_by));
+        loop {
+            let next_too_late =
+                self.call.messages.iter().map(|message| message.send_by).min().unwrap_or(self.deadline);
+            let acquired = tokio::select! {
+                biased;
+                reason = &mut self.stop => return Err(outcome_if_stopped_unsent(reason.ok())),
+                acquired = &mut acquiring => Some(acquired?),
+                () = sleep_until(next_too_late) => None,
+            };
+            let late = self.remove_too_late();
+            if !late.is_empty() {
+                too_late(late);
+            }
+            if self.call.messages.is_empty() {
+                return Err(AttemptOutcome::NotSent);
+            }
+            if let Some(acquired) = acquired {
+                return Ok(acquired);
+            }
+        }
+    }
+
+    /// Removes the messages that may not be sent any more.
+    fn remove_too_late(&mut self) -> Vec<MessageId> {
+        let waited = self.started.elapsed();
+        let now = Instant::now();
+        let mut late = Vec::new();
+        self.call.messages.retain(|message| {
+            let is_in_time = now < message.send_by;
+            if !is_in_time {
+                late.push(message.message);
+            }
+            is_in_time
+        });
+        if !late.is_empty() {
+            self.pool.log_too_late(self.call.endpoint, late.len(), waited);
+        }
+        late
+    }
+
+    /// Sends the call on a connection; goes on where the connection was stale and the call has to go out on another.
+    async fn send(&mut self, acquired: AcquiredConnection) -> ControlFlow<CallResult> {
+        let AcquiredConnection { mut connection, origin } = acquired;
+        // The call ends for all of its messages when one of them expires: the endpoint may consider the whole of it
+        // expired by then, and what it still responds delivers nothing.
+        let expiries = self.call.messages.iter().map(|message| message.expires_at);
+        let deadline = expiries.fold(self.deadline, Instant::min);
+        let time_budget = deadline.saturating_duration_since(Instant::now());
+        let Ok(request) = self.call.request(time_budget) else {
+            return ControlFlow::Break(self.result(AttemptOutcome::NotSent));
+        };
+        let idle_time = match origin {
+            ConnectionOrigin::New => None,
+            ConnectionOrigin::Reused => Some(connection.idle_since.elapsed()),
+        };
+        self.pool.count_call(origin);
+        connection.call_began = Instant::now();
+        let wire = connection.wire.clone();
+        wire.begin_call();
+        self.sent.set(true);
+        let event = tokio::select! {
+            biased;
+            response = connection.send(request) => match response {
+                Ok(response) => CallEvent::Head(response),
+                Err(_) => CallEvent::Ended(EndWithoutHead::Broken),
+            },
+            () = one_turn_after(deadline) => CallEvent::Ended(EndWithoutHead::TimedOut),
+            () = wire.head_timeout(HEAD_TIMEOUT) => CallEvent::Ended(EndWithoutHead::Broken),
+            reason = &mut self.stop => CallEvent::Ended(EndWithoutHead::Stopped(reason.ok())),
+        };
+        let end = match event {
+            CallEvent::Head(response) => {
+                let acquired = AcquiredConnection { connection, origin };
+                return ControlFlow::Break(self.read_response(acquired, response, deadline).await);
+            }
+            CallEvent::Ended(end) => end,
+        };
+        let is_broken = matches!(end, EndWithoutHead::Broken);
+        if is_broken && wire.is_untouched() && origin == ConnectionOrigin::Reused {
+            // The kept connection turned out to be closed, or to hold bytes that belong to no call. The call has not
+            // run, and goes out on another connection.
+            self.sent.set(false);
+            return ControlFlow::Continue(());
+        }
+        let result = self.result(self.outcome_without_head(end, &wire, idle_time));
+        if !is_broken {
+            connection.abort().await;
+        }
+        ControlFlow::Break(result)
+    }
+
+    fn outcome_without_head(
+        &self,
+        end: EndWithoutHead,
+        wire: &Wire,
+        idle_time: Option<Duration>,
+    ) -> AttemptOutcome {
+        match end {
+            // Not a byte of it was written: it has never run.
+            EndWithoutHead::Stopped(reason) if wire.is_untouched() => outcome_if_stopped_unsent(reason),
+            EndWithoutHead::Broken | EndWithoutHead::TimedOut if wire.is_untouched() => {
+                AttemptOutcome::ConnectFailed
+            }
+            // The status line holds, whatever came behind it; for several messages only the body tells.
+            _ if matches!(self.call.messages.as_slice(), [one] if wire.was_served_before(one.expires_at)) => {
+                AttemptOutcome::Delivered
+            }
+            EndWithoutHead::Broken if wire.has_response_begun() => AttemptOutcome::MalformedResponse,
+            // Some of it was written, and how much of that arrived cannot be known: it may have run.
+            EndWithoutHead::Broken => {
+                self.pool.count_reset(self.call.endpoint, idle_time, self.started.elapsed());
+                AttemptOutcome::Reset
+            }
+            EndWithoutHead::TimedOut => AttemptOutcome::Timeout,
+            EndWithoutHead::Stopped(_) => AttemptOutcome::Cancelled,
+        }
+    }
+
+    /// Reads a response. That a call has not run is believed only of a complete response; of others the status line
+    /// is enough.
+    async fn read_response(
+        &self,
+        acquired: AcquiredConnection,
+        response: Response<Incoming>,
+        deadline: Instant,
+    ) -> CallResult {
+        let AcquiredConnection { connection, origin } = acquired;
+        let kind = self.call.kind();
+        let head = read_head(&response, self.started.elapsed(), kind, origin);
+        let is_delivered = head.outcome == AttemptOutcome::Delivered;
+        let retry_after = Headers::of(&response).retry_after();
+        // Where a step took long, the response may have come after the deadline, and delivers nothing. That a call has
+        // not run, and Retry-After, hold all the same.
+        let timed_out = AttemptResult { outcome: AttemptOutcome::Timeout, complete: false, ..head };
+        let in_time =
+            self.call.messages.iter().all(|message| connection.wire.was_served_before(message.expires_at));
+        let rest = finish_response(self.pool.clone(), self.call.endpoint, connection, response);
+        if head.outcome == AttemptOutcome::ErrorResponse || (is_delivered && kind == CallKind::Single) {
+            tokio::task::spawn_local(rest);
+            return self.same_for_all(if is_delivered && !in_time { timed_out } else { head }, None);
+        }
+        // For several messages only the complete response tells.
+        let body_by = if is_delivered { deadline } else { Instant::now() + BODY_TIMEOUT };
+        match timeout_at(body_by, rest).await {
+            Ok(Some(_)) | Err(_) if is_delivered && Instant::now() >= deadline => {
+                self.same_for_all(timed_out, retry_after)
+            }
+            Ok(None) | Err(_) => {
+                let malformed = AttemptResult {
+                    outcome: AttemptOutcome::MalformedResponse,
+                    complete: false,
+                    load_report: None,
+                    ..head
+                };
+                self.same_for_all(malformed, retry_after)
+            }
+            Ok(Some(body)) if is_delivered => self.batch_result(head, &body, retry_after),
+            Ok(Some(_)) => self.same_for_all(head, None),
+        }
+    }
+
+    /// The result of a batch, by the states in the body of its response.
+    fn batch_result(&self, head: AttemptResult, body: &[u8], retry_after: Option<Duration>) -> CallResult {
+        let states = BatchStates::parse(body);
+        let results = self.call.messages.iter().map(|message| {
+            let state = states.outcome_of(&message.id, retry_after);
+            AttemptResult { outcome: state.outcome, complete: state.complete, ..head }
+        });
+        CallResult { attempts: results.collect(), retry_after }
+    }
+
+    /// The result of a call that ends here, with the same outcome for each of its messages.
+    fn result(&self, outcome: AttemptOutcome) -> CallResult {
+        let result = AttemptResult {
+            outcome,
+            latency: self.started.elapsed(),
+            complete: outcome == AttemptOutcome::Delivered,
+            load_report: None,
+        };
+        self.same_for_all(result, None)
+    }
+
+    fn same_for_all(&self, result: AttemptResult, retry_after: Option<Duration>) -> CallResult {
+        CallResult { attempts: vec![result; self.call.messages.len()], retry_after }
+    }
+}
+
+/// The outcome of a call that was stopped before its first byte, and so has not run.
+fn outcome_if_stopped_unsent(reason: Option<StopReason>) -> AttemptOutcome {
+    match reason {
+        Some(StopReason::Cancelled) => AttemptOutcome::ConnectFailed,
+        Some(StopReason::Withdrawn) | None => AttemptOutcome::NotSent,
+    }
+}
+
+/// Ends at a time, after one turn for the connections: what has come by then is seen first.
+async fn one_turn_after(time: Instant) {
+    sleep_until(time).await;
+    yield_now().await;
+}
+
+/// Reads the rest of a response, and keeps its connection for another call where nothing came behind it. Returns the
+/// body; none where it is incomplete or too long.
+async fn finish_response(
+    pool: Rc<Pool>,
+    endpoint: EndpointId,
+    connection: Connection,
+    response: Response<Incoming>,
+) -> Option<Bytes> {
+    if response.body().size_hint().lower() > MAX_BODY_BYTES {
+        return None;
+    }
+    let has_ambiguous_length = Headers::of(&response).has_ambiguous_length();
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES as usize).collect();
+    let body = timeout(BODY_TIMEOUT, body).await.ok()?.ok()?.to_bytes();
+    if !has_ambiguous_length {
+        tokio::task::spawn_local(keep_connection(pool, endpoint, connection));
+    }
+    Some(body)
+}
+
+/// Puts a connection back once all of its response is read, unless something came behind that.
+async fn keep_connection(pool: Rc<Pool>, endpoint: EndpointId, mut connection: Connection) {
+    // The connection's own task has looked by the time that it is ready again, and closed it when something came.
+    if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.ready()).await {
+        yield_now().await;
+        if connection.wire.is_quiet() {
+            pool.put_back(endpoint, connection);
+        }
+    }
+}
--- a/src/bin/delivery-gateway/http_client/connection.rs
+++ b/src/bin/delivery-gateway/http_client/connection.rs
@@ -1,252 +1,110 @@
-//! What is seen of a connection's bytes on their way to and from the HTTP library: whether any of a call was
-//! written, what the first line of its answer says, and whether bytes lie there that belong to no call.
-
-use delivery_gateway::socket::{self, Transfer};
-use socket2::SockRef;
-use std::cell::{Cell, RefCell};
+//! Opens a connection to an endpoint, and closes it with a call still on it.
+
+use bytes::Bytes;
+use delivery_gateway::socket;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
 use std::io;
-use std::mem::MaybeUninit;
-use std::net::Shutdown;
-use std::pin::Pin;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::task::{ready, Context, Poll};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::net::TcpStream;
-use tokio::sync::Notify;
-use tokio::time::{sleep, Instant};
-
-/// `HTTP/1.1 200` and what ends the number.
-const STATUS_END: usize = 13;
-/// More interim answers (1xx) than this before the answer itself are no answer.
-const MOST_INTERIM: u32 = 16;
-
-/// One of a bounded number of descriptors, free again when dropped.
-pub struct Descriptor {
-    open: Rc<Cell<usize>>,
-    closed: Rc<Notify>,
-}
-
-impl Descriptor {
-    pub fn new(open: &Rc<Cell<usize>>, closed: &Rc<Notify>) -> Self {
-        open.set(open.get() + 1);
-        Descriptor { open: open.clone(), closed: closed.clone() }
-    }
-}
-
-impl Drop for Descriptor {
-    fn drop(&mut self) {
-        self.open.set(self.open.get() - 1);
-        self.closed.notify_one();
-    }
-}
-
-/// A connection as its owner sees it, beside the library that speaks HTTP on it.
-pub struct Wire {
-    stream: TcpStream,
-    /// Bytes written since the call began.
-    written: Cell<u64>,
-    /// Bytes read since then.
-    read: Cell<u64>,
-    first_line: RefCell<FirstLine>,
-    /// When the status of the answer was read.
-    told: Cell<Option<Instant>>,
-    answered: Notify,
-    /// After the stream: the descriptor is closed by then.
-    _descriptor: Descriptor,
-}
-
-impl Wire {
-    pub fn new(stream: TcpStream, descriptor: Descriptor) -> Self {
-        Wire {
-            stream,
-            written: Cell::default(),
-            read: Cell::default(),
-            first_line: RefCell::default(),
-            told: Cell::default(),
-            answered: Notify::new(),
-            _descriptor: descriptor,
-        }
-    }
-
-    /// A call is about to be written.
-    pub fn begin(&self) {
-        self.written.set(0);
-        self.read.set(0);
-        self.first_line.take();
-        self.told.take();
-    }
-
-    /// Nothing of the call was written.
-    pub fn is_untouched(&self) -> bool {
-        self.written.get() == 0
-    }
-
-    /// Something of an answer has come.
-    pub fn is_answered(&self) -> bool {
-        self.read.get() > 0
-    }
-
-    /// Whether the first line of the answer has come by then, and says that the call was served.
-    pub fn is_served(&self, by: Instant) -> bool {
-        self.first_line.borrow().status == Some(200) && self.told.get().is_some_and(|at| at < by)
-    }
-
-    /// The connection is open and nothing lies there unread.
-    pub fn is_quiet(&self) -> bool {
-        let mut byte = [MaybeUninit::uninit()];
-        let peeked = socket::uninterrupted(|| SockRef::from(&self.stream).peek(&mut byte));
-        matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
-    }
-
-    /// Ends some time after the first byte of an answer.
-    pub async fn head_is_late(&self, after: Duration) {
-        while !self.is_answered() {
-            self.answered.notified().await;
-        }
-        sleep(after).await;
-    }
-
-    /// Ends the sending side and waits until the other side has closed too.
-    async fn close(&self) -> io::Result<()> {
-        SockRef::from(&self.stream).shutdown(Shutdown::Write)?;
-        let mut rest = [0; 1024];
-        loop {
-            self.stream.readable().await?;
-            match socket::try_transfer(|| self.stream.try_read(&mut rest))? {
-                Transfer::Bytes(0) => return Ok(()),
-                Transfer::Bytes(_) | Transfer::Nothing => {}
-                Transfer::NotNow => socket::not_now().await,
-            }
-        }
-    }
+use tokio::sync::oneshot;
+use tokio::time::{timeout, Instant};
+
+use super::descriptors::Descriptor;
+use super::wire::{Wire, WireStream};
+
+/// How long an aborted connection may take to be closed by the endpoint before it is dropped.
+const ABORT_TIMEOUT: Duration = Duration::from_millis(40);
+/// Bytes of the longest head of a response.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+
+/// Whether a connection was opened for a call, or kept from an earlier one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionOrigin {
+    New,
+    Reused,
 }
 
-/// The status of an answer, from its bytes as they come.
-#[derive(Default)]
-struct FirstLine {
-    status: Option<u16>,
-    /// The start of the line that is being read.
-    line: Vec<u8>,
-    /// In the rest of a head of which the status is known; an empty line ends it.
-    in_head: bool,
-    interim: u32,
-}
-
-impl FirstLine {
-    fn feed(&mut self, bytes: &[u8]) -> io::Result<()> {
-        for &byte in bytes {
-            if self.status.is_some() {
-                break;
-            }
-            if byte == b'\n' {
-                if self.in_head && self.line.is_empty() {
-                    self.in_head = false;
-                } else if !self.in_head {
-                    // A line that ends before its number does says nothing.
-                    self.line_status(b' ')?;
-                }
-                self.line.clear();
-            } else if byte != b'\r' && self.line.len() < STATUS_END {
-                self.line.push(byte);
-                if !self.in_head && self.line.len() == STATUS_END {
-                    self.line_status(byte)?;
-                }
-            }
-        }
-        Ok(())
-    }
-
-    /// Reads the number of a first line; that of an interim answer is passed over.
-    fn line_status(&mut self, end: u8) -> io::Result<()> {
-        let text = std::str::from_utf8(&self.line).ok();
-        let number = text.and_then(|text| text.strip_prefix("HTTP/1.0 ").or(text.strip_prefix("HTTP/1.1 ")));
-        let number = number.and_then(|number| number.get(..3)).filter(|_| end == b' ');
-        match number.and_then(|number| number.parse().ok()) {
-            Some(100..=199) => {
-                self.in_head = true;
-                self.interim += 1;
-                if self.interim > MOST_INTERIM {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "interim answers without end"));
-                }
-            }
-            Some(status) => self.status = Some(status),
-            // No first line at all: nothing that comes later can be one.
-            None => self.status = Some(0),
-        }
-        Ok(())
-    }
+/// An open connection. Dropping it closes it.
+pub struct Connection {
+    pub address: SocketAddr,
+    sender: SendRequest<Full<Bytes>>,
+    pub wire: Rc<Wire>,
+    /// Asks the connection's own task to close it, and to say when that is done.
+    abort: oneshot::Sender<oneshot::Sender<()>>,
+    pub idle_since: Instant,
+    /// When its last call began.
+    pub call_began: Instant,
 }
 
-/// The connection as the library sees it.
-pub struct WireStream(pub Rc<Wire>);
-
-impl WireStream {
-    /// Ends the sending side and waits until the other side has closed too.
-    pub async fn close(self) -> io::Result<()> {
-        self.0.close().await
-    }
-
-    fn write(
-        &self,
-        cx: &mut Context<'_>,
-        write: impl FnMut(&TcpStream) -> io::Result<usize>,
-    ) -> Poll<io::Result<usize>> {
-        let wire = &self.0;
-        // What lies there before a call is written is no answer to it, and must not be taken for one.
-        if wire.is_untouched() && !wire.is_quiet() {
-            return Poll::Ready(Err(io::Error::new(
-                io::ErrorKind::InvalidData,
-                "closed, or bytes between calls",
-            )));
+impl Connection {
+    /// Connects, and has a task of its own drive the connection.
+    ///
+    /// # Errors
+    /// The endpoint refuses, or this machine cannot connect just now.
+    pub async fn open(address: SocketAddr, descriptor: Descriptor) -> io::Result<Self> {
+        let stream = socket::connect(address).await?;
+        let wire = Rc::new(Wire::new(stream, descriptor));
+        let io = TokioIo::new(WireStream(wire.clone()));
+        let mut builder = http1::Builder::new();
+        builder.title_case_headers(true).max_buf_size(MAX_HEAD_BYTES);
+        let (sender, driver) = builder.handshake(io).await.map_err(io::Error::other)?;
+        let (abort, aborted) = oneshot::channel();
+        tokio::task::spawn_local(drive(driver, aborted));
+        let now = Instant::now();
+        Ok(Connection { address, sender, wire, abort, idle_since: now, call_began: now })
+    }
+
+    /// Whether it can carry no further call.
+    pub fn is_closed(&self) -> bool {
+        self.sender.is_closed()
+    }
+
+    /// Waits until it can carry a call: the last response is read, and the connection's task has looked behind it.
+    ///
+    /// # Errors
+    /// The connection is closed.
+    pub async fn ready(&mut self) -> hyper::Result<()> {
+        self.sender.ready().await
+    }
+
+    /// Sends a request and waits for the head of its response.
+    ///
+    /// # Errors
+    /// The connection is broken, or the response is no HTTP.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
+        self.sender.ready().await?;
+        self.sender.send_request(request).await
+    }
+
+    /// Aborts the call on it: ends the sending side and waits, for a moment, until the endpoint has closed too. Only
+    /// then has it let go of the call, so that the slot is free and another attempt is no second copy.
+    pub async fn abort(self) {
+        let (done, closed) = oneshot::channel();
+        if self.abort.send(done).is_ok() {
+            let _ = closed.await;
         }
-        let count = ready!(socket::poll_write(&wire.stream, cx, write))?;
-        wire.written.set(wire.written.get() + count as u64);
-        Poll::Ready(Ok(count))
     }
 }
 
-impl AsyncRead for WireStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let wire = &self.0;
-        let count = ready!(socket::poll_read(&wire.stream, cx, buf.initialize_unfilled()))?;
-        let come = &buf.initialize_unfilled()[..count];
-        let mut first_line = wire.first_line.borrow_mut();
-        let untold = first_line.status.is_none();
-        first_line.feed(come)?;
-        if untold && first_line.status.is_some() {
-            wire.told.set(Some(Instant::now()));
-        }
-        if wire.read.replace(wire.read.get() + count as u64) == 0 && count > 0 {
-            wire.answered.notify_one();
-        }
-        buf.advance(count);
-        Poll::Ready(Ok(()))
-    }
-}
-
-impl AsyncWrite for WireStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.write(cx, |stream| stream.try_write(buf))
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.write(cx, |stream| stream.try_write_vectored(bufs))
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(SockRef::from(&self.0.stream).shutdown(Shutdown::Write))
+/// Drives a connection until it ends or is aborted.
+async fn drive(
+    mut driver: http1::Connection<TokioIo<WireStream>, Full<Bytes>>,
+    aborted: oneshot::Receiver<oneshot::Sender<()>>,
+) {
+    let aborted = tokio::select! {
+        // First, as an aborted response would also end the connection, without the wait for the endpoint.
+        biased;
+        aborted = aborted => aborted,
+        _ = &mut driver => return,
+    };
+    if let Ok(done) = aborted {
+        let stream = driver.into_parts().io.into_inner();
+        let _ = timeout(ABORT_TIMEOUT, stream.close()).await;
+        let _ = done.send(());
     }
 }
--- /dev/null
+++ b/src/bin/delivery-gateway/http_client/wire.rs
@@ -0,0 +1,185 @@
+//! What is seen of a connection's bytes on their way to and from the HTTP library: whether any byte of a call was
+//! written, what the status line of its response says, and whether bytes have come that belong to no call.
+
+use delivery_gateway::socket::{self, Transfer};
+use socket2::SockRef;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::mem::MaybeUninit;
+use std::net::Shutdown;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::{sleep, Instant};
+
+use super::descriptors::Descriptor;
+use super::status_line::StatusLineReader;
+
+/// A connection as its owner sees it, beside the library that speaks HTTP on it.
+pub struct Wire {
+    stream: TcpStream,
+    /// Bytes written since the call began.
+    written_bytes: Cell<u64>,
+    /// Bytes read since then.
+    read_bytes: Cell<u64>,
+    status_line: RefCell<StatusLineReader>,
+    /// When the status of the response was read.
+    status_read_at: Cell<Option<Instant>>,
+    response_begun: Notify,
+    /// Declared after the stream: the descriptor is closed by the time that it counts as free.
+    _descriptor: Descriptor,
+}
+
+impl Wire {
+    /// A connection on which no call has begun.
+    pub fn new(stream: TcpStream, descriptor: Descriptor) -> Self {
+        Wire {
+            stream,
+            written_bytes: Cell::default(),
+            read_bytes: Cell::default(),
+            status_line: RefCell::default(),
+            status_read_at: Cell::default(),
+            response_begun: Notify::new(),
+            _descriptor: descriptor,
+        }
+    }
+
+    /// A call is about to be written.
+    pub fn begin_call(&self) {
+        self.written_bytes.set(0);
+        self.read_bytes.set(0);
+        self.status_line.take();
+        self.status_read_at.take();
+    }
+
+    /// Whether no byte of the call was written.
+    pub fn is_untouched(&self) -> bool {
+        self.written_bytes.get() == 0
+    }
+
+    /// Whether a byte of a response has come.
+    pub fn has_response_begun(&self) -> bool {
+        self.read_bytes.get() > 0
+    }
+
+    /// Whether the status line of the response came before `deadline`, and says that the call was served.
+    pub fn was_served_before(&self, deadline: Instant) -> bool {
+        self.status_line.borrow().status() == Some(200)
+            && self.status_read_at.get().is_some_and(|read_at| read_at < deadline)
+    }
+
+    /// Whether the connection is open and nothing has come that is unread.
+    pub fn is_quiet(&self) -> bool {
+        let mut byte = [MaybeUninit::uninit()];
+        let peeked = socket::uninterrupted(|| SockRef::from(&self.stream).peek(&mut byte));
+        matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Ends `limit` after the first byte of a response.
+    pub async fn head_timeout(&self, limit: Duration) {
+        while !self.has_response_begun() {
+            self.response_begun.notified().await;
+        }
+        sleep(limit).await;
+    }
+
+    /// Ends the sending side and waits until the endpoint has closed too.
+    async fn close(&self) -> io::Result<()> {
+        SockRef::from(&self.stream).shutdown(Shutdown::Write)?;
+        let mut discarded = [0; 1024];
+        loop {
+            self.stream.readable().await?;
+            match socket::try_transfer(|| self.stream.try_read(&mut discarded))? {
+                Transfer::Bytes(0) => return Ok(()),
+                Transfer::Bytes(_) | Transfer::Nothing => {}
+                Transfer::NotNow => socket::not_now().await,
+            }
+        }
+    }
+
+    /// Notes bytes that have been read.
+    fn note_read(&self, bytes: &[u8]) -> io::Result<()> {
+        let mut status_line = self.status_line.borrow_mut();
+        let was_unknown = status_line.status().is_none();
+        status_line.feed(bytes)?;
+        if was_unknown && status_line.status().is_some() {
+            self.status_read_at.set(Some(Instant::now()));
+        }
+        let read_before = self.read_bytes.replace(self.read_bytes.get() + bytes.len() as u64);
+        if read_before == 0 && !bytes.is_empty() {
+            self.response_begun.notify_one();
+        }
+        Ok(())
+    }
+}
+
+/// The connection as the library sees it.
+pub struct WireStream(pub Rc<Wire>);
+
+impl WireStream {
+    /// Ends the sending side and waits until the endpoint has closed too.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub async fn close(self) -> io::Result<()> {
+        self.0.close().await
+    }
+
+    fn write(
+        &self,
+        cx: &mut Context<'_>,
+        write: impl FnMut(&TcpStream) -> io::Result<usize>,
+    ) -> Poll<io::Result<usize>> {
+        let wire = &self.0;
+        // Bytes that came before the call is written are no response to it, and must not be taken for one.
+        if wire.is_untouched() && !wire.is_quiet() {
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "closed, or bytes between calls",
+            )));
+        }
+        let count = ready!(socket::poll_write(&wire.stream, cx, write))?;
+        wire.written_bytes.set(wire.written_bytes.get() + count as u64);
+        Poll::Ready(Ok(count))
+    }
+}
+
+impl AsyncRead for WireStream {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let wire = &self.0;
+        let count = ready!(socket::poll_read(&wire.stream, cx, buf.initialize_unfilled()))?;
+        wire.note_read(&buf.initialize_unfilled()[..count])?;
+        buf.advance(count);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for WireStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        self.write(cx, |stream| stream.try_write(buf))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.write(cx, |stream| stream.try_write_vectored(bufs))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(SockRef::from(&self.0.stream).shutdown(Shutdown::Write))
+    }
+}
