--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -105,8 +105,7 @@
                 EnqueueReply::Accepted(MessageId(number))
             }
             Err(error) => {
-                let may_be_written =
-                    !matches!(error, JournalError::TornTail) && self.journal.has_torn_tail();
+                let may_be_written = !matches!(error, JournalError::TornTail) && self.journal.has_torn_tail();
                 self.journal_errors.log_failure(Err(error));
                 if may_be_written {
                     // The next process may find it accepted: a rejected client would enqueue it again.
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -100,8 +100,8 @@
         let pending = self.journal.state.pending.get(&message.0)?;
         Some(OutgoingMessage {
             message,
-            leave_by: self.clock.instant(decided) + send_within,
-            over: self.clock.instant(self.clock.scheduler_time(pending.message.deadline_ms)),
+            send_by: self.clock.instant(decided) + send_within,
+            expires_at: self.clock.instant(self.clock.scheduler_time(pending.message.deadline_ms)),
             id: pending.message.id.clone(),
             idempotency_key: pending.message.idempotency_key.clone(),
             body: pending.message.body.clone(),
@@ -197,7 +197,7 @@
                 "an attempt begins"
             );
         }
-        let mut call = Call { endpoint, address, loads, attempt_timeout };
+        let mut call = Call { endpoint, address, messages: loads, attempt_timeout };
         let pool = self.pool.clone();
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -206,7 +206,7 @@
                 let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
             };
             let result = pool.call(&mut call, stopped, sent, too_late).await;
-            let messages = call.loads.iter().map(|load| load.message).collect();
+            let messages = call.messages.iter().map(|load| load.message).collect();
             let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
         });
     }
