--- /dev/null
+++ b/src/bin/simulator-adapter/frames.rs
@@ -0,0 +1,52 @@
+//! Frames on a byte stream: a length of four bytes, big-endian, and so many bytes.
+
+use std::io::{self, ErrorKind, Read};
+use thiserror::Error;
+
+/// A frame that cannot be read. The stream is of no use after that.
+#[derive(Debug, Error)]
+pub enum FrameError {
+    /// The stream ends inside the length.
+    #[error("input ends after {have} of 4 bytes of a frame's length")]
+    TruncatedLength { have: usize },
+    /// The stream ends inside the frame.
+    #[error("input ends after {have} of {length} bytes of a frame")]
+    Truncated { have: u64, length: u64 },
+    /// The stream fails inside, or before, the length.
+    #[error("cannot read a frame's length: {0}")]
+    Length(io::Error),
+    /// The stream fails inside the frame.
+    #[error("cannot read a frame: {0}")]
+    Body(io::Error),
+}
+
+/// Reads one frame's body; none at a clean end of the stream.
+///
+/// # Errors
+/// See [`FrameError`].
+pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
+    let Some(length) = read_length(input)? else { return Ok(None) };
+    // Grows with what arrives, whatever the length says.
+    let mut body = Vec::new();
+    input.take(length).read_to_end(&mut body).map_err(FrameError::Body)?;
+    let have = body.len() as u64;
+    if have < length {
+        return Err(FrameError::Truncated { have, length });
+    }
+    Ok(Some(body))
+}
+
+fn read_length(input: &mut impl Read) -> Result<Option<u64>, FrameError> {
+    let mut length = [0; 4];
+    let mut have = 0;
+    while have < length.len() {
+        match input.read(&mut length[have..]) {
+            Ok(0) if have == 0 => return Ok(None),
+            Ok(0) => return Err(FrameError::TruncatedLength { have }),
+            Ok(count) => have += count,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(FrameError::Length(error)),
+        }
+    }
+    Ok(Some(u64::from(u32::from_be_bytes(length))))
+}
--- /dev/null
+++ b/src/bin/simulator-adapter/instances.rs
@@ -0,0 +1,178 @@
+//! The table of schedulers that this process runs, and of the endpoint lists that they refer to. It hands each record
+//! of a batch to the scheduler that it concerns, and lets those decide that had one.
+
+use delivery_gateway::*;
+use std::collections::BTreeMap;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::time::Duration;
+use thiserror::Error;
+
+use crate::translation::{attempt_outcome, reply, ListUpdateKind, UnknownValue};
+use crate::wire::{Batch, FinishedRecord, Record, Reply};
+
+/// A batch that was decoded and cannot be carried out. None of its replies are sent.
+#[derive(Debug, Error)]
+pub enum BatchError {
+    /// An instance cannot be started with its settings.
+    #[error("instance {instance}: {error}")]
+    Settings { instance: u16, error: SettingError },
+    /// A record says something unknown.
+    #[error(transparent)]
+    UnknownValue(#[from] UnknownValue),
+}
+
+struct Instance {
+    scheduler: Scheduler,
+    /// Where a load report has its values.
+    headroom_index: Option<usize>,
+    limit_index: Option<usize>,
+}
+
+impl Instance {
+    fn load_report(&self, values: &[f32]) -> Option<LoadReport> {
+        let value = |index: Option<usize>| index.and_then(|index| values.get(index)).map(|v| f64::from(*v));
+        Some(LoadReport { headroom: value(self.headroom_index)?, limit_per_sec: value(self.limit_index)? })
+    }
+}
+
+/// What a record means to the instance that it concerns.
+struct InstanceEvent {
+    instance: u16,
+    /// None where the scheduler ignores such records; it then decides all the same.
+    event: Option<Event>,
+}
+
+impl InstanceEvent {
+    fn new(instance: u16, event: Event) -> Option<Self> {
+        Some(InstanceEvent { instance, event: Some(event) })
+    }
+
+    fn ignored(instance: u16) -> Option<Self> {
+        Some(InstanceEvent { instance, event: None })
+    }
+}
+
+/// All instances of this process, and the numbered endpoint lists.
+#[derive(Default)]
+pub struct InstanceTable {
+    instances: BTreeMap<u16, Instance>,
+    lists: BTreeMap<u16, Vec<Endpoint>>,
+}
+
+impl InstanceTable {
+    /// Hands the records of a batch to their instances, lets each of these decide once, in the order in which they were
+    /// first concerned, and returns what they want done.
+    ///
+    /// # Errors
+    /// [`BatchError`] for the first record that cannot be carried out; those before it have been.
+    pub fn run(&mut self, batch: Batch) -> Result<Vec<Reply>, BatchError> {
+        let now = Time(batch.clock);
+        let mut concerned = Vec::new();
+        let mut replies = Vec::new();
+        for record in batch.records {
+            let Some(InstanceEvent { instance: id, event }) = self.apply(record)? else { continue };
+            let Some(instance) = self.instances.get_mut(&id) else { continue };
+            if !concerned.contains(&id) {
+                concerned.push(id);
+            }
+            if let Some(event) = event {
+                reply_to_panic(id, &mut replies, || instance.scheduler.handle(now, event));
+            }
+        }
+        let mut actions = Vec::new();
+        for id in concerned {
+            let Some(instance) = self.instances.get_mut(&id) else { continue };
+            reply_to_panic(id, &mut replies, || instance.scheduler.decide(now, &mut actions));
+            replies.extend(actions.drain(..).map(|action| reply(id, action)));
+        }
+        Ok(replies)
+    }
+
+    /// Applies a record to the table; what it means to an instance is returned, and may concern one that is not there.
+    fn apply(&mut self, record: Record) -> Result<Option<InstanceEvent>, BatchError> {
+        let event = match record {
+            Record::NewInstance { instance, seed, settings } => {
+                self.start(instance, seed, &settings)?;
+                None
+            }
+            Record::RemoveInstance { instance } => {
+                self.instances.remove(&instance);
+                None
+            }
+            Record::EndpointList { list, entries } => {
+                let endpoints = entries.iter().map(Endpoint::try_from).collect::<Result<_, _>>()?;
+                self.lists.insert(list, endpoints);
+                None
+            }
+            Record::ListUpdate { instance, list, kind, .. } => {
+                let update = self.endpoint_update(list, kind.try_into()?);
+                InstanceEvent::new(instance, Event::EndpointsUpdated(update))
+            }
+            Record::Accept(record) => {
+                InstanceEvent::new(record.instance, Event::MessageAccepted(record.into()))
+            }
+            Record::FinishedAttempt(record) => {
+                let finished = self.finished_attempt(&record)?;
+                InstanceEvent::new(record.instance, Event::AttemptFinished(finished))
+            }
+            Record::MessageAbandoned { instance, message } => {
+                InstanceEvent::new(instance, Event::MessageAbandoned(MessageId(message)))
+            }
+            Record::TimerFired { instance, token } => InstanceEvent::new(instance, Event::TimerFired(token)),
+            Record::ProbeFinished { instance, code, .. } => {
+                attempt_outcome(code, 0)?;
+                InstanceEvent::ignored(instance)
+            }
+            Record::ResponseStarted { instance, .. } | Record::PeerNote { instance, .. } => {
+                InstanceEvent::ignored(instance)
+            }
+        };
+        Ok(event)
+    }
+
+    /// Starts an instance, in the place of one that has its number.
+    fn start(&mut self, id: u16, seed: u64, settings: &str) -> Result<(), BatchError> {
+        let parsed =
+            settings_from_lines(settings).map_err(|error| BatchError::Settings { instance: id, error })?;
+        let instance = Instance {
+            scheduler: Scheduler::new(parsed.settings, seed),
+            headroom_index: parsed.headroom_index,
+            limit_index: parsed.limit_index,
+        };
+        self.instances.insert(id, instance);
+        Ok(())
+    }
+
+    /// A list that is not there counts as empty.
+    fn endpoint_update(&self, list: u16, kind: ListUpdateKind) -> EndpointUpdate {
+        let endpoints = || self.lists.get(&list).cloned().unwrap_or_default();
+        match kind {
+            ListUpdateKind::Delta => EndpointUpdate::Delta(endpoints()),
+            ListUpdateKind::Snapshot => EndpointUpdate::Snapshot(endpoints()),
+            ListUpdateKind::Failed => EndpointUpdate::WatchFailed,
+        }
+    }
+
+    fn finished_attempt(&self, record: &FinishedRecord) -> Result<FinishedAttempt, UnknownValue> {
+        let instance = self.instances.get(&record.instance);
+        Ok(FinishedAttempt {
+            message: MessageId(record.message),
+            endpoint: EndpointId(record.endpoint),
+            attempt: record.attempt,
+            outcome: attempt_outcome(record.code, record.detail)?,
+            latency: Duration::from_nanos(record.latency),
+            complete: record.complete,
+            load_report: instance.and_then(|instance| instance.load_report(&record.report)),
+        })
+    }
+}
+
+/// Runs a step of a scheduler; a panic in it becomes a reply with its text.
+fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
+    if let Err(cause) = catch_unwind(AssertUnwindSafe(step)) {
+        let text = cause.downcast_ref::<&str>().map(|text| (*text).to_owned());
+        let text = text.or_else(|| cause.downcast_ref::<String>().cloned());
+        let text = text.unwrap_or_else(|| "panic without a text".to_owned());
+        replies.push(Reply::Panic { instance, text });
+    }
+}
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,50 +1,73 @@
-//! Puts the decision module on the bench's wire: batches on standard input, one reply each on standard output.
+//! The simulator's adapter: runs schedulers on the simulator's wire. Batches of records arrive on standard input, and
+//! each is answered by one reply on standard output, until the input ends. Bad input ends the program with an error.
+//!
+//! - `frames` reads frames from the input.
+//! - `wire` decodes batches and encodes replies.
+//! - `translation` maps the wire's records to the scheduler's events, and its actions to the wire's replies.
+//! - `instances` has the schedulers, and hands each its events.
 
-mod host;
+mod frames;
+mod instances;
+mod translation;
 mod wire;
 
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
+use thiserror::Error;
 
-/// Reads one frame's body; none at a clean end of input.
-fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
-    let mut length = [0; 4];
-    let mut have = 0;
-    while have < length.len() {
-        match input.read(&mut length[have..]) {
-            Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => return Err(format!("input ends after {have} of 4 bytes of a frame's length")),
-            Ok(count) => have += count,
-            Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(error) => return Err(format!("cannot read a frame's length: {error}")),
-        }
-    }
-    let length = u64::from(u32::from_be_bytes(length));
-    // Grows with what really comes, whatever the length field says.
-    let mut body = Vec::new();
-    input.take(length).read_to_end(&mut body).map_err(|error| format!("cannot read a frame: {error}"))?;
-    if (body.len() as u64) < length {
-        return Err(format!("input ends after {} of {length} bytes of a frame", body.len()));
-    }
-    Ok(Some(body))
+use crate::frames::{read_frame, FrameError};
+use crate::instances::{BatchError, InstanceTable};
+use crate::wire::{read_batch, write_frame, WireError};
+
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Why the adapter ends before its input does.
+#[derive(Debug, Error)]
+#[error("batch {batch}: {cause}")]
+struct AdapterError {
+    /// Counted from 0.
+    batch: u64,
+    cause: Cause,
 }
 
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = host::Host::default();
-    let mut batch = 0_u64;
-    while let Some(body) = read_frame(input).map_err(|error| format!("batch {batch}: {error}"))? {
-        let (clock, records) = wire::read_batch(&body).map_err(|error| format!("batch {batch}: {error}"))?;
-        let replies = host.run(clock, records).map_err(|error| format!("batch {batch}: {error}"))?;
-        let sent = output.write_all(&wire::write_frame(&replies)).and_then(|()| output.flush());
-        sent.map_err(|error| format!("batch {batch}: cannot write the reply: {error}"))?;
+#[derive(Debug, Error)]
+enum Cause {
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error(transparent)]
+    Batch(#[from] BatchError),
+    #[error("cannot write the reply: {0}")]
+    Reply(io::Error),
+}
+
+/// Answers batches until the input ends.
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
+    let mut instances = InstanceTable::default();
+    let mut batch = 0;
+    while serve_batch(&mut instances, input, output).map_err(|cause| AdapterError { batch, cause })? {
         batch += 1;
     }
     Ok(())
 }
 
+/// Answers one batch; false at the end of the input.
+fn serve_batch(
+    instances: &mut InstanceTable,
+    input: &mut impl Read,
+    output: &mut impl Write,
+) -> Result<bool, Cause> {
+    let Some(body) = read_frame(input)? else { return Ok(false) };
+    let replies = instances.run(read_batch(&body)?)?;
+    output.write_all(&write_frame(&replies)).map_err(Cause::Reply)?;
+    output.flush().map_err(Cause::Reply)?;
+    Ok(true)
+}
+
 fn main() -> ExitCode {
-    let input = io::stdin().lock();
-    match serve(&mut io::BufReader::with_capacity(1 << 16, input), &mut io::stdout().lock()) {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
--- /dev/null
+++ b/src/bin/simulator-adapter/translation.rs
@@ -0,0 +1,132 @@
+//! The mapping between the wire's records and the scheduler's events and actions. It translates only.
+
+use delivery_gateway::*;
+use std::time::Duration;
+use thiserror::Error;
+
+use crate::wire::{AcceptRecord, ListEntry, Reply};
+
+/// A field of a record that was decoded, but says something unknown. The adapter ends on it.
+#[derive(Debug, Error, PartialEq, Eq)]
+#[error("{field} has the unknown value {value}")]
+pub struct UnknownValue {
+    /// The field's name on the wire.
+    pub field: &'static str,
+    pub value: u32,
+}
+
+/// Bit of [`AcceptRecord::options`]: a scheduler that has ended accepted the message before.
+const REDELIVERED: u8 = 1 << 4;
+
+/// What a list update says of its list.
+pub enum ListUpdateKind {
+    /// The list holds changed entries only.
+    Delta,
+    /// The list is complete.
+    Snapshot,
+    /// There is no list: discovery has failed.
+    Failed,
+}
+
+impl TryFrom<u8> for ListUpdateKind {
+    type Error = UnknownValue;
+
+    fn try_from(kind: u8) -> Result<Self, UnknownValue> {
+        match kind {
+            0 => Ok(ListUpdateKind::Delta),
+            1 | 2 => Ok(ListUpdateKind::Snapshot),
+            3 => Ok(ListUpdateKind::Failed),
+            other => Err(UnknownValue { field: "Kind", value: other.into() }),
+        }
+    }
+}
+
+impl TryFrom<&ListEntry> for Endpoint {
+    type Error = UnknownValue;
+
+    fn try_from(entry: &ListEntry) -> Result<Self, UnknownValue> {
+        Ok(Endpoint {
+            id: EndpointId(entry.endpoint),
+            zone: ZoneId(entry.zone),
+            kind: DestinationKindId(entry.kind),
+            destination: DestinationId(entry.destination.into()),
+            mode: availability(entry.state)?,
+            weight: f64::from(entry.weight),
+        })
+    }
+}
+
+fn availability(state: u8) -> Result<Availability, UnknownValue> {
+    match state {
+        1 => Ok(Availability::Draining),
+        2 => Ok(Availability::Removed),
+        3 => Ok(Availability::Ready),
+        other => Err(UnknownValue { field: "Mode", value: other.into() }),
+    }
+}
+
+impl From<AcceptRecord> for AcceptedMessage {
+    fn from(record: AcceptRecord) -> Self {
+        AcceptedMessage {
+            id: MessageId(record.message),
+            class: ClassId(record.class),
+            // A whole number below 65,536, which the wire has as a float.
+            destination: DestinationId(u32::from(record.destination as u16)),
+            key: (record.key != 0).then_some(OrderingKey(record.key)),
+            deadline: Time(record.deadline),
+            redelivered: record.options & REDELIVERED != 0,
+            tenant: TenantId(record.tenant),
+        }
+    }
+}
+
+/// The outcome of an attempt or a probe. `detail` is a rejection's Retry-After in milliseconds, or zero for none.
+///
+/// # Errors
+/// [`UnknownValue`] for a code that the wire does not have.
+pub fn attempt_outcome(code: u16, detail: u32) -> Result<AttemptOutcome, UnknownValue> {
+    match code {
+        100 => Ok(AttemptOutcome::Delivered),
+        301 => Ok(AttemptOutcome::ErrorResponse),
+        302 => {
+            let retry_after = (detail > 0).then(|| Duration::from_millis(u64::from(detail)));
+            Ok(AttemptOutcome::Rejected(retry_after))
+        }
+        303 => Ok(AttemptOutcome::Timeout),
+        304 => Ok(AttemptOutcome::ConnectFailed),
+        305 => Ok(AttemptOutcome::Reset),
+        306 => Ok(AttemptOutcome::Cancelled),
+        307 => Ok(AttemptOutcome::NotSent),
+        other => Err(UnknownValue { field: "Code", value: other.into() }),
+    }
+}
+
+/// The reply that carries an action of an instance.
+pub fn reply(instance: u16, action: Action) -> Reply {
+    match action {
+        Action::StartAttempt { message, endpoint, attempt_timeout, .. } => Reply::StartAttempt {
+            instance,
+            message: message.0,
+            endpoint: endpoint.0,
+            // Zero would stand for no time-out.
+            attempt_timeout: nanoseconds(attempt_timeout).max(1),
+        },
+        Action::Reject { message, retry_after } => {
+            Reply::Reject { instance, message: message.0, retry_after: nanoseconds(retry_after) }
+        }
+        Action::ReportFailure { message } => Reply::ReportFailure { instance, message: message.0 },
+        Action::CancelAttempt { message, attempt } => {
+            Reply::CancelAttempt { instance, message: message.0, attempt }
+        }
+        Action::SetTimer { after, token } => Reply::SetTimer { instance, after: nanoseconds(after), token },
+        Action::CloseIdleConnections { endpoint } => {
+            Reply::CloseIdleConnections { instance, endpoint: endpoint.0 }
+        }
+        Action::WatchEndpoints { active } => Reply::WatchEndpoints { instance, active },
+    }
+}
+
+/// Saturates after some 584 years.
+fn nanoseconds(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
+}
--- /dev/null
+++ b/src/bin/simulator-adapter/wire/replies.rs
@@ -0,0 +1,132 @@
+//! The records of a reply, and their encoding. Durations are in nanoseconds.
+
+use super::records::InstanceId;
+
+/// A record of a reply: what a scheduler wants done.
+#[derive(Clone, Debug, PartialEq)]
+#[allow(dead_code)] // The codec has all replies; probes, notes, log lines and fetches are never asked for.
+pub enum Reply {
+    /// Send a message to an endpoint; an attempt time-out of zero stands for none.
+    StartAttempt { instance: InstanceId, message: u32, endpoint: u32, attempt_timeout: u64 },
+    /// Hand a message back to its client.
+    Reject { instance: InstanceId, message: u32, retry_after: u64 },
+    /// Give a message up.
+    ReportFailure { instance: InstanceId, message: u32 },
+    /// Stop waiting for an attempt.
+    CancelAttempt { instance: InstanceId, message: u32, attempt: u16 },
+    /// Fire a timer after some time.
+    SetTimer { instance: InstanceId, after: u64, token: u64 },
+    /// Probe an endpoint.
+    Probe { instance: InstanceId, endpoint: u32 },
+    /// Close the idle connections to an endpoint.
+    CloseIdleConnections { instance: InstanceId, endpoint: u32 },
+    /// Send a note to another scheduler.
+    SendNote { instance: InstanceId, peer: u16, text: Vec<u8> },
+    /// A line for the log.
+    Log { instance: InstanceId, text: String },
+    /// The scheduler has panicked.
+    Panic { instance: InstanceId, text: String },
+    /// Begin, or end, a watch on the endpoint list.
+    WatchEndpoints { instance: InstanceId, active: bool },
+    /// Read the whole endpoint list once.
+    FetchEndpoints { instance: InstanceId },
+}
+
+/// The first byte of each type of reply.
+mod code {
+    pub const START_ATTEMPT: u8 = 10;
+    pub const REJECT: u8 = 20;
+    pub const REPORT_FAILURE: u8 = 30;
+    pub const CANCEL_ATTEMPT: u8 = 40;
+    pub const SET_TIMER: u8 = 50;
+    pub const PROBE: u8 = 60;
+    pub const CLOSE_IDLE_CONNECTIONS: u8 = 70;
+    pub const SEND_NOTE: u8 = 80;
+    pub const LOG: u8 = 90;
+    pub const PANIC: u8 = 100;
+    pub const WATCH_ENDPOINTS: u8 = 110;
+    pub const FETCH_ENDPOINTS: u8 = 120;
+}
+
+/// A reply's length, in front of it.
+const LENGTH_BYTES: usize = 4;
+
+/// Encodes a whole reply: its length and its records.
+pub fn write_frame(replies: &[Reply]) -> Vec<u8> {
+    let mut out = vec![0; LENGTH_BYTES];
+    for reply in replies {
+        write_reply(&mut out, reply);
+    }
+    let length = u32::try_from(out.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
+    out[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    out
+}
+
+/// Appends one record of a reply.
+pub fn write_reply(out: &mut Vec<u8>, reply: &Reply) {
+    match reply {
+        Reply::StartAttempt { instance, message, endpoint, attempt_timeout } => {
+            write_head(out, code::START_ATTEMPT, *instance);
+            out.extend(message.to_be_bytes());
+            out.extend(endpoint.to_be_bytes());
+            out.extend(attempt_timeout.to_be_bytes());
+        }
+        Reply::Reject { instance, message, retry_after } => {
+            write_head(out, code::REJECT, *instance);
+            out.extend(message.to_be_bytes());
+            out.extend(retry_after.to_be_bytes());
+        }
+        Reply::ReportFailure { instance, message } => {
+            write_head(out, code::REPORT_FAILURE, *instance);
+            out.extend(message.to_be_bytes());
+        }
+        Reply::CancelAttempt { instance, message, attempt } => {
+            write_head(out, code::CANCEL_ATTEMPT, *instance);
+            out.extend(message.to_be_bytes());
+            out.extend(attempt.to_be_bytes());
+        }
+        Reply::SetTimer { instance, after, token } => {
+            write_head(out, code::SET_TIMER, *instance);
+            out.extend(after.to_be_bytes());
+            out.extend(token.to_be_bytes());
+        }
+        Reply::Probe { instance, endpoint } => {
+            write_head(out, code::PROBE, *instance);
+            out.extend(endpoint.to_be_bytes());
+        }
+        Reply::CloseIdleConnections { instance, endpoint } => {
+            write_head(out, code::CLOSE_IDLE_CONNECTIONS, *instance);
+            out.extend(endpoint.to_be_bytes());
+        }
+        Reply::SendNote { instance, peer, text } => {
+            write_head(out, code::SEND_NOTE, *instance);
+            out.extend(peer.to_be_bytes());
+            write_text(out, text);
+        }
+        Reply::Log { instance, text } => {
+            write_head(out, code::LOG, *instance);
+            write_text(out, text.as_bytes());
+        }
+        Reply::Panic { instance, text } => {
+            write_head(out, code::PANIC, *instance);
+            write_text(out, text.as_bytes());
+        }
+        Reply::WatchEndpoints { instance, active } => {
+            write_head(out, code::WATCH_ENDPOINTS, *instance);
+            out.push(u8::from(*active));
+        }
+        Reply::FetchEndpoints { instance } => write_head(out, code::FETCH_ENDPOINTS, *instance),
+    }
+}
+
+fn write_head(out: &mut Vec<u8>, code: u8, instance: InstanceId) {
+    out.push(code);
+    out.extend(instance.to_be_bytes());
+}
+
+/// Text has a length of two bytes; what is longer is cut off.
+fn write_text(out: &mut Vec<u8>, text: &[u8]) {
+    let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
+    out.extend(length.to_be_bytes());
+    out.extend(&text[..usize::from(length)]);
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,12 @@
 //! The wire page's byte examples, a round trip for every record, and bad input.
 
-#[path = "../src/bin/simulator-adapter/host.rs"]
+#[path = "../src/bin/simulator-adapter/instances.rs"]
 #[allow(dead_code)]
-mod host;
-#[path = "../src/bin/simulator-adapter/wire.rs"]
+mod instances;
+#[path = "../src/bin/simulator-adapter/translation.rs"]
+#[allow(dead_code)]
+mod translation;
+#[path = "../src/bin/simulator-adapter/wire/mod.rs"]
 #[allow(dead_code)]
 mod wire;
 
@@ -25,21 +28,21 @@
     out
 }
 
-fn host_with(input: &[u8]) -> Output {
+fn adapter_with(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The host may end before it has read all of a bad input.
+    // The adapter may end before it has read all of a bad input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let out = host_with(&hex("0000000c 00000001f568bf90 00000000"));
+    let out = adapter_with(&hex("0000000c 00000001f568bf90 00000000"));
     assert!(out.status.success());
     assert_eq!(out.stdout, hex("00000000"));
 }
@@ -50,21 +53,21 @@
         1e 0003 5d3a91c4 00 42640000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 01 00000000
         46 0003 000000000000004d  3c 0005 0e6f2b19");
     assert_eq!(body.len(), 0x47);
-    let (clock, records) = read_batch(&body).unwrap();
+    let Batch { clock, records } = read_batch(&body).unwrap();
     assert_eq!(clock, 0x1_f568_bf90);
-    let accept = Record::Accept {
-        who: 3,
-        call: 0x5d3a_91c4,
-        profile: 0,
-        dest: 57.0,
+    let accept = Record::Accept(AcceptRecord {
+        instance: 3,
+        message: 0x5d3a_91c4,
+        class: 0,
+        destination: 57.0,
         key: 0x91f0_3b7c_55d2_0a64,
         deadline: 0x2_03b6_db90,
-        hint: 12_000_000,
-        opts: 1,
-        owner: 0,
-    };
-    let tick = Record::TickDue { who: 3, cookie: 77 };
-    assert_eq!(records, [accept, tick, Record::ClientGone { who: 5, call: 0x0e6f_2b19 }]);
+        weight_hint: 12_000_000,
+        options: 1,
+        tenant: 0,
+    });
+    let timer = Record::TimerFired { instance: 3, token: 77 };
+    assert_eq!(records, [accept, timer, Record::MessageAbandoned { instance: 5, message: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -75,32 +78,37 @@
         2c9011f2 00 0000 0039 03 3fc00000 000000016b969d00
         14 0003 0000 00000029 02
         32 0003 5d3a91c4 0064 00000000011a49a0 01 03124a07 0000 00000000 02 3ecccccd3fa00000");
-    let (_, records) = read_batch(&body).unwrap();
-    let entry = |endpoint, weight, up_since| Entry {
+    let Batch { records, .. } = read_batch(&body).unwrap();
+    let entry = |endpoint, weight, up_since| ListEntry {
         endpoint,
         zone: 0,
         kind: 0,
-        cell: 57,
-        mode: 3,
+        destination: 57,
+        state: 3,
         weight,
         up_since,
     };
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
-    assert_eq!(records[0], Record::Sheet { slot: 0, entries });
-    assert_eq!(records[1], Record::Members { who: 3, slot: 0, generation: 41, kind: 2 });
+    assert_eq!(records[0], Record::EndpointList { list: 0, entries });
+    assert_eq!(records[1], Record::ListUpdate { instance: 3, list: 0, revision: 41, kind: 2 });
     let Record::FinishedAttempt(finished) = &records[2] else { panic!("{records:?}") };
-    assert_eq!((finished.code, finished.delay, finished.complete), (100, 18_500_000, true));
+    assert_eq!((finished.code, finished.latency, finished.complete), (100, 18_500_000, true));
     assert_eq!(finished.report, [0.4, 1.25]);
 }
 
 #[test]
 fn actions_of_the_wire_page() {
-    let words = "two servers known".to_owned();
+    let text = "two servers known".to_owned();
     let replies = [
-        Reply::Route { who: 3, call: 0x5d3a_91c4, endpoint: 0x0312_4a07, attempt_timeout: 80_000_000 },
-        Reply::After { who: 3, after: 500_000_000, cookie: 77 },
-        Reply::Log { who: 5, words },
-        Reply::Tell { who: 3, peer: 0xffff, msg: b"hi 7".to_vec() },
+        Reply::StartAttempt {
+            instance: 3,
+            message: 0x5d3a_91c4,
+            endpoint: 0x0312_4a07,
+            attempt_timeout: 80_000_000,
+        },
+        Reply::SetTimer { instance: 3, after: 500_000_000, token: 77 },
+        Reply::Log { instance: 5, text },
+        Reply::SendNote { instance: 3, peer: 0xffff, text: b"hi 7".to_vec() },
     ];
     let expected = hex("00000047
         0a 0003 5d3a91c4 03124a07 0000000004c4b400
@@ -113,14 +121,14 @@
 #[test]
 fn every_other_action_has_its_bytes() {
     let cases = [
-        (Reply::Busy { who: 1, call: 2, stay_away: 3 }, "14 0001 00000002 0000000000000003"),
-        (Reply::ReportFailure { who: 1, call: 2 }, "1e 0001 00000002"),
-        (Reply::StopAttempt { who: 1, call: 2, trial: 3 }, "28 0001 00000002 0003"),
-        (Reply::SoundOut { who: 1, endpoint: 2 }, "3c 0001 00000002"),
-        (Reply::CloseIdle { who: 1, endpoint: 2 }, "46 0001 00000002"),
-        (Reply::Panic { who: 1, words: "x".to_owned() }, "64 0001 0001 78"),
-        (Reply::KeepInformed { who: 1, active: true }, "6e 0001 01"),
-        (Reply::Refresh { who: 1 }, "78 0001"),
+        (Reply::Reject { instance: 1, message: 2, retry_after: 3 }, "14 0001 00000002 0000000000000003"),
+        (Reply::ReportFailure { instance: 1, message: 2 }, "1e 0001 00000002"),
+        (Reply::CancelAttempt { instance: 1, message: 2, attempt: 3 }, "28 0001 00000002 0003"),
+        (Reply::Probe { instance: 1, endpoint: 2 }, "3c 0001 00000002"),
+        (Reply::CloseIdleConnections { instance: 1, endpoint: 2 }, "46 0001 00000002"),
+        (Reply::Panic { instance: 1, text: "x".to_owned() }, "64 0001 0001 78"),
+        (Reply::WatchEndpoints { instance: 1, active: true }, "6e 0001 01"),
+        (Reply::FetchEndpoints { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
         let mut out = Vec::new();
@@ -134,27 +142,27 @@
     let cases = [
         (
             "0a 0001 0000000000000002 00000003 613d62",
-            Record::NewInstance { who: 1, nonce: 2, config: "a=b".into() },
+            Record::NewInstance { instance: 1, seed: 2, settings: "a=b".into() },
         ),
-        ("64 0001", Record::Teardown { who: 1 }),
+        ("64 0001", Record::RemoveInstance { instance: 1 }),
         (
             "50 0001 012f 0000000000000002 00000003 01 3f800000",
-            Record::ProbeDone { who: 1, code: 303, delay: 2, endpoint: 3, report: vec![1.0] },
+            Record::ProbeFinished { instance: 1, code: 303, latency: 2, endpoint: 3, report: vec![1.0] },
         ),
         (
             "28 0001 00000002 00000003 0004 0000000000000005",
-            Record::FirstByte { who: 1, call: 2, endpoint: 3, trial: 4, delay: 5 },
+            Record::ResponseStarted { instance: 1, message: 2, endpoint: 3, attempt: 4, latency: 5 },
         ),
-        ("5a 0001 00000002 0002 6869", Record::NoteFrom { who: 1, from: 2, msg: b"hi".to_vec() }),
+        ("5a 0001 00000002 0002 6869", Record::PeerNote { instance: 1, from: 2, text: b"hi".to_vec() }),
     ];
     for (bytes, record) in cases {
         let bytes = hex(bytes);
         let whole = &frame(9, std::slice::from_ref(&bytes))[4..];
-        assert_eq!(read_batch(whole), Ok((9, vec![record])));
+        assert_eq!(read_batch(whole), Ok(Batch { clock: 9, records: vec![record] }));
         // Every truncation is an error, never a panic.
         for cut in 1..bytes.len() {
             let body = &frame(9, &[bytes[..cut].to_vec()])[4..];
-            assert!(matches!(read_batch(body), Err(WireError::Short { .. })), "{cut}");
+            assert!(matches!(read_batch(body), Err(WireError::Truncated { .. })), "{cut}");
         }
     }
 }
@@ -178,7 +186,7 @@
         (bad_setting, "Balancers: 'two'"),
     ];
     for (input, says) in cases {
-        let out = host_with(&input);
+        let out = adapter_with(&input);
         let error = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success(), "{says}");
         assert!(error.contains(says), "{error}");
@@ -186,30 +194,89 @@
     }
 }
 
+fn accept_record(instance: u16) -> Record {
+    Record::Accept(AcceptRecord {
+        instance,
+        message: 5,
+        class: 0,
+        destination: 1.0,
+        key: 0,
+        deadline: 60_000_000_000,
+        weight_hint: 0,
+        options: 0,
+        tenant: 0,
+    })
+}
+
+/// Records that the scheduler ignores are still records of their instance, which decides after them.
 #[test]
-fn unknown_settings_are_skipped_and_lists_follow_their_sheet() {
+fn an_instance_decides_after_a_record_that_it_ignores() {
+    let ignored = [
+        Record::ProbeFinished { instance: 1, code: 100, latency: 1, endpoint: 2, report: vec![] },
+        Record::ResponseStarted { instance: 1, message: 5, endpoint: 2, attempt: 0, latency: 1 },
+        Record::PeerNote { instance: 1, from: 2, text: b"hi".to_vec() },
+    ];
+    for record in ignored {
+        let mut instances = instances::InstanceTable::default();
+        let settings = "Lanes.count=1\n".to_owned();
+        let start = Record::NewInstance { instance: 1, seed: 1, settings };
+        instances.run(Batch { clock: 50_000_000_000, records: vec![start, accept_record(1)] }).unwrap();
+        // The message's deadline has passed, but nothing of the instance's has happened.
+        let mut replies = |records| instances.run(Batch { clock: 61_000_000_000, records }).unwrap();
+        assert_eq!(replies(vec![]), []);
+        let given_up = replies(vec![record.clone()]);
+        let is_final = |reply: &Reply| {
+            matches!(
+                reply,
+                Reply::Reject { instance: 1, message: 5, .. }
+                    | Reply::ReportFailure { instance: 1, message: 5 }
+            )
+        };
+        assert_eq!(given_up.iter().filter(|reply| is_final(reply)).count(), 1, "{record:?}: {given_up:?}");
+    }
+}
+
+#[test]
+fn a_probe_with_an_unknown_outcome_is_an_error() {
+    let mut instances = instances::InstanceTable::default();
+    let probe = Record::ProbeFinished { instance: 1, code: 7, latency: 1, endpoint: 2, report: vec![] };
+    let error = instances.run(Batch { clock: 1, records: vec![probe] }).unwrap_err();
+    assert_eq!(error.to_string(), "Code has the unknown value 7");
+}
+
+#[test]
+fn unknown_settings_are_skipped_and_updates_use_the_list_of_their_time() {
     let config =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
     let parsed = delivery_gateway::settings_from_lines(config).unwrap();
     assert_eq!(parsed.settings.fleet_size, 3);
     assert_eq!(parsed.settings.destination_kinds[1].batch, 4);
-    // A sheet's number taken over later in a batch does not touch what referred to it before.
-    let sheet = |endpoint| {
-        let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
-        Record::Sheet { slot: 0, entries: vec![entry] }
+    // A list's number taken over later in a batch does not touch what referred to it before.
+    let list = |endpoint| {
+        let entry =
+            ListEntry { endpoint, zone: 0, kind: 0, destination: 1, state: 3, weight: 9.0, up_since: 0 };
+        Record::EndpointList { list: 0, entries: vec![entry] }
     };
-    let members = |who| Record::Members { who, slot: 0, generation: 1, kind: 2 };
-    let start = |who| Record::NewInstance { who, nonce: 1, config: config.to_owned() };
-    let (key, hint, opts, owner, deadline) = (0, 0, 0, 0, 60_000_000_000);
-    let accept =
-        |who| Record::Accept { who, call: 5, profile: 0, dest: 1.0, key, deadline, hint, opts, owner };
-    let mut host = host::Host::default();
-    let batch = vec![start(1), start(2), sheet(10), members(1), sheet(20), members(2), accept(1), accept(2)];
-    let replies = host.run(50_000_000_000, batch).unwrap();
-    let routed = |who, to| {
-        let is =
-            |r: &&Reply| matches!(r, Reply::Route { who: w, endpoint, .. } if (*w, *endpoint) == (who, to));
-        replies.iter().filter(is).count()
+    let update = |instance| Record::ListUpdate { instance, list: 0, revision: 1, kind: 2 };
+    let start = |instance| Record::NewInstance { instance, seed: 1, settings: config.to_owned() };
+    let mut instances = instances::InstanceTable::default();
+    let batch = vec![
+        start(1),
+        start(2),
+        list(10),
+        update(1),
+        list(20),
+        update(2),
+        accept_record(1),
+        accept_record(2),
+    ];
+    let replies = instances.run(Batch { clock: 50_000_000_000, records: batch }).unwrap();
+    let attempts = |at, to| {
+        let is_attempt = |reply: &&Reply| match reply {
+            Reply::StartAttempt { instance, endpoint, .. } => (*instance, *endpoint) == (at, to),
+            _ => false,
+        };
+        replies.iter().filter(is_attempt).count()
     };
-    assert_eq!((routed(1, 10), routed(2, 20)), (1, 1));
+    assert_eq!((attempts(1, 10), attempts(2, 20)), (1, 1));
 }
