--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -14,8 +14,8 @@
 mod processor_time;
 mod report;
 mod restart;
-mod scheduler_sweeps;
-mod simulated;
+mod scheduler_rig;
+mod simulated_gateway;
 mod soak;
 // The tests use more of them.
 #[allow(dead_code)]
@@ -96,7 +96,7 @@
 }
 
 #[derive(Debug, Error)]
-enum LabError {
+enum TestbedError {
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error("{0} cannot be written: {1}")]
@@ -116,10 +116,10 @@
 }
 
 /// Tells a flag of the first SIGINT or SIGTERM.
-fn heed_signals() -> Result<Arc<AtomicBool>, LabError> {
+fn watch_for_signals() -> Result<Arc<AtomicBool>, TestbedError> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        flag::register(signal, interrupted.clone()).map_err(LabError::Signals)?;
+        flag::register(signal, interrupted.clone()).map_err(TestbedError::Signals)?;
     }
     Ok(interrupted)
 }
@@ -129,7 +129,7 @@
     only: &[String],
     json: Option<PathBuf>,
     courier: Option<PathBuf>,
-) -> Result<(), LabError> {
+) -> Result<(), TestbedError> {
     let machine = experiment::machine_memory()?;
     let experiment = experiment::read(&file, machine, only)?;
     let beside = || std::env::current_exe().unwrap_or_default().with_file_name("delivery-gateway");
@@ -139,12 +139,12 @@
     }
     let json = match json {
         Some(path) => {
-            let file = File::create(&path).map_err(|error| LabError::Json(path.clone(), error))?;
+            let file = File::create(&path).map_err(|error| TestbedError::Json(path.clone(), error))?;
             Some((path, file))
         }
         None => None,
     };
-    let guard = Guard::new(&experiment.bounds, heed_signals()?);
+    let guard = Guard::new(&experiment.bounds, watch_for_signals()?);
     let mut report = Report::new(experiment.seed, experiment.bounds.memory(), experiment.target.clone());
     for sweep in &experiment.sweep {
         let points = match sweep.kind() {
@@ -157,36 +157,37 @@
     print!("{}", report.summary());
     if let Some((path, mut file)) = json {
         let written = file.write_all(report.json()?.as_bytes());
-        written.map_err(|error| LabError::Json(path, error))?;
+        written.map_err(|error| TestbedError::Json(path, error))?;
     }
     if guard.is_interrupted() {
         warn!("interrupted: what was not measured by then is said to be not run");
-        return Err(LabError::Interrupted);
+        return Err(TestbedError::Interrupted);
     }
     Ok(())
 }
 
 /// Plays the soaks of some seeds, one after the other; each tells its figures.
-fn soak(plan: soak::Plan, seeds: u64) -> Result<(), LabError> {
+fn soak(plan: soak::Plan, seeds: u64) -> Result<(), TestbedError> {
     for file in [&plan.courier, &plan.shim] {
         if !file.is_file() {
-            return Err(LabError::Missing(file.clone()));
+            return Err(TestbedError::Missing(file.clone()));
         }
     }
-    let interrupted = heed_signals()?;
+    let interrupted = watch_for_signals()?;
     let mut broken = 0;
     for seed in plan.seed..plan.seed.saturating_add(seeds) {
         if interrupted.load(Ordering::SeqCst) {
-            return Err(LabError::Interrupted);
+            return Err(TestbedError::Interrupted);
         }
-        let verdict = soak::run(&Arc::new(soak::Plan { seed, ..plan.clone() })).map_err(LabError::Soak)?;
+        let verdict =
+            soak::run(&Arc::new(soak::Plan { seed, ..plan.clone() })).map_err(TestbedError::Soak)?;
         print!("{}", verdict.report);
         broken += verdict.broken;
     }
     if broken == 0 {
         Ok(())
     } else {
-        Err(LabError::Broken(broken))
+        Err(TestbedError::Broken(broken))
     }
 }
 
@@ -213,7 +214,7 @@
     };
     match played {
         Ok(()) => ExitCode::SUCCESS,
-        Err(LabError::Interrupted) => ExitCode::from(INTERRUPTED),
+        Err(TestbedError::Interrupted) => ExitCode::from(INTERRUPTED),
         Err(error) => {
             error!("{error}");
             ExitCode::FAILURE
--- a/src/bin/testbed/measure.rs
+++ b/src/bin/testbed/measure.rs
@@ -6,7 +6,7 @@
 use crate::fit::median;
 use crate::processor_time::processor_time;
 use crate::report::{Figure, Point};
-use crate::scheduler_sweeps::Rig;
+use crate::scheduler_rig::SchedulerRig;
 use hdrhistogram::Histogram;
 use std::time::Instant;
 use tracing::info;
@@ -19,11 +19,11 @@
 /// A size that is being measured.
 struct Measured {
     size: u64,
-    rig: Rig,
+    rig: SchedulerRig,
     memory: u64,
     /// By round: processor time of a step in nanoseconds.
     rounds: Vec<f64>,
-    looked_at: u64,
+    items_examined: u64,
     steps: Histogram<u64>,
 }
 
@@ -31,7 +31,8 @@
     fn round(&mut self, experiment: &Experiment, guard: &Guard) -> Result<(), NotRun> {
         let (most, longest) = (*experiment.work.steps.get_ref(), experiment.work.block());
         let (begun, cpu) = (Instant::now(), processor_time());
-        let (delivered, looked_at) = (self.rig.hollow.counts.delivered, self.rig.hollow.looked_at());
+        let (delivered, items_examined) =
+            (self.rig.gateway.counts.delivered, self.rig.gateway.items_examined());
         let mut steps = 0;
         while steps < most && (steps < LEAST_STEPS || begun.elapsed() < longest) {
             let at = Instant::now();
@@ -40,7 +41,7 @@
             steps += 1;
         }
         self.rounds.push((processor_time() - cpu).as_nanos() as f64 / steps as f64);
-        self.looked_at += self.rig.hollow.looked_at() - looked_at;
+        self.items_examined += self.rig.gateway.items_examined() - items_examined;
         self.rig.check(delivered, steps)?;
         guard.check()
     }
@@ -82,11 +83,11 @@
     let steps = Histogram::new_with_bounds(1, LONGEST_STEP_NS, 2)
         .map_err(|error| NotRun::failed("the histogram", error))?;
     let before = allocated();
-    let mut rig = Rig::build(experiment, sweep.kind(), size, guard)?;
+    let mut rig = SchedulerRig::build(experiment, sweep.kind(), size, guard)?;
     rig.settle(experiment.work.longest_latency(), guard)?;
     let memory = allocated().saturating_sub(before + rig.own);
-    info!(kind = %sweep.kind(), size, out = rig.hollow.out(), circuit_records = rig.hollow.circuit_records(), memory, "set up");
-    Ok(Measured { size, rig, memory, rounds: Vec::new(), looked_at: 0, steps })
+    info!(kind = %sweep.kind(), size, out = rig.gateway.out(), circuit_records = rig.gateway.circuit_records(), memory, "set up");
+    Ok(Measured { size, rig, memory, rounds: Vec::new(), items_examined: 0, steps })
 }
 
 fn point(measured: &Measured, base: &[f64]) -> Point {
@@ -98,11 +99,11 @@
         (Figure::StepRatio, ratio),
         // By the ratio, as the machine's pace changes from round to round, but hardly within one.
         (Figure::StepNs, ratio * smallest),
-        (Figure::LookedAt, measured.looked_at as f64 / measured.steps.len().max(1) as f64),
+        (Figure::LookedAt, measured.items_examined as f64 / measured.steps.len().max(1) as f64),
         (Figure::StepP99Ns, measured.steps.value_at_quantile(0.99) as f64),
         (Figure::MemoryBytes, measured.memory as f64),
     ]);
-    match measured.rig.hollow.handed_over() {
+    match measured.rig.gateway.handover_bytes() {
         Ok(bytes) => drop(figures.insert(Figure::HandOverBytes, bytes as f64)),
         Err(error) => return Point::not_run(measured.size, &NotRun::failed("the hand-over", error)),
     }
--- a/src/bin/testbed/scheduler_sweeps.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -8,7 +8,7 @@
 use crate::experiment::{Experiment, Kind};
 use crate::processor_time::processor_time;
 use crate::report::{Figure, Figures};
-use crate::simulated::{reader, Hollow, Script};
+use crate::simulated_gateway::{directory_for, Script, SimulatedGateway};
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory};
 use delivery_gateway::*;
 use std::time::Duration;
@@ -44,8 +44,8 @@
 const BETWEEN_LOOKS: u64 = 1024;
 
 /// A hollow courier that has been brought to its size.
-pub struct Rig {
-    pub hollow: Hollow,
+pub struct SchedulerRig {
+    pub gateway: SimulatedGateway,
     kind: Kind,
     worked: Vec<DestinationId>,
     /// The next of them, or the next change.
@@ -90,7 +90,7 @@
                 changes.push(serde_json::to_vec(&update).map_err(failed)?);
             }
         }
-        let mut directory = reader(settings);
+        let mut directory = directory_for(settings);
         let begun = processor_time();
         let update: DiscoveryUpdate = serde_json::from_slice(&whole).map_err(failed)?;
         let listing = directory.apply(&update);
@@ -166,7 +166,7 @@
     }
 }
 
-impl Rig {
+impl SchedulerRig {
     /// Brings a courier to a size.
     pub fn build(experiment: &Experiment, kind: Kind, size: u64, guard: &Guard) -> Result<Self, NotRun> {
         let work = &experiment.work;
@@ -206,18 +206,18 @@
             },
         };
         let settings = settings(experiment, slots, size);
-        let mut hollow = Hollow::new(settings.clone(), experiment.seed, script);
+        let mut gateway = SimulatedGateway::new(settings.clone(), experiment.seed, script);
         let (mut list, mut figures) = (None, Figures::new());
         if kind == Kind::ListChange {
             let (read, listing, measured) = List::new(&entries, &settings)?;
             (list, figures) = (Some(read), measured);
             drop(entries);
             let begun = processor_time();
-            hollow.tell(Event::EndpointsUpdated(listing));
+            gateway.tell(Event::EndpointsUpdated(listing));
             let took = (processor_time() - begun).as_nanos() as f64;
             figures.entry(Figure::ListNs).and_modify(|reading| *reading += took);
         } else {
-            hollow.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(entries)));
+            gateway.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(entries)));
         }
         let mut worked: Vec<DestinationId> = (0..worked).map(destination).collect::<Result<_, _>>()?;
         if kind == Kind::Loaded {
@@ -225,7 +225,7 @@
         }
         let own =
             list.as_ref().map_or(0, List::own) + (worked.capacity() * size_of::<DestinationId>()) as u64;
-        let mut rig = Rig { hollow, kind, worked, at: 0, period, list, own, figures };
+        let mut rig = SchedulerRig { gateway, kind, worked, at: 0, period, list, own, figures };
         rig.bring_to(size, guard)?;
         Ok(rig)
     }
@@ -248,7 +248,7 @@
                     if number % BETWEEN_LOOKS == 0 {
                         guard.check()?;
                     }
-                    self.hollow.hand_in(destination(WORKED + number % HOLDING)?);
+                    self.gateway.enqueue(destination(WORKED + number % HOLDING)?);
                 }
             }
             Kind::HeldAtOne => {
@@ -256,7 +256,7 @@
                     if number % BETWEEN_LOOKS == 0 {
                         guard.check()?;
                     }
-                    self.hollow.hand_in(destination(0)?);
+                    self.gateway.enqueue(destination(0)?);
                 }
             }
             Kind::Loaded => {
@@ -264,19 +264,19 @@
                     // The first endpoint of the destination.
                     self.told_wait((number * ENDPOINTS_OF_TEN).div_ceil(10))?;
                     for _ in 0..LOADED_HELD {
-                        self.hollow.hand_in(destination(number)?);
+                        self.gateway.enqueue(destination(number)?);
                     }
                 }
             }
             _ => {}
         }
-        self.hollow.decide();
+        self.gateway.decide();
         Ok(())
     }
 
     /// An endpoint tells its destination to wait.
     fn told_wait(&mut self, number: u64) -> Result<(), NotRun> {
-        self.hollow.tell(Event::RetryAfter { endpoint: endpoint_id(number)?, delay: LONG });
+        self.gateway.tell(Event::RetryAfter { endpoint: endpoint_id(number)?, delay: LONG });
         Ok(())
     }
 
@@ -290,37 +290,37 @@
                 let outage = CircuitRecord {
                     destination: to,
                     endpoint: None,
-                    last_success_at: self.hollow.now() - DOWN_FOR,
+                    last_success_at: self.gateway.now() - DOWN_FOR,
                     failure_score: 6,
                     calls_lost: Some(true),
                     slow_start_since: None,
                     baseline_rate: 0.0,
                 };
-                self.hollow.tell(Event::CircuitRestored(outage));
+                self.gateway.tell(Event::CircuitRestored(outage));
                 retry_after_delays = number.is_multiple_of(WAITING_OF_DOWN);
             }
             _ => {}
         }
         if retry_after_delays {
-            self.hollow.hand_in(to);
+            self.gateway.enqueue(to);
         }
         Ok(())
     }
 
     pub fn step(&mut self) -> Result<(), NotRun> {
-        self.hollow.pass(self.period);
+        self.gateway.pass(self.period);
         if let Some(List { directory, changes }) = &mut self.list {
             // As the watch and the real loop take one in.
             let update: DiscoveryUpdate = serde_json::from_slice(&changes[self.at])
                 .map_err(|error| NotRun::failed("the list", error))?;
-            self.hollow.tell(Event::EndpointsUpdated(directory.apply(&update)));
+            self.gateway.tell(Event::EndpointsUpdated(directory.apply(&update)));
             directory.forget_removed(|_| false);
             self.at = (self.at + 1) % changes.len();
         } else {
-            self.hollow.hand_in(self.worked[self.at]);
+            self.gateway.enqueue(self.worked[self.at]);
             self.at = (self.at + 1) % self.worked.len();
         }
-        self.hollow.decide();
+        self.gateway.decide();
         Ok(())
     }
 
@@ -338,7 +338,7 @@
 
     /// Whether the steps did what they are measured for.
     pub fn check(&self, delivered: u64, steps: u64) -> Result<(), NotRun> {
-        let done = self.hollow.counts.delivered - delivered;
+        let done = self.gateway.counts.delivered - delivered;
         if self.kind == Kind::ListChange || done * 10 >= steps * 8 {
             Ok(())
         } else {
--- a/src/bin/testbed/simulated.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 /// The module's clock at the start. Times before it have to be expressible.
-const EPOCH: Time = Time(1_000_000_000_000_000);
+const START_TIME: Time = Time(1_000_000_000_000_000);
 
 /// The reader of the list, for the one kind and the one zone of the experiments.
-pub fn reader(settings: &Settings) -> EndpointDirectory {
+pub fn directory_for(settings: &Settings) -> EndpointDirectory {
     EndpointDirectory::new(&ParsedSettings {
         settings: settings.clone(),
         headroom_index: None,
@@ -50,7 +50,7 @@
     fn outcome(
         &self,
         now: Time,
-        room: &mut HashMap<EndpointId, (f64, Time)>,
+        token_buckets: &mut HashMap<EndpointId, (f64, Time)>,
         chance: &mut fastrand::Rng,
         to: EndpointId,
     ) -> (AttemptOutcome, Duration) {
@@ -59,7 +59,7 @@
         }
         let after = self.latency + self.jitter.mul_f64(chance.f64());
         if let Some(limit) = self.limit {
-            let (left, since) = room.entry(to).or_insert((1.0, now));
+            let (left, since) = token_buckets.entry(to).or_insert((1.0, now));
             *left = (*left + (now - *since).as_secs_f64() * limit).min(limit.max(1.0));
             *since = now;
             if *left < 1.0 {
@@ -72,7 +72,7 @@
 }
 
 /// An answer on its way to the courier.
-struct Coming {
+struct ResponseInFlight {
     message: MessageId,
     endpoint: EndpointId,
     outcome: AttemptOutcome,
@@ -82,26 +82,26 @@
 /// What a hollow courier has done.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    pub taken: u64,
-    pub turned_away: u64,
+    pub accepted: u64,
+    pub rejected: u64,
     pub sent: u64,
     pub delivered: u64,
 }
 
-pub struct Hollow {
-    courier: Scheduler,
+pub struct SimulatedGateway {
+    scheduler: Scheduler,
     script: Script,
     chance: fastrand::Rng,
     deadline: Duration,
     now: Time,
     wake: Option<(Time, u64)>,
     /// In the order in which they come.
-    coming: BTreeMap<(Time, u64), Coming>,
+    in_flight: BTreeMap<(Time, u64), ResponseInFlight>,
     attempts: HashMap<MessageId, u16>,
-    room: HashMap<EndpointId, (f64, Time)>,
+    token_buckets: HashMap<EndpointId, (f64, Time)>,
     /// Final answers, whose hearing is told in the next step.
     answered: Vec<MessageId>,
-    noted: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
+    persisted_circuits: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
     actions: Vec<Action>,
     /// The list is to be watched again.
     watch_due: bool,
@@ -110,21 +110,21 @@
     pub counts: Counts,
 }
 
-impl Hollow {
+impl SimulatedGateway {
     pub fn new(settings: Settings, seed: u64, script: Script) -> Self {
         let deadline = settings.classes.first().map(|class| class.deadline).unwrap_or_default();
-        Hollow {
-            courier: Scheduler::new(Settings { outcomes_need_acknowledgement: true, ..settings }, seed),
+        SimulatedGateway {
+            scheduler: Scheduler::new(Settings { outcomes_need_acknowledgement: true, ..settings }, seed),
             script,
             chance: fastrand::Rng::with_seed(seed),
             deadline,
-            now: EPOCH,
+            now: START_TIME,
             wake: None,
-            coming: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             attempts: HashMap::new(),
-            room: HashMap::new(),
+            token_buckets: HashMap::new(),
             answered: Vec::new(),
-            noted: BTreeMap::new(),
+            persisted_circuits: BTreeMap::new(),
             actions: Vec::new(),
             watch_due: false,
             last_message: 0,
@@ -138,11 +138,11 @@
     }
 
     pub fn tell(&mut self, event: Event) {
-        self.courier.handle(self.now, event);
+        self.scheduler.handle(self.now, event);
     }
 
     /// Hands a message in, as a client does; it may be turned away.
-    pub fn hand_in(&mut self, destination: DestinationId) {
+    pub fn enqueue(&mut self, destination: DestinationId) {
         self.last_message += 1;
         let accepted = AcceptedMessage {
             id: MessageId(self.last_message),
@@ -153,11 +153,11 @@
             redelivered: false,
             tenant: TenantId(0),
         };
-        if self.courier.admits(self.now, &accepted) {
-            self.counts.taken += 1;
-            self.courier.handle(self.now, Event::MessageAccepted(accepted));
+        if self.scheduler.admits(self.now, &accepted) {
+            self.counts.accepted += 1;
+            self.scheduler.handle(self.now, Event::MessageAccepted(accepted));
         } else {
-            self.counts.turned_away += 1;
+            self.counts.rejected += 1;
         }
     }
 
@@ -165,18 +165,18 @@
     pub fn pass(&mut self, by: Duration) {
         self.now = self.now + by;
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= self.now) {
-            self.courier.handle(self.now, Event::TimerFired(token));
+            self.scheduler.handle(self.now, Event::TimerFired(token));
         }
         for message in self.answered.drain(..) {
-            self.courier.handle(self.now, Event::OutcomeAcknowledged(message));
+            self.scheduler.handle(self.now, Event::OutcomeAcknowledged(message));
         }
-        while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            let coming = entry.remove();
-            self.finish(coming);
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            let in_flight = entry.remove();
+            self.finish(in_flight);
         }
     }
 
-    fn finish(&mut self, Coming { message, endpoint, outcome, sent }: Coming) {
+    fn finish(&mut self, ResponseInFlight { message, endpoint, outcome, sent }: ResponseInFlight) {
         let complete = outcome == AttemptOutcome::Delivered;
         self.counts.delivered += u64::from(complete);
         let attempt = self.attempts.get(&message).map_or(0, |count| count.saturating_sub(1));
@@ -186,32 +186,32 @@
         let (latency, load_report) = (self.now - sent, self.script.load_report);
         let finished =
             FinishedAttempt { message, endpoint, attempt, outcome, latency, complete, load_report };
-        self.courier.handle(self.now, Event::AttemptFinished(finished));
+        self.scheduler.handle(self.now, Event::AttemptFinished(finished));
     }
 
     /// Decides once, carries out what was decided, and looks at the outages, as the real loop does at each turn.
     pub fn decide(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.courier.decide(self.now, &mut actions);
+        self.scheduler.decide(self.now, &mut actions);
         for action in actions.drain(..) {
             match action {
                 Action::StartAttempt { message, endpoint, .. } => {
                     self.counts.sent += 1;
                     *self.attempts.entry(message).or_default() += 1;
                     let (outcome, after) =
-                        self.script.outcome(self.now, &mut self.room, &mut self.chance, endpoint);
+                        self.script.outcome(self.now, &mut self.token_buckets, &mut self.chance, endpoint);
                     self.last_answer += 1;
-                    let coming = Coming { message, endpoint, outcome, sent: self.now };
-                    self.coming.insert((self.now + after, self.last_answer), coming);
+                    let in_flight = ResponseInFlight { message, endpoint, outcome, sent: self.now };
+                    self.in_flight.insert((self.now + after, self.last_answer), in_flight);
                 }
                 Action::CancelAttempt { message, .. } => {
-                    let found = self.coming.iter().find(|(_, coming)| coming.message == message);
-                    if let Some(mut coming) =
-                        found.map(|(key, _)| *key).and_then(|key| self.coming.remove(&key))
+                    let found = self.in_flight.iter().find(|(_, in_flight)| in_flight.message == message);
+                    if let Some(mut in_flight) =
+                        found.map(|(key, _)| *key).and_then(|key| self.in_flight.remove(&key))
                     {
-                        coming.outcome = AttemptOutcome::Cancelled;
+                        in_flight.outcome = AttemptOutcome::Cancelled;
                         self.last_answer += 1;
-                        self.coming.insert((self.now, self.last_answer), coming);
+                        self.in_flight.insert((self.now, self.last_answer), in_flight);
                     }
                 }
                 Action::Reject { message, .. } | Action::ReportFailure { message } => {
@@ -230,50 +230,50 @@
 
     /// What the real loop does after each decision, to write outages down as they change.
     fn look_at_outages(&mut self) {
-        for CircuitChange { destination, endpoint, record: outage } in self.courier.take_circuit_changes() {
+        for CircuitChange { destination, endpoint, record: outage } in self.scheduler.take_circuit_changes() {
             match outage {
-                Some(outage) => drop(self.noted.insert((destination, endpoint), outage)),
-                None => drop(self.noted.remove(&(destination, endpoint))),
+                Some(outage) => drop(self.persisted_circuits.insert((destination, endpoint), outage)),
+                None => drop(self.persisted_circuits.remove(&(destination, endpoint))),
             }
         }
     }
 
     /// After how long to watch the list for the first time.
     pub fn initial_watch_delay(&mut self) -> Duration {
-        self.courier.initial_watch_delay()
+        self.scheduler.initial_watch_delay()
     }
 
     /// Whether the module has asked for another watch since this was asked last.
-    pub fn watches_again(&mut self) -> bool {
+    pub fn takes_watch_request(&mut self) -> bool {
         std::mem::take(&mut self.watch_due)
     }
 
     /// How long until it has something to do by itself.
-    pub fn wakes_in(&self) -> Option<Duration> {
+    pub fn next_event_in(&self) -> Option<Duration> {
         let own = self.wake.map(|(at, _)| at);
-        let next = self.coming.first_key_value().map(|((at, _), _)| *at);
+        let next = self.in_flight.first_key_value().map(|((at, _), _)| *at);
         [own, next].into_iter().flatten().min().map(|at| at - self.now)
     }
 
     /// What it has looked at so far, all steps together.
-    pub fn looked_at(&self) -> u64 {
-        let WorkCounters { destinations, messages, calls, routes, endpoints } = self.courier.work();
+    pub fn items_examined(&self) -> u64 {
+        let WorkCounters { destinations, messages, calls, routes, endpoints } = self.scheduler.work();
         destinations + messages + calls + routes + endpoints
     }
 
     /// Outages that are being remembered.
     pub fn circuit_records(&self) -> usize {
-        self.noted.len()
+        self.persisted_circuits.len()
     }
 
     /// Calls out.
     pub fn out(&self) -> usize {
-        self.coming.len()
+        self.in_flight.len()
     }
 
     /// Bytes that the module's memory takes on its way to another process.
-    pub fn handed_over(&self) -> Result<u64, postcard::Error> {
-        Ok(postcard::to_io(&self.courier, Counting(0))?.0)
+    pub fn handover_bytes(&self) -> Result<u64, postcard::Error> {
+        Ok(postcard::to_io(&self.scheduler, Counting(0))?.0)
     }
 }
 
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -23,7 +23,7 @@
 
 /// What the clients of one courier know.
 #[derive(Clone)]
-pub struct Site {
+pub struct GatewayClients {
     pub courier: usize,
     pub address: SocketAddr,
     pub destinations: u32,
@@ -39,7 +39,7 @@
 ];
 
 /// Hands in messages until the soak is over.
-pub fn hand_in_messages(site: &Site, name: &str, seed: u64) {
+pub fn enqueue_messages(site: &GatewayClients, name: &str, seed: u64) {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut kept: Option<Client> = None;
     let mut number = 0;
@@ -50,11 +50,11 @@
         let rested = kept.is_some();
         let request = Request::new(site, &id, &mut chance);
         let cut = if chance.u8(..) < 32 { chance.usize(1..request.bytes.len()) } else { request.bytes.len() };
-        if let Err(error) = request.hand_in(site, &mut kept, cut) {
+        if let Err(error) = request.enqueue(site, &mut kept, cut) {
             kept = None;
             let silent = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
             // What crosses the end of a resting connection comes once more on a new one.
-            if rested && !silent && request.hand_in(site, &mut kept, request.bytes.len()).is_ok() {
+            if rested && !silent && request.enqueue(site, &mut kept, request.bytes.len()).is_ok() {
                 continue;
             }
             kept = None;
@@ -82,7 +82,7 @@
 }
 
 impl Request {
-    fn new(site: &Site, id: &str, chance: &mut fastrand::Rng) -> Self {
+    fn new(site: &GatewayClients, id: &str, chance: &mut fastrand::Rng) -> Self {
         let (class, idempotency, more) = CLASSES[chance.usize(..CLASSES.len())];
         let left = Duration::from_millis(chance.u64(600..6000));
         let destination = chance.u32(1..=site.destinations);
@@ -93,7 +93,7 @@
     }
 
     /// Sends it, the part behind the cut a moment later, and hears the answer.
-    fn hand_in(&self, site: &Site, kept: &mut Option<Client>, cut: usize) -> io::Result<()> {
+    fn enqueue(&self, site: &GatewayClients, kept: &mut Option<Client>, cut: usize) -> io::Result<()> {
         let client = connected(site, kept)?;
         locked(&site.ledger).handed_in(&self.id, site.courier, self.idempotency, self.left);
         client.try_send(&self.bytes[..cut])?;
@@ -105,14 +105,14 @@
     }
 }
 
-fn connected<'a>(site: &Site, kept: &'a mut Option<Client>) -> io::Result<&'a mut Client> {
+fn connected<'a>(site: &GatewayClients, kept: &'a mut Option<Client>) -> io::Result<&'a mut Client> {
     if kept.is_none() {
         *kept = Some(Client::connect(site.address, PATIENCE)?);
     }
     kept.as_mut().ok_or_else(|| ErrorKind::NotConnected.into())
 }
 
-fn heard(site: &Site, client: &mut Client, id: &str) -> io::Result<()> {
+fn heard(site: &GatewayClients, client: &mut Client, id: &str) -> io::Result<()> {
     let asked = Instant::now();
     let line = client.try_line()?;
     if line.is_empty() {
@@ -127,7 +127,7 @@
 }
 
 /// Sends what is no proper request, and waits for the error or the close that it is owed.
-pub fn be_bad(site: &Site, seed: u64) {
+pub fn send_malformed_requests(site: &GatewayClients, seed: u64) {
     let mut chance = fastrand::Rng::with_seed(seed);
     while !site.over.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(chance.u64(300..1500)));
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::fault_page::{Call, Fault, FaultPage, PAGE_VARIABLE};
 use crate::stubs::{address_in, class, locked, target, Agent, Client, Configuration, Process, Seen};
-use clients::{be_bad, hand_in_messages, Site};
+use clients::{enqueue_messages, send_malformed_requests, GatewayClients};
 use endpoints::{Endpoint, Mood};
 use ledger::Ledger;
 
@@ -166,7 +166,7 @@
     }
 
     /// Whether the process has ended, which only a signal of the soak's may bring about.
-    fn has_ended(&mut self) -> bool {
+    fn has_exited(&mut self) -> bool {
         self.process.as_mut().is_some_and(|process| process.child.try_wait().is_ok_and(|end| end.is_some()))
     }
 
@@ -175,7 +175,7 @@
         if planned {
             self.signal(Signal::TERM);
             let end = Instant::now() + TERM_TO_KILL;
-            while !self.has_ended() && Instant::now() < end {
+            while !self.has_exited() && Instant::now() < end {
                 thread::sleep(Duration::from_millis(10));
             }
         }
@@ -208,7 +208,7 @@
         }
         self.signal(Signal::TERM);
         let end = Instant::now() + TERM_TO_KILL;
-        while !self.has_ended() && Instant::now() < end {
+        while !self.has_exited() && Instant::now() < end {
             thread::sleep(Duration::from_millis(10));
         }
         self.keep_log();
@@ -326,7 +326,7 @@
         while !over.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(chance.u64(200..2500)));
             self.agent.beat();
-            if self.has_ended() {
+            if self.has_exited() {
                 locked(&self.ledger).breach(format!("courier {} ended by itself", self.number));
                 let _ = self.restart(plan, endpoints, false);
             } else if let Err(error) = self.meet_trouble(plan, endpoints, &mut chance) {
@@ -338,7 +338,7 @@
 }
 
 /// Reads notices of all couriers.
-fn hear_notices(notices: &Receiver<Seen>, ledger: &Mutex<Ledger>) {
+fn read_notifications(notices: &Receiver<Seen>, ledger: &Mutex<Ledger>) {
     while let Ok(seen) = notices.recv() {
         let Seen::Notice(line) = seen else { continue };
         let notice: Result<serde_json::Value, _> = serde_json::from_str(&line);
@@ -368,7 +368,7 @@
 ) -> io::Result<Vec<Scheduler>> {
     let (send, notices) = channel();
     let heard = ledger.clone();
-    thread::spawn(move || hear_notices(&notices, &heard));
+    thread::spawn(move || read_notifications(&notices, &heard));
     let mut couriers = Vec::new();
     for number in 0..plan.couriers {
         let folder = folder.join(format!("n{number}"));
@@ -413,7 +413,7 @@
     let over = Arc::new(AtomicBool::new(false));
     let mut clients: Vec<JoinHandle<()>> = Vec::new();
     for courier in &couriers {
-        let site = Site {
+        let site = GatewayClients {
             courier: courier.number,
             address: courier.address,
             destinations: DESTINATIONS,
@@ -422,10 +422,10 @@
         };
         for number in 0..CLIENTS {
             let (site, seed) = (site.clone(), chance.u64(..));
-            clients.push(thread::spawn(move || hand_in_messages(&site, &number.to_string(), seed)));
+            clients.push(thread::spawn(move || enqueue_messages(&site, &number.to_string(), seed)));
         }
         let seed = chance.u64(..);
-        clients.push(thread::spawn(move || be_bad(&site, seed)));
+        clients.push(thread::spawn(move || send_malformed_requests(&site, seed)));
     }
     let moods = {
         let (endpoints, over, chance) = (endpoints.clone(), over.clone(), chance.fork());
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -7,7 +7,7 @@
 use crate::fit::median;
 use crate::processor_time::processor_time;
 use crate::report::{Figure, Figures, Point};
-use crate::simulated::{reader, Hollow, Script};
+use crate::simulated_gateway::{directory_for, Script, SimulatedGateway};
 use crate::stubs::{locked, target, Agent, Capacity};
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, EndpointWatch, WatchEvent};
 use delivery_gateway::*;
@@ -36,7 +36,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// What a watcher has heard.
-enum Heard {
+enum WatcherProgress {
     Watching,
     /// A version of the list, which it has taken in.
     Has(u64),
@@ -44,7 +44,7 @@
 
 /// One hollow courier and its watch.
 struct Watcher {
-    hollow: Hollow,
+    gateway: SimulatedGateway,
     directory: EndpointDirectory,
     begun: Instant,
     passed: Duration,
@@ -54,19 +54,24 @@
     /// Lets the module's clock come up to the present.
     fn catch_up(&mut self) {
         let now = self.begun.elapsed();
-        self.hollow.pass(now - self.passed);
+        self.gateway.pass(now - self.passed);
         self.passed = now;
     }
 
     /// Follows the list as the real courier's loop does.
-    async fn run(mut self, agent: watch::Receiver<String>, rev: u64, heard: mpsc::UnboundedSender<Heard>) {
+    async fn run(
+        mut self,
+        agent: watch::Receiver<String>,
+        rev: u64,
+        heard: mpsc::UnboundedSender<WatcherProgress>,
+    ) {
         let (news, mut told) = mpsc::unbounded_channel();
         let (ask_again, again) = watch::channel(());
-        let first = self.hollow.initial_watch_delay();
+        let first = self.gateway.initial_watch_delay();
         let tell = move |what| drop(news.send(what));
         tokio::task::spawn_local(EndpointWatch { agent, revision: rev, reconnect: again }.run(first, tell));
         loop {
-            let wake = self.hollow.wakes_in();
+            let wake = self.gateway.next_event_in();
             let what = tokio::select! {
                 what = told.recv() => match what {
                     Some(what) => Some(what),
@@ -77,18 +82,18 @@
             self.catch_up();
             match what {
                 Some(WatchEvent::Updated(update)) => {
-                    self.hollow.tell(Event::EndpointsUpdated(self.directory.apply(&update)));
-                    let _ = heard.send(Heard::Has(update.revision));
+                    self.gateway.tell(Event::EndpointsUpdated(self.directory.apply(&update)));
+                    let _ = heard.send(WatcherProgress::Has(update.revision));
                 }
                 Some(WatchEvent::Established) => {
-                    self.hollow.tell(Event::WatchEstablished);
-                    let _ = heard.send(Heard::Watching);
+                    self.gateway.tell(Event::WatchEstablished);
+                    let _ = heard.send(WatcherProgress::Watching);
                 }
-                Some(WatchEvent::Broken(why)) => self.hollow.tell(Event::EndpointsUpdated(why)),
+                Some(WatchEvent::Broken(why)) => self.gateway.tell(Event::EndpointsUpdated(why)),
                 None => {}
             }
-            self.hollow.decide();
-            if self.hollow.watches_again() {
+            self.gateway.decide();
+            if self.gateway.takes_watch_request() {
                 ask_again.send_replace(());
             }
         }
@@ -141,7 +146,7 @@
     size: u64,
     agent: Arc<Agent>,
     guard: &'a Guard,
-    heard: mpsc::UnboundedReceiver<Heard>,
+    heard: mpsc::UnboundedReceiver<WatcherProgress>,
     watchers: Vec<tokio::task::JoinHandle<()>>,
     /// Keeps the agent's address told.
     _address: watch::Sender<String>,
@@ -167,10 +172,10 @@
         let mut watchers = Vec::new();
         for number in 0..size {
             let script = Script::prompt(experiment.work.latency());
-            let mut hollow = Hollow::new(settings.clone(), experiment.seed + number, script);
-            let mut directory = reader(&settings);
-            hollow.tell(Event::EndpointsUpdated(directory.apply(&known)));
-            let watcher = Watcher { hollow, directory, begun: Instant::now(), passed: Duration::ZERO };
+            let mut gateway = SimulatedGateway::new(settings.clone(), experiment.seed + number, script);
+            let mut directory = directory_for(&settings);
+            gateway.tell(Event::EndpointsUpdated(directory.apply(&known)));
+            let watcher = Watcher { gateway, directory, begun: Instant::now(), passed: Duration::ZERO };
             watchers.push(tokio::task::spawn_local(watcher.run(addresses.clone(), 1, hear.clone())));
         }
         let memory = allocated().saturating_sub(before);
@@ -189,7 +194,11 @@
     }
 
     /// Waits until so many watchers are heard to have got there; gives how many did in time.
-    async fn until(&mut self, got: impl Fn(&Heard) -> bool, patience: Duration) -> Result<u64, NotRun> {
+    async fn until(
+        &mut self,
+        got: impl Fn(&WatcherProgress) -> bool,
+        patience: Duration,
+    ) -> Result<u64, NotRun> {
         let end = Instant::now() + patience;
         let mut count = 0;
         while count < self.size && Instant::now() < end {
@@ -203,7 +212,7 @@
 
     async fn begin(&mut self) -> Result<(), NotRun> {
         let begun = Instant::now();
-        let watching = self.until(|heard| matches!(heard, Heard::Watching), FIRST).await?;
+        let watching = self.until(|heard| matches!(heard, WatcherProgress::Watching), FIRST).await?;
         if watching < self.size {
             return Err(NotRun::Failed(format!("{watching} of {} watch after {FIRST:?}", self.size)));
         }
@@ -232,7 +241,8 @@
             let agent = self.agent.clone();
             let telling = thread::spawn(move || agent.tell(&line));
             let rev = self.rev;
-            let has = move |heard: &Heard| matches!(heard, Heard::Has(own) if *own == rev);
+            let has =
+                move |heard: &WatcherProgress| matches!(heard, WatcherProgress::Has(own) if *own == rev);
             let have = self.until(has, BEYOND).await?;
             all.push(millis(begun.elapsed()));
             cpu.push((processor_time() - spent).as_nanos() as f64);
@@ -267,7 +277,7 @@
         self.agent.shut();
         self.agent.tell(&line);
         let rev = self.rev;
-        let has = move |heard: &Heard| matches!(heard, Heard::Has(own) if *own == rev);
+        let has = move |heard: &WatcherProgress| matches!(heard, WatcherProgress::Has(own) if *own == rev);
         let in_force = Duration::from_secs_f64(experiment.target.in_force_s);
         let in_time = self.until(has, in_force).await?;
         let mut have = in_time;
