--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,81 +1,154 @@
-//! Admission and load shedding: which messages are accepted, and which accepted ones are given their final answer
+//! Admission and load shedding: which messages are accepted, and which accepted ones get their final outcome
 //! before they were delivered, because their time is over or because the gateway is nearly full.
 
-use super::*;
+use super::derived_settings::shortest_objective_secs;
+use super::idempotency;
+use super::message_value;
+use super::retry_after;
+use super::state::queue::Queue;
+use super::state::{Message, RouteId};
+use super::Scheduler;
+use crate::model::*;
+use std::time::Duration;
+
+/// Ratio of the messages that may be pending above which those of least value are shed.
+const SHED_ABOVE_RATIO: f64 = 0.93;
+/// A message that wasn't sent is shed at a cost in this first part of its time: its client has waited in
+/// vain, where one that is rejected at once has not.
+const EARLY_RATIO_OF_DEADLINE: f64 = 0.7;
+/// That cost, as a ratio of the message's full value.
+const EARLY_SHED_COST_RATIO: f64 = 0.3;
+
+/// A message that could be shed.
+struct LeastValuable<'a> {
+    value: f64,
+    message: &'a Message,
+}
 
 impl Scheduler {
-    /// Whether a new message is taken on, rather than refused: nearly full, only if it is worth more than
-    /// what has to go for it and what that costs.
-    pub fn admits(&mut self, now: Time, taken: &AcceptedMessage) -> bool {
-        let leaving = self.lame_since.is_some_and(|since| now - since >= LAME_GRACE);
-        if leaving || self.open < self.most_open() {
-            return !leaving;
+    /// Whether a new message is accepted rather than rejected: nearly full, only if it is worth more than
+    /// what has to be shed for it and what that costs.
+    pub fn admits(&mut self, now: Time, accepted: &AcceptedMessage) -> bool {
+        if self.lame_duck.rejects_messages(now) {
+            return false;
         }
-        let over_quota = self.quotas.is_exhausted(&self.settings, now, taken.tenant);
-        let worth = Message::new(&self.settings, now, taken.clone(), over_quota)
-            .map(|m| message_value::current(&self.settings, now, &m));
-        let early = |m: &Message| now < m.enqueued_at + m.class(&self.settings).deadline.mul_f64(UNTRIED.0);
-        let price =
-            |m: &Message| if m.first_uncertain_attempt.is_none() && early(m) { UNTRIED.1 } else { 0.0 };
-        let costs = |m: &Message| price(m) * message_value::full(&self.settings, m);
-        let takes = self.least(now).is_none_or(|(least, m)| worth.is_some_and(|w| w > least + costs(m)));
-        if !takes {
-            self.note_demand(now, taken.destination);
+        if self.open_messages < self.max_open_messages() {
+            return true;
+        }
+        let over_quota = self.quotas.is_exhausted(&self.settings, now, accepted.tenant);
+        let value = Message::new(&self.settings, now, accepted.clone(), over_quota)
+            .map(|message| message_value::current(&self.settings, now, &message));
+        let is_accepted = self.least_valuable(now).is_none_or(|least| {
+            let cost = self.shed_cost(now, least.message);
+            value.is_some_and(|value| value > least.value + cost)
+        });
+        if !is_accepted {
+            self.record_demand(now, accepted.destination);
+        }
+        is_accepted
+    }
+
+    /// What it costs to shed a message, beyond its value.
+    fn shed_cost(&self, now: Time, message: &Message) -> f64 {
+        let early_until =
+            message.enqueued_at + message.class(&self.settings).deadline.mul_f64(EARLY_RATIO_OF_DEADLINE);
+        let is_early = message.first_uncertain_attempt.is_none() && now < early_until;
+        let ratio = if is_early { EARLY_SHED_COST_RATIO } else { 0.0 };
+        ratio * message_value::full(&self.settings, message)
+    }
+
+    /// Queues a message that was accepted.
+    pub(super) fn on_message_accepted(&mut self, now: Time, accepted: AcceptedMessage) {
+        let over_quota = self.quotas.charge(&self.settings, now, accepted.tenant);
+        let Some(mut message) = Message::new(&self.settings, now, accepted, over_quota) else { return };
+        self.last_seq += 1;
+        message.seq = self.last_seq;
+        let AcceptedMessage { id, destination, deadline, .. } = message.accepted;
+        if let Some(key) = message.ordering_key(&self.settings) {
+            self.ordering.push(key, id);
         }
-        takes
+        self.deadlines.insert((deadline, id));
+        let standing = self.standing(&message);
+        self.queues.entry(destination).or_default().push(message.seq, id, standing);
+        self.open_messages += 1;
+        self.touch(destination);
+        self.record_demand(now, destination);
+        self.messages.insert(id, message);
     }
 
-    /// The final answer that a message may be given now; none while an attempt may still deliver it.
-    pub(super) fn permitted_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
-        let message = self.messages.get(&id).filter(|m| !m.completed)?;
-        let to = message.accepted.destination;
-        let refusable = idempotency::is_safe_to_reject(&self.settings, message);
-        Some(if refusable {
-            Action::Reject { message: id, retry_after: self.suggested_retry_after(now, to) }
+    /// When a client does well to send a message for this destination again that was rejected.
+    pub fn suggested_retry_after(&mut self, now: Time, destination: DestinationId) -> Duration {
+        let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
+        let routes: Vec<RouteId> =
+            self.routes.range(RouteId::all_of(destination)).map(|(id, _)| *id).collect();
+        let rate_per_sec: f64 = routes.iter().map(|id| self.rate_per_sec(now, *id)).sum();
+        let waits = routes.iter().map(|id| self.routes[id].retry_after.remaining(now));
+        let shortest_wait = waits.min().unwrap_or_default();
+        let objective_secs = shortest_objective_secs(&self.settings);
+        retry_after::suggested_delay(objective_secs, waiting_messages, rate_per_sec, shortest_wait)
+    }
+
+    /// The final outcome that a message may be given now.
+    fn final_outcome(&mut self, now: Time, id: MessageId) -> Option<Action> {
+        let message = self.messages.get(&id).filter(|message| !message.completed)?;
+        let destination = message.accepted.destination;
+        if idempotency::is_safe_to_reject(&self.settings, message) {
+            let retry_after = self.suggested_retry_after(now, destination);
+            Some(Action::Reject { message: id, retry_after })
         } else {
-            Action::ReportFailure { message: id }
-        })
+            Some(Action::ReportFailure { message: id })
+        }
     }
 
-    pub(super) fn answer(&mut self, now: Time, id: MessageId) {
-        let action = self.permitted_answer(now, id);
-        if let Some(message) = self.messages.get_mut(&id).filter(|_| action.is_some()) {
+    /// Gives a message up with a final outcome.
+    fn give_up(&mut self, now: Time, id: MessageId) {
+        let outcome = self.final_outcome(now, id);
+        if let Some(message) = self.messages.get_mut(&id).filter(|_| outcome.is_some()) {
             message.awaits_acknowledgement = self.settings.outcomes_need_acknowledgement;
         }
-        self.actions.extend(action);
-        self.close(id);
+        self.actions.extend(outcome);
+        self.complete_message(id);
     }
 
-    /// Every message has a deadline that answers it in time; one that is out is left half of the slack.
-    pub(super) fn answer_due(&mut self, now: Time) {
+    /// Gives up the messages whose time is over. One in flight may still be delivered for half of the grace
+    /// time.
+    pub(super) fn give_up_expired(&mut self, now: Time) {
         while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
             self.deadlines.remove(&(due, id));
-            let Some(message) = self.messages.get(&id).filter(|m| !m.completed) else { continue };
-            let last_call = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
-            if message.call.is_some() && now < last_call {
-                self.deadlines.insert((last_call, id));
+            let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
+            let latest = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
+            if message.call.is_some() && now < latest {
+                self.deadlines.insert((latest, id));
             } else {
-                self.answer(now, id);
+                self.give_up(now, id);
             }
         }
     }
 
-    /// Nearly full: the least worth go, before new messages are turned away unseen.
-    pub(super) fn shed(&mut self, now: Time) {
-        while self.open > self.most_open() {
-            let Some(id) = self.least(now).map(|(_, m)| m.accepted.id) else { return };
-            self.answer(now, id);
+    /// Nearly full: gives up the messages of least value, before new ones are rejected unseen.
+    pub(super) fn shed_load(&mut self, now: Time) {
+        while self.open_messages > self.max_open_messages() {
+            let Some(id) = self.least_valuable(now).map(|least| least.message.accepted.id) else { return };
+            self.give_up(now, id);
         }
     }
 
-    pub(super) fn most_open(&self) -> usize {
-        (self.settings.max_pending_messages as f64 * SHED_ABOVE) as usize
+    fn max_open_messages(&self) -> usize {
+        (self.settings.max_pending_messages as f64 * SHED_ABOVE_RATIO) as usize
     }
 
-    /// The message of least worth that could be handed back.
-    pub(super) fn least(&self, now: Time) -> Option<(f64, &Message)> {
-        let idle = self.messages.values().filter(|m| !m.completed && m.call.is_none());
-        idle.map(|m| (message_value::current(&self.settings, now, m), m))
-            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.accepted.id.cmp(&a.1.accepted.id)))
+    /// The message of least value that isn't in flight; of several the youngest.
+    fn least_valuable(&self, now: Time) -> Option<LeastValuable<'_>> {
+        self.messages
+            .values()
+            .filter(|message| !message.completed && message.call.is_none())
+            .map(|message| {
+                let value = message_value::current(&self.settings, now, message);
+                LeastValuable { value, message }
+            })
+            .min_by(|a, b| {
+                let by_age = b.message.accepted.id.cmp(&a.message.accepted.id);
+                a.value.total_cmp(&b.value).then(by_age)
+            })
     }
 }
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -1,15 +1,165 @@
-//! What is learnt of a route from the outcome of a call: each rule learns in a step of its own, in the order below.
+//! What follows from the outcome of an attempt, and what is learnt from the outcome of a call.
+//!
+//! A call has one outcome, and the rules of its route learn from it once, each in a step of its own, in the
+//! order of [`Scheduler::learn`].
 
 use super::circuit_breaker::{longest_transient, Severity};
+use super::idempotency;
 use super::rate_limit::Rejection;
+use super::retry;
+use super::route::Route;
 use super::state::queue::Queue;
-use super::state::{Call, Route, RouteId};
+use super::state::{Call, UncertainAttempt};
 use super::Scheduler;
 use crate::model::*;
+use std::time::Duration;
 
 impl Scheduler {
-    /// Lets the rules of a route learn from one of its calls.
-    pub(super) fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
+    /// An endpoint asked to be left alone for so long, in whatever way.
+    pub(super) fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
+        let Some(endpoint) = self.endpoints.get(&endpoint) else { return };
+        let id = self.route_of(&endpoint.entry);
+        self.touch(id.destination);
+        if let Some(route) = self.routes.get_mut(&id) {
+            route.retry_after.extend(now + delay);
+        }
+    }
+
+    /// An attempt of a message finished.
+    pub(super) fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
+        // The first message of a call that brings a Retry-After makes it hold, whatever became of the
+        // message.
+        if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
+            self.on_retry_after(now, finished.endpoint, delay);
+        }
+        let id = finished.message;
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(call_id) = message.call.take() else { return };
+        let destination = message.accepted.destination;
+        self.touch(destination);
+        self.record_attempt(now, call_id, &finished);
+        // The messages of a call share its outcome: it is complete with the last of them.
+        let Some(call) = self.calls.get_mut(&call_id) else { return };
+        call.unfinished -= 1;
+        if call.unfinished == 0 {
+            if let Some(call) = self.calls.remove(&call_id) {
+                self.complete_call(now, call_id, call, &finished);
+            }
+        }
+        self.update_standing(id);
+        if finished.complete {
+            self.complete_message(id);
+        } else {
+            self.set_last_send_deadline(now, id);
+        }
+        self.forget_if_settled(id);
+    }
+
+    /// What a message keeps of a finished attempt: attempts made, uncertainty, backoff and the hold on its
+    /// key.
+    fn record_attempt(&mut self, now: Time, call_id: u64, finished: &FinishedAttempt) {
+        let Some(message) = self.messages.get_mut(&finished.message) else { return };
+        let Some(call) = self.calls.get(&call_id) else { return };
+        let outcome = finished.outcome;
+        match outcome {
+            AttemptOutcome::LocalFailure => message.attempts = message.attempts.saturating_sub(1),
+            AttemptOutcome::AttemptsExhausted => message.attempts = self.settings.max_attempts,
+            _ => {}
+        }
+        let may_have_run = !outcome.was_not_processed();
+        if may_have_run {
+            let attempt = UncertainAttempt { sent_at: call.sent_at, zone: Some(call.zone) };
+            message.first_uncertain_attempt.get_or_insert(attempt);
+        }
+        let objective = message.class(&self.settings).latency_objective;
+        message.not_before = now + retry::backoff_delay(objective, message.attempts, self.rng.f64());
+        let may_still_run =
+            may_have_run && !matches!(outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
+        if let Some(key) = message.ordering_key(&self.settings).filter(|_| may_still_run) {
+            self.ordering.hold(now, key, now + self.settings.limits.ordering_key_hold);
+        }
+    }
+
+    /// A message that can never be sent again gets its final outcome then: it would only take up capacity and
+    /// keep its ordering key from the messages behind it.
+    pub(super) fn set_last_send_deadline(&mut self, now: Time, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if let Some(last_send_at) = idempotency::last_send_at(&self.settings, message) {
+            self.deadlines.insert((last_send_at.max(now), id));
+        }
+    }
+
+    /// Frees the slot of a call and lets connections, endpoint and route learn from its outcome.
+    fn complete_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
+        if let Some(route) = self.routes.get_mut(&call.route) {
+            route.calls.remove(&id);
+        }
+        self.agenda.hanging.remove(&id);
+        let is_explained = self.learn_of_connections(now, finished.outcome, &call);
+        self.learn_of_endpoint(now, finished.outcome, &call, is_explained);
+        let had_record = self.has_circuit_record(call.route);
+        if !is_explained {
+            self.learn(now, finished, &call);
+        }
+        if had_record || self.has_circuit_record(call.route) {
+            self.agenda.circuit_records.insert(call.route);
+        }
+        self.schedule_silence_check(call.route);
+    }
+
+    /// Learns of idle connections; returns whether one explains the loss of the call, so that the loss says
+    /// nothing of endpoint and route.
+    fn learn_of_connections(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
+        let is_lost =
+            matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
+        let is_explained =
+            is_lost && self.connection_reuse.explains_loss(&self.settings, call.connection_idle);
+        // An unresponsive call was counted when it became so.
+        if is_lost && !call.is_unresponsive {
+            self.connection_reuse.record_loss(now, &self.settings, call.connection_idle);
+        }
+        if outcome == AttemptOutcome::Delivered {
+            self.connection_reuse.record_success(now, &self.settings, call.connection_idle);
+        }
+        if outcome == AttemptOutcome::TooManyConnections {
+            self.connection_reuse.on_too_many_connections(now, &self.settings);
+        }
+        is_explained
+    }
+
+    fn learn_of_endpoint(&mut self, now: Time, outcome: AttemptOutcome, call: &Call, is_explained: bool) {
+        let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return };
+        endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
+        match outcome {
+            AttemptOutcome::Delivered => endpoint.on_delivered(now),
+            AttemptOutcome::Rejected(_) => endpoint.connection_used_at = Some(now),
+            AttemptOutcome::ConnectFailed
+            | AttemptOutcome::Timeout
+            | AttemptOutcome::Reset
+            | AttemptOutcome::ErrorResponse => {
+                if !is_explained {
+                    endpoint.on_failure(now, &self.settings, self.rng.f64());
+                }
+            }
+            AttemptOutcome::MalformedResponse
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NotSent
+            | AttemptOutcome::AttemptsExhausted
+            | AttemptOutcome::TooManyConnections
+            | AttemptOutcome::LocalFailure => {}
+        }
+        if self.connection_reuse.is_paused(now) {
+            endpoint.connection_used_at = None;
+            self.actions.push(Action::CloseIdleConnections { endpoint: call.endpoint });
+        }
+        if endpoint.calls_in_flight == 0 && endpoint.is_removed() {
+            self.forget_endpoint(call.endpoint);
+        }
+    }
+
+    /// Lets the rules of a route learn from one of its calls: reported limit, latency, loss ratio; then, by
+    /// the kind of outcome, traffic, slow start, rate limit and circuit breaker.
+    fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
         let chance = self.rng.f64();
         let waiting_messages = self.queues.get(&call.route.destination).map_or(0, Queue::len) as f64;
         let has_healthy_endpoint = self.has_healthy_endpoint(call.route);
@@ -19,8 +169,8 @@
         let report = finished.load_report;
 
         route.rate_limit.adopt_reported_limit(report);
-        // A time-out is a sample too, of at least its length: else time-outs would stay too short all through a slow
-        // phase, and each retry would meet the attempt before it still running.
+        // A time-out is a sample too, of at least its length: else time-outs would stay too short all through
+        // a slow phase, and each retry would meet the attempt before it still running.
         if let AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled = outcome {
             route.latency.record_starting_from(&self.latency, finished.latency);
         }
@@ -35,32 +185,26 @@
             }
             AttemptOutcome::Rejected(_) => {
                 route.learn_rejection(now, settings, waiting_messages, chance);
-                route.learn_failure(now, settings, Severity::of_rejection(report), outcome, chance);
+                route.learn_failure(now, settings, outcome, Severity::of_rejection(report), chance);
             }
             _ => {
-                let no_success_since = route.circuit.no_success_since(call.sent);
-                let severity = severity_of_failure(outcome, no_success_since, has_healthy_endpoint);
-                route.learn_failure(now, settings, severity, outcome, chance);
+                let no_success_since = route.circuit.no_success_since(call.sent_at);
+                let severity = if no_success_since {
+                    severity_of_failure(outcome, has_healthy_endpoint)
+                } else {
+                    Severity::None
+                };
+                route.learn_failure(now, settings, outcome, severity, chance);
             }
         }
     }
-
-    /// Whether an endpoint of a route may be used and has not failed since it last delivered.
-    fn has_healthy_endpoint(&self, id: RouteId) -> bool {
-        let endpoints = self.routes.get(&id).into_iter().flat_map(|route| &route.endpoints);
-        endpoints.filter_map(|id| self.addresses.get(id)).any(|a| self.is_open(a) && a.failures == 0)
-    }
 }
 
-/// What a call that wasn't rejected says of an outage. With a success since it was sent it says nothing. Nor do errors
-/// and resets while an endpoint is left that did not fail; silence does, as all endpoints mostly hang together.
-fn severity_of_failure(
-    outcome: AttemptOutcome,
-    no_success_since: bool,
-    has_healthy_endpoint: bool,
-) -> Severity {
+/// What a call that wasn't rejected says of an outage, if none has succeeded since it was sent. Errors and
+/// resets say nothing while an endpoint is left that did not fail; silence does, as all endpoints mostly hang
+/// together.
+fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
-        _ if !no_success_since => Severity::None,
         AttemptOutcome::ConnectFailed => Severity::Certain,
         AttemptOutcome::Timeout | AttemptOutcome::Cancelled => Severity::Major,
         AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if !has_healthy_endpoint => Severity::Major,
@@ -79,8 +223,8 @@
 
 impl Route {
     fn learn_success(&mut self, now: Time, settings: &Settings, report: Option<LoadReport>) {
-        let recovering = self.is_recovering();
-        self.traffic.record_served(now, settings, recovering);
+        let is_recovering = self.is_recovering();
+        self.traffic.record_served(now, settings, is_recovering);
         if self.circuit.success_ends_outage(now, settings) {
             self.slow_start.begin(now);
             self.rate_limit.drain();
@@ -89,8 +233,9 @@
         self.circuit.on_success(now);
     }
 
-    /// The destination is shut, and said until when. All that it rejected come back at that moment: the slow start
-    /// begins there, each gateway somewhere inside the interval between two of its calls, with nothing saved up.
+    /// The destination is shut, and said until when. All that it rejected come back at that moment: the slow
+    /// start begins there, each gateway somewhere inside the interval between two of its calls, with nothing
+    /// saved up.
     fn learn_announced_return(&mut self, chance: f64) {
         let back_at = self.retry_after.until();
         self.slow_start.begin(back_at);
@@ -110,13 +255,13 @@
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
-    /// A destination whose circuit opens has no slow start any more.
+    /// A route whose circuit is open has no slow start any more.
     fn learn_failure(
         &mut self,
         now: Time,
         settings: &Settings,
-        severity: Severity,
         outcome: AttemptOutcome,
+        severity: Severity,
         chance: f64,
     ) {
         let is_rejection = matches!(outcome, AttemptOutcome::Rejected(_));
--- /dev/null
+++ b/src/scheduler/call_start.rs
@@ -0,0 +1,111 @@
+//! The start of a call: the messages that it carries, and the connection that it goes out on.
+
+use super::connection_reuse::{IdleConnections, NextCall};
+use super::idempotency;
+use super::retry;
+use super::state::ready_index::Look;
+use super::state::{Call, RouteId};
+use super::Scheduler;
+use crate::model::*;
+use std::time::Duration;
+
+impl Scheduler {
+    /// Starts a call with the message that was chosen and, where a call may carry more, others that wait.
+    pub(super) fn start_call(
+        &mut self,
+        now: Time,
+        route_id: RouteId,
+        endpoint_id: EndpointId,
+        first: MessageId,
+    ) {
+        let connection_idle = self.prepare_connection(now, endpoint_id, first);
+        let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
+        endpoint.calls_in_flight += 1;
+        let zone = endpoint.entry.zone;
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
+        route.rate_limit.take_token(now);
+        route.circuit.on_call_sent();
+        let max_messages = if route.circuit.probe_may_be_lost() { 1 } else { route.batch_size };
+        route.schedule_probe(now, &self.settings, self.rng.f64());
+        self.last_call += 1;
+        let call_id = self.last_call;
+        route.calls.insert(call_id);
+        let mut messages = Vec::new();
+        let mut next = Some(first);
+        while let Some(message) = next {
+            self.start_attempt(now, call_id, route_id, endpoint_id, message);
+            messages.push(message);
+            next = if messages.len() == max_messages {
+                None
+            } else {
+                self.choose_message(now, route_id, &[zone], &mut Look::default()).map(|chosen| chosen.id)
+            };
+        }
+        let call = Call {
+            route: route_id,
+            endpoint: endpoint_id,
+            zone,
+            sent_at: now,
+            unfinished: messages.len(),
+            messages,
+            connection_idle,
+            is_unresponsive: false,
+            is_cancelled: false,
+        };
+        self.calls.insert(call_id, call);
+        self.schedule_silence_check(route_id);
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Time,
+        call_id: u64,
+        route_id: RouteId,
+        endpoint: EndpointId,
+        message_id: MessageId,
+    ) {
+        let Some(message) = self.messages.get_mut(&message_id) else { return };
+        let deadline = message.accepted.deadline;
+        let attempt_timeout = match self.routes.get(&route_id) {
+            Some(route) => retry::attempt_timeout(&self.settings, now, message, &route.latency),
+            None => deadline - now,
+        };
+        // A message that shares the call may wait longer for the connection than this one has time.
+        let last_send_at = idempotency::last_send_at(&self.settings, message);
+        let send_within = last_send_at.map_or(deadline, |last| last.min(deadline)) - now;
+        message.attempts += 1;
+        message.call = Some(call_id);
+        let message = message_id;
+        self.actions.push(Action::StartAttempt { message, endpoint, attempt_timeout, send_within });
+        self.update_standing(message_id);
+    }
+
+    /// Closes idle connections to an endpoint where they are too risky. Returns how long the connection has
+    /// been idle that the next call there will use, where that is known.
+    fn prepare_connection(
+        &mut self,
+        now: Time,
+        endpoint_id: EndpointId,
+        first: MessageId,
+    ) -> Option<Duration> {
+        let endpoint = self.endpoints.get(&endpoint_id)?;
+        let idle = now - endpoint.connection_used_at?;
+        if idle >= self.settings.connection_idle_timeout {
+            return None;
+        }
+        let message = self.messages.get(&first);
+        let call = NextCall {
+            idle,
+            no_other_call: endpoint.calls_in_flight == 0,
+            resendable: message
+                .is_some_and(|message| idempotency::is_resendable(message.class(&self.settings))),
+        };
+        match self.connection_reuse.decide(now, &self.settings, &call) {
+            IdleConnections::Reuse(idle) => idle,
+            IdleConnections::Close => {
+                self.actions.push(Action::CloseIdleConnections { endpoint: endpoint_id });
+                None
+            }
+        }
+    }
+}
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -1,7 +1,8 @@
-//! The circuit breaker of a route: it opens after failures or silence, and half-open probes show when it may close.
+//! The circuit breaker of a route: it opens after failures or silence, and half-open probes show when it may
+//! close.
 //!
-//! Probes back off with jitter, and never exceed this gateway's share of the overload budget: gateways are many, and
-//! probes alone could overload a destination that is coming back.
+//! Probes back off with jitter, and never exceed this gateway's share of the overload budget: gateways are
+//! many, and probes alone could overload a destination that is coming back.
 
 use super::backoff;
 use crate::model::{CircuitRecord, LoadReport, Settings, Time};
@@ -18,7 +19,8 @@
 const MAX_PROBE_DELAY_OF_WINDOW: f64 = 0.6;
 /// Part of a delay that jitter leaves at least.
 const MIN_JITTER: f64 = 0.25;
-/// Failures without success for less than this ratio of the overload window are transient: no slow start follows.
+/// Failures without success for less than this ratio of the overload window are transient: no slow start
+/// follows.
 const TRANSIENT_OF_WINDOW: f64 = 0.6;
 /// A rejection with more headroom reported than this isn't for the limit.
 const HEADROOM_LEFT: f64 = 0.3;
@@ -110,8 +112,8 @@
         self.open.as_ref().map(|open| open.next_probe_at)
     }
 
-    /// Whether a probe carries one message only, as it may be lost. What is only rejected comes back unharmed, so that
-    /// such a probe may carry all that a call can.
+    /// Whether a probe carries one message only, as it may be lost. What is only rejected comes back
+    /// unharmed, so that such a probe may carry all that a call can.
     pub fn probe_may_be_lost(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_lost_calls)
     }
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Whether a success now ends an outage that was long enough for a slow start. The time counts from the last
-    /// success, so that gateways that saw only the end of an outage are covered.
+    /// Whether a success now ends an outage that was long enough for a slow start. The time counts from the
+    /// last success, so that gateways that saw only the end of an outage are covered.
     pub fn success_ends_outage(&self, now: Time, settings: &Settings) -> bool {
         let is_outage =
             |open: &OpenInterval| open.has_failures && now - open.since > longest_transient(settings);
@@ -185,11 +187,13 @@
         let delay = backoff::exponential(window, BASE_PROBE_DELAY_OF_WINDOW, open.probes)
             .min(window.mul_f64(MAX_PROBE_DELAY_OF_WINDOW));
         let jitter = MIN_JITTER + budget.chance * (1.0 - MIN_JITTER);
-        // No delay runs out before a Retry-After does: gateways that wait for it together must not call together.
+        // No delay runs out before a Retry-After does: gateways that wait for it together must not call
+        // together.
         open.next_probe_at = now.max(budget.not_before) + delay.max(budget_delay).mul_f64(jitter);
     }
 
-    /// The endpoint is used again after operators had disabled it: what its calls met before says nothing of it now.
+    /// The endpoint is used again after operators had disabled it: what its calls met before says nothing of
+    /// it now.
     pub fn reset(&mut self) {
         self.open = None;
         self.failure_score = 0;
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -1,8 +1,8 @@
 //! Whether a call may reuse an idle connection.
 //!
-//! Some networks drop idle connections without telling either end, and the next call on one is lost. One gateway calls
-//! each endpoint too seldom to learn this there, so that the risk is learnt over all endpoints, by idle time. Also,
-//! no idle connection is kept for a while after an endpoint had too many of them.
+//! Some networks drop idle connections without telling either end, and the next call on one is lost. One
+//! gateway calls each endpoint too seldom to learn this there, so that the risk is learnt over all endpoints,
+//! by idle time. Also, no idle connection is kept for a while after an endpoint had too many of them.
 
 use super::derived_settings::shortest_objective_secs;
 use crate::model::{Settings, Time};
@@ -11,8 +11,8 @@
 
 /// Idle times that are told apart, each twice as long as the one before.
 const IDLE_STEPS: usize = 10;
-/// Shortest idle time that counts as idle, as a ratio of the shortest latency objective. What is lost on a connection
-/// that was in use more recently has other causes.
+/// Shortest idle time that counts as idle, as a ratio of the shortest latency objective. What is lost on a
+/// connection that was in use more recently has other causes.
 const SHORTEST_IDLE_OF_OBJECTIVE: f64 = 1.0 / 64.0;
 /// Weight of the newest loss or success in a risk.
 const RISK_GAIN: f64 = 0.15;
@@ -22,7 +22,8 @@
 const MAX_RISK_RESENDABLE: f64 = 0.25;
 /// The risk of a call on a new connection counts this many times on top of these bounds.
 const BASELINE_RISK_MULTIPLE: f64 = 2.0;
-/// While idle connections are closed, one is tried this long after the last loss, in shortest latency objectives.
+/// While idle connections are closed, one is tried this long after the last loss, in shortest latency
+/// objectives.
 const PROBE_INTERVAL_IN_OBJECTIVES: f64 = 4.0;
 /// No connection is kept idle for this many times the idle time-out after an endpoint had too many.
 const PAUSE_IN_IDLE_TIMEOUTS: u32 = 3;
@@ -77,7 +78,8 @@
         IdleConnections::Close
     }
 
-    /// Whether a call that was lost after its connection had been idle for so long was most likely lost for that.
+    /// Whether a call that was lost after its connection had been idle for so long was most likely lost for
+    /// that.
     pub fn explains_loss(&self, settings: &Settings, idle: Option<Duration>) -> bool {
         let step = idle.and_then(|idle| idle_step(settings, idle));
         let risk = step.map_or(0.0, |step| self.idle_risks[step]);
--- /dev/null
+++ b/src/scheduler/drain.rs
@@ -0,0 +1,64 @@
+//! What operators take out of service: single endpoints, or this gateway as a whole (lame duck).
+
+use super::Scheduler;
+use crate::model::*;
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// A lame duck still accepts messages for so long, from clients that don't know of it yet.
+const LAME_DUCK_GRACE: Duration = Duration::from_secs(3);
+
+/// Whether operators are draining this gateway.
+#[derive(Default, Serialize, Deserialize)]
+pub struct LameDuck {
+    since: Option<Time>,
+}
+
+impl LameDuck {
+    /// Operators start or stop draining it. Starting once more changes nothing.
+    pub fn set(&mut self, now: Time, is_draining: bool) {
+        self.since = is_draining.then(|| self.since.unwrap_or(now));
+    }
+
+    /// Whether they are draining it.
+    pub fn is_active(&self) -> bool {
+        self.since.is_some()
+    }
+
+    /// Whether it accepts no messages any more.
+    pub fn rejects_messages(&self, now: Time) -> bool {
+        self.since.is_some_and(|since| now - since >= LAME_DUCK_GRACE)
+    }
+}
+
+impl Scheduler {
+    /// Gives an endpoint nothing new from now on, whether it is listed or not.
+    pub(super) fn on_endpoint_disabled(&mut self, id: EndpointId) {
+        if !self.disabled_endpoints.insert(id) {
+            return;
+        }
+        if let Some(endpoint) = self.endpoints.get(&id) {
+            self.touch(endpoint.entry.destination);
+        }
+        self.actions.push(Action::CloseIdleConnections { endpoint: id });
+    }
+
+    /// Uses an endpoint again, with a slow start: it may have been restarted at any time since it was
+    /// disabled.
+    pub(super) fn on_endpoint_enabled(&mut self, now: Time, id: EndpointId) {
+        if !self.disabled_endpoints.remove(&id) {
+            return;
+        }
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.reset(now);
+        let Some(route_id) = self.endpoints.get(&id).map(|endpoint| self.route_of(&endpoint.entry)) else {
+            return;
+        };
+        self.touch(route_id.destination);
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
+        self.agenda.circuit_records.insert(route_id);
+        route.circuit.reset();
+        route.slow_start.begin(now);
+        route.rate_limit.restart(now, 0.0);
+    }
+}
--- /dev/null
+++ b/src/scheduler/endpoint_list.rs
@@ -0,0 +1,99 @@
+//! Changes of the endpoint list.
+
+use super::circuit_breaker::CircuitBreaker;
+use super::rate_limit::RateLimit;
+use super::route::Route;
+use super::state::ready_index::earliest;
+use super::state::TrackedEndpoint;
+use super::Scheduler;
+use crate::model::*;
+
+impl Scheduler {
+    /// Applies what the watch on the list brought.
+    pub(super) fn on_endpoints_updated(&mut self, now: Time, update: EndpointUpdate) {
+        match update {
+            EndpointUpdate::WatchFailed => self.watch_backoff.on_failed(now),
+            EndpointUpdate::WatchRejected => {
+                self.watch_backoff.on_rejected(now, &self.settings, self.rng.f64());
+            }
+            EndpointUpdate::Delta(entries) => self.apply_entries(now, entries),
+            EndpointUpdate::Snapshot(entries) => {
+                // What a snapshot does not name gets nothing new from now on.
+                for endpoint in self.endpoints.values_mut() {
+                    endpoint.entry.mode = Availability::Removed;
+                }
+                self.agenda.gone = self.endpoints.keys().copied().collect();
+                self.agenda.all = true;
+                self.apply_entries(now, entries);
+            }
+        }
+    }
+
+    fn apply_entries(&mut self, now: Time, entries: Vec<Endpoint>) {
+        self.agenda.work.endpoints += entries.len() as u64;
+        for entry in entries {
+            self.apply_entry(now, entry);
+        }
+        self.agenda.work.endpoints += self.agenda.gone.len() as u64;
+        let has_no_calls =
+            |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
+        for id in self.agenda.gone.iter().filter(has_no_calls).copied().collect::<Vec<_>>() {
+            self.forget_endpoint(id);
+        }
+    }
+
+    fn apply_entry(&mut self, now: Time, entry: Endpoint) {
+        let previous_destination = self.endpoints.get(&entry.id).map(|endpoint| endpoint.entry.destination);
+        if entry.mode == Availability::Removed && previous_destination.is_none() {
+            return;
+        }
+        previous_destination.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
+        if entry.mode == Availability::Removed {
+            self.agenda.gone.insert(entry.id);
+        } else {
+            self.agenda.gone.remove(&entry.id);
+        }
+        let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
+        let batch_size = kind.map_or(1, |kind| kind.batch.max(1));
+        let chance = self.rng.f64();
+        let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
+            rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
+            latency: self.latency,
+            circuit: CircuitBreaker::new(now),
+            ..Route::default()
+        });
+        route.rate_limit.adopt_listed_limit(&self.settings, &entry);
+        route.batch_size = batch_size;
+        if let Some(endpoint) = self.endpoints.get_mut(&entry.id) {
+            endpoint.entry = entry;
+            return;
+        }
+        route.endpoints.push(entry.id);
+        let preference = self.rng.u32(..);
+        self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, preference));
+    }
+
+    /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
+    /// except where the endpoint was a route of its own.
+    pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
+        self.agenda.gone.remove(&id);
+        let Some(endpoint) = self.endpoints.remove(&id) else { return };
+        self.touch(endpoint.entry.destination);
+        let route_id = self.route_of(&endpoint.entry);
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
+        route.endpoints.retain(|endpoint| *endpoint != id);
+        if route_id.endpoint.is_some() {
+            self.routes.remove(&route_id);
+            self.schedule_silence_check(route_id);
+            self.agenda.circuit_records.insert(route_id);
+        }
+    }
+
+    /// Starts the watch on the list again once its backoff has run out.
+    pub(super) fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
+        if self.watch_backoff.take_due(now) {
+            self.actions.push(Action::WatchEndpoints { active: true });
+        }
+        earliest(next, self.watch_backoff.retry_at());
+    }
+}
--- /dev/null
+++ b/src/scheduler/endpoint_selection.rs
@@ -0,0 +1,82 @@
+//! Which endpoint of a route gets a call, and which endpoints may get calls at all.
+
+use super::backoff;
+use super::idempotency;
+use super::state::{RouteId, TrackedEndpoint};
+use super::Scheduler;
+use crate::model::*;
+
+/// An endpoint that failed is chosen last for this ratio of the overload window at first; doubles with each
+/// failure, up to the length of a slow start.
+const BASE_AVOIDANCE_OF_WINDOW: f64 = 0.1;
+
+impl Scheduler {
+    /// Whether an endpoint may get new calls: it is listed as ready, and operators have not disabled it.
+    pub(super) fn is_eligible(&self, endpoint: &TrackedEndpoint) -> bool {
+        endpoint.entry.mode == Availability::Ready && !self.disabled_endpoints.contains(&endpoint.entry.id)
+    }
+
+    /// Endpoints of a route that may get new calls.
+    pub(super) fn eligible_endpoints(&self, id: RouteId) -> impl Iterator<Item = &TrackedEndpoint> + '_ {
+        let endpoints = self.routes.get(&id).into_iter().flat_map(|route| &route.endpoints);
+        endpoints.filter_map(|id| self.endpoints.get(id)).filter(|endpoint| self.is_eligible(endpoint))
+    }
+
+    /// Whether a route has an endpoint that may get new calls and has not failed since it last delivered.
+    pub(super) fn has_healthy_endpoint(&self, id: RouteId) -> bool {
+        self.eligible_endpoints(id).any(|endpoint| endpoint.failures == 0)
+    }
+
+    /// The endpoint of a route with the fewest calls in flight, those that failed last; inside the
+    /// deduplication scope of a retry. Ties go by each gateway's own preference: where all have few calls,
+    /// all would choose the same one.
+    pub(super) fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
+        let message = self.messages.get(&message)?;
+        self.eligible_endpoints(id)
+            .filter(|endpoint| idempotency::may_go_to(&self.settings, message, endpoint.entry.zone))
+            .min_by_key(|endpoint| {
+                let is_avoided = endpoint.avoid_until > now;
+                (is_avoided, endpoint.calls_in_flight, endpoint.failures, endpoint.preference)
+            })
+            .map(|endpoint| endpoint.entry.id)
+    }
+
+    /// What a message by this route costs; only an endpoint that is a route of its own has a cost.
+    pub(super) fn cost(&self, id: RouteId) -> f64 {
+        let endpoint = id.endpoint.and_then(|endpoint| self.endpoints.get(&endpoint));
+        let zone = endpoint.map(|endpoint| usize::from(endpoint.entry.zone.0));
+        zone.and_then(|zone| self.settings.zone_costs.get(zone)).copied().unwrap_or(0.0)
+    }
+
+    /// The route of an endpoint.
+    pub(super) fn route_of(&self, entry: &Endpoint) -> RouteId {
+        let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
+        let has_own_limits = kind.is_some_and(|kind| kind.per_endpoint_limits);
+        RouteId { destination: entry.destination, endpoint: has_own_limits.then_some(entry.id) }
+    }
+}
+
+impl TrackedEndpoint {
+    /// A call delivered.
+    pub fn on_delivered(&mut self, now: Time) {
+        self.connection_used_at = Some(now);
+        self.failures = 0;
+    }
+
+    /// A call failed: other endpoints are preferred for a while; `chance` is a random number in `0.0..1.0`.
+    pub fn on_failure(&mut self, now: Time, settings: &Settings, chance: f64) {
+        self.failures += 1;
+        let limits = &settings.limits;
+        let avoidance = backoff::exponential(limits.overload_window, BASE_AVOIDANCE_OF_WINDOW, self.failures)
+            .min(limits.warm_up);
+        self.avoid_until = now + avoidance.mul_f64(chance);
+    }
+
+    /// Operators use it again: it may have been restarted, and what its calls met before says nothing of it
+    /// now.
+    pub fn reset(&mut self, now: Time) {
+        self.failures = 0;
+        self.avoid_until = now;
+        self.connection_used_at = None;
+    }
+}
--- a/src/scheduler/idempotency.rs
+++ b/src/scheduler/idempotency.rs
@@ -1,7 +1,8 @@
 //! When and where a message may be sent again after an attempt that may have been processed.
 //!
-//! A message with an idempotency key may be resent under that key inside the window and the deduplication scope of its
-//! class; one that isn't idempotent may not be resent at all. Both count from the first uncertain attempt.
+//! A message with an idempotency key may be resent under that key inside the window and the deduplication
+//! scope of its class; one that isn't idempotent may not be resent at all. Both count from the first
+//! uncertain attempt.
 
 use super::state::message::Message;
 use crate::model::*;
@@ -14,13 +15,14 @@
     class.idempotency != Idempotency::NonIdempotent
 }
 
-/// Until when a message with an idempotency key may be resent, whose first uncertain attempt was sent at this time.
+/// Until when a message with an idempotency key may be resent, whose first uncertain attempt was sent at this
+/// time.
 pub fn window_end(class: &Class, first_sent_at: Time) -> Time {
     first_sent_at + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN_RATIO)
 }
 
-/// The last time at which a message may be sent, where that doesn't go by its deadline; [`Time::ZERO`] where it may not
-/// be sent again at all.
+/// The last time at which a message may be sent, where that doesn't go by its deadline; [`Time::ZERO`] where
+/// it may not be sent again at all.
 pub fn last_send_at(settings: &Settings, message: &Message) -> Option<Time> {
     if message.attempts >= settings.max_attempts {
         return Some(Time::ZERO);
@@ -42,7 +44,8 @@
     message.first_uncertain_attempt.is_none_or(|first| !bound_to_zone || first.zone == Some(zone))
 }
 
-/// Whether the client may be told that it can safely send the message again, rather than that its delivery failed.
+/// Whether the client may be told that it can safely send the message again, rather than that its delivery
+/// failed.
 pub fn is_safe_to_reject(settings: &Settings, message: &Message) -> bool {
     match message.class(settings).idempotency {
         Idempotency::Idempotent => true,
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -1,7 +1,7 @@
 //! How many of a route's recent calls may have run without success.
 //!
-//! A message that isn't idempotent is lost with its only attempt. It waits while the ratio is high; messages that can
-//! be resent show when it has fallen.
+//! A message that isn't idempotent is lost with its only attempt. It waits while the ratio is high; messages
+//! that can be resent show when it has fallen.
 
 use super::state::decaying_rate::DecayingRate;
 use crate::model::{AttemptOutcome, Class, Settings, Time};
@@ -37,7 +37,8 @@
         calls.record(now, span_secs(settings));
     }
 
-    /// Whether calls are lost too often for messages that aren't idempotent; `baseline` is the ratio of all routes.
+    /// Whether calls are lost too often for messages that aren't idempotent; `baseline` is the ratio of all
+    /// routes.
     pub fn is_high(&mut self, now: Time, settings: &Settings, baseline: f64) -> bool {
         let span_secs = span_secs(settings);
         let delivered = self.delivered.per_sec(now, span_secs) * span_secs;
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,189 +1,120 @@
-//! Keeps the books and the agenda in step: what a change touches, what is over and can be forgotten. It decides
-//! nothing.
+//! Keeps the state and its indexes in step: what a change touches, and what is settled and can be forgotten.
 
-use super::state::queue::{Lane, Standing};
-use super::*;
+use super::route::Route;
+use super::state::queue::Standing;
+use super::state::ready_index::Agenda;
+use super::state::{Message, RouteId};
+use super::Scheduler;
+use crate::model::*;
 
 impl Scheduler {
-    /// Which calls would be over in time goes by the moment: until the end all is looked at in each step.
-    pub(super) fn on_closing(&mut self, at: Time) {
-        (self.closing, self.agenda.all) = ((at < Time(u64::MAX)).then_some(at), true);
-    }
-
-    /// What may be sent to a destination now. If nothing may, it is not looked at again before that changes.
-    pub(super) fn look_at(
-        &mut self,
-        now: Time,
-        to: DestinationId,
-        next: &mut Option<Time>,
-    ) -> Option<Candidate> {
-        if !self.queues.contains_key(&to) {
-            self.agenda.forget(to);
-            return None;
-        }
-        let mut look = Look::default();
-        let found = self.candidate(now, to, &mut look);
-        earliest(next, look.wake);
-        self.agenda.work.destinations += 1;
-        if found.is_none() && !look.always {
-            self.agenda.park(to, &look);
-        } else {
-            self.touch(to);
+    /// Something has changed at a destination: it is looked at in the next step. Up to the last step its
+    /// routes were as the last look had left them.
+    pub(super) fn touch(&mut self, destination: DestinationId) {
+        self.agenda.touch(destination);
+        for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
+            route.rate_limit.settle(self.last_round_at);
         }
-        found
     }
 
-    /// Something has changed at a destination. Until the last look its routes were as they had been parked.
-    pub(super) fn touch(&mut self, to: DestinationId) {
-        self.agenda.touch(to);
-        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
-            route.rate_limit.settle(self.last_round);
-        }
-    }
-
-    /// How a message stands in its queue: one that was never tried differs from its like in its age alone.
+    /// How a message stands in its queue. Messages of a class that were never attempted differ in their age
+    /// alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
-        let turns = message.ordering_key(&self.settings).is_some();
         if message.call.is_some() {
-            Standing::Out
-        } else if turns
+            return Standing::Out;
+        }
+        if message.ordering_key(&self.settings).is_some()
             || message.first_uncertain_attempt.is_some()
             || message.attempts >= self.settings.max_attempts
         {
-            Standing::Apart
-        } else {
-            let lane = (message.accepted.class, message.over_quota);
-            Standing::Among { lane, born: message.enqueued_at, not_before: message.not_before }
+            return Standing::Apart;
+        }
+        Standing::Among {
+            lane: (message.accepted.class, message.over_quota),
+            born: message.enqueued_at,
+            not_before: message.not_before,
         }
     }
 
-    /// To be told whenever what `standing` goes by has changed.
-    pub(super) fn restand(&mut self, id: MessageId) {
+    /// Tells the queue of a message how the message stands; to be called whenever that may have changed.
+    pub(super) fn update_standing(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let (seq, to, standing) = (message.seq, message.accepted.destination, self.standing(message));
-        if let Some(queue) = self.queues.get_mut(&to) {
-            queue.stands(seq, standing);
+        let standing = self.standing(message);
+        if let Some(queue) = self.queues.get_mut(&message.accepted.destination) {
+            queue.stands(message.seq, standing);
         }
     }
 
-    /// Of a long queue, some messages of which one is the best. With `unsafe_apart`, all that may not be repeated.
-    pub(super) fn best_of_many(
-        &mut self,
-        now: Time,
-        to: DestinationId,
-        unsafe_apart: bool,
-    ) -> Option<Vec<MessageId>> {
-        let mut queue = std::mem::take(self.queues.get_mut(&to)?);
-        let standing = |id| self.messages.get(&id).map_or(Standing::Out, |message| self.standing(message));
-        let index = queue.take_index(standing);
-        let best = index.map(|mut index| {
-            let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
-            let stage = |lane: Lane, born: Time| {
-                let (age, latency_objective) =
-                    ((now - born).as_secs_f64(), class(lane).latency_objective.as_secs_f64());
-                let value = |age: f64| RemainingValue::at_age(class(lane), self.settings.decay, age).stage;
-                value(age) + value(age + latency_objective)
-            };
-            index.advance(now, stage);
-            let best = index
-                .candidates(|lane| unsafe_apart && class(lane).idempotency == Idempotency::NonIdempotent);
-            queue.give_back(index);
-            best
-        });
-        self.agenda.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
-        self.queues.insert(to, queue);
-        best
-    }
-
-    /// The calls of a route stall in the order in which they were sent.
-    pub(super) fn oldest_not_stalled(&mut self, id: RouteId) -> Option<u64> {
-        let calls = self.routes.get(&id)?.calls.iter();
-        let waiting = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.stalled);
-        let (skipped, found) = calls.enumerate().find(|(_, call)| waiting(call))?;
-        self.agenda.work.calls += 1 + skipped as u64;
-        Some(*found)
-    }
-
-    pub(super) fn plan_stall(&mut self, id: RouteId) {
-        let sent = self.oldest_not_stalled(id).map(|call| self.calls[&call].sent);
-        let at = sent.map(|sent| sent + self.stall_patience(id));
-        self.agenda.stalls.set(id, at);
-    }
-
-    /// Makes the agenda anew from the books: all is to be looked at.
-    pub(super) fn rebuild_agenda(&mut self) {
-        self.routes.values_mut().for_each(|route| route.rate_limit.settle(self.last_round));
-        self.agenda = Agenda::default();
-        self.agenda.all = true;
-        let hanging = self.calls.iter().filter(|(_, call)| call.stalled && !call.called_off);
-        self.agenda.hanging = hanging.map(|(id, _)| *id).collect();
-        let gone = self.addresses.values().filter(|address| address.entry.mode == Availability::Removed);
-        self.agenda.gone = gone.map(|address| address.entry.id).collect();
-        self.agenda.circuit_records = self.routes.keys().copied().filter(|id| self.is_noted(*id)).collect();
-        let calling = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
-        calling.map(|(id, _)| *id).collect::<Vec<_>>().into_iter().for_each(|id| self.plan_stall(id));
+    /// Counts a message as demand for the routes of its destination.
+    pub(super) fn record_demand(&mut self, now: Time, destination: DestinationId) {
+        for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
+            route.traffic.record_demand(now, &self.settings);
+        }
     }
 
     /// Whether something of a route is to be remembered over a restart.
-    pub(super) fn is_noted(&self, id: RouteId) -> bool {
+    pub(super) fn has_circuit_record(&self, id: RouteId) -> bool {
         self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
 
-    /// Forgets an endpoint that is gone and has no call out. What was learnt of its destination stays, except
-    /// where it was a route of its own.
-    pub(super) fn forget_address(&mut self, id: EndpointId) {
-        self.agenda.gone.remove(&id);
-        let Some(address) = self.addresses.remove(&id) else { return };
-        self.touch(address.entry.destination);
-        let route_id = self.route_of(&address.entry);
-        if let Some(route) = self.routes.get_mut(&route_id) {
-            route.endpoints.retain(|endpoint| *endpoint != id);
-            if route_id.endpoint.is_some() {
-                self.routes.remove(&route_id);
-                self.plan_stall(route_id);
-                self.agenda.circuit_records.insert(route_id);
-            }
-        }
-    }
-
-    pub(super) fn close(&mut self, id: MessageId) {
-        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.completed) {
+    /// A message has its final outcome, or its client doesn't want it any more.
+    pub(super) fn complete_message(&mut self, id: MessageId) {
+        if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.completed) {
             message.completed = true;
-            self.open -= 1;
+            self.open_messages -= 1;
             self.deadlines.remove(&(message.accepted.deadline, id));
-            let to = message.accepted.destination;
-            if let Some(queue) = self.queues.get_mut(&to) {
+            let destination = message.accepted.destination;
+            if let Some(queue) = self.queues.get_mut(&destination) {
                 queue.remove(message.seq);
                 if queue.is_empty() {
-                    self.queues.remove(&to);
+                    self.queues.remove(&destination);
                 }
             }
-            self.touch(to);
+            self.touch(destination);
         }
-        self.forget_if_over(id);
+        self.forget_if_settled(id);
     }
 
-    /// A message is forgotten once it is answered and has nothing out; until then its key stays taken.
-    pub(super) fn forget_if_over(&mut self, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|m| !m.completed || m.awaits_acknowledgement || m.call.is_some())
-        {
-            return;
-        }
-        if let Some(key) = self.messages.remove(&id).and_then(|m| m.accepted.key) {
-            // The next of its key has its turn now, wherever it goes.
-            let next = self.ordering.remove(key, id).and_then(|next| self.messages.get(&next));
-            let to = next.map(|message| message.accepted.destination);
-            to.into_iter().for_each(|to| self.touch(to));
+    /// The client has acknowledged the final outcome of a message.
+    pub(super) fn on_outcome_acknowledged(&mut self, id: MessageId) {
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.awaits_acknowledgement = false;
         }
+        self.forget_if_settled(id);
     }
 
-    pub(super) fn note_demand(&mut self, now: Time, to: DestinationId) {
-        for (_, route) in self.routes.range_mut(RouteId::all_of(to)) {
-            route.traffic.record_demand(now, &self.settings);
+    /// Forgets a message once its final outcome is acknowledged and no attempt is in flight. Until then it
+    /// keeps its ordering key.
+    pub(super) fn forget_if_settled(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else { return };
+        if !message.completed || message.awaits_acknowledgement || message.call.is_some() {
+            return;
+        }
+        let key = message.accepted.key;
+        self.messages.remove(&id);
+        // The next message of its key has its turn now, wherever it goes.
+        let next = key.and_then(|key| self.ordering.remove(key, id));
+        if let Some(next) = next.and_then(|next| self.messages.get(&next)) {
+            self.touch(next.accepted.destination);
         }
     }
 
-    pub(super) fn calls_to(&self, destination: DestinationId) -> usize {
-        self.routes.range(RouteId::all_of(destination)).map(|(_, route)| route.calls.len()).sum()
+    /// Makes the indexes anew from the state: all is to be looked at.
+    pub(super) fn rebuild_agenda(&mut self) {
+        for route in self.routes.values_mut() {
+            route.rate_limit.settle(self.last_round_at);
+        }
+        self.agenda = Agenda::default();
+        self.agenda.all = true;
+        let unresponsive = self.calls.iter().filter(|(_, call)| call.is_unresponsive && !call.is_cancelled);
+        self.agenda.hanging = unresponsive.map(|(id, _)| *id).collect();
+        let removed = self.endpoints.values().filter(|endpoint| endpoint.is_removed());
+        self.agenda.gone = removed.map(|endpoint| endpoint.entry.id).collect();
+        let with_record = self.routes.iter().filter(|(_, route)| route.has_circuit_record());
+        self.agenda.circuit_records = with_record.map(|(id, _)| *id).collect();
+        let with_calls = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
+        for id in with_calls.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.schedule_silence_check(id);
+        }
     }
 }
--- /dev/null
+++ b/src/scheduler/message_choice.rs
@@ -0,0 +1,113 @@
+//! Which waiting message of a destination goes next, and when a message may go at all.
+
+use super::idempotency;
+use super::loss_ratio;
+use super::message_value;
+use super::state::queue::{Lane, Queue, Standing};
+use super::state::ready_index::{earliest, Look};
+use super::state::{Message, RemainingValue, RouteId};
+use super::Scheduler;
+use crate::model::*;
+use std::time::Duration;
+
+/// A message that may be sent now.
+#[derive(Clone, Copy)]
+pub struct ChosenMessage {
+    pub id: MessageId,
+    pub value: f64,
+}
+
+impl Scheduler {
+    /// The message of most value that may go by a route to one of these zones now; if none, `look` gets the
+    /// time when that may be. A half-open probe rather takes one that can be resent.
+    pub(super) fn choose_message(
+        &mut self,
+        now: Time,
+        route_id: RouteId,
+        zones: &[ZoneId],
+        look: &mut Look,
+    ) -> Option<ChosenMessage> {
+        // What is lost on all routes alike is no reason to wait.
+        let baseline = self.connection_reuse.baseline_risk();
+        let route = self.routes.get_mut(&route_id);
+        let is_probe = route.as_ref().is_some_and(|route| route.circuit.is_open());
+        let loses_calls = route.is_some_and(|route| route.losses.is_high(now, &self.settings, baseline));
+        let short_list = self.best_of_long_queue(now, route_id.destination, loses_calls);
+        let queue = if short_list.is_some() { None } else { self.queues.get(&route_id.destination) };
+        let ids = short_list.into_iter().flatten().chain(queue.into_iter().flat_map(Queue::ids));
+        let may_go_there = |message: &&Message| {
+            zones.iter().any(|zone| idempotency::may_go_to(&self.settings, message, *zone))
+        };
+        let mut best: Option<(bool, ChosenMessage)> = None;
+        for message in ids.filter_map(|id| self.messages.get(&id)).filter(may_go_there) {
+            let send_at = self.earliest_send(now, message);
+            if send_at.is_none_or(|at| at > now) {
+                earliest(&mut look.wake, send_at);
+                // When its idempotency window ends first, there is nothing to be done at that time any more.
+                let expires_at = idempotency::last_send_at(&self.settings, message)
+                    .map(|last_send_at| last_send_at + Duration::from_nanos(1));
+                earliest(&mut look.change, expires_at.filter(|_| send_at.is_some()));
+                continue;
+            }
+            let class = message.class(&self.settings);
+            let is_resendable = idempotency::is_resendable(class);
+            let last_attempt_at = loss_ratio::last_attempt_at(class, message.accepted.deadline);
+            if loses_calls && !is_resendable && now < last_attempt_at {
+                let recheck_at = now + loss_ratio::recheck_delay(&self.settings);
+                look.always = true;
+                earliest(&mut look.wake, Some(recheck_at.min(last_attempt_at)));
+                continue;
+            }
+            let is_preferred = !is_probe || is_resendable;
+            let value = message_value::current(&self.settings, now, message);
+            if best.is_none_or(|(preferred, best)| (is_preferred, value) > (preferred, best.value)) {
+                best = Some((is_preferred, ChosenMessage { id: message.accepted.id, value }));
+            }
+        }
+        best.map(|(_, chosen)| chosen)
+    }
+
+    /// The one condition of every attempt: when a message may be sent; none if only after some event, or
+    /// never.
+    fn earliest_send(&self, now: Time, message: &Message) -> Option<Time> {
+        let last_send_at = idempotency::last_send_at(&self.settings, message);
+        if message.completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
+            return None;
+        }
+        let Some(key) = message.ordering_key(&self.settings) else { return Some(message.not_before) };
+        let was_attempted = message.attempts > 0;
+        let turn_at = self.ordering.earliest_send(key, message.accepted.id, was_attempted)?;
+        Some(message.not_before.max(turn_at))
+    }
+
+    /// Of a long queue, some messages of which one is the best; none where the queue is short. With
+    /// `include_non_idempotent`, all that aren't idempotent are among them.
+    fn best_of_long_queue(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        include_non_idempotent: bool,
+    ) -> Option<Vec<MessageId>> {
+        let mut queue = std::mem::take(self.queues.get_mut(&destination)?);
+        let standing = |id| self.messages.get(&id).map_or(Standing::Out, |message| self.standing(message));
+        let index = queue.take_index(standing);
+        let best = index.map(|mut index| {
+            let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
+            let stage = |lane: Lane, enqueued_at: Time| {
+                let age_secs = (now - enqueued_at).as_secs_f64();
+                let objective_secs = class(lane).latency_objective.as_secs_f64();
+                let stage_at =
+                    |age_secs: f64| RemainingValue::at_age(class(lane), self.settings.decay, age_secs).stage;
+                stage_at(age_secs) + stage_at(age_secs + objective_secs)
+            };
+            index.advance(now, stage);
+            let is_included = |lane| include_non_idempotent && !idempotency::is_resendable(class(lane));
+            let best = index.candidates(is_included);
+            queue.give_back(index);
+            best
+        });
+        self.agenda.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
+        self.queues.insert(destination, queue);
+        best
+    }
+}
--- a/src/scheduler/message_value.rs
+++ b/src/scheduler/message_value.rs
@@ -14,8 +14,8 @@
     message.class(settings).priority_weight * quota_ratio
 }
 
-/// Value still to be won, and what of it waiting would lose: on time goes before late, what is about to be late before
-/// what is fresh, and what is about to run out before what may wait.
+/// Value still to be won, and what of it waiting would lose: on time goes before late, what is about to be
+/// late before what is fresh, and what is about to run out before what may wait.
 pub fn current(settings: &Settings, now: Time, message: &Message) -> f64 {
     let class = message.class(settings);
     let last_send_secs =
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -1,7 +1,7 @@
 //! Ordering keys: messages of one key go one at a time, in the order in which they were accepted.
 //!
-//! After an attempt that may still be running, its key is held for a while before the next message of the key may go.
-//! The same message may be retried meanwhile.
+//! After an attempt that may still be running, its key is held for a while before the next message of the key
+//! may go. The same message may be retried meanwhile.
 
 use crate::model::{MessageId, OrderingKey, Time};
 use serde::{Deserialize, Serialize};
@@ -45,8 +45,8 @@
         self.all_held_until = until;
     }
 
-    /// The earliest time at which a message may be sent; none before its turn. A hold binds only a message that was
-    /// not attempted yet.
+    /// The earliest time at which a message may be sent; none before its turn. A hold binds only a message
+    /// that was not attempted yet.
     pub fn earliest_send(&self, key: OrderingKey, message: MessageId, attempted: bool) -> Option<Time> {
         if self.pending.get(&key)?.first() != Some(&message) {
             return None;
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,7 +1,7 @@
 //! Tenant quotas: which messages are beyond what their tenant may send, and so are worth less.
 //!
-//! A quota holds for all gateways together, and none sees what the others accept. Each gateway enforces its own share
-//! with a token bucket that holds one second of it.
+//! A quota holds for all gateways together, and none sees what the others accept. Each gateway enforces its
+//! own share with a token bucket that holds one second of it.
 
 use super::derived_settings::fleet_size;
 use crate::model::{Settings, TenantId, Time};
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -1,7 +1,8 @@
-//! The rate at which a route is called: a token bucket whose rate falls with rejections and grows with successes.
+//! The rate at which a route is called: a token bucket whose rate falls with rejections and grows with
+//! successes.
 //!
-//! With these cuts and this growth the rate settles where a fixed part of the calls is rejected, however many gateways
-//! share the destination's limit.
+//! With these cuts and this growth the rate settles where a fixed part of the calls is rejected, however many
+//! gateways share the destination's limit.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs};
 use super::state::decaying_rate::DecayingRate;
@@ -9,13 +10,13 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a rejection leaves of the rate: by the number of cuts since the last success. After the last one only the
-/// overload budget is left, as it may be an outage, or all gateways may have to slow down.
+/// What a rejection leaves of the rate: by the number of cuts since the last success. After the last one only
+/// the overload budget is left, as it may be an outage, or all gateways may have to slow down.
 const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
 /// Rejections within this time of a cut don't cut again: they were caused by the same rate.
 const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
-/// Rate of a route at first, in even shares of the listed limit. More than the limit over all gateways would serve
-/// nobody, as rejected calls use it up as well.
+/// Rate of a route at first, in even shares of the listed limit. More than the limit over all gateways would
+/// serve nobody, as rejected calls use it up as well.
 const INITIAL_SHARES: f64 = 1.0;
 /// Rate of a route at first is at least so many calls within the shortest deadline.
 const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
@@ -23,11 +24,11 @@
 const MIN_LISTED_LIMIT_PER_SEC: f64 = 0.1;
 /// Listed limits, in calls a second, above this count as this.
 const MAX_LISTED_LIMIT_PER_SEC: f64 = 1e6;
-/// Growth with each success of a rate that limits, as a ratio of the rate, or of one call a latency objective where
-/// that is less.
+/// Growth with each success of a rate that limits, as a ratio of the rate, or of one call a latency objective
+/// where that is less.
 const GROWTH_RATIO: f64 = 0.08;
-/// Growth is up to so many times more, the further the rate is below an even share of the limit: that much mostly is
-/// there, and a gateway that calls seldom would take minutes to get back to it.
+/// Growth is up to so many times more, the further the rate is below an even share of the limit: that much
+/// mostly is there, and a gateway that calls seldom would take minutes to get back to it.
 const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
 /// Growth where the destination reports its headroom, in multiples of it.
 const GROWTH_OF_HEADROOM: f64 = 2.0;
@@ -41,8 +42,8 @@
 const MAX_WAIT_SECS: f64 = 3600.0;
 /// Longest wait for a token during a slow start, as the rate grows meanwhile.
 const MAX_WAIT_IN_SLOW_START_SECS: f64 = 10.0;
-/// After a rejection a gateway with low traffic calls again within so many calls of its rate, by chance: such gateways
-/// are many.
+/// After a rejection a gateway with low traffic calls again within so many calls of its rate, by chance: such
+/// gateways are many.
 const LOW_TRAFFIC_SPREAD_CALLS: f64 = 3.0;
 
 /// What the rate goes by now.
@@ -59,7 +60,8 @@
 pub enum Token {
     /// It may.
     Available,
-    /// Not before `due`; the rate may have changed by `recheck_at`, or, where `is_exact` is false, at any moment.
+    /// Not before `due`; the rate may have changed by `recheck_at`, or, where `is_exact` is false, at any
+    /// moment.
     Due { due: Time, recheck_at: Time, is_exact: bool },
 }
 
@@ -89,7 +91,8 @@
     refilled_at: Time,
     /// The last look at the bucket found no token: only then a success says that there could be more.
     is_binding: bool,
-    /// The bucket was looked at and may be left alone since: tokens have come in up to the last step that looked.
+    /// The bucket was looked at and may be left alone since: tokens have come in up to the last step that
+    /// looked.
     refill_pending: bool,
     last_cut_at: Time,
     /// Cuts since the last success.
@@ -98,10 +101,12 @@
 }
 
 impl RateLimit {
-    /// The limit of a route that is new. The first calls of all gateways must not come at the same moment: each begins
-    /// somewhere inside the interval between two calls; `chance` is a random number in `0.0..1.0`.
+    /// The limit of a route that is new. The first calls of all gateways must not come at the same moment:
+    /// each begins somewhere inside the interval between two calls; `chance` is a random number in
+    /// `0.0..1.0`.
     pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, chance: f64) -> RateLimit {
-        // A limit that isn't listed has to be found out, and one that is far too low must not hold messages back.
+        // A limit that isn't listed has to be found out, and one that is far too low must not hold messages
+        // back.
         let share = match listed_limit_per_sec(settings, endpoint) {
             Some(_) => (INITIAL_SHARES / fleet_size(settings)).min(1.0),
             None => 1.0,
@@ -219,8 +224,8 @@
         let ratio = CUT_RATIOS[self.cuts.min(CUT_RATIOS.len() - 1)];
         self.cuts += 1;
         let call_per_objective = shortest_objective_secs(settings).recip();
-        // A clump of messages must not wait at the rate of ordinary times until it has run out. Where a call carries
-        // many, what waits goes together, and one call a latency objective is enough.
+        // A clump of messages must not wait at the rate of ordinary times until it has run out. Where a call
+        // carries many, what waits goes together, and one call a latency objective is enough.
         let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
             (0.0, call_per_objective)
         } else {
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reporting.rs
@@ -1,38 +1,42 @@
-//! What a courier tells of itself: to its next process, to the log, to measurements. It decides nothing.
+//! What the gateway asks the scheduler about: for its next process, for the log and for measurements.
 
-use super::*;
+use super::state::ready_index::WorkCounters;
+use super::state::RouteId;
+use super::Scheduler;
+use crate::model::*;
+use std::time::Duration;
 
 impl Scheduler {
-    /// The waits that were told and are not over, by one endpoint of each route.
+    /// What is left of each Retry-After, by one endpoint of each route.
     pub fn retry_after_delays(&self, now: Time) -> impl Iterator<Item = (EndpointId, Duration)> + '_ {
         let waiting = self.routes.values().filter(move |route| route.retry_after.is_pending(now));
         waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.retry_after.remaining(now))))
     }
 
-    /// Whether operators are emptying it.
+    /// Whether operators are draining this gateway.
     pub fn is_lame_duck(&self) -> bool {
-        self.lame_since.is_some()
+        self.lame_duck.is_active()
     }
 
     /// All that is to be remembered of outages over a restart.
     pub fn circuit_records(&self) -> impl Iterator<Item = CircuitRecord> + '_ {
-        self.routes.keys().filter_map(|id| self.outage(*id))
+        self.routes.keys().filter_map(|id| self.circuit_record(*id))
     }
 
-    /// What is to be remembered of the routes where that has changed since this was asked last. One that has not
-    /// may be among them.
+    /// What is to be remembered of the routes where that has changed since the last call. Routes where
+    /// nothing has changed may be among them.
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.agenda.circuit_records);
         self.agenda.work.routes += changed.len() as u64;
         let change = |id: RouteId| CircuitChange {
             destination: id.destination,
             endpoint: id.endpoint,
-            record: self.outage(id),
+            record: self.circuit_record(id),
         };
         changed.into_iter().map(change).collect()
     }
 
-    fn outage(&self, id: RouteId) -> Option<CircuitRecord> {
+    fn circuit_record(&self, id: RouteId) -> Option<CircuitRecord> {
         let route = self.routes.get(&id).filter(|route| route.has_circuit_record())?;
         Some(CircuitRecord {
             destination: id.destination,
@@ -45,23 +49,26 @@
         })
     }
 
-    /// The destination with the longest queue, how many wait there, and what holds them up.
+    /// The destination with the longest queue, how many messages wait there, and what its routes wait for.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
-        let (to, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
-        let (to, waiting) = (*to, queue.len());
-        let routes: Vec<RouteId> = self.routes.range(RouteId::all_of(to)).map(|(id, _)| *id).collect();
-        let state = |id: RouteId| {
-            let pace = self.pace(now, id);
-            let route = &self.routes[&id];
-            RouteStatus {
-                endpoint: id.endpoint,
-                in_flight: route.calls.len(),
-                rate_limit_per_sec: pace,
-                retry_after: route.retry_after.remaining(now),
-                circuit_open: route.circuit.is_open(),
-            }
-        };
-        Some((to, waiting, routes.into_iter().map(state).collect()))
+        let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
+        let (destination, waiting) = (*destination, queue.len());
+        let routes: Vec<RouteId> =
+            self.routes.range(RouteId::all_of(destination)).map(|(id, _)| *id).collect();
+        let statuses = routes.into_iter().map(|id| self.route_status(now, id)).collect();
+        Some((destination, waiting, statuses))
+    }
+
+    fn route_status(&mut self, now: Time, id: RouteId) -> RouteStatus {
+        let rate_limit_per_sec = self.rate_per_sec(now, id);
+        let route = &self.routes[&id];
+        RouteStatus {
+            endpoint: id.endpoint,
+            in_flight: route.calls.len(),
+            rate_limit_per_sec,
+            retry_after: route.retry_after.remaining(now),
+            circuit_open: route.circuit.is_open(),
+        }
     }
 
     /// How much was looked at so far.
--- /dev/null
+++ b/src/scheduler/restore.rs
@@ -0,0 +1,47 @@
+//! What a gateway goes on with after a restart: pending messages, and what was learnt of outages.
+
+use super::state::{RouteId, UncertainAttempt};
+use super::Scheduler;
+use crate::model::*;
+
+impl Scheduler {
+    /// Accepts a message again that was pending before the restart. Calls in flight then broke with the old
+    /// process at the latest, so that ordering keys are held from now on.
+    pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
+        let id = restored.message.id;
+        self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
+        self.agenda.all = true;
+        self.on_message_accepted(now, restored.message);
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.attempts = restored.attempts;
+        if let Some(SentAttempt { sent_at, zone }) = restored.first_uncertain_attempt {
+            let attempt = UncertainAttempt { sent_at, zone: Some(zone) };
+            message.first_uncertain_attempt.get_or_insert(attempt);
+        }
+        message.awaits_acknowledgement |= restored.outcome_recorded;
+        self.update_standing(id);
+        if restored.outcome_recorded {
+            self.complete_message(id);
+        } else {
+            self.set_last_send_deadline(now, id);
+        }
+    }
+
+    /// Goes on with what was learnt of a route before the restart.
+    pub(super) fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
+        self.touch(record.destination);
+        let chance = self.rng.f64();
+        let id = RouteId { destination: record.destination, endpoint: record.endpoint };
+        let Some(route) = self.routes.get_mut(&id) else { return };
+        self.agenda.circuit_records.insert(id);
+        route.circuit.restore(&record);
+        route.traffic.restore_baseline(record.baseline_rate);
+        route.slow_start.restore(record.slow_start_since);
+        if route.slow_start.is_active() {
+            route.rate_limit.drain();
+        }
+        if record.calls_lost.is_some() {
+            route.schedule_probe(now, &self.settings, chance);
+        }
+    }
+}
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,8 +1,8 @@
 //! How long an attempt may take, and how long the next one waits.
 //!
-//! Retries back off exponentially with full jitter, short enough that several fit into the latency objective. An
-//! attempt times out by the latency of its destination, unless no other attempt could follow it: then it has all the
-//! time that the message has.
+//! Retries back off exponentially with full jitter, short enough that several fit into the latency objective.
+//! An attempt times out by the latency of its destination, unless no other attempt could follow it: then it
+//! has all the time that the message has.
 
 use super::backoff;
 use super::idempotency;
--- a/src/scheduler/retry_after.rs
+++ b/src/scheduler/retry_after.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// What a client is told with a rejection: the destination's own wait, or the time in which this gateway sends what
-/// waits there; within the bounds of a backoff.
+/// What a client is told with a rejection: the destination's own wait, or the time in which this gateway
+/// sends what waits there; within the bounds of a backoff.
 pub fn suggested_delay(
     objective_secs: f64,
     waiting_messages: f64,
--- a/src/scheduler/state/route.rs
+++ b/src/scheduler/route.rs
@@ -1,34 +1,16 @@
-//! A route: what has one rate limit, one circuit breaker and one slow start. It only holds the state of the rules.
+//! A route: what has one rate limit, one circuit breaker and one slow start. It only holds the state of the
+//! rules.
 
-use super::latency::Latency;
-use crate::model::{DestinationId, EndpointId, Settings, Time};
-use crate::scheduler::circuit_breaker::{CircuitBreaker, ProbeBudget};
-use crate::scheduler::loss_ratio::LossRatio;
-use crate::scheduler::rate_limit::RateLimit;
-use crate::scheduler::retry_after::RetryAfter;
-use crate::scheduler::slow_start::{overload_budget_per_sec, SlowStart};
-use crate::scheduler::traffic::Traffic;
+use super::circuit_breaker::{CircuitBreaker, ProbeBudget};
+use super::loss_ratio::LossRatio;
+use super::rate_limit::RateLimit;
+use super::retry_after::RetryAfter;
+use super::slow_start::{overload_budget_per_sec, SlowStart};
+use super::state::Latency;
+use super::traffic::Traffic;
+use crate::model::{EndpointId, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use std::ops::RangeInclusive;
-
-/// A destination, or one endpoint of it where its endpoints have limits of their own.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RouteId {
-    /// The destination.
-    pub destination: DestinationId,
-    /// The endpoint, where its endpoints are separate routes.
-    pub endpoint: Option<EndpointId>,
-}
-
-impl RouteId {
-    /// The ids that the routes of a destination can have.
-    pub fn all_of(destination: DestinationId) -> RangeInclusive<RouteId> {
-        let first = RouteId { destination, endpoint: None };
-        let last = RouteId { destination, endpoint: Some(EndpointId(u32::MAX)) };
-        first..=last
-    }
-}
 
 /// What is known of a route.
 #[derive(Default, Serialize, Deserialize)]
--- /dev/null
+++ b/src/scheduler/route_availability.rs
@@ -0,0 +1,71 @@
+//! When a route may take one more call: the rules that can hold it back, in the order in which they are
+//! asked.
+
+use super::rate_limit::{RatePhase, Token};
+use super::state::ready_index::{earliest, Look};
+use super::state::RouteId;
+use super::Scheduler;
+use crate::model::*;
+
+/// Half-open probes of a route may take this ratio of the free slots; one is always permitted.
+const MAX_PROBES_OF_FREE_SLOTS: f64 = 0.25;
+
+impl Scheduler {
+    /// When a route may take one more call: now, later, or only after some event (none). What else would
+    /// change the answer goes to `look`. Asks, in this order: Retry-After, shutdown, circuit breaker,
+    /// bulkhead, rate limit.
+    pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, look: &mut Look) -> Option<Time> {
+        let patience = self.patience(id);
+        let free_slots = self.free_slots();
+        let rate_per_sec = self.rate_per_sec(now, id);
+        let route = self.routes.get_mut(&id)?;
+        route.rate_limit.settle(self.last_round_at);
+        if route.retry_after.is_pending(now) {
+            earliest(&mut look.change, route.slow_start.ends_at(&self.settings));
+            return Some(route.retry_after.until());
+        }
+        // The rate of a slow start grows from moment to moment.
+        look.always |= route.slow_start.is_active();
+        if !self.shutdown.leaves_time_for(now, patience) {
+            return None;
+        }
+        let oldest_call = route.calls.first().and_then(|call| self.calls.get(call));
+        if let (false, Some(call)) = (route.circuit.is_open(), oldest_call) {
+            let silent_at = route.circuit.silent_at(call.sent_at, patience);
+            if now >= silent_at {
+                route.circuit.open_on_silence(now, call.sent_at, patience);
+                self.agenda.circuit_records.insert(id);
+            } else {
+                earliest(&mut look.change, Some(silent_at));
+            }
+        }
+        if let Some(next_probe_at) = route.circuit.next_probe_at() {
+            // Probes that hang must not gather until they take the slots of healthy destinations.
+            let needed_slots = ((route.calls.len() + 1) as f64 / MAX_PROBES_OF_FREE_SLOTS).ceil() as usize;
+            let is_free = route.calls.is_empty() || look.needs_slots(needed_slots, free_slots);
+            return is_free.then_some(next_probe_at);
+        }
+        // Bulkhead: no route has more calls in flight than slots are left for all others.
+        if !route.calls.is_empty() && !look.needs_slots(route.calls.len() + 1, free_slots) {
+            return None;
+        }
+        let phase = if route.slow_start.is_active() { RatePhase::SlowStart } else { RatePhase::Steady };
+        match route.rate_limit.next_token(now, rate_per_sec, phase) {
+            Token::Available => Some(now),
+            Token::Due { due, recheck_at, is_exact } => {
+                look.always |= !is_exact;
+                earliest(&mut look.change, Some(recheck_at));
+                Some(due)
+            }
+        }
+    }
+
+    /// Calls a second that this gateway may send a route now. Ends a slow start that has run out.
+    pub(super) fn rate_per_sec(&mut self, now: Time, id: RouteId) -> f64 {
+        let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
+        if route.slow_start.finish_if_warm(now, &self.settings) {
+            self.agenda.circuit_records.insert(id);
+        }
+        route.rate_per_sec(now, &self.settings)
+    }
+}
--- /dev/null
+++ b/src/scheduler/slot_allocation.rs
@@ -0,0 +1,182 @@
+//! Which destination gets a free call slot, and with which message, route and endpoint.
+//!
+//! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
+//! best message is worth most for the time that it takes the slot. A destination is looked at only when
+//! something has changed there, or when its last look said so ([`Look`]).
+
+use super::derived_settings::warm_up_secs;
+use super::state::queue::Queue;
+use super::state::ready_index::{earliest, Look};
+use super::state::RouteId;
+use super::Scheduler;
+use crate::model::*;
+use std::cmp::Ordering;
+use std::time::Duration;
+
+/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest is for
+/// the call.
+const COST_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
+
+/// What may be sent to a destination now.
+struct Candidate {
+    route: RouteId,
+    endpoint: EndpointId,
+    message: MessageId,
+    /// Value of the message for each second that a slot is taken.
+    value_per_sec: f64,
+}
+
+/// A destination that has a candidate.
+struct ReadyDestination {
+    destination: DestinationId,
+    value_per_sec: f64,
+}
+
+/// The cheapest route that is well and may take a call later.
+#[derive(Clone, Copy)]
+struct CheaperRoute {
+    cost: f64,
+    free_at: Time,
+    messages_per_sec: f64,
+}
+
+impl Scheduler {
+    /// Call slots that are not taken.
+    pub(super) fn free_slots(&self) -> usize {
+        self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
+    }
+
+    /// Starts calls until no slot is free or nothing may be sent; `next` gets the time of the next look.
+    pub(super) fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
+        if self.free_slots() == 0 {
+            return;
+        }
+        let mut due = self.agenda.due(now, self.free_slots());
+        if self.shutdown.is_scheduled() || std::mem::take(&mut self.agenda.all) {
+            due.extend(self.queues.keys());
+        }
+        let mut ready: Vec<ReadyDestination> = Vec::new();
+        for destination in due {
+            ready.extend(self.ready_destination(now, destination, next));
+        }
+        earliest(next, self.agenda.next_wake());
+        while self.free_slots() > 0 {
+            let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
+            let Some(first) = first else { break };
+            let destination = ready.swap_remove(first).destination;
+            // Slots were taken since it was found ready: what was free may not be so now.
+            let Some(candidate) = self.look_at(now, destination, next) else { continue };
+            self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
+            ready.extend(self.ready_destination(now, destination, next));
+        }
+        self.last_round_at = now;
+    }
+
+    fn slot_order(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
+        let by_calls = self.calls_in_flight_to(a.destination).cmp(&self.calls_in_flight_to(b.destination));
+        by_calls.then(b.value_per_sec.total_cmp(&a.value_per_sec))
+    }
+
+    fn calls_in_flight_to(&self, destination: DestinationId) -> usize {
+        self.routes.range(RouteId::all_of(destination)).map(|(_, route)| route.calls.len()).sum()
+    }
+
+    fn ready_destination(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        next: &mut Option<Time>,
+    ) -> Option<ReadyDestination> {
+        let value_per_sec = self.look_at(now, destination, next)?.value_per_sec;
+        Some(ReadyDestination { destination, value_per_sec })
+    }
+
+    /// What may be sent to a destination now. If nothing may, it isn't looked at again before that changes.
+    fn look_at(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        next: &mut Option<Time>,
+    ) -> Option<Candidate> {
+        if !self.queues.contains_key(&destination) {
+            self.agenda.forget(destination);
+            return None;
+        }
+        let mut look = Look::default();
+        let candidate = self.find_candidate(now, destination, &mut look);
+        earliest(next, look.wake);
+        self.agenda.work.destinations += 1;
+        if candidate.is_none() && !look.always {
+            self.agenda.park(destination, &look);
+        } else {
+            self.touch(destination);
+        }
+        candidate
+    }
+
+    /// The best message of a destination that may be sent now, by the cheapest route that may take it; if
+    /// none, `look` gets the time when that may be.
+    fn find_candidate(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        look: &mut Look,
+    ) -> Option<Candidate> {
+        let mut cheaper: Option<CheaperRoute> = None;
+        for (cost, route) in self.routes_by_cost(destination) {
+            let free_at = self.route_free_at(now, route, look);
+            if free_at.is_none_or(|at| at > now) {
+                earliest(&mut look.wake, free_at);
+                let messages_per_sec = self.messages_per_sec_if_healthy(now, route);
+                if let (None, Some(free_at), Some(messages_per_sec)) = (cheaper, free_at, messages_per_sec) {
+                    cheaper = Some(CheaperRoute { cost, free_at, messages_per_sec });
+                }
+                continue;
+            }
+            let zones: Vec<ZoneId> =
+                self.eligible_endpoints(route).map(|endpoint| endpoint.entry.zone).collect();
+            let Some(chosen) = self.choose_message(now, route, &zones, look) else { continue };
+            if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
+                if self.can_wait_for(&cheaper, destination, chosen.id) {
+                    // Which message is best, and so how long it may wait, changes from moment to moment.
+                    look.always = true;
+                    earliest(&mut look.wake, Some(cheaper.free_at));
+                    continue;
+                }
+            }
+            let Some(endpoint) = self.select_endpoint(now, route, chosen.id) else { continue };
+            let call_secs = self.routes[&route].latency.mean_secs().max(0.001);
+            let value_per_sec = chosen.value / call_secs;
+            return Some(Candidate { route, endpoint, message: chosen.id, value_per_sec });
+        }
+        None
+    }
+
+    fn routes_by_cost(&self, destination: DestinationId) -> Vec<(f64, RouteId)> {
+        let routes = self.routes.range(RouteId::all_of(destination));
+        let mut routes: Vec<(f64, RouteId)> = routes.map(|(id, _)| (self.cost(*id), *id)).collect();
+        routes.sort_by(|a, b| a.0.total_cmp(&b.0));
+        routes
+    }
+
+    /// Messages a second that a route takes, unless it is recovering or has no endpoint that may be called.
+    fn messages_per_sec_if_healthy(&mut self, now: Time, id: RouteId) -> Option<f64> {
+        let calls_per_sec = self.rate_per_sec(now, id);
+        let route = self.routes.get(&id)?;
+        let is_healthy = !route.is_recovering() && self.eligible_endpoints(id).next().is_some();
+        is_healthy.then_some(calls_per_sec * route.batch_size as f64)
+    }
+
+    /// Whether a message can wait for a cheaper route: only if all that waits can go that way in time. Else
+    /// what a dearer route could take now would be lost.
+    fn can_wait_for(&self, cheaper: &CheaperRoute, destination: DestinationId, message: MessageId) -> bool {
+        let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
+        let queue_secs = waiting_messages / cheaper.messages_per_sec.max(0.001);
+        let served_at =
+            cheaper.free_at + Duration::from_secs_f64(queue_secs.min(warm_up_secs(&self.settings)));
+        self.messages.get(&message).is_some_and(|message| {
+            let objective = message.class(&self.settings).latency_objective;
+            served_at < message.enqueued_at + objective.mul_f64(COST_PATIENCE_OF_OBJECTIVE)
+        })
+    }
+}
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,7 +1,9 @@
-//! Slow start of a destination that is back after an outage, and the budget that keeps it from being overloaded.
+//! Slow start of a destination that is back after an outage, and the budget that keeps it from being
+//! overloaded.
 //!
-//! A recovering destination can do only a part of its capacity, and fails again if it gets more than a multiple of
-//! that for the overload window. Half-open probes, slow starts and the lowest rate after rejections share one budget.
+//! A recovering destination can do only a part of its capacity, and fails again if it gets more than a
+//! multiple of that for the overload window. Half-open probes, slow starts and the lowest rate after
+//! rejections share one budget.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
 use super::traffic::Traffic;
@@ -69,8 +71,9 @@
 
 /// This gateway's share of what a recovering destination may get, in calls a second.
 ///
-/// `limit_per_sec` is what the destination takes from all gateways when it is well, `warmth` runs from 0 to 1 over a
-/// slow start. The share goes by what this gateway sends there in ordinary times, and is at least an even one.
+/// `limit_per_sec` is what the destination takes from all gateways when it is well, `warmth` runs from 0 to 1
+/// over a slow start. The share goes by what this gateway sends there in ordinary times, and is at least an
+/// even one.
 pub fn overload_budget_per_sec(
     settings: &Settings,
     now: Time,
@@ -78,8 +81,8 @@
     limit_per_sec: f64,
     warmth: f64,
 ) -> f64 {
-    // A gateway with low traffic gets one call a deadline, lest its messages run out unsent. Gateways are few that
-    // have low traffic and messages for one destination at the same time.
+    // A gateway with low traffic gets one call a deadline, lest its messages run out unsent. Gateways are few
+    // that have low traffic and messages for one destination at the same time.
     let least_per_sec =
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
     let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -1,4 +1,5 @@
-//! A pending message: from its acceptance until its final outcome is acknowledged and no attempt is in flight.
+//! A pending message: from its acceptance until its final outcome is acknowledged and no attempt is in
+//! flight.
 
 use super::queue::Seq;
 use crate::model::*;
@@ -17,7 +18,8 @@
     pub attempts: u32,
     /// The call in flight that carries it.
     pub call: Option<u64>,
-    /// The first attempt that may have been processed. It fixes the idempotency window and the deduplication scope.
+    /// The first attempt that may have been processed. It fixes the idempotency window and the deduplication
+    /// scope.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
     /// Its backoff: no attempt before this.
     pub not_before: Time,
--- a/src/scheduler/traffic.rs
+++ b/src/scheduler/traffic.rs
@@ -1,7 +1,7 @@
 //! How much this gateway sends a route in ordinary times.
 //!
-//! What was served there before an outage adds up, over all gateways, to what the destination can do, however many
-//! messages wait. Both rates are taken over about the length of a slow start.
+//! What was served there before an outage adds up, over all gateways, to what the destination can do, however
+//! many messages wait. Both rates are taken over about the length of a slow start.
 
 use super::derived_settings::warm_up_secs;
 use super::state::decaying_rate::DecayingRate;
@@ -10,7 +10,8 @@
 
 /// Fewer messages than this over the length of a slow start are low traffic: too few to learn a rate from.
 const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
-/// Demand counts up to this multiple of what was served before: during an outage clients send everything again.
+/// Demand counts up to this multiple of what was served before: during an outage clients send everything
+/// again.
 const MAX_DEMAND_OF_BASELINE: f64 = 1.5;
 
 /// Demand for a route, and calls served there.
@@ -18,7 +19,8 @@
 pub struct Traffic {
     demand: DecayingRate,
     served: DecayingRate,
-    /// Calls served a second as of the last success, that one left out; doesn't fall during an outage or recovery.
+    /// Calls served a second as of the last success, that one left out; doesn't fall during an outage or
+    /// recovery.
     baseline_per_sec: f64,
 }
 
--- /dev/null
+++ b/src/scheduler/unresponsive_calls.rs
@@ -0,0 +1,87 @@
+//! Calls that are silent for too long: each counts as a loss for the reuse of connections, and when all slots
+//! are taken while messages wait, the oldest one is cancelled.
+
+use super::derived_settings::shortest_objective_secs;
+use super::idempotency;
+use super::state::{Call, RouteId};
+use super::Scheduler;
+use crate::model::*;
+use std::time::Duration;
+
+/// A call is unresponsive after so many latencies (mean plus deviation) of its route.
+const PATIENCE_IN_LATENCIES: f64 = 3.0;
+/// ... but not before this ratio of the shortest latency objective: short pauses of an endpoint are ordinary.
+const MIN_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
+/// A call with a message that isn't idempotent gets so many times that patience before it is cancelled, as
+/// the message is lost then.
+const PATIENCE_MULTIPLE_NON_IDEMPOTENT: u32 = 2;
+
+impl Scheduler {
+    /// How long a call of a route may be silent.
+    pub(super) fn patience(&self, id: RouteId) -> Duration {
+        let typical_secs =
+            self.routes.get(&id).map_or(0.0, |route| route.latency.multiple_secs(PATIENCE_IN_LATENCIES));
+        let least_secs = shortest_objective_secs(&self.settings) * MIN_PATIENCE_OF_OBJECTIVE;
+        Duration::from_secs_f64(typical_secs.max(least_secs))
+    }
+
+    /// Marks the calls that have become unresponsive; returns when the next one will.
+    pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
+        while let Some(route_id) = self.agenda.stalls.due(now) {
+            let oldest = self.oldest_responsive_call(route_id);
+            if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
+                call.is_unresponsive = true;
+                let connection_idle = call.connection_idle;
+                self.agenda.hanging.insert(id);
+                self.connection_reuse.record_loss(now, &self.settings, connection_idle);
+            }
+            self.schedule_silence_check(route_id);
+        }
+        self.agenda.stalls.first()
+    }
+
+    /// Sets when the oldest call of a route that isn't unresponsive yet will be: they get so in the order
+    /// sent.
+    pub(super) fn schedule_silence_check(&mut self, id: RouteId) {
+        let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
+        let at = sent_at.map(|sent_at| sent_at + self.patience(id));
+        self.agenda.stalls.set(id, at);
+    }
+
+    fn oldest_responsive_call(&mut self, id: RouteId) -> Option<u64> {
+        let calls = self.routes.get(&id)?.calls.iter();
+        let is_responsive = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
+        let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
+        self.agenda.work.calls += 1 + skipped as u64;
+        Some(*found)
+    }
+
+    /// Cancels the oldest unresponsive call where no slot is free and messages wait.
+    pub(super) fn free_pinned_slot(&mut self, now: Time) {
+        let has_waiting_messages = self.open_messages > self.calls.len();
+        if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
+            return;
+        }
+        let unresponsive = self.agenda.hanging.iter().filter_map(|id| Some((*id, self.calls.get(id)?)));
+        let mut cancellable = unresponsive.filter(|(_, call)| self.is_cancellable(now, call));
+        let Some((id, _)) = cancellable.next() else { return };
+        self.agenda.hanging.remove(&id);
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.is_cancelled = true;
+        for message_id in &call.messages {
+            let message = self.messages.get(message_id).filter(|message| message.call == Some(id));
+            if let Some(message) = message {
+                let attempt = (message.attempts - 1) as u16;
+                self.actions.push(Action::CancelAttempt { message: *message_id, attempt });
+            }
+        }
+    }
+
+    fn is_cancellable(&self, now: Time, call: &Call) -> bool {
+        let mut messages = call.messages.iter().filter_map(|id| self.messages.get(id));
+        let all_resendable =
+            messages.all(|message| idempotency::is_resendable(message.class(&self.settings)));
+        let multiple = if all_resendable { 1 } else { PATIENCE_MULTIPLE_NON_IDEMPOTENT };
+        now - call.sent_at > self.patience(call.route) * multiple
+    }
+}
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -1,7 +1,8 @@
-//! When the watch on the endpoint list is started, and when it is started again after it broke or was rejected.
+//! When the watch on the endpoint list is started, and when it is started again after it broke or was
+//! rejected.
 //!
-//! All gateways lose the watch at the same moment, and together they must ask less often than discovery can answer.
-//! So delays grow with the size of the fleet, and are drawn at random.
+//! All gateways lose the watch at the same moment, and together they must ask less often than discovery can
+//! answer. So delays grow with the size of the fleet, and are drawn at random.
 
 use super::backoff;
 use super::derived_settings::fleet_size;
@@ -18,8 +19,8 @@
 const FIRST_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_millis(200);
 /// Upper end of every later random delay after a rejection, for each gateway of the fleet.
 const MAX_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_secs(1);
-/// Longest delay after a rejection, whatever the size of the fleet: an instance that starts to drain must be noticed
-/// within the drain's grace time, and the answer itself may take [`WATCH_RESPONSE_TIMEOUT`].
+/// Longest delay after a rejection, whatever the size of the fleet: an instance that starts to drain must be
+/// noticed within the drain's grace time, and the answer itself may take [`WATCH_RESPONSE_TIMEOUT`].
 const MAX_REJECTION_DELAY: Duration = Duration::from_secs(5);
 /// The first watch is spread over this time for each gateway of the fleet ...
 const START_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
