--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -16,8 +16,8 @@
         endpoint: EndpointId,
         /// How long to wait for the response.
         attempt_timeout: Duration,
-        /// Its first byte has to leave within this time. If the connection takes longer, the attempt is not made
-        /// ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
+        /// Its first byte has to leave within this time. If the connection takes longer, the attempt is not
+        /// made ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
         send_within: Duration,
     },
     /// Final outcome: rejected without effect; the client may safely enqueue the message again.
@@ -39,8 +39,8 @@
         /// Number of the attempt among those of the message, from 0.
         attempt: u16,
     },
-    /// Send an [`Event::TimerFired`](super::Event::TimerFired) after some time. There is one timer: a new one replaces
-    /// the one before.
+    /// Send an [`Event::TimerFired`](super::Event::TimerFired) after some time. There is one timer: a new one
+    /// replaces the one before.
     SetTimer {
         /// How long from now.
         after: Duration,
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -12,7 +12,8 @@
     Delivered,
     /// Answered with an error; may have run.
     ErrorResponse,
-    /// Rejected unprocessed: over the limit, queue full, closed or draining. With the Retry-After, if there was one.
+    /// Rejected unprocessed: over the limit, queue full, closed or draining. With the Retry-After, if there
+    /// was one.
     Rejected(Option<Duration>),
     /// No response in time; may have run, or may still run.
     Timeout,
@@ -30,8 +31,8 @@
     AttemptsExhausted,
     /// Rejected for the connection that it came on: the endpoint has too many. No rate limit was met.
     TooManyConnections,
-    /// The gateway's own machine could not make the attempt (disk, descriptors, memory or ports). It does not count as
-    /// one of the message's attempts, and says nothing of the endpoint.
+    /// The gateway's own machine could not make the attempt (disk, descriptors, memory or ports). It does not
+    /// count as one of the message's attempts, and says nothing of the endpoint.
     LocalFailure,
 }
 
--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -1,4 +1,5 @@
-//! What is known of the health of a route: a destination or, where these have limits of their own, one endpoint of it.
+//! What is known of the health of a route: a destination or, where these have limits of their own, one
+//! endpoint of it.
 
 use std::time::Duration;
 
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -7,8 +7,8 @@
 pub enum Idempotency {
     /// Nothing: it may be repeated at any time.
     Idempotent,
-    /// Nothing, within the class's [`DeduplicationScope`] and [`Class::idempotency_window`], as it goes under the same
-    /// idempotency key.
+    /// Nothing, within the class's [`DeduplicationScope`] and [`Class::idempotency_window`], as it goes under
+    /// the same idempotency key.
     IdempotentWithKey,
     /// It takes effect once more: a message that may have run is not sent again.
     NonIdempotent,
@@ -34,9 +34,11 @@
     pub idempotency: Idempotency,
     /// With [`Idempotency::IdempotentWithKey`]: which endpoints recognize a repeated key.
     pub deduplication_scope: DeduplicationScope,
-    /// With [`Idempotency::IdempotentWithKey`]: how long after the first attempt that may have run a key is recognized.
+    /// With [`Idempotency::IdempotentWithKey`]: how long after the first attempt that may have run a key is
+    /// recognized.
     pub idempotency_window: Duration,
-    /// Messages with one [`OrderingKey`](super::OrderingKey) are delivered one at a time, in the order of acceptance.
+    /// Messages with one [`OrderingKey`](super::OrderingKey) are delivered one at a time, in the order of
+    /// acceptance.
     pub ordered: bool,
     /// Value of a message that is delivered within its latency objective.
     pub priority_weight: f64,
--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -13,7 +13,8 @@
 }
 
 ids! {
-    /// A message, unique for the life of a scheduler. It is also the idempotency key that travels with a call.
+    /// A message, unique for the life of a scheduler. It is also the idempotency key that travels with a
+    /// call.
     MessageId(u32);
     /// One endpoint of a destination.
     EndpointId(u32);
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -18,7 +18,8 @@
     pub key: Option<OrderingKey>,
     /// When it is given up.
     pub deadline: Time,
-    /// Another gateway that crashed had accepted it before; where it is idempotent with a key it may have run there.
+    /// Another gateway that crashed had accepted it before; where it is idempotent with a key it may have run
+    /// there.
     pub redelivered: bool,
     /// The tenant that it belongs to.
     pub tenant: TenantId,
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,5 +1,5 @@
-//! What a scheduler is given at its start. The names that settings have in the configuration are mapped to these in
-//! `src/config`.
+//! What a scheduler is given at its start. The names that settings have in the configuration are mapped to
+//! these in `src/config`.
 
 use std::time::Duration;
 
@@ -67,8 +67,8 @@
     pub weights: WeightSource,
     /// How the value of a message falls after its latency objective. Default: [`Decay::Linear`].
     pub decay: Decay,
-    /// Cost of a message that goes to an endpoint with limits of its own in a zone, by [`ZoneId`](super::ZoneId); zero
-    /// where absent.
+    /// Cost of a message that goes to an endpoint with limits of its own in a zone, by
+    /// [`ZoneId`](super::ZoneId); zero where absent.
     pub zone_costs: Vec<f64>,
     /// Calls that may be in flight at once. Default: 16.
     pub max_in_flight_calls: usize,
@@ -81,7 +81,8 @@
     /// A message may have two attempts in flight at once; no scheduler makes use of it yet. Default: false.
     pub allow_hedging: bool,
     /// A final outcome frees the message's ordering key only once
-    /// [`Event::OutcomeAcknowledged`](super::Event::OutcomeAcknowledged) says that it has arrived. Default: false.
+    /// [`Event::OutcomeAcknowledged`](super::Event::OutcomeAcknowledged) says that it has arrived. Default:
+    /// false.
     pub outcomes_need_acknowledgement: bool,
     /// Value of a message beyond its tenant's quota, relative to one within it. Default: 1.
     pub over_quota_value_ratio: f64,
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -1,13 +1,13 @@
 //! The messages that wait for one destination, in the order of acceptance, with an index for long queues.
 //!
-//! Messages of one class that were never tried, and are all within or all beyond their tenant's quota, differ in nothing
-//! but their age. Their value goes through a few stages as they grow older, and within a stage it only rises, only falls
-//! or stays: the best message of a stage is its oldest, its youngest or, where the value stays, the first in the queue.
-//! The index keeps these apart, so that a choice compares a few messages and not the whole queue. Messages that may have
-//! run, or that are ordered, are compared one by one.
+//! Messages of one class that were never tried, and are all within or all beyond their tenant's quota, differ
+//! in nothing but their age. Their value goes through a few stages as they grow older, and within a stage it
+//! only rises, only falls or stays: the best message of a stage is its oldest, its youngest or, where the
+//! value stays, the first in the queue. The index keeps these apart, so that a choice compares a few messages
+//! and not the whole queue. Messages that may have run, or that are ordered, are compared one by one.
 //!
-//! The index is derived: it is rebuilt from the messages when needed and is not part of a hand-over. It decides nothing:
-//! comparing all messages of the queue leads to the same choice.
+//! The index is derived: it is rebuilt from the messages when needed and is not part of a hand-over. It
+//! decides nothing: comparing all messages of the queue leads to the same choice.
 
 use super::VALUE_STAGES;
 use crate::model::*;
@@ -24,7 +24,8 @@
 /// Position of a message in its queue; grows from message to message.
 pub type Seq = u64;
 
-/// Messages that differ in nothing but their age: their class, and whether they are beyond their tenant's quota.
+/// Messages that differ in nothing but their age: their class, and whether they are beyond their tenant's
+/// quota.
 pub type Lane = (ClassId, bool);
 
 /// State of a message in its queue.
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Takes out the index of a long queue; the caller gives it back. It is built where there is none yet, with
-    /// `standing` for the state of each message.
+    /// Takes out the index of a long queue; the caller gives it back. It is built where there is none yet,
+    /// with `standing` for the state of each message.
     pub fn take_index(&mut self, standing: impl Fn(MessageId) -> Standing) -> Option<Box<Index>> {
         if self.len() <= if self.index.is_some() { NO_INDEX_UP_TO_LENGTH } else { INDEX_ABOVE_LENGTH } {
             self.index = None;
@@ -193,8 +194,8 @@
         }
     }
 
-    /// The messages of which one is the best now, in the order of the queue, and the first that may be sent later. Of
-    /// lanes for which `go_through` holds, all messages.
+    /// The messages of which one is the best now, in the order of the queue, and the first that may be sent
+    /// later. Of lanes for which `go_through` holds, all messages.
     pub fn candidates(&self, go_through: impl Fn(Lane) -> bool) -> Vec<MessageId> {
         let mut found: BTreeSet<Seq> = self.apart.clone();
         found.extend(self.later.first().map(|(_, seq)| *seq));
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -1,8 +1,8 @@
-//! Indexes over the scheduler's state that say what the next step has to visit, so that the cost of a step grows with
-//! what has changed and not with what exists.
+//! Indexes over the scheduler's state that say what the next step has to visit, so that the cost of a step
+//! grows with what has changed and not with what exists.
 //!
-//! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They decide
-//! nothing: visiting more than they ask for leads to the same decisions.
+//! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They
+//! decide nothing: visiting more than they ask for leads to the same decisions.
 
 use super::RouteId;
 use crate::model::*;
@@ -49,7 +49,8 @@
     }
 }
 
-/// When a waiting destination has to be visited again without an event of its own, as found by its last visit.
+/// When a waiting destination has to be visited again without an event of its own, as found by its last
+/// visit.
 #[derive(Default)]
 pub struct Look {
     /// When something may be sent: the scheduler asks for a timer.
@@ -103,8 +104,8 @@
     changes: DueQueue<DestinationId>,
     more_slots: BTreeSet<(usize, DestinationId)>,
     fewer_slots: BTreeSet<(usize, DestinationId)>,
-    /// Destinations that are not visited before one of the four above asks for it or something happens to them, with
-    /// their entries in the two sets of slots.
+    /// Destinations that are not visited before one of the four above asks for it or something happens to
+    /// them, with their entries in the two sets of slots.
     parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
     /// When the oldest call of a route that is not stalled yet becomes so.
     pub stalls: DueQueue<RouteId>,
