--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -26,7 +26,7 @@
 
 pub use error::HandoverError;
 pub use fingerprint::state_fingerprint;
-pub use predecessor::{HandoverListener, HandoverResult};
+pub use predecessor::{HandoverListener, HandoverResult, SuccessorConnection};
 pub use successor::{become_owner, HandedOver, HandedOverState};
 pub use timing::CALL_DRAIN_TIMEOUT;
 
--- /dev/null
+++ b/src/bin/delivery-gateway/listener.rs
@@ -0,0 +1,57 @@
+//! The addresses at which the gateway listens: for clients, and for operators.
+
+use delivery_gateway::socket::persistently;
+use std::cell::Cell;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+use tracing::{error, info, warn};
+
+use crate::admin::{self, AdminEndpoint};
+use crate::start_error::StartError;
+
+/// Between tries to listen at the operators' address.
+const ADMIN_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Listens at an address, and gives the one that was bound. A process that has just ended may hold it for a moment
+/// longer than the lock: what fails for a moment is tried again.
+///
+/// # Errors
+/// The address cannot be bound.
+pub async fn bind(address: &str) -> Result<(TcpListener, SocketAddr), StartError> {
+    let failed = |source| StartError::Listen { address: address.to_owned(), source };
+    let is_in_use = Cell::new(false);
+    let listen = || async {
+        TcpListener::bind(address).await.map_err(|error| {
+            if error.kind() == ErrorKind::AddrInUse && !is_in_use.replace(true) {
+                warn!(address, "the address is still in use");
+            }
+            failed(error)
+        })
+    };
+    let listener = persistently("binding an address", listen).await?;
+    let bound = local_address(&listener).await.map_err(failed)?;
+    Ok((listener, bound))
+}
+
+/// The address that a listener is bound to.
+pub async fn local_address(listener: &TcpListener) -> io::Result<SocketAddr> {
+    persistently("asking for the own address", || async { listener.local_addr() }).await
+}
+
+/// Serves operators as soon as the address can be bound: a gateway without an admin endpoint delivers all the same.
+pub async fn serve_admin(address: String, endpoint: Rc<AdminEndpoint>) {
+    loop {
+        match bind(&address).await {
+            Ok((listener, address)) => {
+                info!(%address, "operators may call");
+                admin::serve(listener, endpoint.clone()).await;
+            }
+            Err(error) => error!(%error, "operators cannot call"),
+        }
+        sleep(ADMIN_RETRY_INTERVAL).await;
+    }
+}
