--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -5,6 +5,7 @@
 use tracing::debug;
 
 use super::EventLoop;
+use crate::completed_messages::CompletedId;
 use crate::events::{EnqueueReply, EnqueueRequest};
 use crate::journal::{AcceptedRecord, JournalError};
 
@@ -68,12 +69,9 @@
             self.pending.mark_shared(&request.id);
             return Some(EnqueueReply::AlreadyAccepted);
         }
-        self.completed.matches(request).map(|is_same| {
-            if is_same {
-                EnqueueReply::AlreadyAccepted
-            } else {
-                EnqueueReply::Error("the id was that of another message")
-            }
+        self.completed.find(request).map(|completed| match completed {
+            CompletedId::SameMessage => EnqueueReply::AlreadyAccepted,
+            CompletedId::OtherMessage => EnqueueReply::Error("the id was that of another message"),
         })
     }
 
