--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -122,20 +122,21 @@
         // What the journal or the directory does not hold is not sent anyway.
         let Some(pending) = self.journal.state.pending.get(&message.0) else { return Ok(()) };
         let class = self.catalog.class_id(&pending.message.class);
-        let Some((class, to)) = class.zip(self.receiver(endpoint)) else { return Ok(()) };
+        let Some((class, receiver)) = class.zip(self.receiver(endpoint)) else { return Ok(()) };
         let class = self.catalog.class(class);
         let deadline = self.clock.scheduler_time(pending.message.deadline_ms);
         // A redelivered message may have run at another gateway at any time since it was first enqueued there.
         let is_repeat = pending.message.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
-        let elsewhere = is_repeat.then(|| SentAttempt { sent_at: deadline - class.deadline, zone: to.zone });
+        let elsewhere =
+            is_repeat.then(|| SentAttempt { sent_at: deadline - class.deadline, zone: receiver.zone });
         let attempt = Attempt {
             class,
-            already_out: self.in_flight.contains(message),
-            ended: pending.final_outcome.is_some(),
+            is_in_flight: self.in_flight.contains(message),
+            has_final_outcome: pending.final_outcome.is_some(),
             deadline,
             attempts: pending.attempts,
-            may_have_run: elsewhere.or(self.first_uncertain_attempt(pending)),
-            to,
+            first_uncertain: elsewhere.or(self.first_uncertain_attempt(pending)),
+            receiver,
         };
         self.guard.check(now, &attempt)
     }
@@ -152,7 +153,7 @@
             destination: self.directory.destination(endpoint)?,
             zone: self.directory.zone(endpoint),
             is_open: self.directory.is_open(endpoint),
-            is_apart: self.directory.has_own_limits(endpoint),
+            has_own_limits: self.directory.has_own_limits(endpoint),
         })
     }
 
@@ -163,7 +164,7 @@
             error!(?id, endpoint = endpoint.0, %breach, more, "a rule would have been broken: not sent");
         }
         // The attempt that is in flight already will report its own result.
-        if breach != Breach::AlreadyOut {
+        if breach != Breach::AlreadyInFlight {
             self.report_not_made(message, endpoint, NOT_SENT);
         }
     }
@@ -238,7 +239,7 @@
     fn note_retry_after(&mut self, endpoint: EndpointId, delay: Duration) {
         let destination = self.directory.destination(endpoint);
         if let Some(receiver) = self.receiver(endpoint) {
-            self.guard.told_to_wait(self.clock.now(), &receiver, delay);
+            self.guard.note_retry_after(self.clock.now(), &receiver, delay);
         }
         if let Some(more) = self.retry_after_lines.due() {
             info!(?destination, wait = ?delay, more, "told to wait");
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -1,8 +1,8 @@
 //! The one place that says whether a message may be sent to an endpoint now, by the rules of the protocol alone.
 //!
-//! The decision module keeps to them by itself. This looks again, from the journal's facts and the directory rather
-//! than from the module's memory, right before an attempt is written down; what it forbids is not sent, counted, and
-//! told in the log. It knows no pace, worth or health.
+//! The scheduler keeps to the rules by itself. The guard checks again, from the journal's facts and the directory
+//! rather than from the scheduler's state, right before an attempt is recorded; what it forbids is not sent, counted,
+//! and logged. It knows no rate limit, priority or health.
 
 use delivery_gateway::{
     Class, DeduplicationScope, DestinationId, EndpointId, Idempotency, SentAttempt, Settings, Time, ZoneId,
@@ -14,40 +14,40 @@
 /// The rule that an attempt would break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Breach {
-    #[error("an attempt of it is out already")]
-    AlreadyOut,
-    #[error("it has its final outcome")]
-    AttemptResult,
-    #[error("its time is over")]
+    #[error("another attempt of the message is in flight")]
+    AlreadyInFlight,
+    #[error("the message has its final outcome")]
+    OutcomeRecorded,
+    #[error("the message's deadline has passed")]
     DeadlinePassed,
-    #[error("it has had all its attempts")]
+    #[error("the message has had all its attempts")]
     AttemptsExhausted,
-    #[error("it may have run, and may not be repeated")]
-    MayHaveRun,
-    #[error("the window for its repeats is over")]
-    WindowOver,
-    #[error("it may be repeated in another zone alone")]
+    #[error("an attempt may have been processed, and the message is not idempotent")]
+    MayHaveBeenProcessed,
+    #[error("an attempt may have been processed, and the idempotency window is over")]
+    IdempotencyWindowOver,
+    #[error("an attempt may have been processed in another zone, which alone would recognize a retry")]
     OtherZone,
-    #[error("the endpoint drains, is gone or is left out")]
-    EndpointClosed,
-    #[error("the destination has told to wait")]
-    ToldToWait,
+    #[error("the endpoint is draining, removed or disabled")]
+    EndpointUnavailable,
+    #[error("a Retry-After of the endpoint or its destination has not passed")]
+    RetryAfterPending,
 }
 
 /// What is known of a message that is about to be sent.
 pub struct Attempt<'a> {
     pub class: &'a Class,
-    pub already_out: bool,
-    pub ended: bool,
+    pub is_in_flight: bool,
+    pub has_final_outcome: bool,
     pub deadline: Time,
-    /// Attempts made so far.
+    /// Attempts started so far.
     pub attempts: u32,
-    /// When and where it was first sent, of the attempts that may have run.
-    pub may_have_run: Option<SentAttempt>,
-    pub to: Receiver,
+    /// The first of the attempts that may have been processed.
+    pub first_uncertain: Option<SentAttempt>,
+    pub receiver: Receiver,
 }
 
-/// Where it is to go.
+/// Where a message is to go.
 #[derive(Clone, Copy, Debug)]
 pub struct Receiver {
     pub endpoint: EndpointId,
@@ -55,37 +55,40 @@
     pub zone: ZoneId,
     /// It may be given new work.
     pub is_open: bool,
-    /// Its waits are its own, and not those of its whole destination.
-    pub is_apart: bool,
+    /// Its `Retry-After` binds itself alone, and not its whole destination.
+    pub has_own_limits: bool,
 }
 
+/// What a `Retry-After` binds: a destination, or one endpoint of it.
+type RetryAfterScope = (DestinationId, Option<EndpointId>);
+
 impl Receiver {
-    /// Whom a told wait binds.
-    fn bound(&self) -> (DestinationId, Option<EndpointId>) {
-        (self.destination, self.is_apart.then_some(self.endpoint))
+    fn retry_after_scope(&self) -> RetryAfterScope {
+        (self.destination, self.has_own_limits.then_some(self.endpoint))
     }
 }
 
-/// The rules, and the waits that are in force.
+/// The rules, and the `Retry-After` delays in force.
 pub struct SendGuard {
     max_attempts: u32,
-    retry_after_delays: HashMap<(DestinationId, Option<EndpointId>), Time>,
+    /// When each delay is over.
+    retry_after: HashMap<RetryAfterScope, Time>,
     breaches: u32,
 }
 
 impl SendGuard {
     pub fn new(settings: &Settings) -> Self {
-        SendGuard { max_attempts: settings.max_attempts, retry_after_delays: HashMap::new(), breaches: 0 }
+        SendGuard { max_attempts: settings.max_attempts, retry_after: HashMap::new(), breaches: 0 }
     }
 
-    /// An endpoint has told to wait.
-    pub fn told_to_wait(&mut self, now: Time, to: &Receiver, wait: Duration) {
-        self.retry_after_delays.retain(|_, until| *until > now);
-        let until = self.retry_after_delays.entry(to.bound()).or_insert(now);
-        *until = (*until).max(now + wait);
+    /// An endpoint has asked for a delay from now on. A longer one in force stays.
+    pub fn note_retry_after(&mut self, now: Time, receiver: &Receiver, delay: Duration) {
+        self.retry_after.retain(|_, until| *until > now);
+        let until = self.retry_after.entry(receiver.retry_after_scope()).or_insert(now);
+        *until = (*until).max(now + delay);
     }
 
-    /// Attempts that were forbidden since the last look.
+    /// Attempts that were forbidden since the last call.
     pub fn take_breaches(&mut self) -> u32 {
         std::mem::take(&mut self.breaches)
     }
@@ -96,18 +99,17 @@
     /// The first rule that it would break.
     pub fn check(&mut self, now: Time, attempt: &Attempt) -> Result<(), Breach> {
         let checked =
-            self.message_may_go(now, attempt).and_then(|()| self.endpoint_may_be_called(now, &attempt.to));
+            self.check_message(now, attempt).and_then(|()| self.check_receiver(now, &attempt.receiver));
         self.breaches += u32::from(checked.is_err());
         checked
     }
 
-    fn message_may_go(&self, now: Time, attempt: &Attempt) -> Result<(), Breach> {
-        let Attempt { class, may_have_run, .. } = attempt;
-        if attempt.already_out {
-            return Err(Breach::AlreadyOut);
+    fn check_message(&self, now: Time, attempt: &Attempt) -> Result<(), Breach> {
+        if attempt.is_in_flight {
+            return Err(Breach::AlreadyInFlight);
         }
-        if attempt.ended {
-            return Err(Breach::AttemptResult);
+        if attempt.has_final_outcome {
+            return Err(Breach::OutcomeRecorded);
         }
         if now >= attempt.deadline {
             return Err(Breach::DeadlinePassed);
@@ -115,29 +117,36 @@
         if attempt.attempts >= self.max_attempts {
             return Err(Breach::AttemptsExhausted);
         }
-        match (class.idempotency, may_have_run) {
-            (Idempotency::NonIdempotent, Some(_)) => Err(Breach::MayHaveRun),
-            (Idempotency::IdempotentWithKey, Some(first))
-                if now > first.sent_at + class.idempotency_window =>
-            {
-                Err(Breach::WindowOver)
-            }
-            (Idempotency::IdempotentWithKey, Some(first))
-                if class.deduplication_scope == DeduplicationScope::Zone && first.zone != attempt.to.zone =>
-            {
-                Err(Breach::OtherZone)
-            }
-            _ => Ok(()),
+        match attempt.first_uncertain {
+            Some(first) => check_retry(now, attempt.class, first, attempt.receiver.zone),
+            None => Ok(()),
         }
     }
 
-    fn endpoint_may_be_called(&self, now: Time, to: &Receiver) -> Result<(), Breach> {
-        if !to.is_open {
-            return Err(Breach::EndpointClosed);
+    fn check_receiver(&self, now: Time, receiver: &Receiver) -> Result<(), Breach> {
+        if !receiver.is_open {
+            return Err(Breach::EndpointUnavailable);
         }
-        match self.retry_after_delays.get(&to.bound()) {
-            Some(until) if now < *until => Err(Breach::ToldToWait),
+        match self.retry_after.get(&receiver.retry_after_scope()) {
+            Some(until) if now < *until => Err(Breach::RetryAfterPending),
             _ => Ok(()),
         }
     }
 }
+
+/// Whether a message may be sent to a zone though its attempt `first` may have been processed.
+fn check_retry(now: Time, class: &Class, first: SentAttempt, zone: ZoneId) -> Result<(), Breach> {
+    match class.idempotency {
+        Idempotency::Idempotent => Ok(()),
+        Idempotency::NonIdempotent => Err(Breach::MayHaveBeenProcessed),
+        Idempotency::IdempotentWithKey => {
+            if now > first.sent_at + class.idempotency_window {
+                return Err(Breach::IdempotencyWindowOver);
+            }
+            if class.deduplication_scope == DeduplicationScope::Zone && first.zone != zone {
+                return Err(Breach::OtherZone);
+            }
+            Ok(())
+        }
+    }
+}
