--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -13,77 +13,80 @@
 
 use crate::journal::FinalOutcome;
 
-/// What happens, from all the other parts.
+/// What happens in the parts around the event loop.
 pub enum GatewayEvent {
+    /// A client's request, and where its reply goes.
     Enqueue(EnqueueRequest, oneshot::Sender<EnqueueReply>),
-    /// A client was gone before it could be told that its message was taken on, by its own hand-in.
+    /// A client left before the reply that its request was accepted reached it.
     AcceptanceNotReceived(MessageId),
-    /// News of the list of endpoints, or of the watch on it.
+    /// The endpoint list, or the watch on it, has changed.
     Discovery(WatchEvent),
-    /// What became of the messages of one call.
-    CallEnded {
-        endpoint: EndpointId,
-        messages: Vec<MessageId>,
-        result: CallResult,
-    },
-    /// The platform has these notices.
+    /// A call has ended, for all of its messages.
+    CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
+    /// The platform has the notifications of these messages.
     OutcomesAcknowledged(Vec<MessageId>),
-    /// A call of the operators, and where its answer goes.
+    /// An operator's request, and where its result goes.
     Admin(AdminOperation, oneshot::Sender<AdminResult>),
+    /// The process is to end (SIGTERM).
     Terminate,
 }
 
-/// How the courier stands to its clients.
+/// What the gateway does with its clients' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServicePhase {
     Serving,
-    /// Operators are emptying it: `PING` is answered no, connections end between two requests.
+    /// Operators are draining it: `PING` is refused, and connections are closed between two requests.
     LameDuck,
-    /// The process is about to end: connections end between two requests.
+    /// The process is about to end: connections are closed between two requests.
     ShuttingDown,
-    /// Another process takes its place: connections move there between two bytes.
+    /// Another process takes over: connections move there between two bytes.
     HandingOver,
 }
 
-/// Where the other parts are reached.
+/// What the event loop sends to.
 #[derive(Clone)]
 pub struct Channels {
-    /// What happens to this part, also by its own doing.
+    /// To the event loop itself, for the tasks that it spawns.
     pub events: UnboundedSender<GatewayEvent>,
     pub notifications: UnboundedSender<OutcomeNotification>,
-    /// The list is to be watched again.
+    /// Asks for the endpoint list to be watched again.
     pub watch: watch::Sender<()>,
     pub phase: watch::Sender<ServicePhase>,
 }
 
-/// A message that a client hands in.
+/// A message that a client asks the gateway to deliver.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EnqueueRequest {
     pub id: String,
+    /// Messages of one key are delivered in order; zero where the class has no order.
     pub ordering_key: u64,
+    /// By name.
     pub class: String,
-    /// Empty where none is told.
+    /// By name; empty where the client names none.
     pub tenant: String,
     pub destination: u32,
     /// How long it may still be delivered.
     pub time_left: Duration,
     pub idempotency_key: Option<String>,
+    /// The client may have given the message to another gateway before.
     pub redelivered: bool,
     pub body: Bytes,
 }
 
-/// What the client is told.
+/// The reply to an [`EnqueueRequest`].
 #[derive(Debug)]
 pub enum EnqueueReply {
-    /// Taken on by this hand-in, which alone may withdraw it.
+    /// The message is accepted for this request, which alone may withdraw it.
     Accepted(MessageId),
-    /// The same message is held already.
+    /// The same message was accepted for an earlier request.
     AlreadyAccepted,
+    /// Not accepted; the client does well to wait this long, if it is said.
     Rejected(Option<Duration>),
+    /// Not accepted, and it is no use to ask again.
     Error(&'static str),
 }
 
-/// The end of a message that was not delivered, on its way to the platform.
+/// The final outcome of a message that was not delivered, for the platform.
 #[derive(Debug)]
 pub struct OutcomeNotification {
     pub message: MessageId,
@@ -94,9 +97,9 @@
 /// Why a call is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReason {
-    /// The module has called it off.
+    /// The scheduler wants no more of it.
     Cancelled,
-    /// It must not be sent any more, and had not been.
+    /// It must not be sent any more, and has not been.
     Withdrawn,
 }
 
@@ -104,34 +107,39 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
+    /// Time since the attempt was sent.
     pub latency: Duration,
-    /// The message is over.
+    /// The message is completed, and needs no notification.
     pub complete: bool,
     pub load_report: Option<LoadReport>,
 }
 
-/// How a call ended: for each of its messages, in their order, and the wait that a whole answer told beside them.
+/// How a call ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallResult {
+    /// For each of its messages, in their order.
     pub attempts: Vec<AttemptResult>,
+    /// The `Retry-After` of a response that answered the messages all the same.
     pub retry_after: Option<Duration>,
 }
 
-/// What operators ask of the driver.
+/// What operators ask for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminOperation {
-    /// Leave an endpoint out, by its uid.
+    /// Give an endpoint, named by its uid, nothing new.
     DisableEndpoint(String),
+    /// Use it again.
     EnableEndpoint(String),
+    /// Drain the gateway, or put it back into service.
     LameDuck(bool),
 }
 
-/// What became of it.
+/// What became of an [`AdminOperation`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
     Done,
-    /// Nobody has that id.
+    /// No endpoint has that uid.
     UnknownEndpoint,
-    /// It could not be written down, so that it would not hold.
+    /// It could not be recorded, and is not in force.
     NotRecorded,
 }
--- a/src/bin/delivery-gateway/rate_limited_log.rs
+++ b/src/bin/delivery-gateway/rate_limited_log.rs
@@ -1,24 +1,25 @@
-//! Bounds the rate of a log line.
+//! Bounds the rate of a log line that the outside can cause at any rate.
 
 use std::time::{Duration, Instant};
 
-const GAP: Duration = Duration::from_secs(5);
+/// The shortest time between two lines.
+const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one of many like events through, and tells how many were held back since the last one.
+/// Lets one of many similar events be logged at a time, with the number of those that were suppressed.
 #[derive(Default)]
 pub struct RateLimitedLog {
-    last: Option<Instant>,
-    held_back: u32,
+    last_line: Option<Instant>,
+    suppressed: u32,
 }
 
 impl RateLimitedLog {
-    /// The number held back, if a line is due.
+    /// The number of events suppressed since the last line, if a line is due; else this event is suppressed.
     pub fn due(&mut self) -> Option<u32> {
-        if self.last.is_some_and(|last| last.elapsed() < GAP) {
-            self.held_back += 1;
+        if self.last_line.is_some_and(|last| last.elapsed() < MIN_INTERVAL) {
+            self.suppressed += 1;
             return None;
         }
-        self.last = Some(Instant::now());
-        Some(std::mem::take(&mut self.held_back))
+        self.last_line = Some(Instant::now());
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
