--- /dev/null
+++ b/src/bin/delivery-gateway/admin/response.rs
@@ -0,0 +1,63 @@
+//! The responses of the admin endpoint.
+
+/// What an operator gets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdminResponse {
+    /// The gateway is ready, or what was asked is done.
+    Done,
+    /// Not HTTP/1.1.
+    MalformedRequest,
+    /// The operation takes exactly one `id`.
+    IdRequired,
+    UnknownPath,
+    /// No endpoint in the list has the id.
+    UnknownEndpoint,
+    MethodNotAllowed,
+    /// The request did not become complete in time.
+    RequestTimeout,
+    RequestTooLong,
+    /// The operation could not be written to the journal, so that it would not last.
+    NotRecorded,
+    /// The gateway does not serve, or did not answer in time.
+    NotReady,
+}
+
+impl AdminResponse {
+    /// Status code and reason.
+    fn status(self) -> &'static str {
+        match self {
+            AdminResponse::Done => "200 OK",
+            AdminResponse::MalformedRequest | AdminResponse::IdRequired => "400 Bad Request",
+            AdminResponse::UnknownPath | AdminResponse::UnknownEndpoint => "404 Not Found",
+            AdminResponse::MethodNotAllowed => "405 Method Not Allowed",
+            AdminResponse::RequestTimeout => "408 Request Timeout",
+            AdminResponse::RequestTooLong => "431 Request Header Fields Too Large",
+            AdminResponse::NotRecorded => "500 Internal Server Error",
+            AdminResponse::NotReady => "503 Service Unavailable",
+        }
+    }
+
+    /// The body, without its line end.
+    fn text(self) -> &'static str {
+        match self {
+            AdminResponse::Done => "yes",
+            AdminResponse::MalformedRequest => "not a proper call",
+            AdminResponse::IdRequired => "one id is needed",
+            AdminResponse::UnknownPath => "no such path",
+            AdminResponse::UnknownEndpoint => "nobody has that id",
+            AdminResponse::MethodNotAllowed => "not with this method",
+            AdminResponse::RequestTimeout => "the call did not come to its end",
+            AdminResponse::RequestTooLong => "the call is too long",
+            AdminResponse::NotRecorded => "it could not be written down",
+            AdminResponse::NotReady => "not ready",
+        }
+    }
+
+    /// The response as it is sent.
+    pub fn encode(self) -> String {
+        let (status, text) = (self.status(), self.text());
+        let length = text.len() + 1;
+        let head = format!("HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n");
+        format!("{head}Connection: close\r\n\r\n{text}\n")
+    }
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/admin/routes.rs
@@ -0,0 +1,103 @@
+//! What operators may ask: whether the gateway is ready, and operations that the event loop carries out.
+
+use std::cell::RefCell;
+use std::time::Duration;
+use tokio::sync::{mpsc::UnboundedSender, oneshot, watch};
+use tokio::time::timeout;
+
+use super::http::AdminRequest;
+use super::response::AdminResponse;
+use crate::events::{AdminOperation, AdminResult, GatewayEvent, ServicePhase};
+
+/// Operators get a response within 1 s: what the event loop has not done by then has not been promised.
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// What a request asks.
+enum Route {
+    Ready,
+    Operation(AdminOperation),
+}
+
+impl TryFrom<&AdminRequest> for Route {
+    type Error = AdminResponse;
+
+    fn try_from(request: &AdminRequest) -> Result<Self, AdminResponse> {
+        let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+        let allowed_method = match path {
+            "/_ready" => "GET",
+            "/_endpoints/detach" | "/_endpoints/attach" | "/_lameduck/on" | "/_lameduck/off" => "POST",
+            _ => return Err(AdminResponse::UnknownPath),
+        };
+        if request.method != allowed_method {
+            return Err(AdminResponse::MethodNotAllowed);
+        }
+        let operation = match path {
+            "/_lameduck/on" => AdminOperation::LameDuck(true),
+            "/_lameduck/off" => AdminOperation::LameDuck(false),
+            "/_endpoints/detach" => AdminOperation::DisableEndpoint(endpoint_id(query)?),
+            "/_endpoints/attach" => AdminOperation::EnableEndpoint(endpoint_id(query)?),
+            _ => return Ok(Route::Ready),
+        };
+        Ok(Route::Operation(operation))
+    }
+}
+
+/// The one endpoint that a query names.
+fn endpoint_id(query: &str) -> Result<String, AdminResponse> {
+    let fields = form_urlencoded::parse(query.as_bytes());
+    let mut ids = fields.filter(|(name, _)| name == "id").map(|(_, id)| id.into_owned());
+    match (ids.next(), ids.next()) {
+        (Some(id), None) => Ok(id),
+        _ => Err(AdminResponse::IdRequired),
+    }
+}
+
+/// The parts of the gateway that serve operators.
+struct Backend {
+    events: UnboundedSender<GatewayEvent>,
+    phase: watch::Receiver<ServicePhase>,
+}
+
+/// Answers operators' requests. Until it is opened, the gateway is not ready.
+#[derive(Default)]
+pub struct AdminEndpoint {
+    backend: RefCell<Option<Backend>>,
+}
+
+impl AdminEndpoint {
+    /// The gateway is ready to serve; operations go to the event loop through `events` from now on.
+    pub fn open(&self, events: UnboundedSender<GatewayEvent>, phase: watch::Receiver<ServicePhase>) {
+        self.backend.replace(Some(Backend { events, phase }));
+    }
+
+    /// Answers a request, within [`OPERATION_TIMEOUT`].
+    pub(super) async fn respond(&self, request: &AdminRequest) -> AdminResponse {
+        match Route::try_from(request) {
+            Ok(Route::Ready) if self.is_ready() => AdminResponse::Done,
+            Ok(Route::Ready) => AdminResponse::NotReady,
+            Ok(Route::Operation(operation)) => self.operate(operation).await,
+            Err(response) => response,
+        }
+    }
+
+    fn is_ready(&self) -> bool {
+        let backend = self.backend.borrow();
+        backend.as_ref().is_some_and(|backend| *backend.phase.borrow() == ServicePhase::Serving)
+    }
+
+    async fn operate(&self, operation: AdminOperation) -> AdminResponse {
+        let (reply_to, reply) = oneshot::channel();
+        let events = self.backend.borrow().as_ref().map(|backend| backend.events.clone());
+        let is_sent =
+            events.is_some_and(|events| events.send(GatewayEvent::Admin(operation, reply_to)).is_ok());
+        if !is_sent {
+            return AdminResponse::NotReady;
+        }
+        match timeout(OPERATION_TIMEOUT, reply).await {
+            Ok(Ok(AdminResult::Done)) => AdminResponse::Done,
+            Ok(Ok(AdminResult::UnknownEndpoint)) => AdminResponse::UnknownEndpoint,
+            Ok(Ok(AdminResult::NotRecorded)) => AdminResponse::NotRecorded,
+            Ok(Err(_)) | Err(_) => AdminResponse::NotReady,
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -0,0 +1,120 @@
+//! Accepts operators' connections, a bounded number at a time, of which the slowest gives up its place to a new one.
+
+use delivery_gateway::socket::{send_at_once, SteadyStream};
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::io;
+use std::rc::{Rc, Weak};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Notify, Semaphore};
+use tokio::time::{sleep, timeout};
+use tracing::warn;
+
+use super::http::{drain, read_request, write_response, RequestError};
+use super::response::AdminResponse;
+use super::routes::AdminEndpoint;
+use crate::rate_limited_log::RateLimitedLog;
+
+/// Connections from which on a new one evicts the one that has been without its request for longest ...
+const MAX_BEFORE_EVICTION: usize = 8;
+/// ... and connections in all, those that are closing counted.
+const MAX_CONNECTIONS: usize = 16;
+/// How long a request may take to become complete.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after a connection that could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// The open connections.
+#[derive(Default)]
+struct Connections {
+    /// Those whose request is not complete yet, the oldest first; each is notified when it is evicted.
+    incomplete: RefCell<VecDeque<Weak<Notify>>>,
+    open: Cell<usize>,
+}
+
+impl Connections {
+    /// Counts one more connection, and evicts the slowest one where there are too many.
+    fn enter(self: Rc<Self>) -> (OpenConnection, Rc<Notify>) {
+        let eviction = Rc::new(Notify::new());
+        {
+            let mut incomplete = self.incomplete.borrow_mut();
+            incomplete.retain(|connection| connection.strong_count() > 0);
+            if self.open.get() >= MAX_BEFORE_EVICTION {
+                if let Some(slowest) = incomplete.pop_front().and_then(|slowest| slowest.upgrade()) {
+                    slowest.notify_one();
+                }
+            }
+            incomplete.push_back(Rc::downgrade(&eviction));
+        }
+        self.open.set(self.open.get() + 1);
+        (OpenConnection(self), eviction)
+    }
+}
+
+/// Counts as an open connection until dropped.
+struct OpenConnection(Rc<Connections>);
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.open.set(self.0.open.get() - 1);
+    }
+}
+
+/// Answers requests until the task is dropped. A connection that cannot be accepted is logged, and accepting goes on.
+pub async fn serve(listener: TcpListener, endpoint: Rc<AdminEndpoint>) {
+    let connections = Rc::new(Connections::default());
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut failures = RateLimitedLog::default();
+    while let Ok(permit) = permits.clone().acquire_owned().await {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                let (open, eviction) = connections.clone().enter();
+                let endpoint = endpoint.clone();
+                tokio::task::spawn_local(async move {
+                    // An operator that has closed does not get its response; what it asked for is done all the same.
+                    let _ = serve_connection(stream, &endpoint, eviction).await;
+                    drop(open);
+                    drop(permit);
+                });
+            }
+            Err(error) => {
+                if let Some(suppressed) = failures.due() {
+                    warn!(%error, suppressed, "cannot accept an admin connection; retrying");
+                }
+                sleep(ACCEPT_BACKOFF).await;
+            }
+        }
+    }
+}
+
+async fn serve_connection(
+    stream: TcpStream,
+    endpoint: &AdminEndpoint,
+    eviction: Rc<Notify>,
+) -> io::Result<()> {
+    send_at_once(&stream);
+    let mut stream = SteadyStream(stream);
+    let request = tokio::select! {
+        request = timeout(REQUEST_TIMEOUT, read_request(&mut stream)) => {
+            request.unwrap_or(Err(RequestError::TimedOut))
+        }
+        () = eviction.notified() => Err(RequestError::Evicted),
+    };
+    // From here on it takes little time, and is not evicted.
+    drop(eviction);
+    let is_evicted = matches!(request, Err(RequestError::Evicted));
+    let response = match request {
+        Ok(request) => endpoint.respond(&request).await,
+        Err(RequestError::Connection(error)) => return Err(error),
+        Err(RequestError::Malformed) => AdminResponse::MalformedRequest,
+        Err(RequestError::TooLong) => AdminResponse::RequestTooLong,
+        Err(RequestError::TimedOut | RequestError::Evicted) => AdminResponse::RequestTimeout,
+    };
+    write_response(&mut stream, response).await?;
+    if is_evicted {
+        return Ok(());
+    }
+    drain(&mut stream).await
+}
