--- /dev/null
+++ b/src/socket/mod.rs
@@ -0,0 +1,21 @@
+//! Socket calls that survive what Linux documents: transfers that a signal interrupts or cuts short, and errors of this
+//! machine that pass. It knows no protocol, and decides nothing.
+//!
+//! The runtime takes a short read or write for an empty or full socket, as `epoll(7)` allows, and waits for the next
+//! edge; `read(2)` and `write(2)` allow short transfers for other reasons, after which no edge comes. Here only
+//! `EAGAIN` says that there is something to wait for.
+
+mod errors;
+mod retry;
+mod stream;
+mod transfer;
+
+pub use errors::{is_momentary, is_of_this_machine, AsIoError};
+pub use retry::{persistently, persistently_blocking, uninterrupted};
+pub use stream::{connect, send_at_once, SteadyStream};
+pub use transfer::{not_now, poll_read, poll_write, try_transfer, write_all, Transfer};
+
+use std::time::Duration;
+
+/// Between two tries of what fails for a moment.
+const AGAIN: Duration = Duration::from_millis(20);
--- /dev/null
+++ b/src/socket/transfer.rs
@@ -0,0 +1,101 @@
+//! Reads and writes that survive interruptions, short transfers and a shortage of memory.
+
+use rustix::io::Errno;
+use std::io::{self, ErrorKind};
+use std::task::{ready, Context, Poll};
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+use super::retry::uninterrupted;
+use super::AGAIN;
+
+/// What came of a read or write that does not wait.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Transfer {
+    /// So many bytes; none at the end of what is read.
+    Bytes(usize),
+    /// There is nothing to read, or no room: the runtime tells when there is.
+    Nothing,
+    /// The system is short of memory. The connection is whole, and nobody tells when to try again.
+    NotNow,
+}
+
+/// Makes one read or write that does not wait.
+///
+/// # Errors
+/// The connection is broken.
+pub fn try_transfer(mut transfer: impl FnMut() -> io::Result<usize>) -> io::Result<Transfer> {
+    match uninterrupted(&mut transfer) {
+        Ok(count) => Ok(Transfer::Bytes(count)),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Transfer::Nothing),
+        Err(error) if is_want_of_memory(&error) => Ok(Transfer::NotNow),
+        Err(error) => Err(error),
+    }
+}
+
+fn is_want_of_memory(error: &io::Error) -> bool {
+    let raw = error.raw_os_error();
+    raw == Some(Errno::NOMEM.raw_os_error()) || raw == Some(Errno::NOBUFS.raw_os_error())
+}
+
+/// Waits until a read or write may be tried again for which there was [no memory](Transfer::NotNow).
+pub async fn not_now() {
+    sleep(AGAIN).await;
+}
+
+/// Writes all of it.
+///
+/// # Errors
+/// The connection is broken, or takes no more.
+pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        stream.writable().await?;
+        match try_transfer(|| stream.try_write(bytes))? {
+            Transfer::Bytes(0) => return Err(ErrorKind::WriteZero.into()),
+            Transfer::Bytes(count) => bytes = &bytes[count..],
+            Transfer::Nothing => {}
+            Transfer::NotNow => not_now().await,
+        }
+    }
+    Ok(())
+}
+
+/// Reads as soon as there is something, for a task.
+///
+/// # Errors
+/// The connection is broken.
+pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, bytes: &mut [u8]) -> Poll<io::Result<usize>> {
+    loop {
+        ready!(stream.poll_read_ready(cx))?;
+        match try_transfer(|| stream.try_read(bytes))? {
+            Transfer::Bytes(count) => return Poll::Ready(Ok(count)),
+            Transfer::Nothing => {}
+            Transfer::NotNow => return next_turn(cx),
+        }
+    }
+}
+
+/// Writes as soon as there is room, for a task.
+///
+/// # Errors
+/// The connection is broken.
+pub fn poll_write(
+    stream: &TcpStream,
+    cx: &mut Context<'_>,
+    mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
+) -> Poll<io::Result<usize>> {
+    loop {
+        ready!(stream.poll_write_ready(cx))?;
+        match try_transfer(|| write(stream))? {
+            Transfer::Bytes(count) => return Poll::Ready(Ok(count)),
+            Transfer::Nothing => {}
+            Transfer::NotNow => return next_turn(cx),
+        }
+    }
+}
+
+/// Has a task look again once all others have had their turn.
+fn next_turn<T>(cx: &mut Context<'_>) -> Poll<T> {
+    cx.waker().wake_by_ref();
+    Poll::Pending
+}
