--- a/src/bin/delivery-gateway/admin/http.rs
+++ b/src/bin/delivery-gateway/admin/http.rs
@@ -1,6 +1,6 @@
 //! Reads the head of an admin request, and writes its response.
 
-use delivery_gateway::socket::SteadyStream;
+use delivery_gateway::socket::RetryingStream;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// Any but [`RequestError::TimedOut`] and [`RequestError::Evicted`], which the caller sees to.
-pub async fn read_request(stream: &mut SteadyStream) -> Result<AdminRequest, RequestError> {
+pub async fn read_request(stream: &mut RetryingStream) -> Result<AdminRequest, RequestError> {
     let mut head = Vec::with_capacity(512);
     loop {
         if stream.read_buf(&mut head).await? == 0 {
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// The connection is broken, or the operator did not read in time.
-pub async fn write_response(stream: &mut SteadyStream, response: AdminResponse) -> io::Result<()> {
+pub async fn write_response(stream: &mut RetryingStream, response: AdminResponse) -> io::Result<()> {
     timeout(WRITE_TIMEOUT, stream.write_all(response.encode().as_bytes())).await??;
     stream.shutdown().await
 }
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// The connection is broken.
-pub async fn drain(stream: &mut SteadyStream) -> io::Result<()> {
+pub async fn drain(stream: &mut RetryingStream) -> io::Result<()> {
     let read_to_end = async {
         let mut discarded = [0; 1024];
         while stream.read(&mut discarded).await? > 0 {}
--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -1,6 +1,6 @@
 //! Accepts operators' connections, a bounded number at a time, of which the slowest gives up its place to a new one.
 
-use delivery_gateway::socket::{send_at_once, SteadyStream};
+use delivery_gateway::socket::{disable_nagle, RetryingStream};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -94,8 +94,8 @@
     endpoint: &AdminEndpoint,
     eviction: Rc<Notify>,
 ) -> io::Result<()> {
-    send_at_once(&stream);
-    let mut stream = SteadyStream(stream);
+    disable_nagle(&stream);
+    let mut stream = RetryingStream(stream);
     let request = tokio::select! {
         request = timeout(REQUEST_TIMEOUT, read_request(&mut stream)) => {
             request.unwrap_or(Err(RequestError::TimedOut))
--- a/src/bin/delivery-gateway/handover/codec.rs
+++ b/src/bin/delivery-gateway/handover/codec.rs
@@ -3,7 +3,7 @@
 //! A frame is the length of its message (four little-endian bytes), the number of its descriptors (one byte) and the
 //! message in postcard. The descriptors travel with the first byte of their frame.
 
-use delivery_gateway::socket::is_momentary;
+use delivery_gateway::socket::is_transient;
 use rustix::io::retry_on_intr;
 use rustix::net::{
     recvmsg, sendmsg, shutdown, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags,
@@ -71,7 +71,7 @@
             }
             match self.read().await {
                 Ok(1..) => {}
-                Err(error) if is_momentary(&error) => sleep(RETRY_DELAY).await,
+                Err(error) if is_transient(&error) => sleep(RETRY_DELAY).await,
                 Ok(0) | Err(_) => return None,
             }
         }
@@ -203,7 +203,7 @@
                 unwritten = &unwritten[count..];
             }
             // Short of memory: nothing was sent.
-            Err(error) if is_momentary(&error) => sleep(RETRY_DELAY).await,
+            Err(error) if is_transient(&error) => sleep(RETRY_DELAY).await,
             Err(error) => return Err(error),
         }
     }
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -2,7 +2,7 @@
 //! has ended.
 
 use bytes::Bytes;
-use delivery_gateway::socket::is_momentary;
+use delivery_gateway::socket::is_transient;
 use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
 use std::collections::HashMap;
 use std::fs::{File, TryLockError};
@@ -59,7 +59,7 @@
         match lock.try_lock() {
             Ok(()) => return Ok(None),
             Err(TryLockError::WouldBlock) => {}
-            Err(TryLockError::Error(error)) if is_momentary(&error) => {
+            Err(TryLockError::Error(error)) if is_transient(&error) => {
                 sleep(RETRY_DELAY).await;
                 continue;
             }
--- a/src/bin/delivery-gateway/http_client/pool.rs
+++ b/src/bin/delivery-gateway/http_client/pool.rs
@@ -163,7 +163,7 @@
             timeout_at(connect_by, self.descriptor()).await.map_err(|_| AttemptOutcome::LocalFailure)?;
         match timeout_at(connect_by, Connection::open(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(error)) if socket::is_of_this_machine(&error) => Err(AttemptOutcome::LocalFailure),
+            Ok(Err(error)) if socket::is_local_failure(&error) => Err(AttemptOutcome::LocalFailure),
             // Refused, or it never came up: nothing was sent.
             Ok(Err(_)) | Err(_) => Err(AttemptOutcome::ConnectFailed),
         }
--- a/src/bin/delivery-gateway/http_client/wire.rs
+++ b/src/bin/delivery-gateway/http_client/wire.rs
@@ -75,7 +75,7 @@
     /// Whether the connection is open and nothing has come that is unread.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        let peeked = socket::uninterrupted(|| SockRef::from(&self.stream).peek(&mut byte));
+        let peeked = socket::retry_interrupted(|| SockRef::from(&self.stream).peek(&mut byte));
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -95,8 +95,8 @@
             self.stream.readable().await?;
             match socket::try_transfer(|| self.stream.try_read(&mut discarded))? {
                 Transfer::Bytes(0) => return Ok(()),
-                Transfer::Bytes(_) | Transfer::Nothing => {}
-                Transfer::NotNow => socket::not_now().await,
+                Transfer::Bytes(_) | Transfer::WouldBlock => {}
+                Transfer::OutOfMemory => socket::memory_backoff().await,
             }
         }
     }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -16,7 +16,7 @@
 mod signals;
 
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointWatch};
-use delivery_gateway::socket::{persistently, persistently_blocking, AsIoError};
+use delivery_gateway::socket::{retry_transient, retry_transient_blocking, AsIoError};
 use delivery_gateway::{settings_from_json, ParsedSettings, SettingError, Settings};
 use serde::Deserialize;
 use std::cell::Cell;
@@ -131,8 +131,10 @@
 }
 
 async fn read_config(path: &Path) -> Result<Config, StartError> {
-    persistently("reading the configuration", || async { Ok(serde_json::from_slice(&std::fs::read(path)?)?) })
-        .await
+    retry_transient("reading the configuration", || async {
+        Ok(serde_json::from_slice(&std::fs::read(path)?)?)
+    })
+    .await
 }
 
 /// Reads the configuration again on each SIGHUP. Only where discovery is may change in service; a file that
@@ -166,13 +168,13 @@
             failed(error)
         })
     };
-    let listener = persistently("binding an address", listen).await?;
+    let listener = retry_transient("binding an address", listen).await?;
     let bound = local_address(&listener).await.map_err(failed)?;
     Ok((listener, bound))
 }
 
 async fn local_address(listener: &TcpListener) -> std::io::Result<SocketAddr> {
-    persistently("asking for the own address", || async { listener.local_addr() }).await
+    retry_transient("asking for the own address", || async { listener.local_addr() }).await
 }
 
 /// Opens the operators' door as soon as its address can be had: a courier without one serves all the same.
@@ -202,7 +204,7 @@
 impl Plan {
     async fn driver(&self) -> Result<EventLoop, StartError> {
         let open = || async { Ok::<_, StartError>(Journal::open(&self.state, self.disk)?) };
-        let journal = persistently("opening the journal", open).await?;
+        let journal = retry_transient("opening the journal", open).await?;
         Ok(EventLoop::new(self.parsed.clone(), self.seed, journal, self.endpoint_sockets, self.ends.clone()))
     }
 }
@@ -242,7 +244,7 @@
         .unwrap_or_else(|_| u64::from(crc32fast::hash(config.seed.as_bytes())));
 
     // No record is touched before the folder is this process's own.
-    let lock = persistently("opening the lock", || async { handover::open_lock_file(&state) }).await;
+    let lock = retry_transient("opening the lock", || async { handover::open_lock_file(&state) }).await;
     let mut lock = lock.map_err(StartError::System)?;
     let socket = handover::socket_path(&state);
     let fingerprint = handover::state_fingerprint(&parsed);
@@ -397,9 +399,9 @@
 fn main() -> ExitCode {
     log::begin();
     // Before all else: without a handler a signal would end the process.
-    let result = persistently_blocking("handling signals", Handlers::install).and_then(|handlers| {
+    let result = retry_transient_blocking("handling signals", Handlers::install).and_then(|handlers| {
         let build = || Builder::new_current_thread().enable_all().build();
-        Ok((handlers, persistently_blocking("making the event loop", build)?))
+        Ok((handlers, retry_transient_blocking("making the event loop", build)?))
     });
     let result = result
         .map_err(StartError::System)
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -2,7 +2,7 @@
 //! slot is needed, or the process shuts down. While the process is replaced, the connection is transferred instead.
 
 use bytes::{Bytes, BytesMut};
-use delivery_gateway::socket::{not_now, send_at_once, try_transfer, write_all, Transfer};
+use delivery_gateway::socket::{disable_nagle, memory_backoff, try_transfer, write_all, Transfer};
 use socket2::SockRef;
 use std::io::{self, Read};
 use std::time::Duration;
@@ -118,7 +118,7 @@
     /// # Errors
     /// The connection is broken, or the client did not read a reply in time.
     pub async fn run(mut self, mut deadline: Instant) -> io::Result<()> {
-        send_at_once(&self.stream);
+        disable_nagle(&self.stream);
         let slots = self.slot.slots().clone();
         let mut long_request: Option<SemaphorePermit> = None;
         if !self.input.is_empty() {
@@ -289,9 +289,9 @@
         match try_transfer(|| stream.try_read_buf(input))? {
             Transfer::Bytes(0) => Ok(Some(ReadOutcome::Closed)),
             Transfer::Bytes(_) => Ok(Some(ReadOutcome::Data)),
-            Transfer::Nothing => Ok(None),
-            Transfer::NotNow => {
-                not_now().await;
+            Transfer::WouldBlock => Ok(None),
+            Transfer::OutOfMemory => {
+                memory_backoff().await;
                 Ok(None)
             }
         }
@@ -303,12 +303,12 @@
         loop {
             let mut bytes = [0; READ_BYTES];
             match try_transfer(|| (&*SockRef::from(&self.stream)).read(&mut bytes))? {
-                Transfer::Nothing | Transfer::Bytes(0) => return Ok(ReadOutcome::Closed),
+                Transfer::WouldBlock | Transfer::Bytes(0) => return Ok(ReadOutcome::Closed),
                 Transfer::Bytes(count) => {
                     self.input.extend_from_slice(&bytes[..count]);
                     return Ok(ReadOutcome::Data);
                 }
-                Transfer::NotNow => not_now().await,
+                Transfer::OutOfMemory => memory_backoff().await,
             }
         }
     }
--- a/src/bin/delivery-gateway/resp2/drain.rs
+++ b/src/bin/delivery-gateway/resp2/drain.rs
@@ -1,7 +1,7 @@
 //! Reads and discards what a refused client still sends: closing with bytes unread would reset the connection, and so
 //! destroy the error reply on its way.
 
-use delivery_gateway::socket::{not_now, try_transfer, Transfer};
+use delivery_gateway::socket::{memory_backoff, try_transfer, Transfer};
 use std::cell::RefCell;
 use std::io;
 use std::time::Duration;
@@ -29,8 +29,8 @@
         match discard(stream)? {
             Transfer::Bytes(0) => break,
             Transfer::Bytes(count) => bytes_left = bytes_left.saturating_sub(count),
-            Transfer::Nothing => {}
-            Transfer::NotNow => not_now().await,
+            Transfer::WouldBlock => {}
+            Transfer::OutOfMemory => memory_backoff().await,
         }
         yield_now().await;
     }
--- a/src/bin/delivery-gateway/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-use delivery_gateway::socket::{not_now, persistently, try_transfer, Transfer};
+use delivery_gateway::socket::{memory_backoff, retry_transient, try_transfer, Transfer};
 
 /// The signals' flags are looked at this often even if nothing wakes the loop.
 const LOST_WAKE: Duration = Duration::from_secs(1);
@@ -50,7 +50,7 @@
     /// Passes the signals on, by a task of this event loop.
     pub async fn listen(self) -> io::Result<Signals> {
         let Handlers { hang_up, terminate, wakes } = self;
-        let wakes = persistently("waiting for signals", || async {
+        let wakes = retry_transient("waiting for signals", || async {
             let wakes = wakes.try_clone()?;
             UnixStream::from_std(wakes)
         })
@@ -75,9 +75,9 @@
     loop {
         match try_transfer(|| wakes.try_read(&mut bytes)) {
             Ok(Transfer::Bytes(1..)) => {}
-            Ok(Transfer::Nothing) => return,
+            Ok(Transfer::WouldBlock) => return,
             // What stays unread would wake the loop at once.
-            Ok(Transfer::Bytes(0) | Transfer::NotNow) | Err(_) => return not_now().await,
+            Ok(Transfer::Bytes(0) | Transfer::OutOfMemory) | Err(_) => return memory_backoff().await,
         }
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::error::DiscoveryError;
-use crate::socket::{self, SteadyStream};
+use crate::socket::{self, RetryingStream};
 
 /// Time within which the agent, which is on this machine, connects and answers a short request.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
 /// for what keeps the connection from coming up before.
 pub async fn connect(agent: &str) -> Result<Connection, DiscoveryError> {
     let stream = timeout(AGENT_RESPONSE_TIMEOUT, connect_by_name(agent)).await??;
-    let (sender, connection) = http1::handshake(TokioIo::new(SteadyStream(stream))).await?;
+    let (sender, connection) = http1::handshake(TokioIo::new(RetryingStream(stream))).await?;
     tokio::spawn(connection);
     Ok(sender)
 }
--- a/src/socket/errors.rs
+++ b/src/socket/errors.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 /// Errors that pass without anybody's doing: short resources, interruptions, and a disk that fails for a while.
-const MOMENTARY: [Errno; 16] = [
+const TRANSIENT: [Errno; 16] = [
     Errno::AGAIN,
     Errno::INTR,
     Errno::NFILE,
@@ -24,17 +24,17 @@
 ];
 
 /// Whether an error says that something could not be done just now, and may be possible a moment later.
-pub fn is_momentary(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|raw| MOMENTARY.iter().any(|errno| errno.raw_os_error() == raw))
+pub fn is_transient(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|raw| TRANSIENT.iter().any(|errno| errno.raw_os_error() == raw))
 }
 
 /// Errors of a connect that this machine alone is to blame for.
-const OF_THIS_MACHINE: [Errno; 7] =
+const LOCAL_FAILURES: [Errno; 7] =
     [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
 
 /// Whether a connect failed for want of something on this machine, and so says nothing of the other side.
-pub fn is_of_this_machine(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|raw| OF_THIS_MACHINE.iter().any(|errno| errno.raw_os_error() == raw))
+pub fn is_local_failure(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|raw| LOCAL_FAILURES.iter().any(|errno| errno.raw_os_error() == raw))
 }
 
 /// An error that may be one of the system's.
--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -10,10 +10,10 @@
 mod stream;
 mod transfer;
 
-pub use errors::{is_momentary, is_of_this_machine, AsIoError};
-pub use retry::{persistently, persistently_blocking, uninterrupted};
-pub use stream::{connect, send_at_once, SteadyStream};
-pub use transfer::{not_now, poll_read, poll_write, try_transfer, write_all, Transfer};
+pub use errors::{is_local_failure, is_transient, AsIoError};
+pub use retry::{retry_interrupted, retry_transient, retry_transient_blocking};
+pub use stream::{connect, disable_nagle, RetryingStream};
+pub use transfer::{memory_backoff, poll_read, poll_write, try_transfer, write_all, Transfer};
 
 use std::time::Duration;
 
--- a/src/socket/stream.rs
+++ b/src/socket/stream.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use super::errors::is_momentary;
+use super::errors::is_transient;
 use super::transfer::{poll_read, poll_write};
 use super::AGAIN;
 
@@ -25,17 +25,17 @@
     loop {
         match TcpStream::connect(address).await {
             Ok(stream) => {
-                send_at_once(&stream);
+                disable_nagle(&stream);
                 return Ok(stream);
             }
-            Err(error) if is_momentary(&error) && Instant::now() + AGAIN < end => sleep(AGAIN).await,
+            Err(error) if is_transient(&error) && Instant::now() + AGAIN < end => sleep(AGAIN).await,
             Err(error) => return Err(error),
         }
     }
 }
 
 /// Has small writes sent at once. A connection on which that cannot be set serves all the same.
-pub fn send_at_once(stream: &TcpStream) {
+pub fn disable_nagle(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "small writes may wait");
     }
@@ -43,9 +43,9 @@
 
 /// A connection for libraries that read and write by themselves.
 #[derive(Debug)]
-pub struct SteadyStream(pub TcpStream);
+pub struct RetryingStream(pub TcpStream);
 
-impl AsyncRead for SteadyStream {
+impl AsyncRead for RetryingStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let count = ready!(poll_read(&self.0, cx, buf.initialize_unfilled()))?;
         buf.advance(count);
@@ -53,7 +53,7 @@
     }
 }
 
-impl AsyncWrite for SteadyStream {
+impl AsyncWrite for RetryingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         poll_write(&self.0, cx, |stream| stream.try_write(buf))
     }
--- a/src/socket/transfer.rs
+++ b/src/socket/transfer.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-use super::retry::uninterrupted;
+use super::retry::retry_interrupted;
 use super::AGAIN;
 
 /// What came of a read or write that does not wait.
@@ -15,9 +15,9 @@
     /// So many bytes; none at the end of what is read.
     Bytes(usize),
     /// There is nothing to read, or no room: the runtime tells when there is.
-    Nothing,
+    WouldBlock,
     /// The system is short of memory. The connection is whole, and nobody tells when to try again.
-    NotNow,
+    OutOfMemory,
 }
 
 /// Makes one read or write that does not wait.
@@ -25,21 +25,21 @@
 /// # Errors
 /// The connection is broken.
 pub fn try_transfer(mut transfer: impl FnMut() -> io::Result<usize>) -> io::Result<Transfer> {
-    match uninterrupted(&mut transfer) {
+    match retry_interrupted(&mut transfer) {
         Ok(count) => Ok(Transfer::Bytes(count)),
-        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Transfer::Nothing),
-        Err(error) if is_want_of_memory(&error) => Ok(Transfer::NotNow),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(Transfer::WouldBlock),
+        Err(error) if is_out_of_memory(&error) => Ok(Transfer::OutOfMemory),
         Err(error) => Err(error),
     }
 }
 
-fn is_want_of_memory(error: &io::Error) -> bool {
+fn is_out_of_memory(error: &io::Error) -> bool {
     let raw = error.raw_os_error();
     raw == Some(Errno::NOMEM.raw_os_error()) || raw == Some(Errno::NOBUFS.raw_os_error())
 }
 
-/// Waits until a read or write may be tried again for which there was [no memory](Transfer::NotNow).
-pub async fn not_now() {
+/// Waits until a read or write may be tried again for which there was [no memory](Transfer::OutOfMemory).
+pub async fn memory_backoff() {
     sleep(AGAIN).await;
 }
 
@@ -53,8 +53,8 @@
         match try_transfer(|| stream.try_write(bytes))? {
             Transfer::Bytes(0) => return Err(ErrorKind::WriteZero.into()),
             Transfer::Bytes(count) => bytes = &bytes[count..],
-            Transfer::Nothing => {}
-            Transfer::NotNow => not_now().await,
+            Transfer::WouldBlock => {}
+            Transfer::OutOfMemory => memory_backoff().await,
         }
     }
     Ok(())
@@ -69,8 +69,8 @@
         ready!(stream.poll_read_ready(cx))?;
         match try_transfer(|| stream.try_read(bytes))? {
             Transfer::Bytes(count) => return Poll::Ready(Ok(count)),
-            Transfer::Nothing => {}
-            Transfer::NotNow => return next_turn(cx),
+            Transfer::WouldBlock => {}
+            Transfer::OutOfMemory => return yield_turn(cx),
         }
     }
 }
@@ -88,14 +88,14 @@
         ready!(stream.poll_write_ready(cx))?;
         match try_transfer(|| write(stream))? {
             Transfer::Bytes(count) => return Poll::Ready(Ok(count)),
-            Transfer::Nothing => {}
-            Transfer::NotNow => return next_turn(cx),
+            Transfer::WouldBlock => {}
+            Transfer::OutOfMemory => return yield_turn(cx),
         }
     }
 }
 
 /// Has a task look again once all others have had their turn.
-fn next_turn<T>(cx: &mut Context<'_>) -> Poll<T> {
+fn yield_turn<T>(cx: &mut Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
 }
