--- a/src/socket/errors.rs
+++ b/src/socket/errors.rs
@@ -1,9 +1,9 @@
-//! Which errors of the system pass by themselves, and which say nothing of the other side.
+//! Classes of system errors: those that pass by themselves, and those that say nothing of the peer.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Errors that pass without anybody's doing: short resources, interruptions, and a disk that fails for a while.
+/// Errors that pass without intervention: short resources, interruptions, and a disk that fails for a while.
 const TRANSIENT: [Errno; 16] = [
     Errno::AGAIN,
     Errno::INTR,
@@ -23,21 +23,21 @@
     Errno::BUSY,
 ];
 
-/// Whether an error says that something could not be done just now, and may be possible a moment later.
+/// Whether an error says that something cannot be done just now, and may be possible a moment later.
 pub fn is_transient(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|raw| TRANSIENT.iter().any(|errno| errno.raw_os_error() == raw))
 }
 
-/// Errors of a connect that this machine alone is to blame for.
+/// Errors of a connect whose cause is this machine alone.
 const LOCAL_FAILURES: [Errno; 7] =
     [Errno::AGAIN, Errno::INTR, Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
 
-/// Whether a connect failed for want of something on this machine, and so says nothing of the other side.
+/// Whether a connect failed for want of a resource of this machine, and so says nothing of the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|raw| LOCAL_FAILURES.iter().any(|errno| errno.raw_os_error() == raw))
 }
 
-/// An error that may be one of the system's.
+/// An error that may be, or contain, one of the system's.
 pub trait AsIoError {
     /// The system's error, if it is one.
     fn as_io_error(&self) -> Option<&io::Error>;
--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -1,5 +1,8 @@
 //! Socket calls that survive what Linux documents: transfers that a signal interrupts or cuts short, and errors of this
-//! machine that pass. It knows no protocol, and decides nothing.
+//! machine that pass by themselves. It knows no protocol, and decides nothing.
+//!
+//! [`errors`] tells which errors those are, [`retry`] makes system calls again for them, [`transfer`] reads and writes
+//! without waiting, and [`stream`] opens connections.
 //!
 //! The runtime takes a short read or write for an empty or full socket, as `epoll(7)` allows, and waits for the next
 //! edge; `read(2)` and `write(2)` allow short transfers for other reasons, after which no edge comes. Here only
@@ -17,5 +20,5 @@
 
 use std::time::Duration;
 
-/// Between two tries of what fails for a moment.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Pause before a system call is retried that failed with a transient error.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/src/socket/retry.rs
+++ b/src/socket/retry.rs
@@ -1,4 +1,4 @@
-//! Makes system calls again for as long as their errors are ones that pass.
+//! Retries system calls for as long as their errors are transient.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -8,15 +8,15 @@
 use tracing::warn;
 
 use super::errors::{is_transient, AsIoError};
-use super::AGAIN;
+use super::RETRY_DELAY;
 
-/// How long a start, or what only the courier's own machine is needed for, is tried again.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long transient errors are retried before the operation fails.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Makes a call again for as long as signals interrupt it.
+/// Retries a system call for as long as signals interrupt it.
 ///
 /// # Errors
-/// Whatever else the call ends with.
+/// Any error of the call but an interruption.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -26,62 +26,63 @@
     }
 }
 
-/// Tries of one thing, for as long as its errors are [transient](is_transient) ones.
+/// Retries of one operation, for as long as its errors are [transient](is_transient).
 struct TransientRetries<'a> {
-    what: &'a str,
-    end: Instant,
-    told: bool,
+    operation: &'a str,
+    deadline: Instant,
+    is_logged: bool,
 }
 
 impl<'a> TransientRetries<'a> {
-    fn new(what: &'a str) -> Self {
-        TransientRetries { what, end: Instant::now() + PATIENCE, told: false }
+    fn new(operation: &'a str) -> Self {
+        TransientRetries { operation, deadline: Instant::now() + RETRY_TIMEOUT, is_logged: false }
     }
 
-    /// Whether to try again after this error, which is told of once.
+    /// Whether to retry after this error. The first one is logged.
     fn should_retry(&mut self, error: &io::Error) -> bool {
-        let goes_on = is_transient(error) && Instant::now() < self.end;
-        if goes_on && !self.told {
-            warn!(%error, what = self.what, "it fails for now, and is tried again");
-            self.told = true;
+        let retries = is_transient(error) && Instant::now() < self.deadline;
+        if retries && !self.is_logged {
+            warn!(%error, operation = self.operation, "transient system error; retrying");
+            self.is_logged = true;
         }
-        goes_on
+        retries
     }
 }
 
-/// Makes a call again for as long as its errors are [transient](is_transient) ones, up to 20 s.
+/// Retries an operation for as long as its errors are [transient](is_transient), for 20 s at most. `operation` names it
+/// in the log.
 ///
 /// # Errors
-/// The first one that will not pass by itself, or the last one.
-pub async fn retry_transient<T, E, F>(what: &str, mut call: impl FnMut() -> F) -> Result<T, E>
+/// The first error that is not transient, or the last one after 20 s.
+pub async fn retry_transient<T, E, F>(operation: &str, mut call: impl FnMut() -> F) -> Result<T, E>
 where
     E: AsIoError,
     F: Future<Output = Result<T, E>>,
 {
-    let mut tries = TransientRetries::new(what);
+    let mut retries = TransientRetries::new(operation);
     loop {
         match call().await {
-            Err(error) if error.as_io_error().is_some_and(|error| tries.should_retry(error)) => {
-                sleep(AGAIN).await
+            Err(error) if error.as_io_error().is_some_and(|error| retries.should_retry(error)) => {
+                sleep(RETRY_DELAY).await
             }
             result => return result,
         }
     }
 }
 
-/// The same where no event loop runs: this thread waits.
+/// Does the same as [`retry_transient`] where no event loop runs: this thread waits.
 ///
 /// # Errors
-/// The first one that will not pass by itself, or the last one.
+/// The first error that is not transient, or the last one after 20 s.
 pub fn retry_transient_blocking<T, E: AsIoError>(
-    what: &str,
+    operation: &str,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let mut tries = TransientRetries::new(what);
+    let mut retries = TransientRetries::new(operation);
     loop {
         match call() {
-            Err(error) if error.as_io_error().is_some_and(|error| tries.should_retry(error)) => {
-                thread::sleep(AGAIN)
+            Err(error) if error.as_io_error().is_some_and(|error| retries.should_retry(error)) => {
+                thread::sleep(RETRY_DELAY)
             }
             result => return result,
         }
--- a/src/socket/stream.rs
+++ b/src/socket/stream.rs
@@ -1,4 +1,4 @@
-//! TCP connections: opening one, and one for libraries that read and write by themselves.
+//! TCP connections: opening one, and one for libraries that do their own reading and writing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,40 +8,44 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
+use tracing::debug;
 
 use super::errors::is_transient;
 use super::transfer::{poll_read, poll_write};
-use super::AGAIN;
+use super::RETRY_DELAY;
 
-/// How long this machine may be unable to make a connection before that is an error.
-const LOCAL_PATIENCE: Duration = Duration::from_millis(250);
+/// How long transient errors of a connect are retried before it fails.
+const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Connects without delay of small writes. What this machine cannot do just now is tried again for a moment.
+/// Connects, and has small writes sent at once. Transient errors are retried for 250 ms.
 ///
 /// # Errors
-/// What the other side, or the way to it, answers; or what this machine could not do for a quarter of a second.
+/// The peer refuses or cannot be reached, or the last transient error after 250 ms.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let end = Instant::now() + LOCAL_PATIENCE;
+    let retry_until = Instant::now() + CONNECT_RETRY_TIMEOUT;
     loop {
         match TcpStream::connect(address).await {
             Ok(stream) => {
                 disable_nagle(&stream);
                 return Ok(stream);
             }
-            Err(error) if is_transient(&error) && Instant::now() + AGAIN < end => sleep(AGAIN).await,
+            Err(error) if is_transient(&error) && Instant::now() + RETRY_DELAY < retry_until => {
+                sleep(RETRY_DELAY).await
+            }
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Has small writes sent at once. A connection on which that cannot be set serves all the same.
+/// Has small writes sent at once. Failure is logged only: the connection works without it.
 pub fn disable_nagle(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "small writes may wait");
+        debug!(%error, "cannot disable Nagle's algorithm; small writes may be delayed");
     }
 }
 
-/// A connection for libraries that read and write by themselves.
+/// A connection for libraries that do their own reading and writing; interruptions and short transfers are hidden from
+/// them.
 #[derive(Debug)]
 pub struct RetryingStream(pub TcpStream);
 
--- a/src/socket/transfer.rs
+++ b/src/socket/transfer.rs
@@ -7,16 +7,17 @@
 use tokio::time::sleep;
 
 use super::retry::retry_interrupted;
-use super::AGAIN;
+use super::RETRY_DELAY;
 
-/// What came of a read or write that does not wait.
+/// The result of a read or write that does not wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transfer {
-    /// So many bytes; none at the end of what is read.
+    /// So many bytes were transferred; 0 by a read means that the peer has closed its side.
     Bytes(usize),
-    /// There is nothing to read, or no room: the runtime tells when there is.
+    /// There is nothing to read, or no room to write: the runtime notifies when there is.
     WouldBlock,
-    /// The system is short of memory. The connection is whole, and nobody tells when to try again.
+    /// The system is short of memory. The connection is intact, and nothing notifies when to retry: see
+    /// [`memory_backoff`].
     OutOfMemory,
 }
 
@@ -38,15 +39,15 @@
     raw == Some(Errno::NOMEM.raw_os_error()) || raw == Some(Errno::NOBUFS.raw_os_error())
 }
 
-/// Waits until a read or write may be tried again for which there was [no memory](Transfer::OutOfMemory).
+/// Waits until a read or write may be retried that was [out of memory](Transfer::OutOfMemory).
 pub async fn memory_backoff() {
-    sleep(AGAIN).await;
+    sleep(RETRY_DELAY).await;
 }
 
-/// Writes all of it.
+/// Writes all bytes, and waits for room as needed.
 ///
 /// # Errors
-/// The connection is broken, or takes no more.
+/// The connection is broken, or takes no more bytes.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// Reads as soon as there is something, for a task.
+/// Polls for a read: pending until there is something to read.
 ///
 /// # Errors
 /// The connection is broken.
@@ -75,7 +76,7 @@
     }
 }
 
-/// Writes as soon as there is room, for a task.
+/// Polls for a write: pending until there is room.
 ///
 /// # Errors
 /// The connection is broken.
@@ -94,7 +95,7 @@
     }
 }
 
-/// Has a task look again once all others have had their turn.
+/// Pending, and polled again once the other tasks have had their turn.
 fn yield_turn<T>(cx: &mut Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
