--- a/src/bin/delivery-gateway/handover/predecessor.rs
+++ b/src/bin/delivery-gateway/handover/predecessor.rs
@@ -241,7 +241,7 @@
     }
 
     fn send_client(&self, connection: TransferredConnection) {
-        let TransferredConnection { stream, buffer, served, left, .. } = connection;
+        let TransferredConnection { stream, buffer, served, time_left: left, .. } = connection;
         match stream.into_std() {
             Ok(stream) => {
                 let message = ToSuccessor::ClientConnection { buffer, served, left };
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -180,8 +180,8 @@
                 stream,
                 buffer: buffer.clone(),
                 served,
-                left,
-                waited: Duration::ZERO,
+                time_left: left,
+                unread_for: Duration::ZERO,
             }),
             Err(error) => warn!(%error, "cannot adopt a client connection of the previous process: closed"),
         }
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -42,9 +42,9 @@
     /// Whether it had a request answered.
     pub served: bool,
     /// What is left of the time in which more must come.
-    pub left: Duration,
+    pub time_left: Duration,
     /// How long it may have waited to be accepted, with its first request unread.
-    pub waited: Duration,
+    pub unread_for: Duration,
 }
 
 /// A client's connection in this process.
@@ -97,7 +97,7 @@
         ClientConnection {
             transfers,
             answered: u32::from(transferred.served),
-            unread_for: transferred.waited,
+            unread_for: transferred.unread_for,
             stream: transferred.stream,
             events,
             phase,
@@ -188,8 +188,8 @@
             stream,
             buffer: input.freeze(),
             served: answered > 0,
-            left: deadline.saturating_duration_since(Instant::now()),
-            waited: unread_for,
+            time_left: deadline.saturating_duration_since(Instant::now()),
+            unread_for,
         };
         // Sent before its slot is free, so that who waits for the last slot finds the connection there.
         let _ = transfers.send(connection);
--- a/src/bin/delivery-gateway/resp2/server.rs
+++ b/src/bin/delivery-gateway/resp2/server.rs
@@ -55,12 +55,12 @@
                 Ok(()) = self.phase.changed() => continue,
             };
             match accepted {
-                Ok((stream, waited)) => self.adopt(TransferredConnection {
+                Ok((stream, unread_for)) => self.adopt(TransferredConnection {
                     stream,
                     buffer: Bytes::new(),
                     served: false,
-                    left: FIRST_REQUEST_TIMEOUT,
-                    waited,
+                    time_left: FIRST_REQUEST_TIMEOUT,
+                    unread_for,
                 }),
                 Err(error) => {
                     if let Some(suppressed) = failures.due() {
@@ -74,7 +74,7 @@
 
     /// Serves a connection from the state that it is in.
     pub fn adopt(&self, transferred: TransferredConnection) {
-        let deadline = transferred.left;
+        let time_left = transferred.time_left;
         let connection = ClientConnection::new(
             transferred,
             self.events.clone(),
@@ -85,7 +85,7 @@
         let number = connection.number();
         tokio::task::spawn_local(async move {
             // A connection that breaks concerns its client alone: messages that were accepted on it stay accepted.
-            match connection.run(Instant::now() + deadline).await {
+            match connection.run(Instant::now() + time_left).await {
                 Ok(()) => debug!(number, "client connection closed"),
                 Err(error) => debug!(number, %error, "client connection failed"),
             }
@@ -98,12 +98,12 @@
     }
 }
 
-/// Accepts one connection, and says how long it may have waited for a slot. One slot is kept free, so that the next
+/// Accepts one connection, and says how long its first request may have waited unread for a slot. One slot is kept free, so that the next
 /// connection never stays in the listener's queue.
 async fn accept(listener: &TcpListener, slots: &ConnectionSlots) -> io::Result<(TcpStream, Duration)> {
     let asked = Instant::now();
     slots.free_slot().await;
-    let waited = asked.elapsed();
+    let unread_for = asked.elapsed();
     let (stream, _) = listener.accept().await?;
-    Ok((stream, waited))
+    Ok((stream, unread_for))
 }
