--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -5,16 +5,16 @@
 use std::time::{Duration, Instant};
 use world::*;
 
-/// A world with one slot, which a message holds, so that those behind it wait together.
+/// An environment with one call slot, so that messages enqueued behind one that occupies it wait together.
 fn one_slot() -> World {
     let mut world = World::new(1, 3.0);
     (world.batch, world.slots) = (4, 1);
     world
 }
 
-/// Hands messages in behind one that holds the slot, and lets them go.
-fn behind_one(world: &World, courier: &Scheduler, messages: &[(&str, &str)]) {
-    let mut client = courier.client();
+/// Enqueues messages behind one that occupies the slot, and then completes that one.
+fn enqueue_behind_one(world: &World, gateway: &Scheduler, messages: &[(&str, &str)]) {
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
     let first = world.call();
     assert_eq!((first.path.as_str(), first.id.as_str()), ("/hook", "first"));
@@ -24,14 +24,14 @@
     first.answer("200 OK", "");
 }
 
-/// What waits for an endpoint that takes several at once goes in one call, and each has an end of its own.
+/// Messages that wait for an endpoint that takes several at once go in one call, and each has an outcome of its own.
 #[test]
-fn messages_that_wait_together_share_a_call() {
+fn messages_queued_together_share_a_batch() {
     let world = one_slot();
-    let courier = world.start();
-    behind_one(
+    let gateway = world.start();
+    enqueue_behind_one(
         &world,
-        &courier,
+        &gateway,
         &[("b1", "salary"), ("b2", "notice,k=k2"), ("b3", "salary"), ("b4", "salary")],
     );
     let call = world.call();
@@ -48,9 +48,10 @@
     ];
     assert_eq!(carried, expected);
     call.answer_each("", &[("b4", "gone"), ("b1", "ok"), ("b3", "error"), ("b2", "error")]);
-    // Only the keyed one may go again; the unsafe one may have run and fails, and nothing is owed for the others.
-    let (mut failed, mut again) = (false, false);
-    while !(failed && again) {
+    // Only the idempotent one is retried; the non-idempotent one may have run and fails; the others are completed.
+    let mut failed = false;
+    let mut retried = false;
+    while !(failed && retried) {
         match world.call_or_notice() {
             Seen::Notice(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
@@ -59,33 +60,33 @@
             Seen::Call(call) => {
                 assert_eq!((call.id.as_str(), call.header("idempotency-key")), ("b2", Some("k2")));
                 call.answer("200 OK", "");
-                again = true;
+                retried = true;
             }
         }
     }
     world.nothing();
 }
 
-/// A wait beside the ends of the messages binds like any other.
+/// Retry-After beside the states of the messages is observed like any other.
 #[test]
-fn a_wait_in_a_shared_answer_is_heeded() {
+fn retry_after_of_a_batch_response_is_observed() {
     let world = one_slot();
-    let courier = world.start();
-    behind_one(&world, &courier, &[("w1", "salary"), ("w2", "salary")]);
+    let gateway = world.start();
+    enqueue_behind_one(&world, &gateway, &[("w1", "salary"), ("w2", "salary")]);
     let call = world.call();
-    let told = Instant::now();
+    let responded_at = Instant::now();
     call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
-    courier.log_until("told to wait");
-    assert_eq!(courier.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
+    gateway.log_until("told to wait");
+    assert_eq!(gateway.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
-    assert!(told.elapsed() >= Duration::from_millis(700), "after {:?}", told.elapsed());
+    assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
     call.answer("200 OK", "");
     world.nothing();
 }
 
-/// For several messages the first line says nothing of each: where the rest cannot be read they may have run.
+/// The status line of a batch response says nothing of each message: where the body cannot be read they may have run.
 #[test]
-fn a_shared_answer_that_cannot_be_read_may_have_run() {
+fn a_batch_with_an_unreadable_response_may_have_run() {
     for (number, answer) in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[",
@@ -95,8 +96,8 @@
     .enumerate()
     {
         let world = one_slot();
-        let courier = world.start();
-        behind_one(&world, &courier, &[("s1", "salary"), ("s2", "salary")]);
+        let gateway = world.start();
+        enqueue_behind_one(&world, &gateway, &[("s1", "salary"), ("s2", "salary")]);
         let call = world.call();
         assert_eq!(call.batched().len(), 2);
         let stream = call.stream();
@@ -104,19 +105,19 @@
         if number == 1 {
             let _ = stream.shutdown(std::net::Shutdown::Write);
         }
-        let mut told = [world.notice(), world.notice()];
-        told.sort();
-        assert_eq!(told, [r#"{"id":"s1","state":"failed"}"#, r#"{"id":"s2","state":"failed"}"#]);
+        let mut notifications = [world.notice(), world.notice()];
+        notifications.sort();
+        assert_eq!(notifications, [r#"{"id":"s1","state":"failed"}"#, r#"{"id":"s2","state":"failed"}"#]);
         world.no_call();
     }
 }
 
-/// Nor is an end believed that is told twice; those beside it are.
+/// Nor is a message believed that has two states; those beside it are.
 #[test]
-fn an_end_that_is_told_twice_is_none() {
+fn a_message_with_two_states_may_have_run() {
     let world = one_slot();
-    let courier = world.start();
-    behind_one(&world, &courier, &[("t1", "salary"), ("t2", "salary")]);
+    let gateway = world.start();
+    enqueue_behind_one(&world, &gateway, &[("t1", "salary"), ("t2", "salary")]);
     let call = world.call();
     assert_eq!(call.batched().len(), 2);
     call.answer_each("", &[("t1", "ok"), ("t2", "ok"), ("t1", "later")]);
@@ -124,14 +125,13 @@
     world.nothing();
 }
 
-/// A call that several share ends when the time of one of them is over: the partner may take the whole of it for
-/// over, and what it answers then delivers nothing (short days, seeds 1 to 20: each message of a call that hung and
-/// was answered 4 to 180 ms after the time of its first one was lost). The others go again under their keys.
+/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and what
+/// it still responds delivers nothing. The others are retried under their keys.
 #[test]
-fn a_shared_call_ends_with_the_first_of_its_messages() {
+fn a_batch_times_out_with_its_first_message_to_expire() {
     let world = one_slot();
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
     let first = world.call();
     for (id, left) in [("short", 1000), ("long", 20_000)] {
@@ -146,20 +146,20 @@
     let budget: f64 = shared.header("x-budget").unwrap().parse().unwrap();
     assert!(budget <= 1.0, "{budget}");
     assert_eq!(world.notice(), r#"{"id":"short","state":"failed"}"#);
-    // The answer comes all the same.
+    // The response comes all the same.
     shared.answer_each("", &[("short", "ok"), ("long", "ok")]);
-    let again = world.call();
-    assert_eq!((again.id.as_str(), again.header("idempotency-key")), ("long", Some("k-long")));
-    again.answer("200 OK", "");
+    let retried = world.call();
+    assert_eq!((retried.id.as_str(), retried.header("idempotency-key")), ("long", Some("k-long")));
+    retried.answer("200 OK", "");
     world.nothing();
 }
 
-/// Bodies too long for one call go in more.
+/// Bodies too long for one batch go in separate calls.
 #[test]
-fn long_bodies_are_dealt_out_over_calls() {
+fn messages_too_long_for_one_batch_go_in_separate_calls() {
     let world = one_slot();
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
     let first = world.call();
     let body = vec![b'x'; 40 << 10];
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,37 +1,37 @@
-//! What clients are owed, the bad ones among them, over loopback sockets.
+//! What clients can rely on, misbehaving ones among them, over loopback sockets.
 
 mod world;
 
 use std::time::{Duration, Instant};
 use world::*;
 
-/// An error or a close is owed within 3 s of connecting.
-const OWED: Duration = Duration::from_secs(3);
+/// A client gets an error, or is closed, within 3 s of connecting.
+const ERROR_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client that says nothing is closed; one that breaks off inside a request is told so. Both used to hold their
-/// places for two minutes.
+/// A client that sends nothing is closed; one that stops within a request gets an error first. Neither keeps its
+/// connection slot.
 #[test]
-fn silent_and_half_spoken_clients_do_not_keep_their_places() {
+fn silent_clients_and_partial_requests_time_out() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut silent = courier.client().within(OWED);
-    let mut half = courier.client().within(OWED);
+    let gateway = world.start();
+    let mut silent = gateway.client().within(ERROR_TIMEOUT);
+    let mut half = gateway.client().within(ERROR_TIMEOUT);
     half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
     assert!(half.line().starts_with("-ERR "));
     assert!(half.is_closed());
     assert!(silent.is_closed());
 }
 
-/// More connections than there are places: the silent ones give way, and whoever has something to ask is served
-/// at once. They used to wait in the listener's queue, past the 400 ms that a client waits.
+/// More connections than there are slots: the silent ones are evicted, and a client with a request is served at once,
+/// rather than wait in the listener's queue past the 400 ms that a client waits.
 #[test]
-fn silent_connections_give_way_to_clients_that_ask() {
+fn silent_connections_are_evicted_for_clients_with_requests() {
     let mut world = World::new(1, 3.0);
     world.sockets = 256;
-    let courier = world.start();
-    let silent: Vec<Client> = (0..300).map(|_| courier.client()).collect();
+    let gateway = world.start();
+    let silent: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
     for number in 0..20 {
-        let mut client = courier.client().within(Duration::from_secs(1));
+        let mut client = gateway.client().within(Duration::from_secs(1));
         assert_eq!(client.enqueue(&format!("g{number}"), "0", "salary", 1, b"x"), "+OK");
         world.call().answer("200 OK", "");
     }
@@ -48,16 +48,16 @@
     let mut world = World::new(1, 3.0);
     // Slots for 48 connections: all clients together fit the listener's queue of 128 while the gateway is stopped.
     world.sockets = 128;
-    let courier = world.start();
+    let gateway = world.start();
     let (mut partial, mut whole) = (Vec::new(), Vec::new());
-    courier.while_stopped(|| {
+    gateway.while_stopped(|| {
         for _ in 0..64 {
-            let mut client = courier.client().within(OWED);
+            let mut client = gateway.client().within(ERROR_TIMEOUT);
             client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
             partial.push(client);
         }
         for _ in 0..20 {
-            let mut client = courier.client().within(OWED);
+            let mut client = gateway.client().within(ERROR_TIMEOUT);
             client.command(&["PING"]);
             whole.push(client);
         }
@@ -69,43 +69,43 @@
     }
 }
 
-/// A request's time runs from its last byte on, also while its connection waits for a place: what it waited at most is
-/// taken off, or its final answer would be as much too late.
+/// A request's time runs from its last byte on, also while its connection waits for a slot: the longest that it can have
+/// waited is subtracted, or its final outcome would be as much too late.
 #[test]
-fn time_spent_waiting_for_a_place_counts() {
+fn time_waiting_for_a_connection_slot_counts() {
     let mut world = World::new(1, 3.0);
     world.sockets = 256;
     world.refuse_connections(0);
-    let courier = world.start();
+    let gateway = world.start();
     let (mut halves, mut begun) = (Vec::new(), Instant::now());
-    let mut held_up = None;
-    // What they send is there when they are accepted: they are inside a request from the start, and hold all places.
-    courier.while_stopped(|| {
+    let mut delayed = None;
+    // What they send is there when they are accepted: they are within a request from the start, and occupy all slots.
+    gateway.while_stopped(|| {
         for _ in 0..128 {
-            let mut half = courier.client();
+            let mut half = gateway.client();
             half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
             halves.push(half);
         }
         begun = Instant::now();
-        let mut client = courier.client();
+        let mut client = gateway.client();
         client.command(&["ENQUEUE", "0", "w1", "c=salary,d=1000,dest=1", "x"]);
-        held_up = Some(client);
+        delayed = Some(client);
     });
-    assert_eq!(held_up.unwrap().line(), "+OK");
+    assert_eq!(delayed.unwrap().line(), "+OK");
     let waited = begun.elapsed();
     assert!(world.notice().contains(r#""id":"w1","state":"returned""#));
     let (took, late) = (begun.elapsed(), Duration::from_millis(300));
-    assert!(took < Duration::from_secs(1) + late, "after {took:?}, of which {waited:?} for a place");
+    assert!(took < Duration::from_secs(1) + late, "after {took:?}, of which {waited:?} for a slot");
 }
 
-/// Those that ask once and stay do not use up what clients may hold, a third of the descriptors: the longest idle
-/// one is closed for each that comes, and the last one stays.
+/// Clients that send one request and stay connected do not use up the idle connections that clients may keep, a sixth
+/// of the descriptors: the longest idle one is closed for each further one, and the last one stays.
 #[test]
-fn clients_that_ask_once_and_stay_give_way_to_others() {
+fn the_longest_idle_connections_are_evicted() {
     let mut world = World::new(1, 3.0);
     world.sockets = 256;
-    let courier = world.start();
-    let mut stayed: Vec<Client> = (0..80).map(|_| courier.client().within(Duration::from_secs(1))).collect();
+    let gateway = world.start();
+    let mut stayed: Vec<Client> = (0..80).map(|_| gateway.client().within(Duration::from_secs(1))).collect();
     for client in &mut stayed {
         assert_eq!(client.ask(&["PING"]), "+PONG");
     }
@@ -116,10 +116,10 @@
 /// The error arrives, however much the client goes on sending: closing with bytes unread resets the connection,
 /// which throws away what the client has not read yet.
 #[test]
-fn an_error_is_heard_behind_a_huge_value() {
+fn an_error_arrives_behind_a_huge_value() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nb1\r\n$3\r\nc=x\r\n$60000000\r\n");
     let part = vec![b'x'; 1 << 20];
     (0..60).for_each(|_| client.try_send(&part).unwrap());
@@ -129,43 +129,43 @@
 
 /// Hundreds of commands at once are each answered, and others are served meanwhile.
 #[test]
-fn a_flood_of_commands_is_answered_and_holds_nobody_up() {
+fn pipelined_commands_are_all_answered_and_delay_nobody() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut flood = courier.client();
+    let gateway = world.start();
+    let mut flood = gateway.client();
     flood.send(&b"*1\r\n$8\r\nFLUSHALL\r\n".repeat(2000));
-    let mut client = courier.client();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     (0..2000).for_each(|_| assert!(flood.line().starts_with("-ERR ")));
     assert_eq!(flood.ask(&["PING"]), "+PONG");
 }
 
-/// The id of a message that is held belongs to it: the same message once more is held already, and another one
-/// under its id is turned away. It used to be answered as taken on.
+/// The id of a pending message belongs to it: the same message once more is already accepted, and another one under its
+/// id is an error.
 #[test]
-fn an_id_stays_with_its_message() {
+fn a_pending_id_belongs_to_its_message() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
     let call = world.call();
-    assert!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"other").starts_with("-ERR "));
-    assert!(courier.client().enqueue("i1", "0", "salary", 1, b"1").starts_with("-ERR "));
-    assert_eq!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
+    assert!(gateway.client().enqueue("i1", "9", "notice,k=i1", 1, b"other").starts_with("-ERR "));
+    assert!(gateway.client().enqueue("i1", "0", "salary", 1, b"1").starts_with("-ERR "));
+    assert_eq!(gateway.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
     call.answer("200 OK", "");
     world.nothing();
 }
 
-/// Nor does it become free when its message is over. It used to: on the fleet day join+mass, seed 2, other messages
-/// under such ids were taken on 22 times, and endpoints refused 44 shared calls for them, with all that was in them.
+/// Nor does the id become free when its message is completed: endpoints would reject another message under it, and
+/// every call that carries it.
 #[test]
-fn an_id_that_is_over_is_no_other_messages() {
+fn a_completed_id_belongs_to_its_message() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("o1", "9", "notice,k=o1", 1, b"1"), "+OK");
     world.call().answer("200 OK", "");
-    // The answer is in once the next message of the key has gone out.
+    // The first message is completed once the next one of its key has been sent.
     assert_eq!(client.enqueue("o2", "9", "notice,k=o2", 1, b"1"), "+OK");
     let call = world.call();
     assert_eq!(call.id, "o2");
@@ -176,42 +176,42 @@
     world.nothing();
 }
 
-/// A destination that was never listed is an error; one that has lost its endpoints may get others.
+/// A destination that was never in the endpoint list is an error; one that has lost its endpoints may get others.
 #[test]
 fn unknown_destinations_are_errors_and_empty_ones_are_not() {
     let mut world = World::patient(2, 3.0);
     world.apart = true;
-    let courier = world.start();
+    let gateway = world.start();
     world.remove(1);
-    courier.log_until("the list has changed");
-    let mut client = courier.client();
+    gateway.log_until("the list has changed");
+    let mut client = gateway.client();
     assert!(client.enqueue("d9", "0", "salary", 9, b"x").starts_with("-ERR "));
     assert_eq!(client.enqueue("d2", "0", "salary", 2, b"x"), "+OK");
     drop(client);
-    let courier = courier.kill_and_restart();
-    assert_eq!(courier.client().enqueue("d3", "0", "salary", 2, b"x"), "+OK");
-    assert!(courier.client().enqueue("d8", "0", "salary", 8, b"x").starts_with("-ERR "));
+    let gateway = gateway.kill_and_restart();
+    assert_eq!(gateway.client().enqueue("d3", "0", "salary", 2, b"x"), "+OK");
+    assert!(gateway.client().enqueue("d8", "0", "salary", 8, b"x").starts_with("-ERR "));
     world.no_call();
 }
 
-/// Without its key a message of a keyed class could not be repeated safely.
+/// Without its idempotency key a message of a keyed class could not be retried safely.
 #[test]
-fn keyed_messages_need_their_key() {
+fn messages_of_keyed_classes_need_an_idempotency_key() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    assert!(courier.client().enqueue("k1", "9", "notice", 1, b"1").starts_with("-ERR "));
+    let gateway = world.start();
+    assert!(gateway.client().enqueue("k1", "9", "notice", 1, b"1").starts_with("-ERR "));
     world.no_call();
 }
 
-/// While the courier is being emptied, each new connection may still bring its first request, and has its answer.
+/// While the gateway is a lame duck, each new connection may still bring its first request, and gets a reply.
 #[test]
 fn a_lame_duck_answers_each_first_request() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.operate("POST /_lameduck/on"), 200);
+    let gateway = world.start();
+    assert_eq!(gateway.operate("POST /_lameduck/on"), 200);
     for round in 0..5000 {
         // The connection is up before its request comes.
-        let mut client = courier.client();
+        let mut client = gateway.client();
         let answer = client.ask(&["PING"]);
         assert!(answer.starts_with("-ERR "), "{answer:?} in round {round}");
     }
