--- a/src/bin/delivery-gateway/listener.rs
+++ b/src/bin/delivery-gateway/listener.rs
@@ -1,6 +1,6 @@
 //! The addresses at which the gateway listens: for clients, and for operators.
 
-use delivery_gateway::socket::persistently;
+use delivery_gateway::socket::retry_transient;
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -32,14 +32,14 @@
             failed(error)
         })
     };
-    let listener = persistently("binding an address", listen).await?;
+    let listener = retry_transient("binding an address", listen).await?;
     let bound = local_address(&listener).await.map_err(failed)?;
     Ok((listener, bound))
 }
 
 /// The address that a listener is bound to.
 pub async fn local_address(listener: &TcpListener) -> io::Result<SocketAddr> {
-    persistently("asking for the own address", || async { listener.local_addr() }).await
+    retry_transient("asking for the own address", || async { listener.local_addr() }).await
 }
 
 /// Serves operators as soon as the address can be bound: a gateway without an admin endpoint delivers all the same.
--- a/src/bin/delivery-gateway/ownership.rs
+++ b/src/bin/delivery-gateway/ownership.rs
@@ -1,6 +1,6 @@
 //! Who may touch the state folder: the one process that has its lock, or the one that it is handed over to.
 
-use delivery_gateway::socket::persistently;
+use delivery_gateway::socket::retry_transient;
 use delivery_gateway::ParsedSettings;
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
     /// The file cannot be opened.
     pub async fn open(state_folder: &Path, parsed: &ParsedSettings) -> Result<Self, StartError> {
         let open = || async { handover::open_lock_file(state_folder) };
-        let lock = persistently("opening the lock", open).await;
+        let lock = retry_transient("opening the lock", open).await;
         Ok(Ownership {
             lock: lock.map_err(StartError::system("open the lock of the state folder"))?,
             socket: handover::socket_path(state_folder),
