--- /dev/null
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -0,0 +1,70 @@
+//! Configurations for gateways.
+
+use serde_json::{json, Value};
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+
+/// A class of the settings: its latency objective in seconds, name, effect, idempotency window in milliseconds, and
+/// whether it is ordered.
+pub fn class(latency_objective: u64, name: &str, idempotency: &str, window: u64, order: bool) -> Value {
+    json!({
+        "Name": name, "Effect": idempotency, "Group": "all", "RepeatWindow": window * 1_000_000,
+        "OneAtATime": order, "Worth": 1.0, "LateShare": 0.5,
+        "Aim": latency_objective * 1_000_000_000, "Deadline": latency_objective * 8 * 1_000_000_000,
+    })
+}
+
+/// An entry of the endpoint list, of the one zone and kind that the configuration names.
+pub fn target(uid: &str, address: SocketAddr, destination: u32, state: &str, rate: f64) -> Value {
+    json!({
+        "uid": uid, "endpoint": address.to_string(), "az": "kingston", "model": "banks", "pod_group": destination,
+        "state": state, "capacity_hint": rate, "boot_ms": 0,
+    })
+}
+
+/// A gateway's configuration.
+pub struct Configuration<'a> {
+    pub listen: SocketAddr,
+    pub discovery: SocketAddr,
+    pub memory_mb: u32,
+    pub sockets: u32,
+    pub disk_mb: f64,
+    pub targets: &'a [Value],
+    pub couriers: u32,
+    pub classes: &'a [Value],
+    pub zone: &'a str,
+    pub slots: u32,
+    pub batch: u32,
+    pub max_pending_messages: u32,
+}
+
+impl Configuration<'_> {
+    /// Replaces the configuration in a folder, in one step.
+    ///
+    /// # Errors
+    /// It cannot be written; the one before then stays.
+    pub fn write(&self, folder: &Path) -> io::Result<()> {
+        let config = json!({
+            "name": "n0", "listen": self.listen.to_string(), "admin_addr": "127.0.0.1:0",
+            "discovery": self.discovery.to_string(), "seed": "7",
+            "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets, "disk_mb": self.disk_mb},
+            "known": {"rev": 1, "all": true, "targets": self.targets},
+            "settings": {
+                "Balancers": self.couriers, "Lanes": self.classes, "MachineTypes": ["banks"], "Zones": [self.zone],
+                "Projects": [{"Name": "north", "QuotaPerS": 0.0}, {"Name": "south", "QuotaPerS": 1e6}],
+                "OverShareWorth": 0.2,
+                "WeightSource": "nominal",
+                "FamilyInfo": {"CallsOut": self.slots, "KindBatch": [self.batch], "OwnLimits": [false]},
+                "Permissions": {
+                    "MostHeld": self.max_pending_messages, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
+                    "ConnectTimeout": 5_000_000_000_u64,
+                },
+                "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 2_000_000_000},
+            },
+        });
+        let new = folder.join("config.new");
+        std::fs::write(&new, config.to_string())?;
+        std::fs::rename(new, folder.join("config.json"))
+    }
+}
--- /dev/null
+++ b/src/bin/testbed/stubs/http.rs
@@ -0,0 +1,45 @@
+//! The little of an HTTP/1.1 server that stubs need.
+
+use std::io::{BufRead, BufReader, Read};
+use std::net::{TcpListener, TcpStream};
+use std::thread;
+
+/// A request, with its whole body.
+pub struct Request {
+    /// Method, path and version.
+    pub line: String,
+    /// Names are in lower case.
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+/// Reads the next request of a connection; none at its end.
+pub fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
+    let line = read_line(stream)?;
+    let mut headers = Vec::new();
+    loop {
+        let text = read_line(stream)?;
+        let Some((name, value)) = text.trim_end().split_once(": ") else { break };
+        headers.push((name.to_ascii_lowercase(), value.to_owned()));
+    }
+    let length = headers.iter().find(|(name, _)| name == "content-length");
+    let mut body = vec![0; length.and_then(|(_, value)| value.parse().ok()).unwrap_or(0)];
+    stream.read_exact(&mut body).ok()?;
+    Some(Request { line, headers, body })
+}
+
+fn read_line(stream: &mut BufReader<TcpStream>) -> Option<String> {
+    let mut line = String::new();
+    stream.read_line(&mut line).ok().filter(|count| *count > 0)?;
+    Some(line)
+}
+
+/// Serves each connection on a thread of its own.
+pub fn serve(listener: TcpListener, each: impl Fn(TcpStream) + Clone + Send + 'static) {
+    thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let each = each.clone();
+            thread::spawn(move || each(stream));
+        }
+    });
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,12 +6,11 @@
 
 #[path = "../../src/bin/testbed/fault_page.rs"]
 mod fault_page;
-#[path = "../../src/bin/testbed/stubs.rs"]
-mod stand_ins;
+#[path = "../../src/bin/testbed/stubs/mod.rs"]
+mod stubs;
 
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
-use stand_ins::{address_in, class, command, locked, serve, serve_calls, target, Configuration, Process};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -21,9 +20,10 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 use std::time::{Duration, Instant};
+use stubs::{address_in, class, command, locked, serve, serve_calls, target, Configuration, Process};
 
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
-pub use stand_ins::{Agent, Call, Client, Seen};
+pub use stubs::{Agent, Call, Client, Seen};
 
 /// Where this names a seed, all couriers of all tests run with the faults below.
 const EVERYWHERE_VARIABLE: &str = "FAULTS_EVERYWHERE";
