--- a/src/bin/testbed/restart.rs
+++ b/src/bin/testbed/restart.rs
@@ -123,7 +123,7 @@
                         call.answer("429 Too Many Requests", "X-Come-Back-Ms: 3600000\r\n");
                     }
                 }
-                Ok(Seen::Notice(_)) | Err(RecvTimeoutError::Timeout) => {}
+                Ok(Seen::Notification(_)) | Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
         }
@@ -237,7 +237,7 @@
         }
         number += some;
         surroundings.answer(false, DESTINATIONS as usize, LOOK, guard)?;
-        guard.check_with(process.figure("VmRSS").unwrap_or(0) << 10)?;
+        guard.check_with(process.status_value("VmRSS").unwrap_or(0) << 10)?;
     }
     // Calls that are still on their way come at once.
     surroundings.answer(false, DESTINATIONS as usize, 4 * SLOW_LOOK, guard)?;
@@ -253,7 +253,7 @@
             Ok(client) => break client,
             Err(error) if begun.elapsed() > READY => return Err(NotRun::failed("the courier", error)),
             Err(_) => {
-                guard.check_with(process.figure("VmRSS").unwrap_or(0) << 10)?;
+                guard.check_with(process.status_value("VmRSS").unwrap_or(0) << 10)?;
                 thread::sleep(LOOK);
             }
         }
@@ -268,6 +268,6 @@
     let cpu = schedule.ok().and_then(|text| text.split(' ').next()?.parse().ok());
     let cpu_ns =
         cpu.ok_or_else(|| NotRun::Failed("the courier's processor time cannot be told".to_owned()))?;
-    let peak = process.figure("VmHWM").unwrap_or(0);
+    let peak = process.status_value("VmHWM").unwrap_or(0);
     Ok(Ready { _process: process, ms, cpu_ns, peak })
 }
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -239,7 +239,7 @@
         self.rev += 1;
         let targets: Vec<_> = changed.iter().map(|at| self.target(endpoints, *at)).collect();
         let update = serde_json::json!({"rev": self.rev, "all": false, "targets": targets});
-        self.agent.tell(&format!("{update}\n"));
+        self.agent.announce(&format!("{update}\n"));
         let whole = serde_json::json!({"rev": self.rev, "all": true, "targets": self.targets(endpoints)});
         *locked(&self.agent.state.list) = whole.to_string();
         let mut ledger = locked(&self.ledger);
@@ -262,7 +262,7 @@
         self.signal(Signal::HUP);
         thread::sleep(Duration::from_millis(1500));
         old.state.silent.store(true, Ordering::SeqCst);
-        old.shut();
+        old.break_watches();
         Ok(())
     }
 
@@ -280,7 +280,7 @@
             2 => self.move_discovery(endpoints)?,
             3 => {
                 self.agent.state.silent.store(true, Ordering::SeqCst);
-                self.agent.shut();
+                self.agent.break_watches();
                 thread::sleep(Duration::from_millis(chance.u64(500..4000)));
                 self.agent.state.silent.store(false, Ordering::SeqCst);
                 locked(&self.ledger).discovery_returned(self.number);
@@ -325,7 +325,7 @@
     ) -> Self {
         while !over.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(chance.u64(200..2500)));
-            self.agent.beat();
+            self.agent.send_heartbeat();
             if self.has_exited() {
                 locked(&self.ledger).breach(format!("courier {} ended by itself", self.number));
                 let _ = self.restart(plan, endpoints, false);
@@ -340,7 +340,7 @@
 /// Reads notices of all couriers.
 fn read_notifications(notices: &Receiver<Seen>, ledger: &Mutex<Ledger>) {
     while let Ok(seen) = notices.recv() {
-        let Seen::Notice(line) = seen else { continue };
+        let Seen::Notification(line) = seen else { continue };
         let notice: Result<serde_json::Value, _> = serde_json::from_str(&line);
         match notice.as_ref().ok().and_then(|notice| notice["id"].as_str()) {
             Some(id) => locked(ledger).notified(id),
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -36,25 +36,25 @@
     }
 
     /// Sends some text, whatever it says, on all watches, and on those that open later.
-    pub fn tell(&self, text: &str) {
+    pub fn announce(&self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         let mut watches = locked(&self.state.watches);
-        watches.told.push_str(&chunk);
+        watches.sent.push_str(&chunk);
         for watch in &mut watches.open {
-            self.state.bytes.fetch_add(chunk.len() as u64, Ordering::SeqCst);
+            self.state.bytes_sent.fetch_add(chunk.len() as u64, Ordering::SeqCst);
             let _ = watch.write_all(chunk.as_bytes());
         }
     }
 
     /// Sends a heartbeat on all open watches.
-    pub fn beat(&self) {
+    pub fn send_heartbeat(&self) {
         for watch in &mut locked(&self.state.watches).open {
             let _ = watch.write_all(HEARTBEAT.as_bytes());
         }
     }
 
     /// Breaks all open watches.
-    pub fn shut(&self) {
+    pub fn break_watches(&self) {
         for watch in locked(&self.state.watches).open.drain(..) {
             let _ = watch.shutdown(Shutdown::Both);
         }
@@ -69,22 +69,22 @@
     /// Whether requests for a watch go unanswered.
     pub silent: AtomicBool,
     /// Milliseconds before a watch is answered.
-    pub slow: AtomicU64,
+    pub watch_delay_ms: AtomicU64,
     /// Whether notifications go unanswered.
-    pub hold_notices: AtomicBool,
+    pub hold_notifications: AtomicBool,
     /// Connections that fall silent with the next notifications on them, which nobody sees.
-    pub lost_notices: AtomicU32,
+    pub lost_notifications: AtomicU32,
     /// Requests with notifications.
-    pub notices: AtomicU32,
+    pub notification_requests: AtomicU32,
     pub watches: Mutex<Watches>,
     /// Watches that it accepts a second; no limit if absent.
     pub capacity: Mutex<Option<Capacity>>,
     /// Connections that it has accepted.
     pub connections: AtomicU64,
     /// Watches that it has rejected.
-    pub refused: AtomicU64,
+    pub rejected_watches: AtomicU64,
     /// Bytes of lists and changes that it has sent.
-    pub bytes: AtomicU64,
+    pub bytes_sent: AtomicU64,
 }
 
 /// A token bucket of watches, which holds a second's worth.
@@ -115,7 +115,7 @@
 #[derive(Default)]
 pub struct Watches {
     pub open: Vec<TcpStream>,
-    pub told: String,
+    pub sent: String,
 }
 
 impl Discovery {
@@ -141,15 +141,15 @@
     /// Whether this is one of the connections that fall silent.
     fn loses_connection(&self) -> bool {
         let less = |left: u32| left.checked_sub(1);
-        self.lost_notices.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
+        self.lost_notifications.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
     }
 
     fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, seen: &Sender<Seen>) {
-        self.notices.fetch_add(1, Ordering::SeqCst);
+        self.notification_requests.fetch_add(1, Ordering::SeqCst);
         for line in String::from_utf8_lossy(body).lines() {
-            let _ = seen.send(Seen::Notice(line.to_owned()));
+            let _ = seen.send(Seen::Notification(line.to_owned()));
         }
-        if !self.hold_notices.load(Ordering::SeqCst) {
+        if !self.hold_notifications.load(Ordering::SeqCst) {
             let _ = output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
         }
     }
@@ -157,21 +157,21 @@
     fn send_list(&self, output: &mut TcpStream) {
         let list = locked(&self.list);
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-        self.bytes.fetch_add(response.len() as u64, Ordering::SeqCst);
+        self.bytes_sent.fetch_add(response.len() as u64, Ordering::SeqCst);
         let _ = output.write_all(response.as_bytes());
     }
 
     fn open_watch(&self, output: &mut TcpStream) {
         if locked(&self.capacity).as_mut().is_some_and(|capacity| !capacity.try_take()) {
-            self.refused.fetch_add(1, Ordering::SeqCst);
+            self.rejected_watches.fetch_add(1, Ordering::SeqCst);
             let _ = output.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
-        thread::sleep(Duration::from_millis(self.slow.load(Ordering::SeqCst)));
+        thread::sleep(Duration::from_millis(self.watch_delay_ms.load(Ordering::SeqCst)));
         let mut watches = locked(&self.watches);
         let head = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{HEARTBEAT}");
-        let response = format!("{head}{}", watches.told);
-        self.bytes.fetch_add(response.len() as u64, Ordering::SeqCst);
+        let response = format!("{head}{}", watches.sent);
+        self.bytes_sent.fetch_add(response.len() as u64, Ordering::SeqCst);
         let _ = output.write_all(response.as_bytes());
         if let Ok(watch) = output.try_clone() {
             watches.open.push(watch);
--- a/src/bin/testbed/stubs/endpoint.rs
+++ b/src/bin/testbed/stubs/endpoint.rs
@@ -11,7 +11,7 @@
     /// It has called an endpoint.
     Call(Call),
     /// It has notified discovery's agent of a final outcome, with this line.
-    Notice(String),
+    Notification(String),
 }
 
 /// A call in flight at an endpoint. One that is dropped unanswered is never answered.
--- a/src/bin/testbed/stubs/process.rs
+++ b/src/bin/testbed/stubs/process.rs
@@ -96,7 +96,7 @@
     }
 
     /// A value in the process's `/proc` status, in the unit that it has there.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn status_value(&self, name: &str) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
         line.split_whitespace().next()?.parse().ok()
--- a/src/bin/testbed/watchers.rs
+++ b/src/bin/testbed/watchers.rs
@@ -128,7 +128,7 @@
         }
     });
     drop(beats);
-    agent.shut();
+    agent.break_watches();
     point
 }
 
@@ -137,7 +137,7 @@
     let (end, ended) = channel();
     thread::spawn(move || {
         while ended.recv_timeout(BEAT) == Err(RecvTimeoutError::Timeout) {
-            agent.beat();
+            agent.send_heartbeat();
         }
     });
     end
@@ -236,12 +236,12 @@
     /// Changes are told to open watches.
     async fn hear(mut self) -> Result<Point, NotRun> {
         let (mut all, mut cpu) = (Vec::new(), Vec::new());
-        let bytes = self.agent.state.bytes.load(Ordering::SeqCst);
+        let bytes = self.agent.state.bytes_sent.load(Ordering::SeqCst);
         for _ in 0..CHANGES {
             let line = self.change();
             let (begun, spent) = (Instant::now(), processor_time());
             let agent = self.agent.clone();
-            let telling = thread::spawn(move || agent.tell(&line));
+            let telling = thread::spawn(move || agent.announce(&line));
             let rev = self.rev;
             let has =
                 move |heard: &WatcherProgress| matches!(heard, WatcherProgress::Has(own) if *own == rev);
@@ -253,7 +253,7 @@
                 return Err(NotRun::Failed(format!("{have} of {} have the change", self.size)));
             }
         }
-        let bytes = (self.agent.state.bytes.load(Ordering::SeqCst) - bytes) as f64 / CHANGES as f64;
+        let bytes = (self.agent.state.bytes_sent.load(Ordering::SeqCst) - bytes) as f64 / CHANGES as f64;
         let figures = [
             (Figure::FirstWatchMs, Some(self.first_ms)),
             (Figure::AllUpdatedMs, median(&mut all)),
@@ -269,15 +269,15 @@
         let state = self.agent.state.clone();
         let counted = || {
             let count = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::SeqCst) as f64;
-            (count(&state.connections), count(&state.refused), count(&state.bytes))
+            (count(&state.connections), count(&state.rejected_watches), count(&state.bytes_sent))
         };
         let before = counted();
         let per_s = *experiment.discovery.watches_per_s.get_ref() as f64;
         *locked(&state.capacity) = Some(Capacity::new(per_s));
         let line = self.change();
         let begun = Instant::now();
-        self.agent.shut();
-        self.agent.tell(&line);
+        self.agent.break_watches();
+        self.agent.announce(&line);
         let rev = self.rev;
         let has = move |heard: &WatcherProgress| matches!(heard, WatcherProgress::Has(own) if *own == rev);
         let in_force = Duration::from_secs_f64(experiment.target.in_force_s);
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -52,7 +52,7 @@
     let (mut failed, mut again) = (false, false);
     while !(failed && again) {
         match world.call_or_notice() {
-            Seen::Notice(line) => {
+            Seen::Notification(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
                 failed = true;
             }
--- a/tests/courier.rs
+++ b/tests/courier.rs
@@ -58,7 +58,7 @@
                     order.push(call.id.clone());
                     call.answer("200 OK", "");
                 }
-                Seen::Notice(line) => notices.push(line),
+                Seen::Notification(line) => notices.push(line),
             }
         }
         assert!(notices.iter().all(|line| line == r#"{"id":"first","state":"failed"}"#), "{notices:?}");
@@ -147,7 +147,7 @@
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
         match world.call_or_notice() {
-            Seen::Notice(line) => break assert_eq!(line, failed),
+            Seen::Notification(line) => break assert_eq!(line, failed),
             Seen::Call(call) => {
                 assert_eq!(call.id, "n1");
                 call.answer("500 Oops", "");
@@ -433,8 +433,8 @@
     loop {
         match world.call_or_notice() {
             Seen::Call(call) => call.reset(),
-            Seen::Notice(line) if line == failed => {}
-            Seen::Notice(line) => break assert_eq!(line, r#"{"id":"o2","state":"failed"}"#),
+            Seen::Notification(line) if line == failed => {}
+            Seen::Notification(line) => break assert_eq!(line, r#"{"id":"o2","state":"failed"}"#),
         }
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -124,7 +124,7 @@
     for _ in 0..2 {
         match world.call_or_notice() {
             Seen::Call(call) => calls.push(call),
-            Seen::Notice(line) => notices.push(line),
+            Seen::Notification(line) => notices.push(line),
         }
     }
     assert_eq!(notices, [r#"{"id":"u1","state":"failed"}"#]);
@@ -194,7 +194,7 @@
                 order.push(call.id.clone());
                 call.answer("200 OK", "");
             }
-            Seen::Notice(line) => notices.push(line),
+            Seen::Notification(line) => notices.push(line),
         }
     }
     assert_eq!(notices, [r#"{"id":"u1","state":"failed"}"#]);
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -31,7 +31,7 @@
     let call = loop {
         match world.call_or_notice() {
             Seen::Call(call) => break call,
-            Seen::Notice(line) => announced = line == failed("f1") && !announced,
+            Seen::Notification(line) => announced = line == failed("f1") && !announced,
         }
     };
     assert_eq!(call.id, "f2");
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -153,7 +153,7 @@
                 untried.retain(|id| *id != call.id);
                 call.answer("200 OK", "");
             }
-            Seen::Notice(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
+            Seen::Notification(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
         }
     }
 }
--- a/tests/world/life.rs
+++ b/tests/world/life.rs
@@ -74,7 +74,7 @@
         while let Some(seen) = self.world.seen_within(end.saturating_duration_since(Instant::now())) {
             match seen {
                 Seen::Call(call) => self.serve(call),
-                Seen::Notice(line) => {
+                Seen::Notification(line) => {
                     let notice: serde_json::Value = serde_json::from_str(&line).unwrap();
                     let id = notice["id"].as_str().unwrap();
                     self.messages.get_mut(id).unwrap_or_else(|| panic!("nobody's notice: {line}")).notified =
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -419,7 +419,7 @@
     pub fn call(&self) -> Call {
         match self.call_or_notice() {
             Seen::Call(call) => call,
-            Seen::Notice(line) => panic!("a call was due, not the notice {line}"),
+            Seen::Notification(line) => panic!("a call was due, not the notice {line}"),
         }
     }
 
@@ -434,7 +434,7 @@
 
     pub fn notice(&self) -> String {
         match self.call_or_notice() {
-            Seen::Notice(line) => line,
+            Seen::Notification(line) => line,
             Seen::Call(call) => panic!("a notice was due, not a call for {}", call.id),
         }
     }
@@ -452,23 +452,23 @@
     pub fn nothing(&self) {
         match self.seen.recv_timeout(QUIET) {
             Ok(Seen::Call(call)) => panic!("nothing was to be sent, but {} was", call.id),
-            Ok(Seen::Notice(line)) => panic!("nothing was to be told, but {line} was"),
+            Ok(Seen::Notification(line)) => panic!("nothing was to be told, but {line} was"),
             Err(_) => {}
         }
     }
 
     /// How many requests with notices an agent has had.
     pub fn notices_at(&self, agent: &Agent) -> u32 {
-        agent.state.notices.load(Ordering::SeqCst)
+        agent.state.notification_requests.load(Ordering::SeqCst)
     }
 
     pub fn hold_notices(&self, hold: bool) {
-        self.discovery.state.hold_notices.store(hold, Ordering::SeqCst);
+        self.discovery.state.hold_notifications.store(hold, Ordering::SeqCst);
     }
 
     /// So many connections fall silent, each with the next notices on it.
     pub fn lose_notices(&self, connections: u32) {
-        self.discovery.state.lost_notices.store(connections, Ordering::SeqCst);
+        self.discovery.state.lost_notifications.store(connections, Ordering::SeqCst);
     }
 
     /// Tells the watch that an endpoint drains.
@@ -503,7 +503,7 @@
 
     /// Tells the watch some text, whatever it says.
     pub fn tell_text(&self, text: &str) {
-        self.discovery.tell(text);
+        self.discovery.announce(text);
     }
 
     /// Discovery takes connections and says nothing.
@@ -513,7 +513,7 @@
 
     /// Discovery has so much to do that a watch is answered late.
     pub fn slow_discovery(&self, by: Duration) {
-        self.discovery.state.slow.store(by.as_millis() as u64, Ordering::SeqCst);
+        self.discovery.state.watch_delay_ms.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Waits until discovery has answered a watch.
@@ -651,12 +651,12 @@
 
     /// Memory of the process that is in use, in KiB.
     pub fn memory(&self) -> u64 {
-        self.process.figure("VmRSS").unwrap()
+        self.process.status_value("VmRSS").unwrap()
     }
 
     /// The most that it ever had in use.
     pub fn peak_memory(&self) -> u64 {
-        self.process.figure("VmHWM").unwrap()
+        self.process.status_value("VmHWM").unwrap()
     }
 
     pub fn terminate(&self) {
