--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -7,7 +7,7 @@
 use super::retry_after;
 use super::state::queue::Queue;
 use super::state::{Message, RouteId};
-use super::Scheduler;
+use super::{Deadline, Scheduler};
 use crate::model::*;
 use std::time::Duration;
 
@@ -67,7 +67,7 @@
         if let Some(key) = message.ordering_key(&self.settings) {
             self.ordering.push(key, id);
         }
-        self.deadlines.insert((deadline, id));
+        self.deadlines.insert(Deadline { at: deadline, message: id });
         let standing = self.standing(&message);
         self.queues.entry(destination).or_default().push(message.seq, id, standing);
         self.open_messages += 1;
@@ -113,12 +113,13 @@
     /// Gives up the messages whose time is over. One in flight may still be delivered for half of the grace
     /// time.
     pub(super) fn give_up_expired(&mut self, now: Time) {
-        while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
-            self.deadlines.remove(&(due, id));
+        while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
+            self.deadlines.remove(&deadline);
+            let id = deadline.message;
             let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
             let latest = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
             if message.call.is_some() && now < latest {
-                self.deadlines.insert((latest, id));
+                self.deadlines.insert(Deadline { at: latest, message: id });
             } else {
                 self.give_up(now, id);
             }
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -3,14 +3,14 @@
 //! A call has one outcome, and the rules of its route learn from it once, each in a step of its own, in the
 //! order of [`Scheduler::learn`].
 
-use super::circuit_breaker::{longest_transient, Severity};
+use super::circuit_breaker::{longest_transient, Failure, Severity};
 use super::idempotency;
 use super::rate_limit::Rejection;
 use super::retry;
 use super::route::Route;
 use super::state::queue::Queue;
-use super::state::{Call, UncertainAttempt};
-use super::Scheduler;
+use super::state::{Call, CallId, UncertainAttempt};
+use super::{Deadline, Scheduler};
 use crate::model::*;
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 
     /// What a message keeps of a finished attempt: attempts made, uncertainty, backoff and the hold on its
     /// key.
-    fn record_attempt(&mut self, now: Time, call_id: u64, finished: &FinishedAttempt) {
+    fn record_attempt(&mut self, now: Time, call_id: CallId, finished: &FinishedAttempt) {
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get(&call_id) else { return };
         let outcome = finished.outcome;
@@ -85,12 +85,12 @@
     pub(super) fn set_last_send_deadline(&mut self, now: Time, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(last_send_at) = idempotency::last_send_at(&self.settings, message) {
-            self.deadlines.insert((last_send_at.max(now), id));
+            self.deadlines.insert(Deadline { at: last_send_at.max(now), message: id });
         }
     }
 
     /// Frees the slot of a call and lets connections, endpoint and route learn from its outcome.
-    fn complete_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
+    fn complete_call(&mut self, now: Time, id: CallId, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.calls.remove(&id);
         }
@@ -185,7 +185,8 @@
             }
             AttemptOutcome::Rejected(_) => {
                 route.learn_rejection(now, settings, waiting_messages, chance);
-                route.learn_failure(now, settings, outcome, Severity::of_rejection(report), chance);
+                let failure = Failure::Rejected(Severity::of_rejection(report));
+                route.learn_failure(now, settings, failure, chance);
             }
             _ => {
                 let no_success_since = route.circuit.no_success_since(call.sent_at);
@@ -194,7 +195,7 @@
                 } else {
                     Severity::None
                 };
-                route.learn_failure(now, settings, outcome, severity, chance);
+                route.learn_failure(now, settings, Failure::Lost(severity), chance);
             }
         }
     }
@@ -256,16 +257,8 @@
     }
 
     /// A route whose circuit is open has no slow start any more.
-    fn learn_failure(
-        &mut self,
-        now: Time,
-        settings: &Settings,
-        outcome: AttemptOutcome,
-        severity: Severity,
-        chance: f64,
-    ) {
-        let is_rejection = matches!(outcome, AttemptOutcome::Rejected(_));
-        if self.circuit.on_failure(severity, is_rejection) {
+    fn learn_failure(&mut self, now: Time, settings: &Settings, failure: Failure, chance: f64) {
+        if self.circuit.on_failure(failure) {
             self.schedule_probe(now, settings, chance);
             self.slow_start.cancel();
         }
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -4,7 +4,7 @@
 use super::idempotency;
 use super::retry;
 use super::state::ready_index::Look;
-use super::state::{Call, RouteId};
+use super::state::{Call, CallId, RouteId};
 use super::Scheduler;
 use crate::model::*;
 use std::time::Duration;
@@ -27,7 +27,7 @@
         route.circuit.on_call_sent();
         let max_messages = if route.circuit.probe_may_be_lost() { 1 } else { route.batch_size };
         route.schedule_probe(now, &self.settings, self.rng.f64());
-        self.last_call += 1;
+        self.last_call = self.last_call.next();
         let call_id = self.last_call;
         route.calls.insert(call_id);
         let mut messages = Vec::new();
@@ -59,7 +59,7 @@
     fn start_attempt(
         &mut self,
         now: Time,
-        call_id: u64,
+        call_id: CallId,
         route_id: RouteId,
         endpoint: EndpointId,
         message_id: MessageId,
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -38,6 +38,15 @@
     Certain,
 }
 
+/// A call that did not succeed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Failure {
+    /// It was rejected unprocessed.
+    Rejected(Severity),
+    /// It failed in any other way.
+    Lost(Severity),
+}
+
 impl Severity {
     /// Of a rejection: with headroom left the destination is shut, or hangs with its queue full.
     pub fn of_rejection(report: Option<LoadReport>) -> Severity {
@@ -165,8 +174,12 @@
         self.open = None;
     }
 
-    /// A call failed or was rejected. Returns whether the circuit is open then, or stays so.
-    pub fn on_failure(&mut self, severity: Severity, is_rejection: bool) -> bool {
+    /// A call did not succeed. Returns whether the circuit opens, or is kept open.
+    pub fn on_failure(&mut self, failure: Failure) -> bool {
+        let (severity, is_lost) = match failure {
+            Failure::Rejected(severity) => (severity, false),
+            Failure::Lost(severity) => (severity, true),
+        };
         self.failure_score += severity.score();
         let opens = self.failure_score >= OPENING_SCORE
             || (self.open.is_some() && self.failure_score >= REOPENING_SCORE);
@@ -174,7 +187,7 @@
             let since = self.last_success_at;
             let open = self.open.get_or_insert(OpenInterval { since, ..OpenInterval::default() });
             open.has_failures = true;
-            open.has_lost_calls |= !is_rejection;
+            open.has_lost_calls |= is_lost;
         }
         opens
     }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -4,7 +4,7 @@
 use super::state::queue::Standing;
 use super::state::ready_index::Agenda;
 use super::state::{Message, RouteId};
-use super::Scheduler;
+use super::{Deadline, Scheduler};
 use crate::model::*;
 
 impl Scheduler {
@@ -62,7 +62,7 @@
         if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.completed) {
             message.completed = true;
             self.open_messages -= 1;
-            self.deadlines.remove(&(message.accepted.deadline, id));
+            self.deadlines.remove(&Deadline { at: message.accepted.deadline, message: id });
             let destination = message.accepted.destination;
             if let Some(queue) = self.queues.get_mut(&destination) {
                 queue.remove(message.seq);
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -13,7 +13,9 @@
 /// A message that may be sent now.
 #[derive(Clone, Copy)]
 pub struct ChosenMessage {
+    /// The message.
     pub id: MessageId,
+    /// Its value now.
     pub value: f64,
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -59,7 +59,7 @@
 use state::queue::{Queue, Seq};
 use state::ready_index::Agenda;
 pub use state::ready_index::WorkCounters;
-use state::{Call, Latency, Message, RouteId, TrackedEndpoint};
+use state::{Call, CallId, Latency, Message, RouteId, TrackedEndpoint};
 use watch_backoff::WatchBackoff;
 pub use watch_backoff::WATCH_RESPONSE_TIMEOUT;
 
@@ -80,11 +80,11 @@
     messages: BTreeMap<MessageId, Message>,
     /// Number of messages without a final outcome.
     open_messages: usize,
-    /// When which message is to be given up.
-    deadlines: BTreeSet<(Time, MessageId)>,
-    /// Calls in flight; ids grow from call to call.
-    calls: BTreeMap<u64, Call>,
-    last_call: u64,
+    /// When messages without a final outcome are given up, the earliest first.
+    deadlines: BTreeSet<Deadline>,
+    /// Calls in flight.
+    calls: BTreeMap<CallId, Call>,
+    last_call: CallId,
     /// Latency over all destinations: what is assumed of one that was never called.
     latency: Latency,
     quotas: TenantQuotas,
@@ -108,6 +108,13 @@
     agenda: Agenda,
 }
 
+/// When a message is given up, unless it is delivered before.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+struct Deadline {
+    at: Time,
+    message: MessageId,
+}
+
 /// The timer that was asked for last.
 #[derive(Clone, Copy)]
 struct Timer {
@@ -177,7 +184,7 @@
 
     /// One timer is outstanding: the earliest moment at which something could be done without an event.
     fn set_timer(&mut self, now: Time, next: Option<Time>) {
-        let next_deadline = self.deadlines.first().map(|(due, _)| *due);
+        let next_deadline = self.deadlines.first().map(|deadline| deadline.at);
         let Some(at) = next.into_iter().chain(next_deadline).min() else { return };
         if self.timer.is_none_or(|timer| at < timer.at || timer.at <= now) {
             self.last_timer_token += 1;
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -60,9 +60,15 @@
 pub enum Token {
     /// It may.
     Available,
-    /// Not before `due`; the rate may have changed by `recheck_at`, or, where `is_exact` is false, at any
-    /// moment.
-    Due { due: Time, recheck_at: Time, is_exact: bool },
+    /// Not yet.
+    Due {
+        /// When there will be a token at the rate of now.
+        due: Time,
+        /// When the rate has to be looked at again.
+        recheck_at: Time,
+        /// Whether `due` is when the token comes in, rather than the bound of a wait.
+        is_exact: bool,
+    },
 }
 
 /// What a rejection goes by.
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -6,7 +6,7 @@
 use super::rate_limit::RateLimit;
 use super::retry_after::RetryAfter;
 use super::slow_start::{overload_budget_per_sec, SlowStart};
-use super::state::Latency;
+use super::state::{CallId, Latency};
 use super::traffic::Traffic;
 use crate::model::{EndpointId, Settings, Time};
 use serde::{Deserialize, Serialize};
@@ -20,13 +20,20 @@
     /// Messages that one call may carry.
     pub batch_size: usize,
     /// Calls in flight, the oldest first.
-    pub calls: BTreeSet<u64>,
+    pub calls: BTreeSet<CallId>,
+    /// Demand, and calls served.
     pub traffic: Traffic,
+    /// Latency of its calls.
     pub latency: Latency,
+    /// Calls that may have run without success.
     pub losses: LossRatio,
+    /// The rate at which it may be called.
     pub rate_limit: RateLimit,
+    /// Whether only half-open probes may be sent.
     pub circuit: CircuitBreaker,
+    /// The recovery after an outage.
     pub slow_start: SlowStart,
+    /// Until when it may not be called at all.
     pub retry_after: RetryAfter,
 }
 
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -1,6 +1,7 @@
 //! A pending message: from its acceptance until its final outcome is acknowledged and no attempt is in
 //! flight.
 
+use super::call::CallId;
 use super::queue::Seq;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
@@ -17,7 +18,7 @@
     /// Attempts made so far, one in flight included.
     pub attempts: u32,
     /// The call in flight that carries it.
-    pub call: Option<u64>,
+    pub call: Option<CallId>,
     /// The first attempt that may have been processed. It fixes the idempotency window and the deduplication
     /// scope.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -11,7 +11,7 @@
 pub mod route_id;
 pub mod value_decay;
 
-pub use call::Call;
+pub use call::{Call, CallId};
 pub use endpoint::TrackedEndpoint;
 pub use latency::Latency;
 pub use message::{Message, UncertainAttempt};
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -4,7 +4,7 @@
 //! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They
 //! decide nothing: visiting more than they ask for leads to the same decisions.
 
-use super::RouteId;
+use super::{CallId, RouteId};
 use crate::model::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -110,7 +110,7 @@
     /// When the oldest call of a route that is not stalled yet becomes so.
     pub stalls: DueQueue<RouteId>,
     /// Calls that are stalled and were not cancelled, the oldest first.
-    pub hanging: BTreeSet<u64>,
+    pub hanging: BTreeSet<CallId>,
     /// Endpoints that are removed from the list and kept while they have calls in flight.
     pub gone: BTreeSet<EndpointId>,
     /// Routes whose circuit record may have changed since it was last asked for.
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -3,7 +3,7 @@
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
-use super::state::{Call, RouteId};
+use super::state::{Call, CallId, RouteId};
 use super::Scheduler;
 use crate::model::*;
 use std::time::Duration;
@@ -48,9 +48,9 @@
         self.agenda.stalls.set(id, at);
     }
 
-    fn oldest_responsive_call(&mut self, id: RouteId) -> Option<u64> {
+    fn oldest_responsive_call(&mut self, id: RouteId) -> Option<CallId> {
         let calls = self.routes.get(&id)?.calls.iter();
-        let is_responsive = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
+        let is_responsive = |call: &&CallId| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
         let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
         self.agenda.work.calls += 1 + skipped as u64;
         Some(*found)
