--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -100,7 +100,7 @@
     pub(super) fn forget_message(&mut self, message: MessageId) {
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             self.pending.remove(&pending.message.id);
-            let removed = self.journal.remove(message.0);
+            let removed = self.journal.complete(message.0);
             self.journal_errors.log_failure(removed);
         }
     }
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -263,7 +263,7 @@
         let paused = async {
             let listener = intake.accepting.await;
             let permit = timeout(PAUSE_TIMEOUT, &mut closing).await;
-            let _ = timeout(PAUSE_TIMEOUT, self.clients.all_moved()).await;
+            let _ = timeout(PAUSE_TIMEOUT, self.clients.all_transferred()).await;
             (listener, permit)
         };
         let (listener, permit) = tokio::select! {
