--- a/src/bin/delivery-gateway/log.rs
+++ b/src/bin/delivery-gateway/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error. Whoever takes them may fail, go away or stop reading: a line is lost then, and
-//! the courier goes on.
+//! The log: lines on standard error. Their reader may fail, exit or stop reading: a line is lost then, and the gateway
+//! goes on serving.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::retry_on_intr;
@@ -7,24 +7,24 @@
 use tracing::Level;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Names the least level of the lines: `error`, `warn`, `info` (if absent), `debug`, which adds a line for each step of
+/// The lowest level that is logged: `error`, `warn`, `info` (if absent), or `debug`, which adds a line for each step of
 /// each message and the reason of each close.
 const LEVEL_VARIABLE: &str = "DELIVERY_GATEWAY_LOG";
-/// The name that the variable had before; it is read where the other one is absent.
+/// The variable's former name, read where the other one is absent.
 const FORMER_LEVEL_VARIABLE: &str = "GULLCART_LOG";
-/// What a pipe that can be written at all takes at once, by POSIX's least `PIPE_BUF` on Linux; a longer line is cut.
-const LONGEST_LINE: usize = 4096;
+/// What a pipe that is ready takes at once (`PIPE_BUF` on Linux); a longer line is cut.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// Begins the log.
-pub fn begin() {
-    let told = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
-    let level = told.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
+/// Starts the log. To be called once, before the first line.
+pub fn start() {
+    let variable = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
+    let level = variable.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
     let lines = tracing_subscriber::fmt().with_writer(StandardError).with_ansi(false).with_target(false);
     // The library would report what it cannot write to standard error, and panic where that fails.
     lines.with_max_level(level).log_internal_errors(false).init();
 }
 
-/// Standard error, of which no failure is seen.
+/// Standard error, whose failures are ignored.
 #[derive(Clone, Copy)]
 struct StandardError;
 
@@ -38,8 +38,8 @@
 
 impl Write for StandardError {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if takes_a_line() {
-            let cut = &line[..line.len().min(LONGEST_LINE)];
+        if is_ready() {
+            let cut = &line[..line.len().min(MAX_LINE_BYTES)];
             let _ = retry_on_intr(|| rustix::io::write(io::stderr(), cut));
         }
         Ok(line.len())
@@ -50,11 +50,11 @@
     }
 }
 
-/// Whether a line can be written now, without waiting for whoever reads.
-fn takes_a_line() -> bool {
+/// Whether a line can be written now, without waiting for its reader.
+fn is_ready() -> bool {
     let stderr = io::stderr();
-    let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
+    let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
     let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // What cannot be asked may be written all the same.
-    retry_on_intr(|| poll(&mut asked, Some(&at_once))).map_or(true, |ready| ready > 0)
+    // Where polling fails, the line may be written all the same.
+    retry_on_intr(|| poll(&mut polled, Some(&at_once))).map_or(true, |ready| ready > 0)
 }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -41,7 +41,7 @@
 use crate::start_error::StartError;
 
 fn main() -> ExitCode {
-    log::begin();
+    log::start();
     let result = prepare_process().map_err(StartError::system("prepare the process"));
     match result.and_then(|(handlers, runtime)| LocalSet::new().block_on(&runtime, run(handlers))) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/bin/delivery-gateway/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -1,5 +1,5 @@
-//! Signals of the platform, as messages. No read or write of the pipe that wakes the event loop can end the process,
-//! and none that is lost loses a signal.
+//! Signals of the platform, as messages. A handler raises a flag and writes to a pipe that wakes the runtime. A failed
+//! read or write of that pipe neither ends the process nor loses a signal.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level};
@@ -14,76 +14,85 @@
 
 use delivery_gateway::socket::{not_now, persistently, try_transfer, Transfer};
 
-/// The signals' flags are looked at this often even if nothing wakes the loop.
-const LOST_WAKE: Duration = Duration::from_secs(1);
+/// How often the flags are read even if no write to the pipe arrives.
+const FLAG_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Handlers that are in force: from here on neither signal ends the process.
+/// Installed handlers: from here on neither signal ends the process by itself.
 pub struct Handlers {
     hang_up: Arc<AtomicBool>,
     terminate: Arc<AtomicBool>,
-    wakes: Pipe,
+    /// Readable once a signal has arrived.
+    wakeups: Pipe,
 }
 
-/// Where each signal arrives.
+/// Where the signals arrive. Signals of one kind that arrive together count once.
 pub struct Signals {
+    /// SIGHUP: the configuration is to be read again.
     pub hang_up: UnboundedReceiver<()>,
+    /// SIGTERM: the process is to end.
     pub terminate: UnboundedReceiver<()>,
 }
 
 impl Handlers {
-    /// Puts the handlers in force.
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    /// The pipe cannot be made, or a handler not installed.
     pub fn install() -> io::Result<Self> {
-        let (wakes, wake) = Pipe::pair()?;
-        wakes.set_nonblocking(true)?;
-        let install = |signal, wake| -> io::Result<Arc<AtomicBool>> {
+        let (wakeups, wakeup) = Pipe::pair()?;
+        wakeups.set_nonblocking(true)?;
+        let install = |signal, wakeup| -> io::Result<Arc<AtomicBool>> {
             let raised = Arc::new(AtomicBool::new(false));
-            // The flag first: whoever is woken looks at it.
+            // The flag first: the woken task reads it.
             flag::register(signal, raised.clone())?;
-            low_level::pipe::register(signal, wake)?;
+            low_level::pipe::register(signal, wakeup)?;
             Ok(raised)
         };
-        let hang_up = install(SIGHUP, wake.try_clone()?)?;
-        let terminate = install(SIGTERM, wake)?;
-        Ok(Handlers { hang_up, terminate, wakes })
+        let hang_up = install(SIGHUP, wakeup.try_clone()?)?;
+        let terminate = install(SIGTERM, wakeup)?;
+        Ok(Handlers { hang_up, terminate, wakeups })
     }
 
-    /// Passes the signals on, by a task of this event loop.
+    /// Spawns a task on the current `LocalSet` that passes the signals on.
+    ///
+    /// # Errors
+    /// The pipe cannot be registered with the runtime.
     pub async fn listen(self) -> io::Result<Signals> {
-        let Handlers { hang_up, terminate, wakes } = self;
-        let wakes = persistently("waiting for signals", || async {
-            let wakes = wakes.try_clone()?;
-            UnixStream::from_std(wakes)
+        let Handlers { hang_up, terminate, wakeups } = self;
+        let wakeups = persistently("waiting for signals", || async {
+            let wakeups = wakeups.try_clone()?;
+            UnixStream::from_std(wakeups)
         })
         .await?;
-        let (hang_ups, hang_up_heard) = unbounded_channel();
-        let (ends, end_heard) = unbounded_channel();
+        let (hang_up_in, hang_up_out) = unbounded_channel();
+        let (terminate_in, terminate_out) = unbounded_channel();
         tokio::task::spawn_local(async move {
             loop {
-                let _ = timeout(LOST_WAKE, wakes.readable()).await;
-                drain(&wakes).await;
-                pass_on(&hang_up, &hang_ups);
-                pass_on(&terminate, &ends);
+                let _ = timeout(FLAG_POLL_INTERVAL, wakeups.readable()).await;
+                drain(&wakeups).await;
+                pass_on(&hang_up, &hang_up_in);
+                pass_on(&terminate, &terminate_in);
             }
         });
-        Ok(Signals { hang_up: hang_up_heard, terminate: end_heard })
+        Ok(Signals { hang_up: hang_up_out, terminate: terminate_out })
     }
 }
 
-/// Reads the wakes away: the flags say what there is.
-async fn drain(wakes: &UnixStream) {
+/// Empties the pipe: the flags say which signals have arrived.
+async fn drain(wakeups: &UnixStream) {
     let mut bytes = [0; 64];
     loop {
-        match try_transfer(|| wakes.try_read(&mut bytes)) {
+        match try_transfer(|| wakeups.try_read(&mut bytes)) {
             Ok(Transfer::Bytes(1..)) => {}
             Ok(Transfer::Nothing) => return,
-            // What stays unread would wake the loop at once.
+            // What stays unread would wake the task again at once.
             Ok(Transfer::Bytes(0) | Transfer::NotNow) | Err(_) => return not_now().await,
         }
     }
 }
 
-fn pass_on(raised: &AtomicBool, heard: &UnboundedSender<()>) {
+fn pass_on(raised: &AtomicBool, signals: &UnboundedSender<()>) {
     if raised.swap(false, Ordering::SeqCst) {
-        let _ = heard.send(());
+        let _ = signals.send(());
     }
 }
