--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -184,21 +184,21 @@
     }
 
     fn start_call(&mut self, endpoint: EndpointId, address: SocketAddr, batch: Batch) {
-        let Batch { messages: loads, attempt_timeout, .. } = batch;
+        let Batch { messages, attempt_timeout, .. } = batch;
         let sent = Rc::new(Cell::new(false));
         let (handle, stopped) = CallHandle::new(sent.clone());
-        loads.iter().for_each(|load| self.track_attempt(load.message, endpoint, &handle));
+        messages.iter().for_each(|outgoing| self.track_attempt(outgoing.message, endpoint, &handle));
         self.counters.calls += 1;
-        for load in &loads {
+        for outgoing in &messages {
             debug!(
-                id = load.id,
+                id = outgoing.id,
                 endpoint = endpoint.0,
                 ?attempt_timeout,
-                shared = loads.len(),
+                shared = messages.len(),
                 "an attempt begins"
             );
         }
-        let mut call = Call { endpoint, address, messages: loads, attempt_timeout };
+        let mut call = Call { endpoint, address, messages, attempt_timeout };
         let pool = self.pool.clone();
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -207,7 +207,7 @@
                 let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
             };
             let result = pool.call(&mut call, stopped, sent, too_late).await;
-            let messages = call.messages.iter().map(|load| load.message).collect();
+            let messages = call.messages.iter().map(|outgoing| outgoing.message).collect();
             let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
         });
     }
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -2,19 +2,19 @@
 //! its actions go out. It waits for no socket, and for nothing but events and its timers.
 //!
 //! Here are the loop itself, the dispatch of events and of actions, and the end of the process. What an event or an
-//! action does stands in a module of its own: [`admission`], [`delivery`], [`outcomes`], [`circuit_notes`],
+//! action does stands in a module of its own: [`admission`], [`delivery`], [`outcomes`], [`persisted_circuits`],
 //! [`endpoints`], [`operations`]; the start in [`recovery`] and [`takeover`]; log lines in [`reporting`]. Of state of
 //! their own are [`catalog`], [`pending_index`] and [`in_flight`].
 
 mod admission;
 mod catalog;
-mod circuit_notes;
 mod delivery;
 mod endpoints;
 mod in_flight;
 mod operations;
 mod outcomes;
 mod pending_index;
+mod persisted_circuits;
 mod recovery;
 mod reporting;
 mod takeover;
@@ -31,10 +31,10 @@
 use tracing::info;
 
 use self::catalog::Catalog;
-use self::circuit_notes::CircuitNoteWriter;
 use self::in_flight::InFlightCalls;
 use self::outcomes::DeferredOutcomes;
 use self::pending_index::PendingIndex;
+use self::persisted_circuits::PersistedCircuitWriter;
 use self::reporting::{JournalErrorLog, LoadCounters, REPORT_SWEEPS};
 use crate::clock::Clock;
 use crate::completed_messages::CompletedMessages;
@@ -89,7 +89,7 @@
     in_flight: InFlightCalls,
     /// Checks each attempt once more before it is made.
     guard: SendGuard,
-    circuit_notes: CircuitNoteWriter,
+    persisted_circuits: PersistedCircuitWriter,
     deferred_outcomes: DeferredOutcomes,
     /// When writing what could not be written is tried next.
     flush_retry_at: Option<Instant>,
@@ -163,7 +163,7 @@
             completed: CompletedMessages::new(longest_deadline),
             in_flight: InFlightCalls::default(),
             guard,
-            circuit_notes: CircuitNoteWriter::default(),
+            persisted_circuits: PersistedCircuitWriter::default(),
             deferred_outcomes: DeferredOutcomes::default(),
             flush_retry_at: None,
             timer: None,
@@ -271,7 +271,7 @@
         }
         actions.clear();
         self.actions = actions;
-        self.note_circuit_changes();
+        self.persist_circuit_changes();
     }
 
     fn start_calls(&mut self, now: Time, endpoint: EndpointId, attempts: &[Action]) {
--- a/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
+++ b/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
@@ -12,25 +12,25 @@
 use crate::journal::{CircuitKey, Journal, PersistedCircuit, PersistedCircuitChange};
 use crate::rate_limited_log::RateLimitedLog;
 
-/// The notes that are yet to be written to the journal.
+/// The changes of circuits that are yet to be written to the journal.
 #[derive(Default)]
-pub(super) struct CircuitNoteWriter {
-    /// What has changed and is not in the journal yet; none where nothing is to be remembered any more.
+pub(super) struct PersistedCircuitWriter {
+    /// What each key is to stand for; none where nothing is to be remembered any more.
     unwritten: BTreeMap<CircuitKey, Option<PersistedCircuit>>,
-    /// Uids of endpoints with notes: the end of a note can come after the directory has forgotten its endpoint.
+    /// Uids of the endpoints with a persisted circuit: its end can come after the directory has forgotten the endpoint.
     uids: HashMap<EndpointId, String>,
     lines: RateLimitedLog,
 }
 
-impl CircuitNoteWriter {
-    /// Forgets what was noted before the start, save what is noted again before the next write.
-    fn supersede<'a>(&mut self, noted: impl Iterator<Item = &'a CircuitKey>) {
-        self.unwritten = noted.map(|key| (key.clone(), None)).collect();
+impl PersistedCircuitWriter {
+    /// Removes what was persisted before the start, save what is changed before the next write.
+    fn supersede<'a>(&mut self, persisted: impl Iterator<Item = &'a CircuitKey>) {
+        self.unwritten = persisted.map(|key| (key.clone(), None)).collect();
     }
 
     fn change(&mut self, change: &CircuitChange, directory: &EndpointDirectory, clock: &Clock) {
         let CircuitChange { destination, endpoint, record } = change;
-        // An endpoint that has no uid any more had nothing noted.
+        // An endpoint that has no uid any more had nothing persisted.
         let Some(key) = self.key(*destination, *endpoint, directory) else { return };
         if let Some((id, uid)) = endpoint.zip(key.uid.as_ref()) {
             match record {
@@ -38,10 +38,10 @@
                 None => drop(self.uids.remove(&id)),
             }
         }
-        let note = record
+        let circuit = record
             .as_ref()
             .map(|record| PersistedCircuit::new(record, key.uid.clone(), |at| clock.journal_ms(at)));
-        self.unwritten.insert(key, note);
+        self.unwritten.insert(key, circuit);
     }
 
     /// Names a route in the journal's terms; none if it is an endpoint whose uid is unknown.
@@ -63,16 +63,16 @@
 
     /// Writes the changes. Those that cannot be written stay until the next call.
     fn write(&mut self, journal: &mut Journal, errors: &mut JournalErrorLog) {
-        let noted = &journal.state.circuits;
-        self.unwritten.retain(|key, note| noted.get(key) != note.as_ref());
+        let persisted = &journal.state.circuits;
+        self.unwritten.retain(|key, circuit| persisted.get(key) != circuit.as_ref());
         if self.unwritten.is_empty() {
             return;
         }
-        let changes = self.unwritten.iter().map(|(key, note)| match note {
-            Some(note) => PersistedCircuitChange::Updated(note.clone()),
+        let changes = self.unwritten.iter().map(|(key, circuit)| match circuit {
+            Some(circuit) => PersistedCircuitChange::Updated(circuit.clone()),
             None => PersistedCircuitChange::Removed(key.clone()),
         });
-        let before = noted.open_count();
+        let before = persisted.open_count();
         let written = journal.record_circuits(&changes.collect::<Vec<_>>());
         if written.is_ok() {
             self.unwritten.clear();
@@ -88,9 +88,9 @@
 }
 
 impl EventLoop {
-    /// Notes all circuits anew, in place of what was noted before the start.
-    pub(super) fn note_all_circuits(&mut self) {
-        self.circuit_notes.supersede(self.journal.state.circuits.keys());
+    /// Persists all circuits anew, in place of what was persisted before the start.
+    pub(super) fn persist_all_circuits(&mut self) {
+        self.persisted_circuits.supersede(self.journal.state.circuits.keys());
         let records: Vec<CircuitRecord> = self.scheduler.circuit_records().collect();
         for record in records {
             let change = CircuitChange {
@@ -98,16 +98,16 @@
                 endpoint: record.endpoint,
                 record: Some(record),
             };
-            self.circuit_notes.change(&change, &self.directory, &self.clock);
+            self.persisted_circuits.change(&change, &self.directory, &self.clock);
         }
-        self.circuit_notes.write(&mut self.journal, &mut self.journal_errors);
+        self.persisted_circuits.write(&mut self.journal, &mut self.journal_errors);
     }
 
-    /// Notes the circuits that have changed since the last call.
-    pub(super) fn note_circuit_changes(&mut self) {
+    /// Persists the circuits that have changed since the last call.
+    pub(super) fn persist_circuit_changes(&mut self) {
         for change in self.scheduler.take_circuit_changes() {
-            self.circuit_notes.change(&change, &self.directory, &self.clock);
+            self.persisted_circuits.change(&change, &self.directory, &self.clock);
         }
-        self.circuit_notes.write(&mut self.journal, &mut self.journal_errors);
+        self.persisted_circuits.write(&mut self.journal, &mut self.journal_errors);
     }
 }
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -47,7 +47,7 @@
                 self.scheduler.handle(now, Event::CircuitRestored(record));
             }
         }
-        self.note_all_circuits();
+        self.persist_all_circuits();
     }
 
     /// A note in the scheduler's terms; none if it is of an endpoint that is no longer known.
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -67,7 +67,7 @@
         self.directory.adopt_ids(numbers);
         self.resume_endpoints();
         self.resume_pending(&shared);
-        self.note_all_circuits();
+        self.persist_all_circuits();
         calls.into_iter().for_each(|call| self.resume_call(call, stop.clone()));
         info!(
             held = self.pending.len(),
