--- a/src/bin/delivery-gateway/background.rs
+++ b/src/bin/delivery-gateway/background.rs
@@ -51,14 +51,14 @@
         match Config::read(&path).await {
             Ok(config) => {
                 let discovery = config.discovery_address;
-                info!(discovery, "the configuration was read again");
+                info!(discovery, "configuration reloaded");
                 discovery_address.send_if_modified(|current| {
                     let has_changed = *current != discovery;
                     *current = discovery;
                     has_changed
                 });
             }
-            Err(error) => error!(%error, "the configuration stays as it was"),
+            Err(error) => error!(%error, "configuration not reloaded: the previous one stays in force"),
         }
     }
 }
--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -19,7 +19,7 @@
     ) {
         let id = request.id.clone();
         let answer = self.enqueue(now, request);
-        debug!(id, ?answer, "a message was handed in");
+        debug!(id, ?answer, "enqueue request answered");
         if let Err(EnqueueReply::Accepted(message)) = reply.send(answer) {
             self.withdraw_unacknowledged(now, message);
         }
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -159,9 +159,9 @@
 
     /// Does not make an attempt that would break a rule.
     fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
-        if let Some(more) = self.breach_lines.due() {
+        if let Some(suppressed) = self.breach_lines.due() {
             let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
-            error!(?id, endpoint = endpoint.0, %breach, more, "a rule would have been broken: not sent");
+            error!(?id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
         }
         // The attempt that is in flight already will report its own result.
         if breach != Breach::AlreadyInFlight {
@@ -194,8 +194,8 @@
                 id = outgoing.id,
                 endpoint = endpoint.0,
                 ?attempt_timeout,
-                shared = messages.len(),
-                "an attempt begins"
+                messages = messages.len(),
+                "attempt started"
             );
         }
         let mut call = Call { endpoint, address, messages, attempt_timeout };
@@ -241,8 +241,8 @@
         if let Some(receiver) = self.receiver(endpoint) {
             self.guard.note_retry_after(self.clock.now(), &receiver, delay);
         }
-        if let Some(more) = self.retry_after_lines.due() {
-            info!(?destination, wait = ?delay, more, "told to wait");
+        if let Some(suppressed) = self.retry_after_lines.due() {
+            info!(?destination, ?delay, suppressed, "Retry-After received");
         }
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
     }
@@ -252,7 +252,7 @@
         let AttemptResult { outcome, latency, complete, load_report } = result;
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             let id = &pending.message.id;
-            debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "an attempt has ended");
+            debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "attempt finished");
         }
         if let AttemptOutcome::Rejected(Some(delay)) = outcome {
             self.note_retry_after(endpoint, delay);
--- a/src/bin/delivery-gateway/event_loop/endpoints.rs
+++ b/src/bin/delivery-gateway/event_loop/endpoints.rs
@@ -23,11 +23,11 @@
         }
         let endpoints = self.directory.apply(&update);
         self.scheduler.handle(now, Event::EndpointsUpdated(endpoints));
-        let rev = update.revision;
+        let revision = update.revision;
         let changed = update.endpoints.len();
         let recorded = self.journal.record_endpoints(update);
         self.journal_errors.log_failure(recorded);
-        info!(rev, changed, "the list has changed");
+        info!(revision, changed, "endpoint list updated");
         self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
         self.in_flight.withdraw(|endpoint| !self.directory.is_open(endpoint));
         self.forget_removed_endpoints();
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -308,7 +308,11 @@
             return;
         }
         let begun = Instant::now();
-        info!(held = self.journal.state.pending.len(), out = self.in_flight.len(), "told to end");
+        info!(
+            pending = self.journal.state.pending.len(),
+            in_flight = self.in_flight.len(),
+            "shutdown requested"
+        );
         self.shutdown = Some(Shutdown { earliest: begun + MIN_SHUTDOWN, latest: begun + MAX_SHUTDOWN });
         self.scheduler.handle(now, Event::ShutdownScheduled(now + MAX_SHUTDOWN));
         // Connections that move to another process are served there.
@@ -336,6 +340,10 @@
         }
         let flushed = self.journal.flush();
         self.journal_errors.log_failure(flushed);
-        info!(held = self.journal.state.pending.len(), out = self.in_flight.len(), "the courier ends");
+        info!(
+            pending = self.journal.state.pending.len(),
+            in_flight = self.in_flight.len(),
+            "shutdown completed"
+        );
     }
 }
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -6,11 +6,18 @@
 use super::EventLoop;
 use crate::events::{AdminOperation, AdminResult, ServicePhase};
 
+/// What operators do to an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EndpointSwitch {
+    Disable,
+    Enable,
+}
+
 impl EventLoop {
     pub(super) fn operate(&mut self, now: Time, operation: &AdminOperation) -> AdminResult {
         match operation {
-            AdminOperation::DisableEndpoint(uid) => self.operate_endpoint(now, uid, true),
-            AdminOperation::EnableEndpoint(uid) => self.operate_endpoint(now, uid, false),
+            AdminOperation::DisableEndpoint(uid) => self.switch_endpoint(now, uid, EndpointSwitch::Disable),
+            AdminOperation::EnableEndpoint(uid) => self.switch_endpoint(now, uid, EndpointSwitch::Enable),
             AdminOperation::LameDuck(on) => {
                 self.set_lame_duck(now, *on);
                 AdminResult::Done
@@ -18,29 +25,29 @@
         }
     }
 
-    fn operate_endpoint(&mut self, now: Time, uid: &str, out: bool) -> AdminResult {
-        let was_out = self.journal.state.disabled_endpoints.contains(uid);
-        if !was_out && !self.journal.state.endpoints.contains_key(uid) {
+    fn switch_endpoint(&mut self, now: Time, uid: &str, switch: EndpointSwitch) -> AdminResult {
+        let disable = switch == EndpointSwitch::Disable;
+        let is_disabled = self.journal.state.disabled_endpoints.contains(uid);
+        if !is_disabled && !self.journal.state.endpoints.contains_key(uid) {
             return AdminResult::UnknownEndpoint;
         }
-        if out == was_out {
+        if disable == is_disabled {
             return AdminResult::Done;
         }
-        let recorded = self.journal.record_endpoint_disabled(uid, out);
+        let recorded = self.journal.record_endpoint_disabled(uid, disable);
         if !self.journal_errors.log_failure(recorded) {
             return AdminResult::NotRecorded;
         }
-        info!(uid, out, "operators have changed what is left out");
-        if out {
-            self.disable_endpoint(now, uid);
-        } else {
-            self.enable_endpoint(now, uid);
+        info!(uid, ?switch, "endpoint switched by operators");
+        match switch {
+            EndpointSwitch::Disable => self.disable_endpoint(now, uid),
+            EndpointSwitch::Enable => self.enable_endpoint(now, uid),
         }
         AdminResult::Done
     }
 
     fn set_lame_duck(&mut self, now: Time, on: bool) {
-        info!(on, held = self.journal.state.pending.len(), "operators have told to empty, or not to");
+        info!(on, pending = self.journal.state.pending.len(), "lame duck mode switched by operators");
         self.scheduler.handle(now, Event::LameDuck(on));
         let phase = if on { ServicePhase::LameDuck } else { ServicePhase::Serving };
         self.phase.send_if_modified(|current| {
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -51,7 +51,7 @@
         let recorded = self.journal.record_final_outcome(message.0, final_outcome);
         let is_recorded = self.journal_errors.log_failure(recorded);
         let Some(pending) = self.journal.state.pending.get(&message.0) else { return };
-        debug!(id = pending.message.id, ?final_outcome, is_recorded, "a message has its final outcome");
+        debug!(id = pending.message.id, ?final_outcome, is_recorded, "final outcome recorded or deferred");
         let notification = OutcomeNotification { message, id: pending.message.id.clone(), final_outcome };
         if is_recorded {
             let _ = self.notifications.send(notification);
@@ -64,7 +64,7 @@
     /// The platform has the notifications of these messages.
     pub(super) fn outcomes_acknowledged(&mut self, now: Time, messages: Vec<MessageId>) {
         for message in messages {
-            debug!(number = message.0, "a notice was answered");
+            debug!(number = message.0, "notification acknowledged");
             self.complete_message(message);
             self.scheduler.handle(now, Event::OutcomeAcknowledged(message));
         }
--- a/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
+++ b/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
@@ -80,8 +80,8 @@
         errors.log_failure(written);
         let after = journal.state.circuits.open_count();
         if before != after {
-            if let Some(more) = self.lines.due() {
-                info!(before, after, more, "destinations held to be out");
+            if let Some(suppressed) = self.lines.due() {
+                info!(before, after, suppressed, "open circuits changed");
             }
         }
     }
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -21,7 +21,7 @@
         for number in &numbers {
             self.restore_message(now, *number);
         }
-        info!(held = numbers.len(), rev = self.endpoints_revision(), "the journal was replayed");
+        info!(pending = numbers.len(), revision = self.endpoints_revision(), "journal replayed");
     }
 
     /// The list in the journal counts unless the configuration's is newer.
@@ -74,7 +74,7 @@
         self.pending.insert(id.clone(), number);
         let Some(accepted) = self.catalog.accepted_message(&self.clock, number, &pending.message) else {
             let class = &pending.message.class;
-            warn!(class, "a message of a class that is not known any more is given up");
+            warn!(class, "message failed: the settings no longer have its class");
             self.record_final_outcome(message, FinalOutcome::Failed);
             return;
         };
--- a/src/bin/delivery-gateway/event_loop/reporting.rs
+++ b/src/bin/delivery-gateway/event_loop/reporting.rs
@@ -36,8 +36,8 @@
     /// Logs the error, if there is one; true if there is none. What could not be written is retried later.
     pub(super) fn log_failure(&mut self, written: Result<(), JournalError>) -> bool {
         let Err(error) = written else { return true };
-        if let Some(more) = self.lines.due() {
-            error!(%error, more, "the journal cannot be written");
+        if let Some(suppressed) = self.lines.due() {
+            error!(%error, suppressed, "the journal cannot be written");
         }
         false
     }
@@ -48,8 +48,8 @@
     pub(super) fn note_lateness(&mut self, late: Duration, what: &str) {
         self.counters.max_lateness = self.counters.max_lateness.max(late);
         if late > LATENESS_LIMIT {
-            if let Some(more) = self.lateness_lines.due() {
-                warn!(?late, more, "{what}");
+            if let Some(suppressed) = self.lateness_lines.due() {
+                warn!(?late, suppressed, "{what}");
             }
         }
     }
@@ -57,26 +57,26 @@
     /// Logs the load since the last report, and the longest queue.
     pub(super) fn report(&mut self) {
         let counters = std::mem::take(&mut self.counters);
-        let held = self.journal.state.pending.len();
-        let out = self.in_flight.len();
+        let pending = self.journal.state.pending.len();
+        let in_flight = self.in_flight.len();
         let connections = self.pool.take_counters();
-        let forbidden = self.guard.take_breaches();
+        let blocked = self.guard.take_breaches();
         info!(
-            taken = counters.accepted,
-            busy = counters.rejected,
+            accepted = counters.accepted,
+            rejected = counters.rejected,
             delivered = counters.delivered,
             failed = counters.failed,
             returned = counters.returned,
             calls = counters.calls,
-            held,
-            out,
-            latest = ?counters.max_lateness,
+            pending,
+            in_flight,
+            max_lateness = ?counters.max_lateness,
             ?connections,
-            forbidden,
+            blocked,
             "load"
         );
         if let Some((destination, waiting, routes)) = self.scheduler.longest_queue(self.clock.now()) {
-            info!(destination = destination.0, waiting, ?routes, "the longest queue");
+            info!(destination = destination.0, waiting, ?routes, "longest queue");
         }
     }
 }
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -70,10 +70,10 @@
         self.persist_all_circuits();
         calls.into_iter().for_each(|call| self.resume_call(call, stop.clone()));
         info!(
-            held = self.pending.len(),
-            out = self.in_flight.len(),
-            rev = self.endpoints_revision(),
-            "the courier was handed over"
+            pending = self.pending.len(),
+            in_flight = self.in_flight.len(),
+            revision = self.endpoints_revision(),
+            "took over from the predecessor"
         );
     }
 
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -242,7 +242,7 @@
 
     /// Runs until no call is in flight, for [`CALL_DRAIN_TIMEOUT`] at most; none if the process is to end meanwhile.
     async fn finish_calls(&mut self) -> Option<()> {
-        info!("calls end before the hand-over: the other process cannot go on with them");
+        info!("finishing calls before the handover: the successor cannot continue them");
         self.event_loop.stop_starting_calls();
         let end = Instant::now() + CALL_DRAIN_TIMEOUT;
         while self.event_loop.has_calls_in_flight() && Instant::now() < end {
@@ -293,9 +293,9 @@
     /// Takes the service back from a process that ended before it was in service. `missed` is what happened here
     /// meanwhile.
     async fn take_back(&mut self, missed: Vec<GatewayEvent>) -> Result<(), StartError> {
-        let untouched = self.event_loop.journal_is_untouched();
-        warn!(untouched, "the other process has gone before it was in service: this one goes on");
-        if untouched {
+        let journal_untouched = self.event_loop.journal_is_untouched();
+        warn!(journal_untouched, "the successor ended before it was in service: resuming service");
+        if journal_untouched {
             self.event_loop.resume_idle_connections();
             missed.into_iter().for_each(|event| self.event_loop.handle(event));
         } else {
--- a/src/bin/delivery-gateway/listener.rs
+++ b/src/bin/delivery-gateway/listener.rs
@@ -27,7 +27,7 @@
     let listen = || async {
         TcpListener::bind(address).await.map_err(|error| {
             if error.kind() == ErrorKind::AddrInUse && !is_in_use.replace(true) {
-                warn!(address, "the address is still in use");
+                warn!(address, "address still in use: retrying");
             }
             failed(error)
         })
@@ -47,10 +47,10 @@
     loop {
         match bind(&address).await {
             Ok((listener, address)) => {
-                info!(%address, "operators may call");
+                info!(%address, "admin endpoint open");
                 admin::serve(listener, endpoint.clone()).await;
             }
-            Err(error) => error!(%error, "operators cannot call"),
+            Err(error) => error!(%error, "admin endpoint not open: retrying"),
         }
         sleep(ADMIN_RETRY_INTERVAL).await;
     }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -113,6 +113,6 @@
         ?connect_timeout,
         ?connection_idle_timeout,
         ?destination_kinds,
-        "the settings"
+        "settings"
     );
 }
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -145,7 +145,7 @@
     async fn back_off(&mut self, reason: DiscoveryError, connection: ConnectionUse, waiting: usize) {
         self.connection = None;
         if !self.is_failing {
-            warn!(%reason, waiting, "notices are not answered");
+            warn!(%reason, waiting, "notifications not acknowledged: retrying");
             self.is_failing = true;
         }
         if matches!(reason, DiscoveryError::TimedOut(_)) {
@@ -191,7 +191,7 @@
         while let Some(notification) = batch.last() {
             match self.post(notification.line()).await {
                 Err(refused @ DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {
-                    error!(id = notification.id, %refused, "a notice is not understood");
+                    error!(id = notification.id, %refused, "notification dropped: the platform rejects it");
                 }
                 result => result?,
             }
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -228,7 +228,8 @@
             if process.has_logged("panicked") {
                 locked(&self.ledger).breach(format!("courier {} panicked", self.number));
             }
-            for line in process.lines().iter().filter(|line| line.contains("a rule would have been broken")) {
+            for line in process.lines().iter().filter(|line| line.contains("it would break a delivery rule"))
+            {
                 locked(&self.ledger).breach(format!("courier {}: {line}", self.number));
             }
         }
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -72,9 +72,9 @@
     assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
     assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
     world.remove(0);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     world.serve_again(0, 3);
-    courier.log_times("the list has changed", 2);
+    courier.log_times("endpoint list updated", 2);
     for round in 0..2 {
         // Both are free: without the change some of these would go to the first one.
         let mut client = courier.client();
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -179,7 +179,7 @@
     let courier = world.start();
     let mut client = courier.client();
     world.remove(1);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -190,11 +190,11 @@
     };
     let old = deliver("a1");
     world.replace(0, 0, 1);
-    courier.log_times("the list has changed", 2);
+    courier.log_times("endpoint list updated", 2);
     let new = deliver("a2");
     assert_ne!(new, old);
     world.remove(1);
-    courier.log_times("the list has changed", 3);
+    courier.log_times("endpoint list updated", 3);
     assert_eq!(deliver("a3"), new);
 }
 
@@ -207,7 +207,7 @@
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
             world.replace(0, round, TIMES);
-            courier.log_times("the list has changed", round as usize + 1);
+            courier.log_times("endpoint list updated", round as usize + 1);
         }
         courier.memory()
     };
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -75,7 +75,7 @@
     let call = world.call();
     let told = Instant::now();
     call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
-    courier.log_until("told to wait");
+    courier.log_until("Retry-After received");
     assert_eq!(courier.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     assert!(told.elapsed() >= Duration::from_millis(700), "after {:?}", told.elapsed());
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -183,7 +183,7 @@
     world.apart = true;
     let courier = world.start();
     world.remove(1);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     let mut client = courier.client();
     assert!(client.enqueue("d9", "0", "salary", 9, b"x").starts_with("-ERR "));
     assert_eq!(client.enqueue("d2", "0", "salary", 2, b"x"), "+OK");
--- a/tests/courier.rs
+++ b/tests/courier.rs
@@ -216,7 +216,7 @@
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     let told = Instant::now();
     world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
-    courier.log_until("told to wait");
+    courier.log_until("Retry-After received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     assert!(told.elapsed() >= Duration::from_millis(700), "after {:?}", told.elapsed());
@@ -231,7 +231,7 @@
     let world = World::new(2, 3.0);
     let courier = world.start();
     world.drain(0);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     world.silence_discovery(true);
     let courier = courier.kill_and_restart();
     let mut client = courier.client();
@@ -296,7 +296,7 @@
     }
     assert!((5..60).contains(&taken), "{taken}");
     let courier = courier.kill_and_restart();
-    assert!(courier.log_until("the journal was replayed").contains(&format!("held={taken}")));
+    assert!(courier.log_until("journal replayed").contains(&format!("pending={taken}")));
 }
 
 /// A torn or damaged tail of the journal is cut off; what stands before it is kept, and the process starts.
@@ -311,7 +311,7 @@
     let courier = courier.kill();
     world.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
     let courier = courier.restart();
-    assert!(courier.log_until("the journal was replayed").contains("held=1"));
+    assert!(courier.log_until("journal replayed").contains("pending=1"));
     assert_eq!(world.notice(), r#"{"id":"j1","state":"failed"}"#);
 }
 
@@ -378,7 +378,7 @@
     world.call().answer("200 OK", "");
     world.drain(0);
     world.silence_discovery(false);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
 }
 
 /// Lists may come indented, also by the watch, and in pieces; one that breaks off is damage, and the watch is begun
@@ -391,7 +391,7 @@
     let (first, rest) = text.split_at(text.len() / 2);
     world.tell_text(first);
     world.tell_text(rest);
-    courier.log_until("the list has changed rev=2 changed=1");
+    courier.log_until("endpoint list updated revision=2 changed=1");
     for id in ["i1", "i2"] {
         assert_eq!(courier.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -412,7 +412,7 @@
     let courier = world.start();
     courier.client();
     world.drain(0);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     assert_eq!(world.watches(), 1);
 }
 
@@ -514,7 +514,7 @@
     assert_eq!(call.endpoint, 1);
     let told = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
-    courier.log_until("told to wait");
+    courier.log_until("Retry-After received");
     world.release(hanging);
     for _ in 0..2 {
         let call = world.call();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -55,7 +55,7 @@
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
-    predecessor.log_until("told to wait");
+    predecessor.log_until("Retry-After received");
     assert_eq!(predecessor.operate("POST /_endpoints/detach?id=s-1"), 200);
     let successor = world.start();
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
@@ -157,7 +157,7 @@
     let in_flight = world.call();
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     world.start().kill();
-    assert!(predecessor.log_until("this one goes on").contains("untouched=true"));
+    assert!(predecessor.log_until("resuming service").contains("journal_untouched=true"));
     world.no_call();
     in_flight.answer("200 OK", "");
     let second = world.call();
@@ -184,7 +184,7 @@
     let other = world.call();
     assert_eq!(other.id, "u1");
     successor.kill();
-    assert!(predecessor.log_until("this one goes on").contains("untouched=false"));
+    assert!(predecessor.log_until("resuming service").contains("journal_untouched=false"));
     let (mut notices, mut order) = (Vec::new(), Vec::new());
     while notices.is_empty() || order.len() < 2 {
         match world.call_or_notice() {
@@ -213,13 +213,13 @@
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 2, b"x"), "+OK");
     world.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
-    predecessor.log_until("told to wait");
+    predecessor.log_until("Retry-After received");
     assert_eq!(predecessor.operate("POST /_endpoints/detach?id=s-2"), 200);
     assert_eq!(client.enqueue("k1", "9", "notice,k=a", 1, b"1"), "+OK");
     let in_flight = world.call();
     world.zone.set("elsewhere");
     let successor = world.start_beside();
-    predecessor.log_until("calls end before the hand-over");
+    predecessor.log_until("finishing calls before the handover");
     // It accepts messages as before, and starts no call.
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     assert_eq!(client.enqueue("u3", "0", "salary", 3, b"3"), "+OK");
@@ -262,7 +262,7 @@
     let before = TcpListener::bind("127.0.0.1:0").unwrap();
     world.listen.set(before.local_addr().unwrap());
     let gateway = world.start_beside();
-    gateway.log_until("the address is still in use");
+    gateway.log_until("address still in use");
     assert_eq!(gateway.operate("GET /_ready"), 503);
     drop(before);
     let gateway = gateway.listening();
@@ -293,5 +293,5 @@
     predecessor.log_until("no handover is possible");
     world.permit_unix_sockets();
     let successor = world.start_beside().listening();
-    assert!(successor.has_logged("the courier was handed over"));
+    assert!(successor.has_logged("took over from the predecessor"));
 }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -46,10 +46,10 @@
     let courier = world.start();
     assert!(courier.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
     world.tell_all(2);
-    courier.log_until("the list has changed rev=2 changed=1024");
+    courier.log_until("endpoint list updated revision=2 changed=1024");
     let _out = deliver_to_all(&world, &courier, "w");
     let courier = courier.kill_and_restart();
-    courier.log_until("the journal was replayed held=1 rev=2");
+    courier.log_until("journal replayed pending=1 revision=2");
     let again = world.call();
     assert_eq!(again.id, "w-last");
     again.answer("200 OK", "");
@@ -57,7 +57,7 @@
     let agent = world.agent_with_drain(MANY as usize - 1);
     world.configure(&agent);
     courier.hang_up();
-    courier.log_until("the list has changed rev=5 changed=1024");
+    courier.log_until("endpoint list updated revision=5 changed=1024");
     let mut client = courier.client();
     assert_eq!(client.enqueue("drains", "0", "salary", MANY, b"x"), "+OK");
     assert_eq!(client.enqueue("serves", "0", "salary", MANY - 1, b"x"), "+OK");
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -42,7 +42,7 @@
         let out = world.call();
         world.fail(call, Fault::always(&[EINTR]).part(0.5));
         let new = world.start_beside().listening();
-        assert!(new.has_logged("the courier was handed over"), "{call:?}");
+        assert!(new.has_logged("took over from the predecessor"), "{call:?}");
         // On the connection that moved.
         assert_eq!(client.enqueue("u2", "0", "salary", 1, b"x"), "+OK", "{call:?}");
         let second = world.call();
@@ -52,7 +52,7 @@
         old.terminate();
         assert!(old.wait(Duration::from_secs(5)).success(), "{call:?}");
         new.log_until("the previous process has ended broken_calls=0");
-        assert!(!old.has_logged("the other process has gone"), "{call:?}");
+        assert!(!old.has_logged("the successor ended"), "{call:?}");
         world.nothing();
     }
 }
@@ -65,7 +65,7 @@
         world.fail(call, Fault::always(&[EINTR]).part(0.5));
         for round in 1..=4 {
             courier.hang_up();
-            courier.log_times("the configuration was read again", round);
+            courier.log_times("configuration reloaded", round);
         }
         courier.terminate();
         assert!(courier.wait(Duration::from_secs(5)).success(), "{call:?}");
@@ -142,7 +142,7 @@
         world.configure(&agent);
         world.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         courier.hang_up();
-        courier.log_until("the configuration was read again");
+        courier.log_until("configuration reloaded");
         assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
     }
 }
@@ -160,6 +160,6 @@
         world.fail(call, Fault::always(&[error]).times(2));
         assert_eq!(courier.client().enqueue("c1", "0", "salary", 1, b"x"), "+OK");
         world.call().answer("200 OK", "");
-        assert!(!courier.has_logged("held to be out"), "{call:?} {error}");
+        assert!(!courier.has_logged("open circuits changed"), "{call:?} {error}");
     }
 }
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -67,7 +67,7 @@
     // The successor sees another wall clock than the predecessor.
     world.new_faults(2).step_wall_clock(HOUR_MS).unwrap();
     let successor = world.start_beside().listening();
-    assert!(successor.has_logged("the courier was handed over"));
+    assert!(successor.has_logged("took over from the predecessor"));
     predecessor.terminate();
     in_flight.answer("200 OK", "");
     let call = world.call();
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -40,10 +40,10 @@
     let gateway = world.start();
     world.fail(SystemCall::StateWrite, Fault::always(&DISK));
     world.remove(0);
-    gateway.log_until("the list has changed");
+    gateway.log_until("endpoint list updated");
     world.faults().clear(SystemCall::StateWrite).unwrap();
     world.serve_again(1, 3);
-    gateway.log_times("the list has changed", 2);
+    gateway.log_times("endpoint list updated", 2);
     let stopped = gateway.kill();
     // The next process gets no list from discovery.
     world.silence_discovery(true);
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -40,7 +40,7 @@
     let gateway = world.start();
     life.hand_in(&gateway, "after", true, Clients::AreAnswered);
     life.settle(&what);
-    assert!(!gateway.has_logged("a rule would have been broken"), "{what}");
+    assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
     killed
 }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -22,7 +22,7 @@
     let agent = world.agent_with_drain(0);
     world.configure(&agent);
     courier.hang_up();
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     // What the old one never answered is told to the new one, which answers.
     while world.notices_at(&agent) == 0 {
         assert_eq!(world.notice(), failed);
@@ -47,7 +47,7 @@
     let mut client = courier.client();
     world.spoil_configuration();
     courier.hang_up();
-    courier.log_until("the configuration stays as it was");
+    courier.log_until("configuration not reloaded");
     assert_eq!(client.enqueue("s1", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
     assert_eq!(world.notice(), r#"{"id":"s1","state":"failed"}"#);
@@ -55,7 +55,7 @@
     for (number, agent) in agents.iter().enumerate() {
         world.configure(agent);
         courier.hang_up();
-        courier.log_times("the list has changed", number + 1);
+        courier.log_times("endpoint list updated", number + 1);
     }
     assert_eq!(client.enqueue("s2", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -94,7 +94,7 @@
     world.drain(0);
     world.silence_discovery(false);
     fill(&mut crowd);
-    courier.log_until("the list has changed");
+    courier.log_until("endpoint list updated");
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
     // The descriptors may be full at a restart too.
     let courier = courier.kill_and_restart();
@@ -125,7 +125,7 @@
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
         world.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
-        courier.log_until("told to wait");
+        courier.log_until("Retry-After received");
     }
     let mut taken = 0;
     loop {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -563,7 +563,7 @@
 
     /// Waits until operators may call it.
     fn with_door(mut self) -> Self {
-        self.admin = address_in(&self.log_until("operators may call")).unwrap();
+        self.admin = address_in(&self.log_until("admin endpoint open")).unwrap();
         self
     }
 
