--- a/src/bin/delivery-gateway/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -84,9 +84,9 @@
     loop {
         match try_transfer(|| wakeups.try_read(&mut bytes)) {
             Ok(Transfer::Bytes(1..)) => {}
-            Ok(Transfer::Nothing) => return,
+            Ok(Transfer::WouldBlock) => return,
             // What stays unread would wake the task again at once.
-            Ok(Transfer::Bytes(0) | Transfer::NotNow) | Err(_) => return memory_backoff().await,
+            Ok(Transfer::Bytes(0) | Transfer::OutOfMemory) | Err(_) => return memory_backoff().await,
         }
     }
 }
