--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -94,7 +94,7 @@
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.calls.remove(&id);
         }
-        self.agenda.hanging.remove(&id);
+        self.ready_index.unresponsive_calls.remove(&id);
         let is_explained = self.learn_of_connections(now, finished.outcome, &call);
         self.learn_of_endpoint(now, finished.outcome, &call, is_explained);
         let had_record = self.has_circuit_record(call.route);
@@ -102,7 +102,7 @@
             self.learn(now, finished, &call);
         }
         if had_record || self.has_circuit_record(call.route) {
-            self.agenda.circuit_records.insert(call.route);
+            self.ready_index.changed_circuits.insert(call.route);
         }
         self.schedule_silence_check(call.route);
     }
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -3,7 +3,7 @@
 use super::connection_reuse::{IdleConnections, NextCall};
 use super::idempotency;
 use super::retry;
-use super::state::ready_index::Look;
+use super::state::ready_index::Revisit;
 use super::state::{Call, CallId, RouteId};
 use super::Scheduler;
 use crate::model::*;
@@ -38,7 +38,7 @@
             next = if messages.len() == max_messages {
                 None
             } else {
-                self.choose_message(now, route_id, &[zone], &mut Look::default()).map(|chosen| chosen.id)
+                self.choose_message(now, route_id, &[zone], &mut Revisit::default()).map(|chosen| chosen.id)
             };
         }
         let call = Call {
--- a/src/scheduler/drain.rs
+++ b/src/scheduler/drain.rs
@@ -56,7 +56,7 @@
         };
         self.touch(route_id.destination);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
-        self.agenda.circuit_records.insert(route_id);
+        self.ready_index.changed_circuits.insert(route_id);
         route.circuit.reset();
         route.slow_start.begin(now);
         route.rate_limit.restart(now, 0.0);
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -22,22 +22,23 @@
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.entry.mode = Availability::Removed;
                 }
-                self.agenda.gone = self.endpoints.keys().copied().collect();
-                self.agenda.all = true;
+                self.ready_index.removed_endpoints = self.endpoints.keys().copied().collect();
+                self.ready_index.all = true;
                 self.apply_entries(now, entries);
             }
         }
     }
 
     fn apply_entries(&mut self, now: Time, entries: Vec<Endpoint>) {
-        self.agenda.work.endpoints += entries.len() as u64;
+        self.ready_index.work.endpoints += entries.len() as u64;
         for entry in entries {
             self.apply_entry(now, entry);
         }
-        self.agenda.work.endpoints += self.agenda.gone.len() as u64;
+        self.ready_index.work.endpoints += self.ready_index.removed_endpoints.len() as u64;
         let has_no_calls =
             |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
-        for id in self.agenda.gone.iter().filter(has_no_calls).copied().collect::<Vec<_>>() {
+        for id in self.ready_index.removed_endpoints.iter().filter(has_no_calls).copied().collect::<Vec<_>>()
+        {
             self.forget_endpoint(id);
         }
     }
@@ -49,9 +50,9 @@
         }
         previous_destination.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
         if entry.mode == Availability::Removed {
-            self.agenda.gone.insert(entry.id);
+            self.ready_index.removed_endpoints.insert(entry.id);
         } else {
-            self.agenda.gone.remove(&entry.id);
+            self.ready_index.removed_endpoints.remove(&entry.id);
         }
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
         let batch_size = kind.map_or(1, |kind| kind.batch.max(1));
@@ -76,7 +77,7 @@
     /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
     /// except where the endpoint was a route of its own.
     pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
-        self.agenda.gone.remove(&id);
+        self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
         self.touch(endpoint.entry.destination);
         let route_id = self.route_of(&endpoint.entry);
@@ -85,7 +86,7 @@
         if route_id.endpoint.is_some() {
             self.routes.remove(&route_id);
             self.schedule_silence_check(route_id);
-            self.agenda.circuit_records.insert(route_id);
+            self.ready_index.changed_circuits.insert(route_id);
         }
     }
 
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::route::Route;
 use super::state::queue::Standing;
-use super::state::ready_index::Agenda;
+use super::state::ready_index::ReadyIndex;
 use super::state::{Message, RouteId};
 use super::{Deadline, Scheduler};
 use crate::model::*;
@@ -11,7 +11,7 @@
     /// Something has changed at a destination: it is looked at in the next step. Up to the last step its
     /// routes were as the last look had left them.
     pub(super) fn touch(&mut self, destination: DestinationId) {
-        self.agenda.touch(destination);
+        self.ready_index.touch(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
             route.rate_limit.settle(self.last_round_at);
         }
@@ -21,17 +21,17 @@
     /// alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
         if message.call.is_some() {
-            return Standing::Out;
+            return Standing::InFlight;
         }
         if message.ordering_key(&self.settings).is_some()
             || message.first_uncertain_attempt.is_some()
             || message.attempts >= self.settings.max_attempts
         {
-            return Standing::Apart;
+            return Standing::Individual;
         }
-        Standing::Among {
+        Standing::Grouped {
             lane: (message.accepted.class, message.over_quota),
-            born: message.enqueued_at,
+            enqueued_at: message.enqueued_at,
             not_before: message.not_before,
         }
     }
@@ -41,7 +41,7 @@
         let Some(message) = self.messages.get(&id) else { return };
         let standing = self.standing(message);
         if let Some(queue) = self.queues.get_mut(&message.accepted.destination) {
-            queue.stands(message.seq, standing);
+            queue.set_standing(message.seq, standing);
         }
     }
 
@@ -100,18 +100,18 @@
     }
 
     /// Makes the indexes anew from the state: all is to be looked at.
-    pub(super) fn rebuild_agenda(&mut self) {
+    pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
             route.rate_limit.settle(self.last_round_at);
         }
-        self.agenda = Agenda::default();
-        self.agenda.all = true;
+        self.ready_index = ReadyIndex::default();
+        self.ready_index.all = true;
         let unresponsive = self.calls.iter().filter(|(_, call)| call.is_unresponsive && !call.is_cancelled);
-        self.agenda.hanging = unresponsive.map(|(id, _)| *id).collect();
+        self.ready_index.unresponsive_calls = unresponsive.map(|(id, _)| *id).collect();
         let removed = self.endpoints.values().filter(|endpoint| endpoint.is_removed());
-        self.agenda.gone = removed.map(|endpoint| endpoint.entry.id).collect();
+        self.ready_index.removed_endpoints = removed.map(|endpoint| endpoint.entry.id).collect();
         let with_record = self.routes.iter().filter(|(_, route)| route.has_circuit_record());
-        self.agenda.circuit_records = with_record.map(|(id, _)| *id).collect();
+        self.ready_index.changed_circuits = with_record.map(|(id, _)| *id).collect();
         let with_calls = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
         for id in with_calls.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.schedule_silence_check(id);
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -4,7 +4,7 @@
 use super::loss_ratio;
 use super::message_value;
 use super::state::queue::{Lane, Queue, Standing};
-use super::state::ready_index::{earliest, Look};
+use super::state::ready_index::{earliest, Revisit};
 use super::state::{Message, RemainingValue, RouteId};
 use super::Scheduler;
 use crate::model::*;
@@ -20,14 +20,14 @@
 }
 
 impl Scheduler {
-    /// The message of most value that may go by a route to one of these zones now; if none, `look` gets the
-    /// time when that may be. A half-open probe rather takes one that can be resent.
+    /// The message of most value that may go by a route to one of these zones now; if none, `revisit` gets
+    /// the time when that may be. A half-open probe rather takes one that can be resent.
     pub(super) fn choose_message(
         &mut self,
         now: Time,
         route_id: RouteId,
         zones: &[ZoneId],
-        look: &mut Look,
+        revisit: &mut Revisit,
     ) -> Option<ChosenMessage> {
         // What is lost on all routes alike is no reason to wait.
         let baseline = self.connection_reuse.baseline_risk();
@@ -44,11 +44,11 @@
         for message in ids.filter_map(|id| self.messages.get(&id)).filter(may_go_there) {
             let send_at = self.earliest_send(now, message);
             if send_at.is_none_or(|at| at > now) {
-                earliest(&mut look.wake, send_at);
+                earliest(&mut revisit.send_at, send_at);
                 // When its idempotency window ends first, there is nothing to be done at that time any more.
                 let expires_at = idempotency::last_send_at(&self.settings, message)
                     .map(|last_send_at| last_send_at + Duration::from_nanos(1));
-                earliest(&mut look.change, expires_at.filter(|_| send_at.is_some()));
+                earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
                 continue;
             }
             let class = message.class(&self.settings);
@@ -56,8 +56,8 @@
             let last_attempt_at = loss_ratio::last_attempt_at(class, message.accepted.deadline);
             if loses_calls && !is_resendable && now < last_attempt_at {
                 let recheck_at = now + loss_ratio::recheck_delay(&self.settings);
-                look.always = true;
-                earliest(&mut look.wake, Some(recheck_at.min(last_attempt_at)));
+                revisit.each_step = true;
+                earliest(&mut revisit.send_at, Some(recheck_at.min(last_attempt_at)));
                 continue;
             }
             let is_preferred = !is_probe || is_resendable;
@@ -91,7 +91,8 @@
         include_non_idempotent: bool,
     ) -> Option<Vec<MessageId>> {
         let mut queue = std::mem::take(self.queues.get_mut(&destination)?);
-        let standing = |id| self.messages.get(&id).map_or(Standing::Out, |message| self.standing(message));
+        let standing =
+            |id| self.messages.get(&id).map_or(Standing::InFlight, |message| self.standing(message));
         let index = queue.take_index(standing);
         let best = index.map(|mut index| {
             let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
@@ -108,7 +109,7 @@
             queue.give_back(index);
             best
         });
-        self.agenda.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
+        self.ready_index.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
         self.queues.insert(destination, queue);
         best
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -57,7 +57,7 @@
 use route::Route;
 use shutdown::Shutdown;
 use state::queue::{Queue, Seq};
-use state::ready_index::Agenda;
+use state::ready_index::ReadyIndex;
 pub use state::ready_index::WorkCounters;
 use state::{Call, CallId, Latency, Message, RouteId, TrackedEndpoint};
 use watch_backoff::WatchBackoff;
@@ -105,7 +105,7 @@
     actions: Vec<Action>,
     /// What the next steps have to look at.
     #[serde(skip)]
-    agenda: Agenda,
+    ready_index: ReadyIndex,
 }
 
 /// When a message is given up, unless it is delivered before.
@@ -134,7 +134,7 @@
     pub fn resumed(self, fresh: Scheduler) -> Self {
         let shutdown = Shutdown::default();
         let mut scheduler = Scheduler { settings: fresh.settings, rng: fresh.rng, shutdown, ..self };
-        scheduler.rebuild_agenda();
+        scheduler.rebuild_ready_index();
         scheduler
     }
 
@@ -179,7 +179,7 @@
     /// moment.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
-        self.agenda.all = true;
+        self.ready_index.all = true;
     }
 
     /// One timer is outstanding: the earliest moment at which something could be done without an event.
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -26,8 +26,8 @@
     /// What is to be remembered of the routes where that has changed since the last call. Routes where
     /// nothing has changed may be among them.
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
-        let changed = std::mem::take(&mut self.agenda.circuit_records);
-        self.agenda.work.routes += changed.len() as u64;
+        let changed = std::mem::take(&mut self.ready_index.changed_circuits);
+        self.ready_index.work.routes += changed.len() as u64;
         let change = |id: RouteId| CircuitChange {
             destination: id.destination,
             endpoint: id.endpoint,
@@ -73,6 +73,6 @@
 
     /// How much was looked at so far.
     pub fn work(&self) -> WorkCounters {
-        self.agenda.work
+        self.ready_index.work
     }
 }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -10,7 +10,7 @@
     pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
         self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
-        self.agenda.all = true;
+        self.ready_index.all = true;
         self.on_message_accepted(now, restored.message);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
@@ -33,7 +33,7 @@
         let chance = self.rng.f64();
         let id = RouteId { destination: record.destination, endpoint: record.endpoint };
         let Some(route) = self.routes.get_mut(&id) else { return };
-        self.agenda.circuit_records.insert(id);
+        self.ready_index.changed_circuits.insert(id);
         route.circuit.restore(&record);
         route.traffic.restore_baseline(record.baseline_rate);
         route.slow_start.restore(record.slow_start_since);
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -2,7 +2,7 @@
 //! asked.
 
 use super::rate_limit::{RatePhase, Token};
-use super::state::ready_index::{earliest, Look};
+use super::state::ready_index::{earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
@@ -12,20 +12,20 @@
 
 impl Scheduler {
     /// When a route may take one more call: now, later, or only after some event (none). What else would
-    /// change the answer goes to `look`. Asks, in this order: Retry-After, shutdown, circuit breaker,
+    /// change the answer goes to `revisit`. Asks, in this order: Retry-After, shutdown, circuit breaker,
     /// bulkhead, rate limit.
-    pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, look: &mut Look) -> Option<Time> {
+    pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, revisit: &mut Revisit) -> Option<Time> {
         let patience = self.patience(id);
         let free_slots = self.free_slots();
         let rate_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get_mut(&id)?;
         route.rate_limit.settle(self.last_round_at);
         if route.retry_after.is_pending(now) {
-            earliest(&mut look.change, route.slow_start.ends_at(&self.settings));
+            earliest(&mut revisit.recheck_at, route.slow_start.ends_at(&self.settings));
             return Some(route.retry_after.until());
         }
         // The rate of a slow start grows from moment to moment.
-        look.always |= route.slow_start.is_active();
+        revisit.each_step |= route.slow_start.is_active();
         if !self.shutdown.leaves_time_for(now, patience) {
             return None;
         }
@@ -34,27 +34,27 @@
             let silent_at = route.circuit.silent_at(call.sent_at, patience);
             if now >= silent_at {
                 route.circuit.open_on_silence(now, call.sent_at, patience);
-                self.agenda.circuit_records.insert(id);
+                self.ready_index.changed_circuits.insert(id);
             } else {
-                earliest(&mut look.change, Some(silent_at));
+                earliest(&mut revisit.recheck_at, Some(silent_at));
             }
         }
         if let Some(next_probe_at) = route.circuit.next_probe_at() {
             // Probes that hang must not gather until they take the slots of healthy destinations.
             let needed_slots = ((route.calls.len() + 1) as f64 / MAX_PROBES_OF_FREE_SLOTS).ceil() as usize;
-            let is_free = route.calls.is_empty() || look.needs_slots(needed_slots, free_slots);
+            let is_free = route.calls.is_empty() || revisit.needs_slots(needed_slots, free_slots);
             return is_free.then_some(next_probe_at);
         }
         // Bulkhead: no route has more calls in flight than slots are left for all others.
-        if !route.calls.is_empty() && !look.needs_slots(route.calls.len() + 1, free_slots) {
+        if !route.calls.is_empty() && !revisit.needs_slots(route.calls.len() + 1, free_slots) {
             return None;
         }
         let phase = if route.slow_start.is_active() { RatePhase::SlowStart } else { RatePhase::Steady };
         match route.rate_limit.next_token(now, rate_per_sec, phase) {
             Token::Available => Some(now),
             Token::Due { due, recheck_at, is_exact } => {
-                look.always |= !is_exact;
-                earliest(&mut look.change, Some(recheck_at));
+                revisit.each_step |= !is_exact;
+                earliest(&mut revisit.recheck_at, Some(recheck_at));
                 Some(due)
             }
         }
@@ -64,7 +64,7 @@
     pub(super) fn rate_per_sec(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
         if route.slow_start.finish_if_warm(now, &self.settings) {
-            self.agenda.circuit_records.insert(id);
+            self.ready_index.changed_circuits.insert(id);
         }
         route.rate_per_sec(now, &self.settings)
     }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -2,11 +2,11 @@
 //!
 //! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
 //! best message is worth most for the time that it takes the slot. A destination is looked at only when
-//! something has changed there, or when its last look said so ([`Look`]).
+//! something has changed there, or when its last look said so ([`Revisit`]).
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
-use super::state::ready_index::{earliest, Look};
+use super::state::ready_index::{earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
@@ -51,15 +51,15 @@
         if self.free_slots() == 0 {
             return;
         }
-        let mut due = self.agenda.due(now, self.free_slots());
-        if self.shutdown.is_scheduled() || std::mem::take(&mut self.agenda.all) {
+        let mut due = self.ready_index.due(now, self.free_slots());
+        if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.all) {
             due.extend(self.queues.keys());
         }
         let mut ready: Vec<ReadyDestination> = Vec::new();
         for destination in due {
             ready.extend(self.ready_destination(now, destination, next));
         }
-        earliest(next, self.agenda.next_wake());
+        earliest(next, self.ready_index.next_send_at());
         while self.free_slots() > 0 {
             let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
             let Some(first) = first else { break };
@@ -99,15 +99,15 @@
         next: &mut Option<Time>,
     ) -> Option<Candidate> {
         if !self.queues.contains_key(&destination) {
-            self.agenda.forget(destination);
+            self.ready_index.forget(destination);
             return None;
         }
-        let mut look = Look::default();
-        let candidate = self.find_candidate(now, destination, &mut look);
-        earliest(next, look.wake);
-        self.agenda.work.destinations += 1;
-        if candidate.is_none() && !look.always {
-            self.agenda.park(destination, &look);
+        let mut revisit = Revisit::default();
+        let candidate = self.find_candidate(now, destination, &mut revisit);
+        earliest(next, revisit.send_at);
+        self.ready_index.work.destinations += 1;
+        if candidate.is_none() && !revisit.each_step {
+            self.ready_index.park(destination, &revisit);
         } else {
             self.touch(destination);
         }
@@ -115,18 +115,18 @@
     }
 
     /// The best message of a destination that may be sent now, by the cheapest route that may take it; if
-    /// none, `look` gets the time when that may be.
+    /// none, `revisit` gets the time when that may be.
     fn find_candidate(
         &mut self,
         now: Time,
         destination: DestinationId,
-        look: &mut Look,
+        revisit: &mut Revisit,
     ) -> Option<Candidate> {
         let mut cheaper: Option<CheaperRoute> = None;
         for (cost, route) in self.routes_by_cost(destination) {
-            let free_at = self.route_free_at(now, route, look);
+            let free_at = self.route_free_at(now, route, revisit);
             if free_at.is_none_or(|at| at > now) {
-                earliest(&mut look.wake, free_at);
+                earliest(&mut revisit.send_at, free_at);
                 let messages_per_sec = self.messages_per_sec_if_healthy(now, route);
                 if let (None, Some(free_at), Some(messages_per_sec)) = (cheaper, free_at, messages_per_sec) {
                     cheaper = Some(CheaperRoute { cost, free_at, messages_per_sec });
@@ -135,12 +135,12 @@
             }
             let zones: Vec<ZoneId> =
                 self.eligible_endpoints(route).map(|endpoint| endpoint.entry.zone).collect();
-            let Some(chosen) = self.choose_message(now, route, &zones, look) else { continue };
+            let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
             if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
                 if self.can_wait_for(&cheaper, destination, chosen.id) {
                     // Which message is best, and so how long it may wait, changes from moment to moment.
-                    look.always = true;
-                    earliest(&mut look.wake, Some(cheaper.free_at));
+                    revisit.each_step = true;
+                    earliest(&mut revisit.send_at, Some(cheaper.free_at));
                     continue;
                 }
             }
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -32,11 +32,11 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
     /// A call carries it: it is no candidate.
-    Out,
+    InFlight,
     /// It is compared on its own.
-    Apart,
+    Individual,
     /// One of a group that differs in its age alone. It may not be sent before `not_before`.
-    Among { lane: Lane, born: Time, not_before: Time },
+    Grouped { lane: Lane, enqueued_at: Time, not_before: Time },
 }
 
 /// The messages of one destination that have no final outcome yet.
@@ -63,7 +63,7 @@
 
     pub fn push(&mut self, seq: Seq, id: MessageId, standing: Standing) {
         self.order.insert(seq, id);
-        self.stands(seq, standing);
+        self.set_standing(seq, standing);
     }
 
     pub fn remove(&mut self, seq: Seq) {
@@ -74,7 +74,7 @@
     }
 
     /// Sets the state of a message.
-    pub fn stands(&mut self, seq: Seq, standing: Standing) {
+    pub fn set_standing(&mut self, seq: Seq, standing: Standing) {
         if let Some((index, id)) = self.index.as_mut().zip(self.order.get(&seq)) {
             index.remove(seq);
             index.insert(seq, *id, standing);
@@ -112,8 +112,8 @@
 enum Location {
     Nowhere,
     Apart,
-    Later { lane: Lane, born: Time, not_before: Time },
-    Stage { lane: Lane, stage: usize, born: Time },
+    Later { lane: Lane, enqueued_at: Time, not_before: Time },
+    Stage { lane: Lane, stage: usize, enqueued_at: Time },
 }
 
 #[derive(Default)]
@@ -125,7 +125,8 @@
 impl Stage {
     /// The oldest, the youngest and the first message; of several of the same age, the first of them.
     fn ends(&self) -> impl Iterator<Item = Seq> + '_ {
-        let youngest = self.by_age.last().and_then(|(born, _)| self.by_age.range((*born, 0)..).next());
+        let youngest =
+            self.by_age.last().and_then(|(enqueued_at, _)| self.by_age.range((*enqueued_at, 0)..).next());
         let ends = [self.by_age.first(), youngest].into_iter().flatten().map(|(_, seq)| *seq);
         ends.chain(self.by_place.first().copied())
     }
@@ -134,14 +135,14 @@
 impl Index {
     fn insert(&mut self, seq: Seq, id: MessageId, standing: Standing) {
         let location = match standing {
-            Standing::Out => Location::Nowhere,
-            Standing::Apart => {
+            Standing::InFlight => Location::Nowhere,
+            Standing::Individual => {
                 self.apart.insert(seq);
                 Location::Apart
             }
-            Standing::Among { lane, born, not_before } => {
+            Standing::Grouped { lane, enqueued_at, not_before } => {
                 self.later.insert((not_before, seq));
-                Location::Later { lane, born, not_before }
+                Location::Later { lane, enqueued_at, not_before }
             }
         };
         self.all.insert(seq, (id, location));
@@ -151,24 +152,26 @@
         match self.all.remove(&seq) {
             Some((_, Location::Apart)) => drop(self.apart.remove(&seq)),
             Some((_, Location::Later { not_before, .. })) => drop(self.later.remove(&(not_before, seq))),
-            Some((_, Location::Stage { lane, stage, born })) => self.leave(seq, lane, stage, born),
+            Some((_, Location::Stage { lane, stage, enqueued_at })) => {
+                self.leave(seq, lane, stage, enqueued_at)
+            }
             Some((_, Location::Nowhere)) | None => {}
         }
     }
 
-    fn leave(&mut self, seq: Seq, lane: Lane, stage: usize, born: Time) {
+    fn leave(&mut self, seq: Seq, lane: Lane, stage: usize, enqueued_at: Time) {
         if let Some(stages) = self.lanes.get_mut(&lane) {
-            stages[stage].by_age.remove(&(born, seq));
+            stages[stage].by_age.remove(&(enqueued_at, seq));
             stages[stage].by_place.remove(&seq);
         }
     }
 
-    fn enter(&mut self, seq: Seq, lane: Lane, stage: usize, born: Time) {
+    fn enter(&mut self, seq: Seq, lane: Lane, stage: usize, enqueued_at: Time) {
         let entered = &mut self.lanes.entry(lane).or_default()[stage];
-        entered.by_age.insert((born, seq));
+        entered.by_age.insert((enqueued_at, seq));
         entered.by_place.insert(seq);
         if let Some((_, location)) = self.all.get_mut(&seq) {
-            *location = Location::Stage { lane, stage, born };
+            *location = Location::Stage { lane, stage, enqueued_at };
         }
     }
 
@@ -176,19 +179,19 @@
     pub fn advance(&mut self, now: Time, stage_of: impl Fn(Lane, Time) -> usize) {
         while let Some((_, seq)) = self.later.first().filter(|(at, _)| *at <= now).copied() {
             self.later.pop_first();
-            if let Some((_, Location::Later { lane, born, .. })) = self.all.get(&seq).copied() {
-                self.enter(seq, lane, stage_of(lane, born).min(STAGES - 1), born);
+            if let Some((_, Location::Later { lane, enqueued_at, .. })) = self.all.get(&seq).copied() {
+                self.enter(seq, lane, stage_of(lane, enqueued_at).min(STAGES - 1), enqueued_at);
             }
         }
         for lane in self.lanes.keys().copied().collect::<Vec<_>>() {
             for stage in 0..STAGES - 1 {
-                while let Some((born, seq)) = self.lanes[&lane][stage].by_age.first().copied() {
-                    let reached = stage_of(lane, born).min(STAGES - 1);
+                while let Some((enqueued_at, seq)) = self.lanes[&lane][stage].by_age.first().copied() {
+                    let reached = stage_of(lane, enqueued_at).min(STAGES - 1);
                     if reached <= stage {
                         break;
                     }
-                    self.leave(seq, lane, stage, born);
-                    self.enter(seq, lane, reached, born);
+                    self.leave(seq, lane, stage, enqueued_at);
+                    self.enter(seq, lane, reached, enqueued_at);
                 }
             }
         }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -52,20 +52,20 @@
 /// When a waiting destination has to be visited again without an event of its own, as found by its last
 /// visit.
 #[derive(Default)]
-pub struct Look {
+pub struct Revisit {
     /// When something may be sent: the scheduler asks for a timer.
-    pub wake: Option<Time>,
+    pub send_at: Option<Time>,
     /// When a visit would change the state though nothing may be sent yet: no timer is needed for it.
-    pub change: Option<Time>,
+    pub recheck_at: Option<Time>,
     /// Once at least this many slots are free.
     pub more_slots: Option<usize>,
     /// Once fewer slots than this are free.
     pub fewer_slots: Option<usize>,
     /// At each step, as what was found holds at that moment only.
-    pub always: bool,
+    pub each_step: bool,
 }
 
-impl Look {
+impl Revisit {
     /// Whether at least `least` slots are free; the destination is visited again when that changes.
     pub fn needs_slots(&mut self, least: usize, slots_free: usize) -> bool {
         let enough = slots_free >= least;
@@ -95,30 +95,30 @@
 
 /// The indexes of a scheduler.
 #[derive(Default)]
-pub struct Agenda {
+pub struct ReadyIndex {
     /// The next step that has a free slot visits all destinations ...
     pub all: bool,
     /// ... or these.
     touched: BTreeSet<DestinationId>,
-    wakes: DueQueue<DestinationId>,
-    changes: DueQueue<DestinationId>,
+    send_times: DueQueue<DestinationId>,
+    recheck_times: DueQueue<DestinationId>,
     more_slots: BTreeSet<(usize, DestinationId)>,
     fewer_slots: BTreeSet<(usize, DestinationId)>,
     /// Destinations that are not visited before one of the four above asks for it or something happens to
     /// them, with their entries in the two sets of slots.
     parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
     /// When the oldest call of a route that is not stalled yet becomes so.
-    pub stalls: DueQueue<RouteId>,
+    pub silence_checks: DueQueue<RouteId>,
     /// Calls that are stalled and were not cancelled, the oldest first.
-    pub hanging: BTreeSet<CallId>,
+    pub unresponsive_calls: BTreeSet<CallId>,
     /// Endpoints that are removed from the list and kept while they have calls in flight.
-    pub gone: BTreeSet<EndpointId>,
+    pub removed_endpoints: BTreeSet<EndpointId>,
     /// Routes whose circuit record may have changed since it was last asked for.
-    pub circuit_records: BTreeSet<RouteId>,
+    pub changed_circuits: BTreeSet<RouteId>,
     pub work: WorkCounters,
 }
 
-impl Agenda {
+impl ReadyIndex {
     /// Something has happened to a destination: the next step visits it.
     pub fn touch(&mut self, to: DestinationId) {
         self.leave(to);
@@ -128,7 +128,7 @@
     /// Destinations to visit now, in order. Each has to be parked or touched again afterwards.
     pub fn due(&mut self, now: Time, slots_free: usize) -> BTreeSet<DestinationId> {
         let mut due = std::mem::take(&mut self.touched);
-        for queue in [&self.wakes, &self.changes] {
+        for queue in [&self.send_times, &self.recheck_times] {
             due.extend(queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, to)| *to));
         }
         due.extend(self.more_slots.iter().take_while(|(least, _)| *least <= slots_free).map(|(_, to)| *to));
@@ -137,14 +137,14 @@
     }
 
     /// Records when a destination that was just visited in vain has to be visited again.
-    pub fn park(&mut self, to: DestinationId, look: &Look) {
+    pub fn park(&mut self, to: DestinationId, revisit: &Revisit) {
         self.leave(to);
         self.touched.remove(&to);
-        self.wakes.set(to, look.wake);
-        self.changes.set(to, look.change);
-        look.more_slots.map(|least| self.more_slots.insert((least, to)));
-        look.fewer_slots.map(|below| self.fewer_slots.insert((below, to)));
-        self.parked.insert(to, (look.more_slots, look.fewer_slots));
+        self.send_times.set(to, revisit.send_at);
+        self.recheck_times.set(to, revisit.recheck_at);
+        revisit.more_slots.map(|least| self.more_slots.insert((least, to)));
+        revisit.fewer_slots.map(|below| self.fewer_slots.insert((below, to)));
+        self.parked.insert(to, (revisit.more_slots, revisit.fewer_slots));
     }
 
     /// Nothing waits for this destination any more.
@@ -156,15 +156,15 @@
     /// Removes a destination from all that it was parked in.
     fn leave(&mut self, to: DestinationId) {
         let Some((more, fewer)) = self.parked.remove(&to) else { return };
-        self.wakes.set(to, None);
-        self.changes.set(to, None);
+        self.send_times.set(to, None);
+        self.recheck_times.set(to, None);
         more.map(|least| self.more_slots.remove(&(least, to)));
         fewer.map(|below| self.fewer_slots.remove(&(below, to)));
     }
 
     /// When a parked destination may next be sent something.
-    pub fn next_wake(&self) -> Option<Time> {
-        self.wakes.first()
+    pub fn next_send_at(&self) -> Option<Time> {
+        self.send_times.first()
     }
 }
 
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -27,17 +27,17 @@
 
     /// Marks the calls that have become unresponsive; returns when the next one will.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
-        while let Some(route_id) = self.agenda.stalls.due(now) {
+        while let Some(route_id) = self.ready_index.silence_checks.due(now) {
             let oldest = self.oldest_responsive_call(route_id);
             if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
                 call.is_unresponsive = true;
                 let connection_idle = call.connection_idle;
-                self.agenda.hanging.insert(id);
+                self.ready_index.unresponsive_calls.insert(id);
                 self.connection_reuse.record_loss(now, &self.settings, connection_idle);
             }
             self.schedule_silence_check(route_id);
         }
-        self.agenda.stalls.first()
+        self.ready_index.silence_checks.first()
     }
 
     /// Sets when the oldest call of a route that isn't unresponsive yet will be: they get so in the order
@@ -45,14 +45,14 @@
     pub(super) fn schedule_silence_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.patience(id));
-        self.agenda.stalls.set(id, at);
+        self.ready_index.silence_checks.set(id, at);
     }
 
     fn oldest_responsive_call(&mut self, id: RouteId) -> Option<CallId> {
         let calls = self.routes.get(&id)?.calls.iter();
         let is_responsive = |call: &&CallId| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
         let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
-        self.agenda.work.calls += 1 + skipped as u64;
+        self.ready_index.work.calls += 1 + skipped as u64;
         Some(*found)
     }
 
@@ -62,10 +62,11 @@
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
             return;
         }
-        let unresponsive = self.agenda.hanging.iter().filter_map(|id| Some((*id, self.calls.get(id)?)));
+        let unresponsive =
+            self.ready_index.unresponsive_calls.iter().filter_map(|id| Some((*id, self.calls.get(id)?)));
         let mut cancellable = unresponsive.filter(|(_, call)| self.is_cancellable(now, call));
         let Some((id, _)) = cancellable.next() else { return };
-        self.agenda.hanging.remove(&id);
+        self.ready_index.unresponsive_calls.remove(&id);
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.is_cancelled = true;
         for message_id in &call.messages {
