--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use bytes::Bytes;
-use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
+use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointState};
 use journal::{
     AcceptedRecord, CircuitKey, Journal, PendingMessage, PersistedCircuit, PersistedCircuitChange, SentRecord,
 };
@@ -304,7 +304,7 @@
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
         destination: number,
-        state: "SERVING".to_owned(),
+        state: EndpointState::Serving,
         capacity_hint: 1.0,
     };
     (0..count).map(endpoint).collect()
@@ -501,7 +501,7 @@
         zone: "kingston".to_owned(),
         kind: "banks".to_owned(),
         destination: 1,
-        state: "SERVING".to_owned(),
+        state: EndpointState::Serving,
         capacity_hint: 1.0,
     };
     let endpoints = (0..1000).map(endpoint).collect();
