--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -8,6 +8,12 @@
 //! refused then, and the step is not taken. A record of what has happened already is applied to the state at once and
 //! deferred: the file gets it, in order and before any other record, as soon as it can be written
 //! ([`Journal::flush`]).
+//!
+//! - [`record`]: what the records say. A new kind goes to the end, so that older journals are still read.
+//! - [`state`]: what they add up to; [`compaction`]: the records that a state is written as.
+//! - [`frame`] and [`mod@chunks`]: the form of records on disk, and of lists too long for one record.
+//! - [`mod@file`], [`clock_file`], [`space`] and [`error`]: the two files, the disk space that they may take, and what
+//!   can fail.
 
 mod chunks;
 mod clock_file;
