--- a/src/bin/delivery-gateway/admin/http.rs
+++ b/src/bin/delivery-gateway/admin/http.rs
@@ -17,17 +17,17 @@
 /// What the operator still sends is read for so long: closing before would destroy the response on its way.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an operator asks.
+/// The head of a request, as far as it is looked at.
 pub struct AdminRequest {
     pub method: String,
     /// Path and query.
     pub target: String,
 }
 
-/// Why there is no request to answer.
+/// Why there is no request to serve.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection is broken: nobody can be answered.
+    /// The connection is broken: there is no way to respond.
     #[error("the connection broke before the request was complete: {0}")]
     Connection(#[from] io::Error),
     #[error("the request is malformed or ends early")]
@@ -36,7 +36,7 @@
     TooLong,
     #[error("the request did not become complete in time")]
     TimedOut,
-    /// Another connection needed its place.
+    /// Another connection was accepted in its stead.
     #[error("the connection was evicted before its request was complete")]
     Evicted,
 }
--- a/src/bin/delivery-gateway/admin/mod.rs
+++ b/src/bin/delivery-gateway/admin/mod.rs
@@ -1,8 +1,8 @@
 //! The admin endpoint for operators: HTTP/1.1 with one request a connection.
 //!
 //! [`server`] accepts connections and bounds them, [`http`] reads a request and writes its response, [`routes`] maps a
-//! request to what is asked, and [`response`] lists what may be answered. Nothing is decided here: what operators ask
-//! goes to the event loop.
+//! request to an operation, and [`response`] lists the responses. Nothing is decided here: operations go to the event
+//! loop.
 
 mod http;
 mod response;
--- a/src/bin/delivery-gateway/admin/response.rs
+++ b/src/bin/delivery-gateway/admin/response.rs
@@ -1,9 +1,9 @@
 //! The responses of the admin endpoint.
 
-/// What an operator gets.
+/// A response to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// The gateway is ready, or what was asked is done.
+    /// The gateway is ready, or the operation is done.
     Done,
     /// Not HTTP/1.1.
     MalformedRequest,
@@ -13,12 +13,12 @@
     /// No endpoint in the list has the id.
     UnknownEndpoint,
     MethodNotAllowed,
-    /// The request did not become complete in time.
+    /// The request was not complete in time.
     RequestTimeout,
     RequestTooLong,
     /// The operation could not be written to the journal, so that it would not last.
     NotRecorded,
-    /// The gateway does not serve, or did not answer in time.
+    /// The gateway does not serve, or did not carry out the operation in time.
     NotReady,
 }
 
--- a/src/bin/delivery-gateway/admin/routes.rs
+++ b/src/bin/delivery-gateway/admin/routes.rs
@@ -1,4 +1,4 @@
-//! What operators may ask: whether the gateway is ready, and operations that the event loop carries out.
+//! The requests that operators may make: whether the gateway is ready, and operations of the event loop.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use super::response::AdminResponse;
 use crate::events::{AdminOperation, AdminResult, GatewayEvent, ServicePhase};
 
-/// Operators get a response within 1 s: what the event loop has not done by then has not been promised.
+/// Operators get a response within 1 s. An operation that the event loop has not done by then is not confirmed.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a request asks.
+/// What a request is for.
 enum Route {
     Ready,
     Operation(AdminOperation),
--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' connections, a bounded number at a time, of which the slowest gives up its place to a new one.
+//! Accepts operators' connections, a bounded number at a time, of which the slowest is evicted for a new one.
 
 use delivery_gateway::socket::{disable_nagle, RetryingStream};
 use std::cell::{Cell, RefCell};
@@ -73,7 +73,7 @@
                 let (open, eviction) = connections.clone().enter();
                 let endpoint = endpoint.clone();
                 tokio::task::spawn_local(async move {
-                    // An operator that has closed does not get its response; what it asked for is done all the same.
+                    // An operator that has closed does not get its response; the operation is done all the same.
                     let _ = serve_connection(stream, &endpoint, eviction).await;
                     drop(open);
                     drop(permit);
@@ -102,7 +102,7 @@
         }
         () = eviction.notified() => Err(RequestError::Evicted),
     };
-    // From here on it takes little time, and is not evicted.
+    // From here on the connection takes little time, and is not evicted.
     drop(eviction);
     let is_evicted = matches!(request, Err(RequestError::Evicted));
     let response = match request {
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -1,4 +1,4 @@
-//! One call: acquires a connection, sends the messages of the call, and tells what became of each.
+//! One call: acquires a connection, sends the messages of the call, and reports the outcome of each.
 //!
 //! What may have run at the endpoint is never reported as not sent: only a call of which no byte was written, or one
 //! whose complete response says so, has not run.
@@ -32,8 +32,8 @@
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Pool {
-    /// Makes one call. `sent` turns true with its first byte. Messages that may not be sent any more before that go to
-    /// `too_late` and are no part of the call from then on: nothing may be sent that has had its final outcome.
+    /// Makes one call. `sent` turns true with its first byte. Messages that may not be sent any more before that go
+    /// to `too_late` and are no part of the call from then on: nothing may be sent that has had its final outcome.
     pub async fn call(
         self: &Rc<Self>,
         call: &mut Call,
@@ -66,7 +66,7 @@
     deadline: Instant,
 }
 
-/// What came first once the request was on its way.
+/// What happened first after the request was handed to the connection.
 enum CallEvent {
     /// The head of a response.
     Head(Response<Incoming>),
@@ -78,12 +78,12 @@
 enum EndWithoutHead {
     Broken,
     TimedOut,
-    /// By a reason, or as nobody waits for its result any more.
+    /// For a reason, or as nobody waits for its result any more.
     Stopped(Option<StopReason>),
 }
 
 impl Attempt<'_> {
-    /// Waits for a connection, and takes messages out of the call that may not be sent any more meanwhile.
+    /// Waits for a connection, and meanwhile removes messages from the call that may not be sent any more.
     async fn connect(
         &mut self,
         too_late: &impl Fn(Vec<MessageId>),
@@ -130,7 +130,7 @@
         late
     }
 
-    /// Sends the call on a connection; goes on where the connection was stale and the call has to go out on another.
+    /// Sends the call on a connection; continues where the connection was stale and the call needs another one.
     async fn send(&mut self, acquired: AcquiredConnection) -> ControlFlow<CallResult> {
         let AcquiredConnection { mut connection, origin } = acquired;
         // The call ends for all of its messages when one of them expires: the endpoint may consider the whole of it
@@ -169,8 +169,8 @@
         };
         let is_broken = matches!(end, EndWithoutHead::Broken);
         if is_broken && wire.is_untouched() && origin == ConnectionOrigin::Reused {
-            // The kept connection turned out to be closed, or to hold bytes that belong to no call. The call has not
-            // run, and goes out on another connection.
+            // The reused connection turned out to be closed, or to hold bytes that belong to no call. The call has
+            // not run, and is sent on another connection.
             self.sent.set(false);
             return ControlFlow::Continue(());
         }
@@ -193,12 +193,12 @@
             EndWithoutHead::Broken | EndWithoutHead::TimedOut if wire.is_untouched() => {
                 AttemptOutcome::ConnectFailed
             }
-            // The status line holds, whatever came behind it; for several messages only the body tells.
+            // The status line holds, whatever follows it; for several messages only the body has their states.
             _ if matches!(self.call.messages.as_slice(), [one] if wire.was_served_before(one.expires_at)) => {
                 AttemptOutcome::Delivered
             }
             EndWithoutHead::Broken if wire.has_response_begun() => AttemptOutcome::MalformedResponse,
-            // Some of it was written, and how much of that arrived cannot be known: it may have run.
+            // Some bytes were written, and how many of them arrived cannot be known: the call may have run.
             EndWithoutHead::Broken => {
                 self.pool.count_reset(self.call.endpoint, idle_time, self.started.elapsed());
                 AttemptOutcome::Reset
@@ -221,8 +221,8 @@
         let head = read_head(&response, self.started.elapsed(), kind, origin);
         let is_delivered = head.outcome == AttemptOutcome::Delivered;
         let retry_after = Headers::of(&response).retry_after();
-        // Where a step took long, the response may have come after the deadline, and delivers nothing. That a call has
-        // not run, and Retry-After, hold all the same.
+        // Where a step took long, the response may have arrived after the deadline, and delivers nothing. That a call
+        // has not run, and Retry-After, hold all the same.
         let timed_out = AttemptResult { outcome: AttemptOutcome::Timeout, complete: false, ..head };
         let in_time =
             self.call.messages.iter().all(|message| connection.wire.was_served_before(message.expires_at));
@@ -231,7 +231,7 @@
             tokio::task::spawn_local(rest);
             return self.same_for_all(if is_delivered && !in_time { timed_out } else { head }, None);
         }
-        // For several messages only the complete response tells.
+        // For several messages only the complete response has their states.
         let body_by = if is_delivered { deadline } else { Instant::now() + BODY_TIMEOUT };
         match timeout_at(body_by, rest).await {
             Ok(Some(_)) | Err(_) if is_delivered && Instant::now() >= deadline => {
@@ -285,14 +285,14 @@
     }
 }
 
-/// Ends at a time, after one turn for the connections: what has come by then is seen first.
+/// Ends at a time, after one turn for the connections: what has arrived by then is read first.
 async fn one_turn_after(time: Instant) {
     sleep_until(time).await;
     yield_now().await;
 }
 
-/// Reads the rest of a response, and keeps its connection for another call where nothing came behind it. Returns the
-/// body; none where it is incomplete or too long.
+/// Reads the rest of a response, and returns its connection to the pool where nothing followed it. Returns the body;
+/// none where it is incomplete or too long.
 async fn finish_response(
     pool: Rc<Pool>,
     endpoint: EndpointId,
@@ -306,14 +306,14 @@
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES as usize).collect();
     let body = timeout(BODY_TIMEOUT, body).await.ok()?.ok()?.to_bytes();
     if !has_ambiguous_length {
-        tokio::task::spawn_local(keep_connection(pool, endpoint, connection));
+        tokio::task::spawn_local(return_connection(pool, endpoint, connection));
     }
     Some(body)
 }
 
-/// Puts a connection back once all of its response is read, unless something came behind that.
-async fn keep_connection(pool: Rc<Pool>, endpoint: EndpointId, mut connection: Connection) {
-    // The connection's own task has looked by the time that it is ready again, and closed it when something came.
+/// Returns a connection to the pool once all of its response is read, unless other bytes followed that.
+async fn return_connection(pool: Rc<Pool>, endpoint: EndpointId, mut connection: Connection) {
+    // By the time that it is ready again, the connection's own task has closed it where other bytes followed.
     if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.ready()).await {
         yield_now().await;
         if connection.wire.is_quiet() {
--- a/src/bin/delivery-gateway/http_client/connection.rs
+++ b/src/bin/delivery-gateway/http_client/connection.rs
@@ -22,20 +22,25 @@
 /// Bytes of the longest head of a response.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Whether a connection was opened for a call, or kept from an earlier one.
+/// Whether a connection was opened for a call, or has carried an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrigin {
+    /// Opened for this call.
     New,
+    /// Idle in the pool before.
     Reused,
 }
 
 /// An open connection. Dropping it closes it.
 pub struct Connection {
+    /// Where it leads.
     pub address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
+    /// Its bytes, as seen beside the HTTP library.
     pub wire: Rc<Wire>,
     /// Asks the connection's own task to close it, and to say when that is done.
     abort: oneshot::Sender<oneshot::Sender<()>>,
+    /// When its last call ended, or it was opened.
     pub idle_since: Instant,
     /// When its last call began.
     pub call_began: Instant,
--- a/src/bin/delivery-gateway/http_client/mod.rs
+++ b/src/bin/delivery-gateway/http_client/mod.rs
@@ -1,6 +1,6 @@
 //! The HTTP/1.1 client: calls to endpoints over a bounded number of connections, and how each call ended.
 //!
-//! [`pool`] owns the connections between calls, [`call`] makes one call and tells what became of it, [`request`] and
+//! [`pool`] owns the connections between calls, [`call`] makes one call and reports its result, [`request`] and
 //! [`batch`] write a call for one message or several, [`response`] maps status, headers and states to outcomes,
 //! [`connection`] opens and closes a connection, [`wire`] watches its bytes, [`status_line`] reads the status among
 //! them, and [`descriptors`] bounds the sockets. Whether a message is sent, and sent again, is decided elsewhere.
--- a/src/bin/delivery-gateway/http_client/pool.rs
+++ b/src/bin/delivery-gateway/http_client/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to endpoints between calls: which ones are kept, for how long, and on how many descriptors.
+//! The connections to endpoints between calls: which ones stay open, for how long, and on how many descriptors.
 
 use delivery_gateway::{socket, AttemptOutcome, EndpointId};
 use std::cell::{Cell, RefCell};
@@ -23,21 +23,23 @@
 pub struct ConnectionCounters {
     /// Calls on connections opened for them.
     pub opened: u32,
-    /// Calls on connections kept from earlier ones.
+    /// Calls on reused connections.
     pub reused: u32,
     /// Calls reset on connections opened for them.
     pub resets_on_new: u32,
-    /// Calls reset on connections kept from earlier ones.
+    /// Calls reset on reused connections.
     pub resets_on_reused: u32,
 }
 
 /// A connection that a call may use.
 pub struct AcquiredConnection {
+    /// Open, with no call on it.
     pub connection: Connection,
+    /// Where it is from.
     pub origin: ConnectionOrigin,
 }
 
-/// The connections to endpoints. Idle ones are kept by endpoint, the newest last: an address may belong to another
+/// The connections to endpoints. Idle ones are grouped by endpoint, the newest last: an address may belong to another
 /// endpoint by now, which must not be given what is left of the one before.
 pub struct Pool {
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
@@ -121,11 +123,11 @@
         self.connect_timeout
     }
 
-    /// A connection for a call: a kept one if there is one, else a new one.
+    /// A connection for a call: an idle one if there is one, else a new one.
     ///
     /// # Errors
     /// `LocalFailure` where this machine could not connect, which says nothing of the endpoint; `ConnectFailed` where
-    /// the endpoint did not let it. Nothing was sent.
+    /// the endpoint refused or did not accept in time. Nothing was sent.
     pub(super) async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -139,7 +141,7 @@
         Ok(AcquiredConnection { connection, origin: ConnectionOrigin::New })
     }
 
-    /// A kept connection, once one has rested; none if there is none.
+    /// An idle connection, once one has rested; none if there is none.
     async fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
             let rested_at = {
@@ -164,7 +166,7 @@
         match timeout_at(connect_by, Connection::open(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) if socket::is_local_failure(&error) => Err(AttemptOutcome::LocalFailure),
-            // Refused, or it never came up: nothing was sent.
+            // Refused or timed out: nothing was sent.
             Ok(Err(_)) | Err(_) => Err(AttemptOutcome::ConnectFailed),
         }
     }
@@ -178,7 +180,7 @@
         self.descriptors.take()
     }
 
-    /// Keeps a connection whose call has ended, or closes it where none is to be kept.
+    /// Takes back a connection whose call has ended, or closes it where it is not to be reused.
     pub(super) fn put_back(&self, endpoint: EndpointId, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let closed_at = self.idle_closed_at.borrow().get(&endpoint).copied();
--- a/src/bin/delivery-gateway/http_client/request.rs
+++ b/src/bin/delivery-gateway/http_client/request.rs
@@ -37,7 +37,9 @@
 /// Whether a call carries one message or several, which decides what its response says of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
+    /// One message.
     Single,
+    /// Several messages.
     Batch,
 }
 
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The request for it, which tells the endpoint how much time it has.
+    /// The request for it, with the time that the endpoint has.
     ///
     /// # Errors
     /// A header cannot hold the id or the key of a message.
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -74,10 +74,10 @@
     }
 }
 
-/// What became of one message, as the endpoint says.
+/// The outcome of one message, as the endpoint reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageOutcome {
-    /// What became of the attempt.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// Whether the message is completed, so that no further attempt is made.
     pub complete: bool,
@@ -146,7 +146,8 @@
 /// The states of the messages of a batch, from the body of its response.
 pub struct BatchStates(Vec<MessageState>);
 
-/// One message in the body of a response to a batch. Its state stays text: an unknown one spoils no other.
+/// One message in the body of a response to a batch. Its state stays text: an unknown one does not invalidate the
+/// others.
 #[derive(Deserialize)]
 struct MessageState {
     id: String,
@@ -159,7 +160,7 @@
         BatchStates(serde_json::from_slice(body).unwrap_or_default())
     }
 
-    /// What became of the message with this id. A message without a state, with an unknown one, or with two may have
+    /// The outcome of the message with this id. A message without a state, with an unknown one, or with two may have
     /// run. `retry_after` is that of the response.
     pub fn outcome_of(&self, id: &str, retry_after: Option<Duration>) -> MessageOutcome {
         let mut states = self.0.iter().filter(|state| state.id == id).map(|state| state.state.as_str());
--- a/src/bin/delivery-gateway/http_client/status_line.rs
+++ b/src/bin/delivery-gateway/http_client/status_line.rs
@@ -1,4 +1,4 @@
-//! Reads the status of a response from its bytes as they come, before the HTTP library has the whole head.
+//! Reads the status of a response from its bytes as they arrive, before the HTTP library has the whole head.
 
 use std::io;
 
@@ -19,12 +19,12 @@
 }
 
 impl StatusLineReader {
-    /// The status once its line has come; 0 if that is no status line.
+    /// The status once its line has been read; 0 if that is no status line.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// Reads on. Bytes behind the status are passed over.
+    /// Reads further bytes. Those behind the status are ignored.
     ///
     /// # Errors
     /// There were too many interim responses.
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Reads the status of a line, which `terminator` follows; that of an interim response is passed over.
+    /// Reads the status of a line, which `terminator` follows; that of an interim response is skipped.
     fn read_status(&mut self, terminator: u8) -> io::Result<()> {
         match parse_status(&self.line).filter(|_| terminator == b' ') {
             Some(100..=199) => {
@@ -67,7 +67,7 @@
                 }
             }
             Some(status) => self.status = Some(status),
-            // No status line: nothing that comes later can be one.
+            // No status line: nothing that follows can be one.
             None => self.status = Some(0),
         }
         Ok(())
--- a/src/bin/delivery-gateway/http_client/wire.rs
+++ b/src/bin/delivery-gateway/http_client/wire.rs
@@ -1,5 +1,5 @@
 //! What is seen of a connection's bytes on their way to and from the HTTP library: whether any byte of a call was
-//! written, what the status line of its response says, and whether bytes have come that belong to no call.
+//! written, what the status line of its response says, and whether bytes have arrived that belong to no call.
 
 use delivery_gateway::socket::{self, Transfer};
 use socket2::SockRef;
@@ -61,18 +61,18 @@
         self.written_bytes.get() == 0
     }
 
-    /// Whether a byte of a response has come.
+    /// Whether a byte of a response has been read.
     pub fn has_response_begun(&self) -> bool {
         self.read_bytes.get() > 0
     }
 
-    /// Whether the status line of the response came before `deadline`, and says that the call was served.
+    /// Whether the status line of the response was read before `deadline`, and says that the call was served.
     pub fn was_served_before(&self, deadline: Instant) -> bool {
         self.status_line.borrow().status() == Some(200)
             && self.status_read_at.get().is_some_and(|read_at| read_at < deadline)
     }
 
-    /// Whether the connection is open and nothing has come that is unread.
+    /// Whether the connection is open and holds no unread bytes.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = socket::retry_interrupted(|| SockRef::from(&self.stream).peek(&mut byte));
@@ -135,7 +135,7 @@
         write: impl FnMut(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         let wire = &self.0;
-        // Bytes that came before the call is written are no response to it, and must not be taken for one.
+        // Bytes that arrived before the call is written are no response to it, and must not be mistaken for one.
         if wire.is_untouched() && !wire.is_quiet() {
             return Poll::Ready(Err(io::Error::new(
                 io::ErrorKind::InvalidData,
--- a/src/bin/delivery-gateway/resp2/codec.rs
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -16,13 +16,13 @@
 const MAX_LENGTH_LINE_BYTES: usize = 32;
 const LINE_END: &[u8; 2] = b"\r\n";
 
-/// Why bytes are no request. Requests behind them cannot be told apart any more, so that the connection ends.
+/// Why bytes are no request. Where the next request would begin is unknown then, so that the connection ends.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RespError {
-    /// Not an array of bulk strings.
+    /// The bytes are not an array of bulk strings.
     #[error("Protocol error: expected an array of bulk strings")]
     Malformed,
-    /// More words or bytes than a request may have.
+    /// The request has more words or bytes than it may have.
     #[error("Protocol error: too long")]
     TooLong,
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Takes the first complete request out of the buffer, as its words; none while it is incomplete.
+/// Removes the first complete request from the buffer, and returns its words; none while it is incomplete.
 ///
 /// Requests are arrays of bulk strings and nothing else, so that depth and size are bounded before anything is stored.
 /// General RESP decoders recurse as deep as their input says.
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: reads requests, has them answered in their order, and ends when its client is late, its
+//! One client's connection: reads requests, replies to them in their order, and closes when its client is late, its
 //! slot is needed, or the process shuts down. While the process is replaced, the connection is transferred instead.
 
 use bytes::{Bytes, BytesMut};
@@ -18,7 +18,7 @@
 use super::drain::drain;
 use crate::events::{EnqueueReply, EnqueueRequest, GatewayEvent, ServicePhase};
 
-/// Bytes read at once, as far as they have come. A request that needs more waits for a permit for long requests.
+/// Bytes of one read at most. A request that needs more waits for a permit for long requests.
 const READ_BYTES: usize = 4 << 10;
 /// How long a connection may stay with a part of a request. Clients wait 400 ms for a reply.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Replies to pipelined requests are written together up to this size.
 const MAX_BUFFERED_REPLY_BYTES: usize = 4 << 10;
-/// Requests of one connection that are answered before the others get their turn.
+/// Requests of one connection that are served before the other connections get their turn.
 const REQUESTS_PER_TURN: u32 = 16;
 
 /// A client's connection on its way to the next process: between two bytes, with nothing left to write.
@@ -39,9 +39,9 @@
     pub stream: TcpStream,
     /// What was read of its next request.
     pub buffer: Bytes,
-    /// Whether it had a request answered.
+    /// Whether a request on it has had its reply.
     pub served: bool,
-    /// What is left of the time in which more must come.
+    /// What is left of the time within which the client must send more.
     pub time_left: Duration,
     /// How long it may have waited to be accepted, with its first request unread.
     pub unread_for: Duration,
@@ -50,7 +50,7 @@
 /// A client's connection in this process.
 pub struct ClientConnection {
     transfers: UnboundedSender<TransferredConnection>,
-    /// Requests answered.
+    /// Requests that have had their reply.
     answered: u32,
     /// How long its next request may have waited unread before the connection was accepted.
     unread_for: Duration,
@@ -65,19 +65,19 @@
     slot: ConnectionSlot,
 }
 
-/// What came of reading on.
+/// The result of reading more of a request.
 enum ReadOutcome {
     /// More bytes are in the buffer.
     Data,
     /// The client has closed its side, or its connection may be closed.
     Closed,
-    /// The request did not become complete in its time.
+    /// The request was not complete in time.
     Incomplete,
     /// The service phase has changed.
     PhaseChanged,
 }
 
-/// What came of answering a request.
+/// The result of serving a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ServeOutcome {
     Answered,
@@ -112,8 +112,8 @@
         self.slot.number
     }
 
-    /// Serves the connection until it ends. `deadline` is when what is due next must have come: the first request, the
-    /// rest of one, or another one.
+    /// Serves the connection until it ends. `deadline` is when the client must have sent what is due next: its first
+    /// request, the rest of one, or another one.
     ///
     /// # Errors
     /// The connection is broken, or the client did not read a reply in time.
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Enters the state after a reply, and returns when the next request, or the rest of it, must have come.
+    /// Enters the state after a reply, and returns the deadline of the next request, or of the rest of it.
     fn await_next_request(&self) -> Instant {
         if !self.input.is_empty() {
             return self.await_rest_of_request();
@@ -174,7 +174,7 @@
         deadline
     }
 
-    /// Enters the state within a request, and returns when the rest of it must have come.
+    /// Enters the state within a request, and returns the deadline of the rest of it.
     fn await_rest_of_request(&self) -> Instant {
         let deadline = Instant::now() + PARTIAL_REQUEST_TIMEOUT;
         self.slot.set_state(ConnectionState::PartialRequest);
@@ -228,7 +228,7 @@
                     }
                     return Ok(ReadOutcome::Incomplete);
                 }
-                // The caller looks again: what has come meanwhile is read first.
+                // The caller reads the new phase, and what has arrived meanwhile first.
                 Ok(()) = self.phase.changed() => return Ok(ReadOutcome::PhaseChanged),
             }
             if let Some(outcome) = self.try_read().await? {
@@ -248,8 +248,8 @@
         self.read_now().await
     }
 
-    /// Of a request that has begun, the rest may be on its way: it gets an error rather than a close without a word,
-    /// or goes on where more of it has come.
+    /// The rest of a request that has begun may be on its way: the client gets an error rather than a close without a
+    /// word. Where more of the request has arrived, the connection stays.
     fn evicted_within_request(&self, outcome: ReadOutcome) -> ReadOutcome {
         match outcome {
             ReadOutcome::Closed => ReadOutcome::Incomplete,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Logs why the connection is about to be closed. What has come by then is still served.
+    /// Logs why the connection is about to be closed. A request that has arrived by then is still served.
     fn log_closing(&self, reason: &str) {
         debug!(
             number = self.number(),
@@ -272,7 +272,7 @@
         );
     }
 
-    /// Waits until more has come.
+    /// Waits for more bytes.
     async fn read_ready(&mut self) -> io::Result<ReadOutcome> {
         loop {
             self.stream.readable().await?;
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Reads what has come as far as the runtime knows. It may say that something has, and be wrong: then none.
+    /// Reads what has arrived as far as the runtime knows; none where nothing has after all.
     async fn try_read(&mut self) -> io::Result<Option<ReadOutcome>> {
         self.input.reserve(READ_BYTES);
         let ClientConnection { stream, input, .. } = self;
@@ -297,8 +297,8 @@
         }
     }
 
-    /// Reads what has come already, without waiting; closed if there is nothing. Asks the system itself: bytes that
-    /// the runtime does not know of yet would be lost with the connection.
+    /// Reads what has arrived, without waiting; closed if there is nothing. Reads past the runtime, which may not
+    /// know of the last bytes yet: they would be lost with the connection.
     async fn read_now(&mut self) -> io::Result<ReadOutcome> {
         loop {
             let mut bytes = [0; READ_BYTES];
@@ -403,8 +403,8 @@
         Ok(())
     }
 
-    /// Sends the client its error and closes: ends the sending side, and discards what still comes until the client
-    /// closes too, so that the error arrives.
+    /// Sends the client its error and closes: ends the sending side, and discards what still arrives until the client
+    /// closes too, so that the error is not lost.
     async fn refuse(mut self, error: &str) -> io::Result<()> {
         debug!(number = self.number(), answered = self.answered, error, "refusing client connection");
         self.slot.set_state(ConnectionState::Refused);
--- a/src/bin/delivery-gateway/resp2/connection_slots.rs
+++ b/src/bin/delivery-gateway/resp2/connection_slots.rs
@@ -34,9 +34,9 @@
     Idle,
     /// A part of a request has been read.
     PartialRequest,
-    /// A request is being answered.
+    /// A request is being served.
     Serving,
-    /// Its error has been sent; what it still sends is discarded.
+    /// Its client gets an error; what the client still sends is discarded.
     Refused,
     /// It has been asked to close.
     Evicted,
@@ -62,7 +62,7 @@
 }
 
 impl Slot {
-    /// Its place in the order of eviction, the least first; none where it may not be evicted.
+    /// Where it stands in the order of eviction, the least first; none where it may not be evicted.
     fn eviction_order(&self, now: Instant) -> Option<(EvictionRank, Instant)> {
         let age = now - self.since;
         let rank = match self.state {
@@ -186,7 +186,7 @@
 
 /// The slot of one connection, free again when dropped.
 pub struct ConnectionSlot {
-    /// Numbers connections in the order in which they came, from 1 on.
+    /// Numbers connections in the order in which they were accepted or adopted, from 1 on.
     pub number: u64,
     evict: Rc<Notify>,
     slots: Rc<ConnectionSlots>,
--- a/src/bin/delivery-gateway/resp2/drain.rs
+++ b/src/bin/delivery-gateway/resp2/drain.rs
@@ -13,7 +13,7 @@
 const MAX_DRAINED_BYTES: usize = 80 << 20;
 const DISCARD_BUFFER_BYTES: usize = 64 << 10;
 
-/// Discards what comes until the client closes its side, up to [`MAX_DRAINED_BYTES`] and [`DRAIN_TIMEOUT`].
+/// Discards what arrives until the client closes its side, up to [`MAX_DRAINED_BYTES`] and [`DRAIN_TIMEOUT`].
 ///
 /// # Errors
 /// The connection is broken.
--- a/src/bin/delivery-gateway/resp2/server.rs
+++ b/src/bin/delivery-gateway/resp2/server.rs
@@ -31,7 +31,7 @@
 
 impl ClientServer {
     /// A server without connections. Requests go to the event loop through `events`. While the process is replaced,
-    /// connections go out through `transfers`.
+    /// connections go to the next process through `transfers`.
     pub fn new(
         limits: ClientLimits,
         events: UnboundedSender<GatewayEvent>,
@@ -98,8 +98,8 @@
     }
 }
 
-/// Accepts one connection, and says how long its first request may have waited unread for a slot. One slot is kept free, so that the next
-/// connection never stays in the listener's queue.
+/// Accepts one connection, and returns how long its first request may have waited unread. One slot is kept free, so
+/// that the next connection does not stay in the listener's queue.
 async fn accept(listener: &TcpListener, slots: &ConnectionSlots) -> io::Result<(TcpStream, Duration)> {
     let asked = Instant::now();
     slots.free_slot().await;
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -1,8 +1,11 @@
-//! Decoding of RESP2 requests: round trip, bad input and bounds.
+//! Decoding of RESP2 requests (round trip, bad input and bounds), the mapping of `ENQUEUE`, and the encoding of replies.
 
-use super::codec::{decode_request, RespError, MAX_BODY_BYTES, MAX_BYTES_BESIDE_BODY};
+use super::codec::{decode_request, Reply, RespError, MAX_BODY_BYTES, MAX_BYTES_BESIDE_BODY};
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
+use std::time::Duration;
+
+use crate::events::{EnqueueReply, EnqueueRequest};
 
 fn encode(words: &[Vec<u8>]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
@@ -56,3 +59,65 @@
     assert!(decode_parts([&words(100), b""]).is_ok());
     assert_eq!(decode_parts([&words(MAX_BYTES_BESIDE_BODY), b""]), Err(RespError::TooLong));
 }
+
+fn enqueue_request(words: &[&[u8]]) -> Result<EnqueueRequest, String> {
+    let words: Vec<Bytes> = words.iter().map(|word| Bytes::copy_from_slice(word)).collect();
+    EnqueueRequest::try_from(words.as_slice()).map_err(|error| error.to_string())
+}
+
+#[test]
+fn the_fields_of_an_enqueue_are_mapped() {
+    let fields = b"c=notice,t=t-1,dest=7,d=1500,k=key-1,again=1,c=other";
+    let request = enqueue_request(&[b"ENQUEUE", b"ff", b"m-1", fields, b"body"]).unwrap();
+    let expected = EnqueueRequest {
+        id: "m-1".to_owned(),
+        ordering_key: 255,
+        class: "notice".to_owned(),
+        tenant: "t-1".to_owned(),
+        destination: 7,
+        time_left: Duration::from_millis(1500),
+        idempotency_key: Some("key-1".to_owned()),
+        redelivered: true,
+        body: Bytes::from_static(b"body"),
+    };
+    assert_eq!(request, expected);
+    let request = enqueue_request(&[b"ENQUEUE", b"0", b"m-1", b"c=salary,dest=1,d=0", b""]).unwrap();
+    assert_eq!((request.tenant.as_str(), request.idempotency_key, request.redelivered), ("", None, false));
+}
+
+#[test]
+fn each_enqueue_error_has_its_text() {
+    let good = b"c=notice,dest=1,d=1000";
+    let long_body = vec![b'x'; MAX_BODY_BYTES + 1];
+    let cases: [(&[&[u8]], &str); 12] = [
+        (&[b"ENQUEUE", b"0", b"m-1", good], "ENQUEUE takes a key, an id, fields and a body"),
+        (&[b"ENQUEUE", b"0", b"m-1", good, &long_body], "the body is too long"),
+        (&[b"ENQUEUE", b"0x1", b"m-1", good, b""], "the key is not hexadecimal"),
+        (&[b"ENQUEUE", b"0", b"", good, b""], "the id has other characters than an id may have"),
+        (&[b"ENQUEUE", b"0", b"m/1", good, b""], "the id has other characters than an id may have"),
+        (&[b"ENQUEUE", b"0", &[b'm'; 129], good, b""], "the id has other characters than an id may have"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"\xff", b""], "the fields are not text"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"k=a b", b""], "k has other characters than a key may have"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"dest=1,d=1", b""], "c is missing"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"c=notice,d=1", b""], "dest is missing or no number"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"c=notice,dest=1", b""], "d is missing or no number"),
+        (&[b"ENQUEUE", b"0", b"m-1", b"c=notice,dest=1,d=-1", b""], "d is missing or no number"),
+    ];
+    for (words, text) in cases {
+        assert_eq!(enqueue_request(words).unwrap_err(), text);
+    }
+}
+
+#[test]
+fn replies_are_encoded() {
+    let encoded = |reply: EnqueueReply| {
+        let mut output = Vec::new();
+        Reply::from(&reply).encode(&mut output);
+        String::from_utf8(output).unwrap()
+    };
+    assert_eq!(encoded(EnqueueReply::Accepted(delivery_gateway::MessageId(1))), "+OK\r\n");
+    assert_eq!(encoded(EnqueueReply::AlreadyAccepted), "+OK\r\n");
+    assert_eq!(encoded(EnqueueReply::Rejected(None)), "-BUSY\r\n");
+    assert_eq!(encoded(EnqueueReply::Rejected(Some(Duration::from_millis(1500)))), "-BUSY 1500\r\n");
+    assert_eq!(encoded(EnqueueReply::Error("unknown class")), "-ERR unknown class\r\n");
+}
--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -1,12 +1,12 @@
-//! Socket calls that survive what Linux documents: transfers that a signal interrupts or cuts short, and errors of this
-//! machine that pass by themselves. It knows no protocol, and decides nothing.
+//! Socket calls that survive what Linux documents: transfers that a signal interrupts or cuts short, and errors of
+//! this machine that pass by themselves. It knows no protocol, and decides nothing.
 //!
-//! [`errors`] tells which errors those are, [`retry`] makes system calls again for them, [`transfer`] reads and writes
-//! without waiting, and [`stream`] opens connections.
+//! `errors` tells which errors those are, `retry` retries system calls for them, `transfer` reads and writes
+//! without waiting, and `stream` opens connections.
 //!
-//! The runtime takes a short read or write for an empty or full socket, as `epoll(7)` allows, and waits for the next
-//! edge; `read(2)` and `write(2)` allow short transfers for other reasons, after which no edge comes. Here only
-//! `EAGAIN` says that there is something to wait for.
+//! The runtime treats a short read or write as a sign of an empty or full socket, as `epoll(7)` allows, and waits for
+//! the next edge; `read(2)` and `write(2)` allow short transfers for other reasons, after which there is no edge.
+//! Here only `EAGAIN` means that there is something to wait for.
 
 mod errors;
 mod retry;
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -125,8 +125,8 @@
     world.nothing();
 }
 
-/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and what
-/// it still responds delivers nothing. The others are retried under their keys.
+/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and
+/// what it still responds delivers nothing. The others are retried under their keys.
 #[test]
 fn a_batch_times_out_with_its_first_message_to_expire() {
     let world = one_slot();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -41,8 +41,9 @@
 /// A client that is inside a request when connection slots run short may have written the rest of it: its connection
 /// ends with an error rather than without a word, which would lose the request.
 ///
-/// The gateway is stopped while the clients connect and send, so that each connection has its part of a request, or its
-/// whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a word.
+/// The gateway is stopped while the clients connect and send, so that each connection has its part of a request, or
+/// its whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a
+/// word.
 #[test]
 fn partial_requests_that_are_evicted_get_an_error() {
     let mut world = World::new(1, 3.0);
@@ -69,8 +70,8 @@
     }
 }
 
-/// A request's time runs from its last byte on, also while its connection waits for a slot: the longest that it can have
-/// waited is subtracted, or its final outcome would be as much too late.
+/// A request's time runs from its last byte on, also while its connection waits for a slot: the longest that it can
+/// have waited is subtracted, or its final outcome would be as much too late.
 #[test]
 fn time_waiting_for_a_connection_slot_counts() {
     let mut world = World::new(1, 3.0);
@@ -141,8 +142,8 @@
     assert_eq!(flood.ask(&["PING"]), "+PONG");
 }
 
-/// The id of a pending message belongs to it: the same message once more is already accepted, and another one under its
-/// id is an error.
+/// The id of a pending message belongs to it: the same message once more is already accepted, and another one under
+/// its id is an error.
 #[test]
 fn a_pending_id_belongs_to_its_message() {
     let world = World::new(1, 3.0);
