--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -38,25 +38,28 @@
     drop(silent);
 }
 
-/// A client that is inside a request when connection slots run short may have written the rest of it: its connection
-/// ends with an error rather than without a word, which would lose the request.
+/// A client that is within a request when connection slots run short may have sent the rest of it: its connection ends
+/// with an error rather than without a word, which would lose the request.
 ///
-/// The gateway is stopped while the clients connect and send, so that each connection has its part of a request, or
-/// its whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a
-/// word.
+/// The gateway is stopped while clients connect and send, so that each connection has its part of a request, or its
+/// whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a word.
 #[test]
 fn partial_requests_that_are_evicted_get_an_error() {
     let mut world = World::new(1, 3.0);
-    // Slots for 48 connections: all clients together fit the listener's queue of 128 while the gateway is stopped.
+    // Slots for 48 connections: all that connect at a time fit the listener's queue while the gateway is stopped.
     world.sockets = 128;
     let gateway = world.start();
     let (mut partial, mut whole) = (Vec::new(), Vec::new());
     gateway.while_stopped(|| {
-        for _ in 0..64 {
+        for _ in 0..48 {
             let mut client = gateway.client().within(ERROR_TIMEOUT);
             client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
             partial.push(client);
         }
+    });
+    // Their clients would have stopped waiting by now, so that they are evicted for others.
+    std::thread::sleep(Duration::from_millis(450));
+    gateway.while_stopped(|| {
         for _ in 0..20 {
             let mut client = gateway.client().within(ERROR_TIMEOUT);
             client.command(&["PING"]);
