--- a/src/bin/testbed/fit.rs
+++ b/src/bin/testbed/fit.rs
@@ -1,41 +1,41 @@
-//! Straight lines and growth exponents through measured points. Pure sums: no clock, no file.
+//! Lines and growth exponents fitted to measured points. Arithmetic alone: no clock, no file.
 
-/// A point: a size, and what was measured there.
+/// A size, and what was measured there.
 pub type Point = (f64, f64);
 
-/// Growth is called worse than linear from this exponent on: noise alone moves it by less.
-const WORSE_THAN_LINEAR: f64 = 1.15;
-/// The exponent is that of the largest sizes, over this factor: there a constant hides it least.
+/// Exponent above which growth is called worse than linear: noise alone moves it by less.
+const WORSE_THAN_LINEAR_EXPONENT: f64 = 1.15;
+/// The exponent is fitted to the largest sizes, over this factor: a constant hides it least there.
 const EXPONENT_RANGE: f64 = 12.0;
-/// ... and over so many points at least.
-const EXPONENT_POINTS: usize = 3;
+/// Points that it is fitted to at least.
+const MIN_EXPONENT_POINTS: usize = 3;
 
-/// What a sweep's points add up to.
+/// A line and a power law, fitted to the points of a sweep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// What one more unit costs.
+    /// Cost of one more unit.
     pub slope: f64,
-    /// What is spent with none.
+    /// Cost without any.
     pub constant: f64,
-    /// The point furthest from the line: its distance, as a share of what was measured there.
+    /// Distance from the line of the point furthest from it, relative to what was measured there.
     pub largest_residual: f64,
-    /// Of the power law through the points of `range`.
+    /// Exponent of the power law that fits the points of `range`.
     pub exponent: f64,
-    /// The sizes that the exponent holds for.
+    /// Smallest and largest size that the exponent is fitted to.
     pub range: (f64, f64),
 }
 
 impl Fit {
-    /// Through at least two points of different sizes, all finite, none negative.
+    /// Fits at least two points of different sizes, all finite, sizes positive, and none negative; none otherwise.
     ///
-    /// Each point counts by its relative distance, as noise is a share of what is measured: else the largest
-    /// size alone would decide slope and constant.
+    /// Distances count relative to what was measured, as noise does: otherwise the largest size alone would determine
+    /// slope and constant.
     pub fn through(points: &[Point]) -> Option<Self> {
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite() || *x <= 0.0 || *y < 0.0) {
             return None;
         }
         let largest = points.iter().map(|(_, y)| *y).fold(0.0, f64::max);
-        // A measured zero must not weigh without end.
+        // A measured zero must not have infinite weight.
         let weigh = |y: f64| y.max(largest * 1e-6).max(f64::MIN_POSITIVE.sqrt()).powi(-2);
         let (slope, constant) = line(points.iter().map(|(x, y)| (*x, *y, weigh(*y))))?;
         let residual = |(x, y): &Point| (y - slope * x - constant).abs() * weigh(*y).sqrt();
@@ -43,7 +43,7 @@
         sizes.sort_by(|a, b| a.0.total_cmp(&b.0));
         let last = sizes.last().map_or(0.0, |(x, _)| *x);
         let first = sizes.iter().position(|(x, _)| *x >= last / EXPONENT_RANGE).unwrap_or(0);
-        let top = &sizes[first.min(sizes.len().saturating_sub(EXPONENT_POINTS))..];
+        let top = &sizes[first.min(sizes.len().saturating_sub(MIN_EXPONENT_POINTS))..];
         let exponent = line(top.iter().map(|(x, y)| (x.ln(), y.ln(), 1.0))).map_or(0.0, |(slope, _)| slope);
         Some(Fit {
             slope,
@@ -54,13 +54,16 @@
         })
     }
 
+    /// Whether growth is worse than linear, and not by noise alone.
     pub fn is_worse_than_linear(&self) -> bool {
-        self.exponent > WORSE_THAN_LINEAR
+        self.exponent > WORSE_THAN_LINEAR_EXPONENT
     }
 
-    /// The size at which `budget` is passed; none where growth never gets there. `points` are those of the fit, in
-    /// rising order of size. Between two points the straight line between them counts. Beyond the largest the fit
-    /// goes on, by the power law where growth is worse than linear; below the smallest the line does.
+    /// The size at which `budget` is passed; none where growth never gets there.
+    ///
+    /// `points` are those of the fit, in rising order of size. Between two points the line between them counts. Beyond
+    /// the largest the fit is extrapolated, by the power law where growth is worse than linear; below the smallest, by
+    /// the line.
     pub fn size_at(&self, budget: f64, points: &[Point]) -> Option<f64> {
         let passed = points.windows(2).find(|pair| pair[0].1 <= budget && budget < pair[1].1);
         if let Some([(x, y), (to_x, to_y)]) = passed {
@@ -75,7 +78,7 @@
     }
 }
 
-/// Slope and constant of the line that weighted least squares give; none through points of one size.
+/// Slope and constant of the line by weighted least squares, of points with `(x, y, weight)`; none if all have one size.
 fn line(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
     let sum = |of: fn((f64, f64, f64)) -> f64| points.clone().map(of).sum::<f64>();
     let weight = sum(|(_, _, w)| w);
@@ -86,7 +89,7 @@
     (slope.is_finite() && spread > 0.0).then_some((slope, y - slope * x))
 }
 
-/// The middle one of several; the mean of the two in the middle of an even number.
+/// The median; of an even number of values, the mean of the two in the middle. None of no values.
 pub fn median(values: &mut [f64]) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -1,7 +1,11 @@
-//! testbed: how what a courier spends grows with what it knows, holds and does.
+//! The testbed: experiments with gateways, on this machine alone.
 //!
-//! `testbed scale FILE.toml` runs one experiment. Hollow couriers share this process; real ones are started beside
-//! it. Loopback only; every loop is bounded, and all that was started ends with it.
+//! - `testbed scale FILE.toml` measures how the cost of a gateway grows with what it knows, holds and does. Simulated
+//!   gateways share this process, real ones are started beside it. `experiment` reads the file; `scheduler_sweep`,
+//!   `watch_sweep` and `journal_sweep` measure, within the limits of `bounds`; `report` has the results.
+//! - `testbed soak` runs real gateways among faults, and checks the rules of the protocol; see `soak`.
+//!
+//! Only loopback is used, every loop is bounded, and all that was started ends with it.
 #![forbid(unsafe_code)]
 
 mod bounds;
@@ -12,26 +16,26 @@
 mod fault_page;
 mod figures;
 mod fit;
+mod journal_sweep;
 mod layout;
 mod list_changes;
-mod measure;
 mod processor_time;
 mod report;
-mod restart;
 mod scheduler_rig;
+mod scheduler_sweep;
 mod simulated_gateway;
 mod soak;
 // The tests use more of them.
 #[allow(dead_code)]
 mod stubs;
-mod watchers;
+mod watch_sweep;
 
 use clap::{Parser, Subcommand};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::flag;
 use std::fs::File;
 use std::io::Write;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -50,7 +54,7 @@
 /// The exit code of a run that a signal ended.
 const INTERRUPTED: u8 = 130;
 
-/// Experiments with couriers, on this machine alone.
+/// Experiments with gateways, on this machine alone.
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
@@ -69,11 +73,11 @@
         /// Writes all figures there as well, as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// The courier's binary; the one beside this if absent.
-        #[arg(long, value_name = "FILE")]
-        courier: Option<PathBuf>,
+        /// The gateway's binary; the one beside this if absent.
+        #[arg(long = "courier", value_name = "FILE")]
+        gateway: Option<PathBuf>,
     },
-    /// Plays real couriers among troubles, one soak for each seed, and tells which rules were broken.
+    /// Runs real gateways among faults, one soak for each seed, and reports which rules were broken.
     Soak {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
@@ -81,24 +85,25 @@
         /// Soaks, each with the next seed.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Couriers that live at a time.
-        #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u16).range(1..=100))]
-        couriers: u16,
+        /// Gateways that run at a time.
+        #[arg(long = "couriers", default_value_t = 24, value_parser = clap::value_parser!(u16).range(1..=100))]
+        gateways: u16,
         /// Length of each soak, in seconds.
         #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(1..=3600))]
         seconds: u64,
-        /// The courier's binary; the one beside this if absent.
-        #[arg(long, value_name = "FILE")]
-        courier: Option<PathBuf>,
+        /// The gateway's binary; the one beside this if absent.
+        #[arg(long = "courier", value_name = "FILE")]
+        gateway: Option<PathBuf>,
         /// The shim that lets system calls fail; the one that `cargo build --examples` puts beside this if absent.
         #[arg(long, value_name = "FILE")]
         shim: Option<PathBuf>,
-        /// Where the logs of couriers go if a rule was broken.
+        /// Where the gateways' logs go if a rule was broken.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
     },
 }
 
+/// Why a run failed.
 #[derive(Debug, Error)]
 enum TestbedError {
     #[error(transparent)]
@@ -111,7 +116,7 @@
     Signals(std::io::Error),
     #[error("interrupted")]
     Interrupted,
-    #[error("the soak cannot be played: {0}")]
+    #[error("the soak cannot be set up: {0}")]
     Soak(std::io::Error),
     #[error("{0} is missing; cargo build --release --examples makes it")]
     Missing(PathBuf),
@@ -119,7 +124,7 @@
     Broken(usize),
 }
 
-/// Tells a flag of the first SIGINT or SIGTERM.
+/// A flag that the first SIGINT or SIGTERM sets.
 fn watch_for_signals() -> Result<Arc<AtomicBool>, TestbedError> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
@@ -128,51 +133,68 @@
     Ok(interrupted)
 }
 
+/// A program that was built together with this one.
+fn sibling(name: &str) -> PathBuf {
+    std::env::current_exe().unwrap_or_default().with_file_name(name)
+}
+
+/// Runs one experiment. What is wrong with it is found before anything is started or written.
 fn scale(
-    file: PathBuf,
+    file: &Path,
     only: &[String],
     json: Option<PathBuf>,
-    courier: Option<PathBuf>,
+    gateway: Option<PathBuf>,
 ) -> Result<(), TestbedError> {
     let machine = experiment::machine_memory()?;
-    let experiment = experiment::read(&file, machine, only)?;
-    let beside = || std::env::current_exe().unwrap_or_default().with_file_name("delivery-gateway");
-    let courier = courier.unwrap_or_else(beside);
-    if experiment.sweep.iter().any(|sweep| sweep.kind().is_real()) && !courier.is_file() {
-        return Err(ExperimentError::NoGateway(courier).into());
+    let experiment = experiment::read(file, machine, only)?;
+    let gateway = gateway.unwrap_or_else(|| sibling("delivery-gateway"));
+    if experiment.sweep.iter().any(|sweep| sweep.kind().is_real()) && !gateway.is_file() {
+        return Err(ExperimentError::NoGateway(gateway).into());
     }
-    let json = match json {
-        Some(path) => {
-            let file = File::create(&path).map_err(|error| TestbedError::Json(path.clone(), error))?;
-            Some((path, file))
-        }
-        None => None,
-    };
+    let json = json.map(JsonFile::create).transpose()?;
     let guard = Guard::new(&experiment.bounds, watch_for_signals()?);
     let mut report = Report::new(experiment.seed, experiment.bounds.memory(), experiment.target.clone());
     for sweep in &experiment.sweep {
         let points = match sweep.kind() {
-            Kind::Journal => restart::sweep(sweep, &courier, &guard),
-            Kind::Watchers | Kind::WatchersReconnect => watchers::sweep(&experiment, sweep, &guard),
-            _ => measure::sweep(&experiment, sweep, &guard),
+            Kind::Journal => journal_sweep::sweep(sweep, &gateway, &guard),
+            Kind::Watchers | Kind::WatchersReconnect => watch_sweep::sweep(&experiment, sweep, &guard),
+            _ => scheduler_sweep::sweep(&experiment, sweep, &guard),
         };
         println!("{}", report.add(sweep.kind(), points));
     }
     print!("{}", report.summary());
-    if let Some((path, mut file)) = json {
-        let written = file.write_all(report.json()?.as_bytes());
-        written.map_err(|error| TestbedError::Json(path, error))?;
+    if let Some(json) = json {
+        json.write(&report.json()?)?;
     }
     if guard.is_interrupted() {
-        warn!("interrupted: what was not measured by then is said to be not run");
+        warn!("interrupted: what was not measured by then is reported as not run");
         return Err(TestbedError::Interrupted);
     }
     Ok(())
 }
 
-/// Plays the soaks of some seeds, one after the other; each tells its figures.
+/// The file for the figures. It is created before the run, so that a run whose figures cannot be written is not begun.
+struct JsonFile {
+    path: PathBuf,
+    file: File,
+}
+
+impl JsonFile {
+    fn create(path: PathBuf) -> Result<Self, TestbedError> {
+        match File::create(&path) {
+            Ok(file) => Ok(JsonFile { path, file }),
+            Err(error) => Err(TestbedError::Json(path, error)),
+        }
+    }
+
+    fn write(mut self, text: &str) -> Result<(), TestbedError> {
+        self.file.write_all(text.as_bytes()).map_err(|error| TestbedError::Json(self.path, error))
+    }
+}
+
+/// Runs the soaks of some seeds, one after the other, and prints the report of each.
 fn soak(plan: soak::Plan, seeds: u64) -> Result<(), TestbedError> {
-    for file in [&plan.courier, &plan.shim] {
+    for file in [&plan.gateway, &plan.shim] {
         if !file.is_file() {
             return Err(TestbedError::Missing(file.clone()));
         }
@@ -183,10 +205,9 @@
         if interrupted.load(Ordering::SeqCst) {
             return Err(TestbedError::Interrupted);
         }
-        let verdict =
-            soak::run(&Arc::new(soak::Plan { seed, ..plan.clone() })).map_err(TestbedError::Soak)?;
-        print!("{}", verdict.report);
-        broken += verdict.broken;
+        let result = soak::run(&Arc::new(soak::Plan { seed, ..plan.clone() })).map_err(TestbedError::Soak)?;
+        print!("{}", result.report);
+        broken += result.broken;
     }
     if broken == 0 {
         Ok(())
@@ -195,28 +216,31 @@
     }
 }
 
-fn main() -> ExitCode {
-    // Thousands of watches that break and are begun again say so elsewhere: they are counted.
+fn init_log() {
+    // Thousands of watches that fail and reconnect would log it: they are counted.
     let levels =
         Targets::new().with_default(LevelFilter::INFO).with_target("delivery_gateway", LevelFilter::ERROR);
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     lines.finish().with(levels).init();
-    let played = match Arguments::parse().verb {
-        Verb::Scale { file, only, json, courier } => scale(file, &only, json, courier),
-        Verb::Soak { seed, seeds, couriers, seconds, courier, shim, logs } => {
-            let beside = |name: &str| std::env::current_exe().unwrap_or_default().with_file_name(name);
+}
+
+fn main() -> ExitCode {
+    init_log();
+    let result = match Arguments::parse().verb {
+        Verb::Scale { file, only, json, gateway } => scale(&file, &only, json, gateway),
+        Verb::Soak { seed, seeds, gateways, seconds, gateway, shim, logs } => {
             let plan = soak::Plan {
                 seed,
-                couriers: couriers.into(),
+                gateways: gateways.into(),
                 length: Duration::from_secs(seconds),
-                courier: courier.unwrap_or_else(|| beside("delivery-gateway")),
-                shim: shim.unwrap_or_else(|| beside("examples").join("libfault_shim.so")),
+                gateway: gateway.unwrap_or_else(|| sibling("delivery-gateway")),
+                shim: shim.unwrap_or_else(|| sibling("examples").join("libfault_shim.so")),
                 logs,
             };
             soak(plan, seeds)
         }
     };
-    match played {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(TestbedError::Interrupted) => ExitCode::from(INTERRUPTED),
         Err(error) => {
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -63,9 +63,9 @@
 #[derive(Clone)]
 pub struct Plan {
     pub seed: u64,
-    pub couriers: usize,
+    pub gateways: usize,
     pub length: Duration,
-    pub courier: PathBuf,
+    pub gateway: PathBuf,
     pub shim: PathBuf,
     /// Where the logs of couriers go if a rule was broken.
     pub logs: Option<PathBuf>,
@@ -97,7 +97,7 @@
     fn start(&mut self, plan: &Plan, endpoints: &[Endpoint]) -> io::Result<()> {
         self.configure(endpoints)?;
         let started = Instant::now();
-        let process = Process::start_with(&plan.courier, &self.folder, &self.variables(plan))?;
+        let process = Process::start_with(&plan.gateway, &self.folder, &self.variables(plan))?;
         let listening = process.log_times(" listening ", 1, READY);
         let address = listening.ok().and_then(|line| address_in(&line));
         self.process = Some(process);
@@ -188,14 +188,14 @@
 
     /// Puts another process in this one's place while it serves; nobody may notice.
     fn replace(&mut self, plan: &Plan) -> io::Result<()> {
-        let next = Process::start_with(&plan.courier, &self.folder, &self.variables(plan))?;
+        let next = Process::start_with(&plan.gateway, &self.folder, &self.variables(plan))?;
         self.hand_over_to(next);
         Ok(())
     }
 
     /// The same with a disk that fails when the next process comes, and is well a moment later.
     fn replace_while_the_disk_fails(&mut self, plan: &Plan) -> io::Result<()> {
-        let next = Process::start_with(&plan.courier, &self.folder, &self.variables(plan))?;
+        let next = Process::start_with(&plan.gateway, &self.folder, &self.variables(plan))?;
         thread::sleep(KILL_TO_START);
         DISK_CALLS.iter().try_for_each(|call| self.faults.clear(*call))?;
         self.hand_over_to(next);
@@ -370,7 +370,7 @@
     let heard = ledger.clone();
     thread::spawn(move || read_notifications(&notices, &heard));
     let mut couriers = Vec::new();
-    for number in 0..plan.couriers {
+    for number in 0..plan.gateways {
         let folder = folder.join(format!("n{number}"));
         std::fs::create_dir_all(folder.join("state"))?;
         std::fs::create_dir_all(folder.join("tmp"))?;
