--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -38,7 +38,7 @@
 use tracing::{error, info, warn};
 
 use crate::admin::AdminEndpoint;
-use crate::event_loop::{EventLoop, IDLE_OF_SLOTS};
+use crate::event_loop::{EventLoop, IDLE_CONNECTIONS_PER_SLOT};
 use crate::events::{Channels, GatewayEvent, ServicePhase};
 use crate::handover::{HandedOver, HandedOverState, HandoverError, HandoverListener, HandoverResult};
 use crate::journal::{Journal, JournalError};
@@ -111,7 +111,7 @@
     /// At most half goes to endpoints: calls out, calls that are ending, and idle connections.
     fn deal(limit: usize, slots: usize) -> Self {
         let rest = limit.saturating_sub(OTHER_SOCKETS);
-        let endpoints = ((2 + IDLE_OF_SLOTS) * slots).min(rest / 2).max(1);
+        let endpoints = ((2 + IDLE_CONNECTIONS_PER_SLOT) * slots).min(rest / 2).max(1);
         Sockets { clients: rest.saturating_sub(endpoints).max(2), endpoints }
     }
 }
@@ -349,7 +349,7 @@
         let settle = async {
             let listener = accepting.await;
             let gate = timeout(SETTLE, &mut shut).await;
-            let _ = timeout(SETTLE, clients.all_moved()).await;
+            let _ = timeout(SETTLE, clients.all_transferred()).await;
             (listener, gate)
         };
         let (returned, gate) = tokio::select! {
