--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a soak: proper ones, on connections that rest, that are pipelined or that come in parts, and bad ones.
+//! Clients of a soak: proper ones, on connections that stay idle at times and with commands that arrive in parts, and
+//! ones that send malformed requests.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -10,130 +11,160 @@
 use super::ledger::{Idempotency, Ledger};
 use crate::stubs::{command, locked, Client};
 
-/// How long a client waits for its answer.
-const ANSWER: Duration = Duration::from_millis(400);
-/// Between two parts of a request.
-const PART: Duration = Duration::from_millis(120);
-/// How long one waits here before the courier is said to be silent: the machine is shared.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// A peer that sends no proper request is owed an error or a close within this time, and what the machine adds.
-const BAD_PEER: Duration = Duration::from_millis(3700);
-/// A connection rests for so long at times, about where couriers close it.
-const REST: Duration = Duration::from_millis(2000);
+/// A reply that takes longer is counted as late.
+const LATE_REPLY: Duration = Duration::from_millis(400);
+/// Between two parts of a command.
+const PART_DELAY: Duration = Duration::from_millis(120);
+/// A gateway that does not reply for so long is unresponsive; many processes share the machine.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Within this time, noise of the machine included, a malformed request gets an error or a closed connection.
+const MALFORMED_TIMEOUT: Duration = Duration::from_millis(3700);
+/// A connection is idle for so long at times, which is about when gateways close it.
+const IDLE_TIME: Duration = Duration::from_millis(2000);
 
-/// What the clients of one courier know.
+/// What the clients of one gateway share.
 #[derive(Clone)]
 pub struct GatewayClients {
-    pub courier: usize,
+    /// The number of the gateway.
+    pub gateway: usize,
     pub address: SocketAddr,
+    /// Destinations, numbered from 1.
     pub destinations: u32,
     pub ledger: Arc<Mutex<Ledger>>,
+    /// Set at the end of the soak.
     pub over: Arc<AtomicBool>,
 }
 
-/// The classes of the configuration: name, effect, and what each needs in its fields.
-pub const CLASSES: [(&str, Idempotency, &str); 3] = [
-    ("salary", Idempotency::NonIdempotent, ""),
-    ("notice", Idempotency::IdempotentWithKey(Duration::from_secs(10)), ",k=aa"),
-    ("brief", Idempotency::IdempotentWithKey(Duration::from_millis(400)), ",k=aa"),
+/// A class of the configuration.
+struct ClassOfMessage {
+    name: &'static str,
+    idempotency: Idempotency,
+    /// Further fields that a command needs.
+    fields: &'static str,
+}
+
+const CLASSES: [ClassOfMessage; 3] = [
+    ClassOfMessage { name: "salary", idempotency: Idempotency::NonIdempotent, fields: "" },
+    ClassOfMessage {
+        name: "notice",
+        idempotency: Idempotency::IdempotentWithKey(Duration::from_secs(10)),
+        fields: ",k=aa",
+    },
+    ClassOfMessage {
+        name: "brief",
+        idempotency: Idempotency::IdempotentWithKey(Duration::from_millis(400)),
+        fields: ",k=aa",
+    },
 ];
 
-/// Hands in messages until the soak is over.
-pub fn enqueue_messages(site: &GatewayClients, name: &str, seed: u64) {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let mut kept: Option<Client> = None;
+/// Enqueues messages until the soak is over.
+pub fn enqueue_messages(clients: &GatewayClients, name: &str, seed: u64) {
+    let mut random = fastrand::Rng::with_seed(seed);
+    let mut connection: Option<Client> = None;
     let mut number = 0;
-    while !site.over.load(Ordering::SeqCst) {
+    while !clients.over.load(Ordering::SeqCst) {
         number += 1;
-        let id = format!("c{}-{name}-{number}", site.courier);
-        let asked = Instant::now();
-        let rested = kept.is_some();
-        let request = Request::new(site, &id, &mut chance);
-        let cut = if chance.u8(..) < 32 { chance.usize(1..request.bytes.len()) } else { request.bytes.len() };
-        if let Err(error) = request.enqueue(site, &mut kept, cut) {
-            kept = None;
-            let silent = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-            // What crosses the end of a resting connection comes once more on a new one.
-            if rested && !silent && request.enqueue(site, &mut kept, request.bytes.len()).is_ok() {
+        let id = format!("c{}-{name}-{number}", clients.gateway);
+        let sent_at = Instant::now();
+        let was_idle = connection.is_some();
+        let request = Request::new(clients, &id, &mut random);
+        let cut = if random.u8(..) < 32 { random.usize(1..request.bytes.len()) } else { request.bytes.len() };
+        if let Err(error) = request.enqueue(clients, &mut connection, cut) {
+            connection = None;
+            let is_unresponsive = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
+            // What crosses the close of an idle connection is sent once more on a new one.
+            if was_idle
+                && !is_unresponsive
+                && request.enqueue(clients, &mut connection, request.bytes.len()).is_ok()
+            {
                 continue;
             }
-            kept = None;
-            let mut ledger = locked(&site.ledger);
-            if !ledger.was_away(site.courier, asked) && error.kind() != ErrorKind::ConnectionRefused {
+            connection = None;
+            let mut ledger = locked(&clients.ledger);
+            if !ledger.was_restarting(clients.gateway, sent_at)
+                && error.kind() != ErrorKind::ConnectionRefused
+            {
                 ledger.breach(format!("{id} was not answered: {error}"));
             }
             drop(ledger);
             thread::sleep(Duration::from_millis(100));
         }
-        let rest = if chance.u8(..) < 8 { REST } else { Duration::from_millis(chance.u64(20..300)) };
+        let rest = if random.u8(..) < 8 { IDLE_TIME } else { Duration::from_millis(random.u64(20..300)) };
         thread::sleep(rest);
-        if chance.u8(..) < 32 {
-            kept = None;
+        if random.u8(..) < 32 {
+            connection = None;
         }
     }
 }
 
-/// A message on its way in.
+/// A command that enqueues a message.
 struct Request {
     id: String,
     idempotency: Idempotency,
-    left: Duration,
+    /// Until its deadline.
+    time_left: Duration,
     bytes: Vec<u8>,
 }
 
 impl Request {
-    fn new(site: &GatewayClients, id: &str, chance: &mut fastrand::Rng) -> Self {
-        let (class, idempotency, more) = CLASSES[chance.usize(..CLASSES.len())];
-        let left = Duration::from_millis(chance.u64(600..6000));
-        let destination = chance.u32(1..=site.destinations);
-        let fields = format!("c={class},d={},dest={destination}{more}", left.as_millis());
-        let body = "x".repeat(chance.usize(1..400));
+    fn new(clients: &GatewayClients, id: &str, random: &mut fastrand::Rng) -> Self {
+        let class = &CLASSES[random.usize(..CLASSES.len())];
+        let time_left = Duration::from_millis(random.u64(600..6000));
+        let destination = random.u32(1..=clients.destinations);
+        let ClassOfMessage { name, idempotency, fields } = class;
+        let fields = format!("c={name},d={},dest={destination}{fields}", time_left.as_millis());
+        let body = "x".repeat(random.usize(1..400));
         let bytes = command(&["ENQUEUE", "0", id, fields.as_str(), body.as_str()]);
-        Request { id: id.to_owned(), idempotency, left, bytes }
+        Request { id: id.to_owned(), idempotency: *idempotency, time_left, bytes }
     }
 
-    /// Sends it, the part behind the cut a moment later, and hears the answer.
-    fn enqueue(&self, site: &GatewayClients, kept: &mut Option<Client>, cut: usize) -> io::Result<()> {
-        let client = connected(site, kept)?;
-        locked(&site.ledger).handed_in(&self.id, site.courier, self.idempotency, self.left);
+    /// Sends it, the part behind the cut a moment later, and reads the reply.
+    fn enqueue(
+        &self,
+        clients: &GatewayClients,
+        connection: &mut Option<Client>,
+        cut: usize,
+    ) -> io::Result<()> {
+        let client = connected(clients, connection)?;
+        locked(&clients.ledger).message_enqueued(&self.id, clients.gateway, self.idempotency, self.time_left);
         client.try_send(&self.bytes[..cut])?;
         if cut < self.bytes.len() {
-            thread::sleep(PART);
+            thread::sleep(PART_DELAY);
             client.try_send(&self.bytes[cut..])?;
         }
-        heard(site, client, &self.id)
+        read_reply(clients, client, &self.id)
     }
 }
 
-fn connected<'a>(site: &GatewayClients, kept: &'a mut Option<Client>) -> io::Result<&'a mut Client> {
-    if kept.is_none() {
-        *kept = Some(Client::connect(site.address, PATIENCE)?);
+fn connected<'a>(clients: &GatewayClients, connection: &'a mut Option<Client>) -> io::Result<&'a mut Client> {
+    if connection.is_none() {
+        *connection = Some(Client::connect(clients.address, REPLY_TIMEOUT)?);
     }
-    kept.as_mut().ok_or_else(|| ErrorKind::NotConnected.into())
+    connection.as_mut().ok_or_else(|| ErrorKind::NotConnected.into())
 }
 
-fn heard(site: &GatewayClients, client: &mut Client, id: &str) -> io::Result<()> {
-    let asked = Instant::now();
+fn read_reply(clients: &GatewayClients, client: &mut Client, id: &str) -> io::Result<()> {
+    let sent_at = Instant::now();
     let line = client.try_line()?;
     if line.is_empty() {
         return Err(ErrorKind::UnexpectedEof.into());
     }
-    let mut ledger = locked(&site.ledger);
-    ledger.answered(id, &line);
-    if asked.elapsed() > ANSWER {
-        ledger.count("answered late");
+    let mut ledger = locked(&clients.ledger);
+    ledger.replied(id, &line);
+    if sent_at.elapsed() > LATE_REPLY {
+        ledger.count("late replies");
     }
     Ok(())
 }
 
-/// Sends what is no proper request, and waits for the error or the close that it is owed.
-pub fn send_malformed_requests(site: &GatewayClients, seed: u64) {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    while !site.over.load(Ordering::SeqCst) {
-        thread::sleep(Duration::from_millis(chance.u64(300..1500)));
-        let began = Instant::now();
-        let Ok(mut client) = Client::connect(site.address, BAD_PEER) else { continue };
-        let bytes: &[u8] = match chance.u8(..5) {
+/// Sends malformed requests until the soak is over, each of which must get an error or a closed connection.
+pub fn send_malformed_requests(clients: &GatewayClients, seed: u64) {
+    let mut random = fastrand::Rng::with_seed(seed);
+    while !clients.over.load(Ordering::SeqCst) {
+        thread::sleep(Duration::from_millis(random.u64(300..1500)));
+        let begun_at = Instant::now();
+        let Ok(mut client) = Client::connect(clients.address, MALFORMED_TIMEOUT) else { continue };
+        let bytes: &[u8] = match random.u8(..5) {
             0 => b"",
             1 => b"GET / HTTP/1.1\r\n\r\n",
             2 => b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\nstay",
@@ -141,14 +172,17 @@
             _ => b"*2\r\n$-1\r\n",
         };
         let _ = client.try_send(bytes);
-        let silent = match client.try_line() {
+        let is_unresponsive = match client.try_line() {
             Err(error) => matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
             Ok(_) => false,
         };
-        let mut ledger = locked(&site.ledger);
-        ledger.count("bad peers");
-        if silent && !ledger.was_away(site.courier, began) {
-            ledger.breach(format!("a bad peer of courier {} was left with neither", site.courier));
+        let mut ledger = locked(&clients.ledger);
+        ledger.count("malformed requests");
+        if is_unresponsive && !ledger.was_restarting(clients.gateway, begun_at) {
+            ledger.breach(format!(
+                "a malformed request to gateway {} got neither an error nor a close",
+                clients.gateway
+            ));
         }
     }
 }
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints of a soak: they serve, refuse, break connections, hang and come back, by chance and as they are told.
+//! Endpoints of a soak: they serve, reject, break connections and stop responding, by random and as their behavior says.
+//! What each did with an attempt goes to the ledger before the gateway can know it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,50 +11,63 @@
 use super::ledger::{is_open, Fate, Ledger};
 use crate::stubs::{locked, serve, serve_calls, Call, Seen};
 
-/// Longest time that an ordinary answer takes.
-const SERVICE: Duration = Duration::from_millis(60);
-/// Longest time that a hanging call is held: longer than any message has.
-const HANG: Duration = Duration::from_secs(30);
-/// How often a call that takes time looks whether the courier still waits.
-const LOOK: Duration = Duration::from_millis(10);
+/// Longest time of an ordinary response.
+const MAX_LATENCY: Duration = Duration::from_millis(60);
+/// Longest time that a call is left unanswered: longer than any message has.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(30);
+/// Between two looks at whether the gateway still waits for a call.
+const LOOK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How an endpoint behaves just now.
+/// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Mood {
+pub enum Behavior {
+    /// Serves all calls.
     Serving,
-    /// Takes calls and answers none.
-    Hanging,
-    /// Breaks the connection of half of its calls, before or after it has served them.
-    Breaking,
-    /// Refuses half of its calls, some with a wait.
-    Refusing,
-    /// Answers half of its calls with what is no answer.
-    Spoiling,
+    /// Accepts calls and answers none.
+    Unresponsive,
+    /// Breaks the connection of half of its calls, served or not.
+    Resetting,
+    /// Rejects half of its calls, some with a Retry-After.
+    Rejecting,
+    /// Responds to half of its calls with what is no HTTP.
+    Malformed,
 }
 
-impl Mood {
-    pub const ALL: [Mood; 5] = [Mood::Serving, Mood::Hanging, Mood::Breaking, Mood::Refusing, Mood::Spoiling];
+impl Behavior {
+    /// Each behavior, by its number.
+    pub const ALL: [Behavior; 5] = [
+        Behavior::Serving,
+        Behavior::Unresponsive,
+        Behavior::Resetting,
+        Behavior::Rejecting,
+        Behavior::Malformed,
+    ];
 
-    fn of(number: u8) -> Self {
-        Mood::ALL.get(usize::from(number)).copied().unwrap_or(Mood::Serving)
+    fn from_number(number: u8) -> Self {
+        Behavior::ALL.get(usize::from(number)).copied().unwrap_or(Behavior::Serving)
     }
 }
 
-/// One endpoint.
+/// An endpoint.
 pub struct Endpoint {
     pub address: SocketAddr,
+    /// The number of its destination.
     pub destination: u32,
-    mood: AtomicU8,
+    behavior: AtomicU8,
 }
 
 impl Endpoint {
-    pub fn set(&self, mood: Mood) {
-        self.mood.store(mood as u8, Ordering::SeqCst);
+    /// Changes how it behaves with calls from now on.
+    pub fn set(&self, behavior: Behavior) {
+        self.behavior.store(behavior as u8, Ordering::SeqCst);
     }
 }
 
-/// All endpoints, at each of which calls are answered on threads of their own.
+/// Starts endpoints, which answer each call on a thread of its own.
+///
+/// # Errors
+/// An endpoint cannot listen.
 pub fn start(
     endpoints: usize,
     destinations: u32,
@@ -68,7 +82,11 @@
         let address = listener.local_addr()?;
         let send = send.clone();
         serve(listener, move |stream| serve_calls(number, stream, &send));
-        all.push(Endpoint { address, destination: number as u32 % destinations + 1, mood: AtomicU8::new(0) });
+        all.push(Endpoint {
+            address,
+            destination: number as u32 % destinations + 1,
+            behavior: AtomicU8::new(0),
+        });
     }
     let all = Arc::new(all);
     let (endpoints, ledger) = (all.clone(), ledger.clone());
@@ -76,6 +94,7 @@
     Ok(all)
 }
 
+/// Notes each call in the ledger, and has it answered.
 fn dispatch(
     calls: &Receiver<Seen>,
     endpoints: &Arc<Vec<Endpoint>>,
@@ -83,63 +102,76 @@
     seed: u64,
     ledger: &Arc<Mutex<Ledger>>,
 ) {
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut random = fastrand::Rng::with_seed(seed);
     while let Ok(seen) = calls.recv() {
         let Seen::Call(call) = seen else { continue };
         let endpoint = &endpoints[call.endpoint];
         let destination = endpoint.destination;
         let Ok(connection) = call.connection.try_clone() else { continue };
-        locked(ledger).attempt(&call.id, call.endpoint, destination, max_attempts, connection);
-        let mood = Mood::of(endpoint.mood.load(Ordering::SeqCst));
-        let chance = chance.fork();
+        locked(ledger).attempt_arrived(&call.id, call.endpoint, destination, max_attempts, connection);
+        let behavior = Behavior::from_number(endpoint.behavior.load(Ordering::SeqCst));
+        let random = random.fork();
         let ledger = ledger.clone();
-        thread::spawn(move || answer(call, destination, mood, chance, &ledger));
+        thread::spawn(move || answer(call, destination, behavior, random, &ledger));
     }
 }
 
-/// Waits, and tells whether the courier waits too.
-fn still_wanted(call: &Call, span: Duration) -> bool {
-    let end = Instant::now() + span;
+/// Waits, and says whether the gateway still waits for the call then.
+fn wait_while_wanted(call: &Call, duration: Duration) -> bool {
+    let end = Instant::now() + duration;
     while is_open(&call.connection) {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return true;
         }
-        thread::sleep(left.min(LOOK));
+        thread::sleep(left.min(LOOK_INTERVAL));
     }
     false
 }
 
-fn answer(call: Call, destination: u32, mood: Mood, mut chance: fastrand::Rng, ledger: &Mutex<Ledger>) {
+fn answer(
+    call: Call,
+    destination: u32,
+    behavior: Behavior,
+    mut random: fastrand::Rng,
+    ledger: &Mutex<Ledger>,
+) {
     let id = call.id.clone();
-    let span = if mood == Mood::Hanging { HANG } else { SERVICE.mul_f64(chance.f64()) };
-    if !still_wanted(&call, span) || mood == Mood::Hanging {
-        return locked(ledger).ended(&id, Fate::MayHaveRun);
+    let latency = if behavior == Behavior::Unresponsive {
+        UNRESPONSIVE_TIME
+    } else {
+        MAX_LATENCY.mul_f64(random.f64())
+    };
+    if !wait_while_wanted(&call, latency) || behavior == Behavior::Unresponsive {
+        return locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
     }
-    let odd = chance.bool();
-    match mood {
-        Mood::Breaking if odd => {
-            locked(ledger).ended(&id, Fate::MayHaveRun);
+    let misbehaves = random.bool();
+    match behavior {
+        Behavior::Resetting if misbehaves => {
+            locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
             call.reset();
         }
-        Mood::Spoiling if odd => {
-            locked(ledger).ended(&id, Fate::MayHaveRun);
+        Behavior::Malformed if misbehaves => {
+            locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
             call.raw(b"HTTP/1.1 2\r\n\r\n");
         }
-        Mood::Refusing if odd => {
-            let wait = Duration::from_millis(chance.u64(200..1500));
-            let told = chance.bool();
+        Behavior::Rejecting if misbehaves => {
+            let retry_after = Duration::from_millis(random.u64(200..1500));
+            let has_retry_after = random.bool();
             let mut ledger = locked(ledger);
-            ledger.ended(&id, Fate::NeverRan);
-            if told {
-                ledger.told_to_wait(&id, destination, wait);
-                call.answer("429 Too Many Requests", &format!("X-Come-Back-Ms: {}\r\n", wait.as_millis()));
+            ledger.attempt_ended(&id, Fate::NeverRan);
+            if has_retry_after {
+                ledger.retry_after(&id, destination, retry_after);
+                call.answer(
+                    "429 Too Many Requests",
+                    &format!("X-Come-Back-Ms: {}\r\n", retry_after.as_millis()),
+                );
             } else {
                 call.answer("503 Service Unavailable", "");
             }
         }
         _ => {
-            locked(ledger).ended(&id, Fate::Delivered);
+            locked(ledger).attempt_ended(&id, Fate::Delivered);
             call.answer("200 OK", "");
         }
     }
--- /dev/null
+++ b/src/bin/testbed/soak/faults.rs
@@ -0,0 +1,152 @@
+//! The faults of a soak: which there are, and what each does to a gateway. All are drawn from the soak's seed.
+
+use rustix::io::Errno;
+use std::io;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::Duration;
+
+use super::endpoints::{Behavior, Endpoint};
+use super::gateway::{Gateway, Restart};
+use super::Plan;
+use crate::fault_page::{Call, Fault, FaultPage};
+
+const ECONNABORTED: i32 = Errno::CONNABORTED.raw_os_error();
+const ENFILE: i32 = Errno::NFILE.raw_os_error();
+const ENOBUFS: i32 = Errno::NOBUFS.raw_os_error();
+const EINTR: i32 = Errno::INTR.raw_os_error();
+const EADDRNOTAVAIL: i32 = Errno::ADDRNOTAVAIL.raw_os_error();
+const ENETUNREACH: i32 = Errno::NETUNREACH.raw_os_error();
+const ENOSPC: i32 = Errno::NOSPC.raw_os_error();
+const EIO: i32 = Errno::IO.raw_os_error();
+
+/// System calls that fail all through the soak, and with which errors.
+const BACKGROUND_FAULTS: [(Call, &[i32]); 8] = [
+    (Call::Accept, &[ECONNABORTED, ENFILE, ENOBUFS, EINTR]),
+    (Call::Connect, &[EADDRNOTAVAIL, ENETUNREACH, EINTR]),
+    (Call::Socket, &[ENFILE, ENOBUFS]),
+    (Call::TcpRead, &[EINTR, Call::SHORT]),
+    (Call::TcpWrite, &[EINTR, Call::SHORT]),
+    (Call::UnixRead, &[EINTR]),
+    (Call::UnixWrite, &[EINTR]),
+    (Call::EpollWait, &[EINTR]),
+];
+/// Ratio of these calls that fails.
+const BACKGROUND_RATIO: f64 = 0.05;
+/// Steps of the wall clock, in milliseconds.
+const CLOCK_STEPS_MS: [i64; 5] = [0, 3_600_000, -3_600_000, 5_000, -5_000];
+
+/// Lets system calls fail now and then, all through the soak.
+///
+/// # Errors
+/// The page of faults cannot be written.
+pub fn set_background_faults(faults: &FaultPage) -> io::Result<()> {
+    BACKGROUND_FAULTS
+        .iter()
+        .try_for_each(|(call, errors)| faults.set(*call, Fault::always(errors).part(BACKGROUND_RATIO)))
+}
+
+/// Lets a gateway meet one fault after the other until the soak is over.
+pub fn inject_faults(
+    mut gateway: Gateway,
+    plan: &Plan,
+    endpoints: &[Endpoint],
+    over: &AtomicBool,
+    mut random: fastrand::Rng,
+) -> Gateway {
+    while !over.load(Ordering::SeqCst) {
+        thread::sleep(Duration::from_millis(random.u64(200..2500)));
+        gateway.send_heartbeat();
+        if gateway.has_exited() {
+            gateway.breach("exited by itself");
+            let _ = gateway.restart(plan, endpoints, Restart::Killed);
+        } else if let Err(error) = inject_fault(&mut gateway, plan, endpoints, &mut random) {
+            gateway.breach(&format!("could not be given a fault: {error}"));
+        }
+    }
+    gateway
+}
+
+fn inject_fault(
+    gateway: &mut Gateway,
+    plan: &Plan,
+    endpoints: &[Endpoint],
+    random: &mut fastrand::Rng,
+) -> io::Result<()> {
+    match random.u8(..9) {
+        0 => gateway.restart(plan, endpoints, Restart::Planned),
+        1 => gateway.restart(plan, endpoints, Restart::Killed),
+        2 => gateway.move_discovery(endpoints),
+        3 => {
+            gateway.silence_discovery(Duration::from_millis(random.u64(500..4000)));
+            Ok(())
+        }
+        4 => {
+            gateway.toggle_draining(endpoints, random.usize(..endpoints.len()));
+            Ok(())
+        }
+        5 | 6 => fail_disk(gateway, plan, endpoints, random),
+        8 => gateway.hand_over(plan),
+        _ => gateway.faults.step_wall_clock(CLOCK_STEPS_MS[random.usize(..CLOCK_STEPS_MS.len())]),
+    }
+}
+
+/// Lets the disk fail for some time, and the gateway at times be restarted or handed over meanwhile.
+fn fail_disk(
+    gateway: &mut Gateway,
+    plan: &Plan,
+    endpoints: &[Endpoint],
+    random: &mut fastrand::Rng,
+) -> io::Result<()> {
+    let errors = [[ENOSPC, EIO], [EIO, EIO], [Call::TORN, ENOSPC]];
+    let errors = &errors[random.usize(..errors.len())];
+    let ratio = 0.3 + 0.7 * random.f64();
+    gateway.faults.set(Call::StateWrite, Fault::always(errors).part(ratio))?;
+    if random.bool() {
+        gateway.faults.set(Call::StateTruncate, Fault::always(&[EIO]))?;
+        gateway.faults.set(Call::StateRename, Fault::always(&[EIO]))?;
+    }
+    thread::sleep(Duration::from_millis(random.u64(300..2500)));
+    match random.u8(..4) {
+        0 => gateway.restart(plan, endpoints, Restart::Planned)?,
+        1 => gateway.restart(plan, endpoints, Restart::Killed)?,
+        2 => gateway.hand_over_while_disk_fails(plan)?,
+        _ => {}
+    }
+    gateway.clear_disk_faults()
+}
+
+/// Changes how endpoints behave until the soak is over. Afterwards all serve.
+pub fn change_behaviors(endpoints: &[Endpoint], over: &AtomicBool, mut random: fastrand::Rng) {
+    while !over.load(Ordering::SeqCst) {
+        thread::sleep(Duration::from_millis(random.u64(200..1200)));
+        let endpoint = &endpoints[random.usize(..endpoints.len())];
+        let behavior = if random.bool() {
+            Behavior::Serving
+        } else {
+            Behavior::ALL[random.usize(..Behavior::ALL.len())]
+        };
+        endpoint.set(behavior);
+    }
+    endpoints.iter().for_each(|endpoint| endpoint.set(Behavior::Serving));
+}
+
+/// How often each system call was made and failed, over all gateways.
+///
+/// # Errors
+/// A page of faults cannot be read.
+pub fn fault_counts(gateways: &[Gateway]) -> io::Result<String> {
+    let mut counts = Vec::new();
+    for call in Call::ALL {
+        let (mut calls, mut failures) = (0, 0);
+        for gateway in gateways {
+            let counted = gateway.faults.counted(call)?;
+            calls += counted.calls;
+            failures += counted.hits;
+        }
+        if failures > 0 {
+            counts.push(format!("{call:?} {failures} of {calls}"));
+        }
+    }
+    Ok(counts.join(", "))
+}
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -435,7 +435,7 @@
     let output = lab.output().unwrap();
     let told = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{told}{}", String::from_utf8_lossy(&output.stderr));
-    for word in ["accepted ", "delivered ", "notices ", "starts ", "Accept ", "TcpRead ", "TcpWrite "] {
+    for word in ["accepted ", "delivered ", "notifications ", "starts ", "Accept ", "TcpRead ", "TcpWrite "] {
         assert!(told.contains(word), "{word}: {told}");
     }
 }
