--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -1,4 +1,4 @@
-//! The page of memory that tells the fault shim (`fault-shim/`) which system calls of a courier are to fail.
+//! The page of memory that tells the fault shim (`fault-shim/`) which system calls of a gateway are to fail.
 //!
 //! The page is a file that the shim maps, so that whoever holds the file changes the faults of a running process by
 //! writing to it, and reads back how often each call was made and failed. This module owns the layout alone: it
@@ -20,10 +20,10 @@
 
 /// Words (of 4 bytes) before the entries: the seed (two) and the offset of the wall clock in milliseconds (two).
 pub const HEADER_WORDS: usize = 4;
-/// Words of one entry: rate, budget, skipped, calls, hits, and the errors.
+/// Words of one entry: rate, budget, skipped, calls, failures, and the errors.
 pub const ENTRY_WORDS: usize = 5 + ERRORS;
 
-/// System calls that can fail, told apart by what they are made on.
+/// System calls that can fail, distinguished by what they are made on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Call {
@@ -32,7 +32,7 @@
     Bind,
     Listen,
     Connect,
-    /// The error of a connection that came up late, as `SO_ERROR` tells it.
+    /// The error of a connection that came up late, as `SO_ERROR` has it.
     ConnectResult,
     SetSocketOption,
     GetSocketName,
@@ -68,11 +68,12 @@
     pub const SHORT: i32 = -1;
     /// In the place of an error number: a part of the bytes is written, and then the disk is full.
     pub const TORN: i32 = -2;
-    /// The process is killed before the call, or when half of the bytes are written ...
+    /// In the place of an error number: the process is killed before the call, or when half of the bytes are written ...
     pub const KILLED_BEFORE: i32 = -3;
     /// ... or right behind the call, before it returns.
     pub const KILLED_BEHIND: i32 = -4;
 
+    /// All calls, in the order of their entries.
     pub const ALL: [Call; 28] = [
         Call::Accept,
         Call::Socket,
@@ -116,7 +117,7 @@
 /// Which calls fail, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Of [`ALWAYS`].
+    /// Calls that fail, of [`ALWAYS`].
     pub rate: u32,
     /// Calls that fail at most, or [`UNLIMITED`].
     pub budget: u32,
@@ -134,9 +135,9 @@
         Fault { rate: ALWAYS, budget: UNLIMITED, skipped: 0, errors: padded }
     }
 
-    /// Fails this part of the calls.
-    pub fn part(self, part: f64) -> Self {
-        Fault { rate: (part * f64::from(ALWAYS)) as u32, ..self }
+    /// Fails this ratio of the calls.
+    pub fn with_ratio(self, ratio: f64) -> Self {
+        Fault { rate: (ratio * f64::from(ALWAYS)) as u32, ..self }
     }
 
     /// Lets so many calls through first.
@@ -153,15 +154,20 @@
 /// What the shim has counted of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counted {
+    /// Calls made.
     pub calls: u32,
-    pub hits: u32,
+    /// Calls that were made to fail.
+    pub failures: u32,
 }
 
-/// The side of the page that decides what fails.
+/// The side of the page that decides what fails. The other side is the shim.
 pub struct FaultPage(File);
 
 impl FaultPage {
     /// A page on which nothing fails.
+    ///
+    /// # Errors
+    /// The file cannot be written; the same holds for the other functions.
     pub fn create(path: &Path, seed: u64) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(PAGE_BYTES as u64)?;
@@ -169,7 +175,7 @@
         Ok(FaultPage(file))
     }
 
-    /// Steps the wall clock, against the machine's own.
+    /// Sets the offset of the wall clock from the machine's own.
     pub fn step_wall_clock(&self, offset_ms: i64) -> io::Result<()> {
         self.0.write_all_at(&offset_ms.to_le_bytes(), 8)
     }
@@ -194,6 +200,6 @@
         let mut words = [0; 8];
         self.0.read_exact_at(&mut words, 4 * call.entry() as u64 + 12)?;
         let [a, b, c, d, e, f, g, h] = words;
-        Ok(Counted { calls: u32::from_le_bytes([a, b, c, d]), hits: u32::from_le_bytes([e, f, g, h]) })
+        Ok(Counted { calls: u32::from_le_bytes([a, b, c, d]), failures: u32::from_le_bytes([e, f, g, h]) })
     }
 }
--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -105,7 +105,7 @@
             sockets: 1024,
             disk_mb: (size * DISK_BYTES_OF_MESSAGE) as f64 / 1e6 + SPARE_DISK_MB,
             targets: &targets,
-            couriers: 1,
+            fleet_size: 1,
             classes: &[class(LATENCY_OBJECTIVE_S, "notice", "idempotency_key", 600_000, false)],
             zone: "kingston",
             slots: DESTINATIONS as u32,
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -43,7 +43,7 @@
 pub fn set_background_faults(faults: &FaultPage) -> io::Result<()> {
     BACKGROUND_FAULTS
         .iter()
-        .try_for_each(|(call, errors)| faults.set(*call, Fault::always(errors).part(BACKGROUND_RATIO)))
+        .try_for_each(|(call, errors)| faults.set(*call, Fault::always(errors).with_ratio(BACKGROUND_RATIO)))
 }
 
 /// Lets a gateway meet one fault after the other until the soak is over.
@@ -101,7 +101,7 @@
     let errors = [[ENOSPC, EIO], [EIO, EIO], [Call::TORN, ENOSPC]];
     let errors = &errors[random.usize(..errors.len())];
     let ratio = 0.3 + 0.7 * random.f64();
-    gateway.faults.set(Call::StateWrite, Fault::always(errors).part(ratio))?;
+    gateway.faults.set(Call::StateWrite, Fault::always(errors).with_ratio(ratio))?;
     if random.bool() {
         gateway.faults.set(Call::StateTruncate, Fault::always(&[EIO]))?;
         gateway.faults.set(Call::StateRename, Fault::always(&[EIO]))?;
@@ -142,7 +142,7 @@
         for gateway in gateways {
             let counted = gateway.faults.counted(call)?;
             calls += counted.calls;
-            failures += counted.hits;
+            failures += counted.failures;
         }
         if failures > 0 {
             counts.push(format!("{call:?} {failures} of {calls}"));
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -257,7 +257,7 @@
             sockets: 256,
             disk_mb: 0.2,
             targets: &targets,
-            couriers: 24,
+            fleet_size: 24,
             classes: &classes,
             zone: "kingston",
             slots: 8,
--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -31,7 +31,7 @@
     pub sockets: u32,
     pub disk_mb: f64,
     pub targets: &'a [Value],
-    pub couriers: u32,
+    pub fleet_size: u32,
     pub classes: &'a [Value],
     pub zone: &'a str,
     pub slots: u32,
@@ -51,7 +51,7 @@
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets, "disk_mb": self.disk_mb},
             "known": {"rev": 1, "all": true, "targets": self.targets},
             "settings": {
-                "Balancers": self.couriers, "Lanes": self.classes, "MachineTypes": ["banks"], "Zones": [self.zone],
+                "Balancers": self.fleet_size, "Lanes": self.classes, "MachineTypes": ["banks"], "Zones": [self.zone],
                 "Projects": [{"Name": "north", "QuotaPerS": 0.0}, {"Name": "south", "QuotaPerS": 1e6}],
                 "OverShareWorth": 0.2,
                 "WeightSource": "nominal",
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -18,7 +18,7 @@
     ] {
         let world = World::faulty(1, 1);
         let courier = world.start();
-        world.fail(call, Fault::always(&[error]).part(0.5));
+        world.fail(call, Fault::always(&[error]).with_ratio(0.5));
         let mut client = courier.client().within(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
@@ -27,7 +27,7 @@
             world.call().answer("200 OK", "");
         }
         world.nothing();
-        assert!(world.faults().counted(call).unwrap().hits > 10, "{call:?} {error}");
+        assert!(world.faults().counted(call).unwrap().failures > 10, "{call:?} {error}");
     }
 }
 
@@ -40,7 +40,7 @@
         let mut client = old.client();
         assert_eq!(client.enqueue("u1", "0", "salary", 1, b"x"), "+OK");
         let out = world.call();
-        world.fail(call, Fault::always(&[EINTR]).part(0.5));
+        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         let new = world.start_beside().listening();
         assert!(new.has_logged("the courier was handed over"), "{call:?}");
         // On the connection that moved.
@@ -62,7 +62,7 @@
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
         let world = World::faulty(1, 1);
         let mut courier = world.start();
-        world.fail(call, Fault::always(&[EINTR]).part(0.5));
+        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         for round in 1..=4 {
             courier.hang_up();
             courier.log_times("the configuration was read again", round);
@@ -93,7 +93,7 @@
         world.leave_copy_of_journal();
         world.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let courier = stopped.restart();
-        assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
+        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
         let call = world.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
@@ -114,7 +114,7 @@
         let world = World::faulty(1, 1);
         world.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
         let courier = world.start();
-        assert_eq!(world.faults().counted(call).unwrap().hits, 4, "{call:?}");
+        assert_eq!(world.faults().counted(call).unwrap().failures, 4, "{call:?}");
         assert_eq!(courier.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
@@ -143,7 +143,7 @@
         world.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         courier.hang_up();
         courier.log_until("the configuration was read again");
-        assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
+        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
     }
 }
 
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -107,7 +107,7 @@
     killed_page.clear(call).unwrap();
     // A kill that has started completes; no other one starts.
     thread::sleep(Duration::from_millis(50));
-    let killed = killed_page.counted(call).unwrap().hits > 0;
+    let killed = killed_page.counted(call).unwrap().failures > 0;
     let has_ended = match which {
         Killed::Predecessor => predecessor.has_ended(),
         Killed::Successor => successor.has_ended(),
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -44,12 +44,12 @@
         call,
         match which {
             First(count) => fault.times(count),
-            Part(part) => fault.part(part),
+            Part(part) => fault.with_ratio(part),
         },
     );
     live(&world, &format!("{call:?} {error}"), clients);
     let counted = world.faults().counted(call).unwrap();
-    assert!(counted.hits > 0, "{call:?} {error}: {counted:?}");
+    assert!(counted.failures > 0, "{call:?} {error}: {counted:?}");
 }
 
 fn live(world: &World, what: &str, clients: Clients) {
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -1,5 +1,5 @@
-//! testbed: bad input starts nothing, the small experiment has all its figures, what was not run is said so, and a signal
-//! ends all that was started.
+//! The testbed: bad input starts nothing, the small experiment has all its figures, what was not run is reported, and a
+//! signal ends every process that was started.
 
 use serde_json::Value;
 use std::fs;
@@ -23,7 +23,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 const SMALL: &str = include_str!("../experiments/small.toml");
 const SCALE: &str = include_str!("../experiments/scale.toml");
-const COURIER: &str = env!("CARGO_BIN_EXE_delivery-gateway");
+const GATEWAY: &str = env!("CARGO_BIN_EXE_delivery-gateway");
 
 /// A folder for one run, which holds its temporary files as well.
 struct Place(PathBuf);
@@ -41,24 +41,24 @@
         self.0.join(name)
     }
 
-    /// A courier that does something first.
-    fn courier(&self, first: &str) -> PathBuf {
+    /// A gateway that does something first.
+    fn gateway(&self, first: &str) -> PathBuf {
         let path = self.path("courier");
-        fs::write(&path, format!("#!/bin/sh\n{first}\nexec {COURIER}\n")).unwrap();
+        fs::write(&path, format!("#!/bin/sh\n{first}\nexec {GATEWAY}\n")).unwrap();
         fs::set_permissions(&path, fs::Permissions::from_mode(0o755)).unwrap();
         path
     }
 
-    fn command(&self, experiment: &str, courier: &Path, more: &[&str]) -> Command {
+    fn command(&self, experiment: &str, gateway: &Path, more: &[&str]) -> Command {
         fs::write(self.path("x.toml"), experiment).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_testbed"));
-        command.args(["scale", "x.toml", "--json", "x.json", "--courier"]).arg(courier).args(more);
+        command.args(["scale", "x.toml", "--json", "x.json", "--courier"]).arg(gateway).args(more);
         command.current_dir(&self.0).env("TMPDIR", self.path("tmp"));
         command
     }
 
-    fn run(&self, experiment: &str, courier: &Path, more: &[&str]) -> Output {
-        self.command(experiment, courier, more).output().unwrap()
+    fn run(&self, experiment: &str, gateway: &Path, more: &[&str]) -> Output {
+        self.command(experiment, gateway, more).output().unwrap()
     }
 
     fn json(&self) -> Value {
@@ -81,15 +81,15 @@
     1 + text.lines().position(|line| line.starts_with(words)).unwrap()
 }
 
-/// An experiment that is refused: it says where and why, and nothing is started or written.
-fn refused(experiment: &str, more: &[&str], says: &[&str]) {
+/// An experiment that is rejected: the error says where and why, and nothing is started or written.
+fn assert_rejected(experiment: &str, more: &[&str], says: &[&str]) {
     let place = Place::new();
-    let courier = place.courier("touch \"$TMPDIR/../started\"");
-    let output = place.run(experiment, &courier, more);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(1), "{said}");
+    let gateway = place.gateway("touch \"$TMPDIR/../started\"");
+    let output = place.run(experiment, &gateway, more);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
     for words in says {
-        assert!(said.contains(words), "'{words}' is missing in: {said}");
+        assert!(stderr.contains(words), "'{words}' is missing in: {stderr}");
     }
     assert_eq!(output.stdout, b"");
     assert!(!place.path("started").exists() && !place.path("x.json").exists());
@@ -97,23 +97,31 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_its_line() {
+fn an_unknown_key_is_rejected_with_its_line() {
     let line = format!("x.toml:{}:", line_of(SMALL, "rounds"));
-    refused(&SMALL.replace("rounds = 2", "turns = 2"), &[], &[&line, "unknown field `turns`", "`rounds`"]);
+    assert_rejected(
+        &SMALL.replace("rounds = 2", "turns = 2"),
+        &[],
+        &[&line, "unknown field `turns`", "`rounds`"],
+    );
     let line = format!("x.toml:{}:", line_of(SMALL, "kind = \"down\""));
-    refused(&SMALL.replace("kind = \"down\"", "kind = \"dwon\""), &[], &[&line, "unknown variant `dwon`"]);
+    assert_rejected(
+        &SMALL.replace("kind = \"down\"", "kind = \"dwon\""),
+        &[],
+        &[&line, "unknown variant `dwon`"],
+    );
 }
 
 #[test]
-fn what_is_no_toml_is_refused_with_its_line() {
-    refused("seed = 1\nseed = 2\n", &[], &["x.toml:2:", "duplicate key"]);
-    refused("seed = 1\n", &[], &["x.toml:1:", "missing field `bounds`"]);
+fn invalid_toml_is_rejected_with_its_line() {
+    assert_rejected("seed = 1\nseed = 2\n", &[], &["x.toml:2:", "duplicate key"]);
+    assert_rejected("seed = 1\n", &[], &["x.toml:1:", "missing field `bounds`"]);
 }
 
 #[test]
-fn a_size_of_zero_is_refused_with_its_line() {
+fn a_size_of_zero_is_rejected_with_its_line() {
     let line = format!("x.toml:{}:", line_of(SMALL, "sizes"));
-    refused(
+    assert_rejected(
         &SMALL.replacen("[50, 200, 1000", "[0, 200, 1000", 1),
         &[],
         &[&line, "endpoints has a size of zero", "remove it"],
@@ -121,14 +129,14 @@
 }
 
 #[test]
-fn sizes_that_show_no_growth_are_refused() {
+fn sizes_that_show_no_growth_are_rejected() {
     let line = format!("x.toml:{}:", line_of(SMALL, "kind"));
-    refused(
+    assert_rejected(
         &SMALL.replacen("[50, 200, 1000, 5000]", "[50, 5000]", 1),
         &[],
         &[&line, "has 2 sizes", "give at least 4"],
     );
-    refused(
+    assert_rejected(
         &SMALL.replacen("[50, 200, 1000", "[50, 200, 200", 1),
         &[],
         &["200 is not above the size before it"],
@@ -136,9 +144,9 @@
 }
 
 #[test]
-fn a_size_beyond_the_memory_bound_is_refused() {
+fn a_size_beyond_the_memory_bound_is_rejected() {
     let line = format!("x.toml:{}:", line_of(SMALL, "sizes"));
-    refused(
+    assert_rejected(
         &SMALL.replacen("1000, 5000]", "1000, 1_000_000_000]", 1),
         &[],
         &[&line, "over bounds.memory_mb = 500", "leave out the largest or raise the bound"],
@@ -146,36 +154,36 @@
 }
 
 #[test]
-fn bounds_beyond_the_machine_are_refused() {
+fn bounds_beyond_the_machine_are_rejected() {
     let line = format!("x.toml:{}:", line_of(SMALL, "memory_mb"));
     let more = SMALL.replace("memory_mb = 500", "memory_mb = 1_000_000_000");
-    refused(&more, &[], &[&line, "at most half of the machine's", "has to be between 1 and"]);
+    assert_rejected(&more, &[], &[&line, "at most half of the machine's", "has to be between 1 and"]);
     let line = format!("x.toml:{}:", line_of(SMALL, "processes"));
-    refused(&SMALL.replace("processes = 2", "processes = 1000"), &[], &[&line, "between 1 and 300"]);
-    refused(&SMALL.replace("processes = 2", "processes = 1"), &[], &[&line, "real gateways needs 2"]);
-    refused(&SMALL.replace("time_s = 120", "time_s = 0"), &[], &["bounds.time_s is 0"]);
-    refused(&SMALL.replace("steps = 100", "steps = 0"), &[], &["work.steps is 0"]);
+    assert_rejected(&SMALL.replace("processes = 2", "processes = 1000"), &[], &[&line, "between 1 and 300"]);
+    assert_rejected(&SMALL.replace("processes = 2", "processes = 1"), &[], &[&line, "real gateways needs 2"]);
+    assert_rejected(&SMALL.replace("time_s = 120", "time_s = 0"), &[], &["bounds.time_s is 0"]);
+    assert_rejected(&SMALL.replace("steps = 100", "steps = 0"), &[], &["work.steps is 0"]);
 }
 
 #[test]
-fn a_sweep_that_the_file_lacks_is_refused() {
-    refused(SMALL, &["--only", "ends"], &["--only ends: the file has no such sweep", "list-change"]);
+fn a_sweep_missing_from_the_file_is_rejected() {
+    assert_rejected(SMALL, &["--only", "ends"], &["--only ends: the file has no such sweep", "list-change"]);
 }
 
 #[test]
-fn a_missing_courier_is_refused() {
+fn a_missing_gateway_binary_is_rejected() {
     let place = Place::new();
     let output = place.run(SMALL, Path::new("nowhere/delivery-gateway"), &[]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1));
-    assert!(said.contains("nowhere/delivery-gateway is missing; build it first: cargo build"), "{said}");
+    assert!(stderr.contains("nowhere/delivery-gateway is missing; build it first: cargo build"), "{stderr}");
     assert_eq!(output.stdout, b"");
     assert!(!place.path("x.json").exists());
     assert_eq!(place.left_behind(), 0);
 }
 
 #[test]
-fn a_missing_file_is_refused() {
+fn a_missing_experiment_file_is_rejected() {
     let output =
         Command::new(env!("CARGO_BIN_EXE_testbed")).args(["scale", "nowhere.toml"]).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
@@ -204,13 +212,13 @@
     }
 }
 
-/// All sweeps run at all their sizes, with real couriers as well, and nothing stays behind.
+/// All sweeps run at all their sizes, with real gateways as well, and nothing stays behind.
 #[test]
 fn the_small_experiment_has_all_its_figures() {
     let place = Place::new();
-    let output = place.run(SMALL, Path::new(COURIER), &[]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.success(), "{said}");
+    let output = place.run(SMALL, Path::new(GATEWAY), &[]);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success(), "{stderr}");
     let table = String::from_utf8_lossy(&output.stdout).into_owned();
     let report = place.json();
     let found = report["sweeps"].as_array().unwrap();
@@ -248,7 +256,7 @@
 #[test]
 fn one_sweep_can_be_run_alone() {
     let place = Place::new();
-    // No courier is needed for these, and so none is looked for.
+    // No gateway is needed for these, and so none is looked for.
     let nowhere = Path::new("nowhere/delivery-gateway");
     let output = place.run(SMALL, nowhere, &["--only", "calls-out", "--only", "endpoints"]);
     assert!(output.status.success());
@@ -265,7 +273,7 @@
         .replace("seed = 19", &format!("seed = {seed}"))
         .replace("jitter_ms = 0", "jitter_ms = 20")
         .replace("block_ms = 30", "block_ms = 10000");
-    let output = place.run(&experiment, Path::new(COURIER), &["--only", "calls-out"]);
+    let output = place.run(&experiment, Path::new(GATEWAY), &["--only", "calls-out"]);
     assert!(output.status.success());
     let report = place.json();
     let points = report["sweeps"][0]["points"].as_array().unwrap().iter();
@@ -278,30 +286,30 @@
 }
 
 #[test]
-fn chance_comes_from_the_seed_alone() {
+fn randomness_comes_from_the_seed_alone() {
     assert_eq!(counted(5), counted(5));
     assert_ne!(counted(5), counted(6));
 }
 
-/// A courier whose endpoints refuse is not measured as if it had done the work.
+/// A gateway whose endpoints reject calls is not measured as if it had done the work.
 #[test]
-fn work_that_was_not_done_is_said_so() {
+fn work_that_was_not_done_is_reported() {
     let place = Place::new();
-    let refusing = SMALL.replace("latency_ms = 40", "limit_per_s = 0.001\nlatency_ms = 40");
-    let output = place.run(&refusing, Path::new(COURIER), &["--only", "endpoints"]);
+    let rejecting = SMALL.replace("latency_ms = 40", "limit_per_s = 0.001\nlatency_ms = 40");
+    let output = place.run(&rejecting, Path::new(GATEWAY), &["--only", "endpoints"]);
     assert!(output.status.success());
     let smallest = &place.json()["sweeps"][0]["points"][0];
     let why = smallest["not_run"].as_str().unwrap_or_else(|| panic!("{smallest}"));
     assert!(why.starts_with("the work was not done: "), "{why}");
 }
 
-/// What the time of the run did not allow is recorded as not run, with the reason, and has no figures.
+/// What the time of the run did not allow is reported as not run, with the reason, and has no figures.
 #[test]
-fn what_was_not_run_is_said_so() {
+fn sizes_that_were_not_run_are_reported() {
     let place = Place::new();
     let short = SMALL.replace("time_s = 120", "time_s = 1");
     let long = short.replace("rounds = 2", "rounds = 1000").replace("steps = 100", "steps = 1000000");
-    let output = place.run(&long, Path::new(COURIER), &[]);
+    let output = place.run(&long, Path::new(GATEWAY), &[]);
     assert!(output.status.success());
     let table = String::from_utf8_lossy(&output.stdout).into_owned();
     for sweep in place.json()["sweeps"].as_array().unwrap() {
@@ -317,27 +325,27 @@
     assert_eq!(place.left_behind(), 0);
 }
 
-/// Ctrl-C ends the courier that has been started, removes its folder, and says what was not run.
+/// Ctrl-C ends the gateway that has been started, removes its folder, and reports what was not run.
 #[test]
-fn a_signal_ends_all_that_was_started() {
+fn a_signal_ends_every_process_that_was_started() {
     let place = Place::new();
     let pipe = place.path("pipe");
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    let courier = place.courier(&format!("echo $$ > {}", pipe.display()));
-    let mut command = place.command(SMALL, &courier, &["--only", "journal"]);
-    let mut lab = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-    // Opening the pipe waits for the courier's process to be there.
+    let gateway = place.gateway(&format!("echo $$ > {}", pipe.display()));
+    let mut command = place.command(SMALL, &gateway, &["--only", "journal"]);
+    let mut testbed = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+    // Opening the pipe waits for the gateway's process to be there.
     let (send, first) = channel();
     thread::spawn(move || {
         let mut text = String::new();
         let read = fs::File::open(pipe).and_then(|mut pipe| pipe.read_to_string(&mut text));
         let _ = send.send(read.map(|_| text));
     });
-    let id: u32 = first.recv_timeout(PATIENCE).expect("a courier starts").unwrap().trim().parse().unwrap();
+    let id: u32 = first.recv_timeout(PATIENCE).expect("a gateway starts").unwrap().trim().parse().unwrap();
     assert!(Path::new(&format!("/proc/{id}")).exists());
-    let signal = format!("kill -INT {}", lab.id());
+    let signal = format!("kill -INT {}", testbed.id());
     assert!(Command::new("/bin/sh").args(["-c", &signal]).status().unwrap().success());
-    assert_eq!(lab.wait().unwrap().code(), Some(130));
+    assert_eq!(testbed.wait().unwrap().code(), Some(130));
     // It has been waited for, so that not even its id is left.
     assert!(!Path::new(&format!("/proc/{id}")).exists());
     assert_eq!(place.left_behind(), 0);
@@ -354,7 +362,7 @@
 const SIZES: [f64; 6] = [10.0, 100.0, 500.0, 1000.0, 5000.0, 10_000.0];
 
 #[test]
-fn a_line_is_found() {
+fn a_line_is_fitted() {
     let fit = Fit::through(&SIZES.map(|x| (x, 3.0 * x + 250.0))).unwrap();
     close(fit.slope, 3.0, 1e-9);
     close(fit.constant, 250.0, 1e-9);
@@ -389,7 +397,7 @@
 }
 
 #[test]
-fn what_stays_the_same_does_not_grow() {
+fn a_constant_does_not_grow() {
     let points = SIZES.map(|x| (x, 70.0));
     let fit = Fit::through(&points).unwrap();
     assert!(fit.slope.abs() < 1e-9 && fit.exponent.abs() < 1e-9);
@@ -410,7 +418,7 @@
 }
 
 #[test]
-fn points_that_say_nothing_have_no_fit() {
+fn too_few_or_invalid_points_have_no_fit() {
     assert_eq!(Fit::through(&[]), None);
     assert_eq!(Fit::through(&[(5.0, 1.0)]), None);
     assert_eq!(Fit::through(&[(5.0, 1.0), (5.0, 2.0)]), None);
@@ -419,33 +427,33 @@
 }
 
 #[test]
-fn the_median_is_the_middle() {
+fn the_median_is_the_middle_value() {
     assert_eq!(median(&mut [3.0, 1.0, 100.0]), Some(3.0));
     assert_eq!(median(&mut [3.0, 1.0, 100.0, 2.0]), Some(2.5));
     assert_eq!(median(&mut []), None);
 }
 
-/// A short soak of real couriers among all its troubles: no rule is broken, and faults were met.
+/// A short soak of real gateways among all faults: no rule is broken, and faults were met.
 #[test]
 fn a_short_soak_breaks_no_rule() {
     let shim = Path::new(env!("CARGO_BIN_EXE_testbed")).with_file_name("examples").join("libfault_shim.so");
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_testbed"));
-    lab.args(["soak", "--seed", "11", "--couriers", "6", "--seconds", "8"]);
-    lab.args(["--courier", env!("CARGO_BIN_EXE_delivery-gateway"), "--shim"]).arg(shim);
-    let output = lab.output().unwrap();
-    let told = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success(), "{told}{}", String::from_utf8_lossy(&output.stderr));
+    let mut testbed = Command::new(env!("CARGO_BIN_EXE_testbed"));
+    testbed.args(["soak", "--seed", "11", "--couriers", "6", "--seconds", "8"]);
+    testbed.args(["--courier", env!("CARGO_BIN_EXE_delivery-gateway"), "--shim"]).arg(shim);
+    let output = testbed.output().unwrap();
+    let report = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success(), "{report}{}", String::from_utf8_lossy(&output.stderr));
     for word in ["accepted ", "delivered ", "notifications ", "starts ", "Accept ", "TcpRead ", "TcpWrite "] {
-        assert!(told.contains(word), "{word}: {told}");
+        assert!(report.contains(word), "{word}: {report}");
     }
 }
 
 /// Without the shim nothing would fail: the soak says what is missing, and how it is made.
 #[test]
-fn a_soak_without_its_shim_is_not_played() {
+fn a_soak_without_its_shim_is_rejected() {
     let output =
         Command::new(env!("CARGO_BIN_EXE_testbed")).args(["soak", "--shim", "nowhere.so"]).output().unwrap();
     assert!(!output.status.success());
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("nowhere.so is missing; cargo build --release --examples makes it"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("nowhere.so is missing; cargo build --release --examples makes it"), "{stderr}");
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -200,7 +200,7 @@
         if let Some(seed) = std::env::var(EVERYWHERE_VARIABLE).ok().and_then(|seed| seed.parse().ok()) {
             world.faults = Some(world.new_faults(seed));
             for (call, errors) in EVERYWHERE {
-                world.fail(call, Fault::always(errors).part(EVERYWHERE_PART));
+                world.fail(call, Fault::always(errors).with_ratio(EVERYWHERE_PART));
             }
         }
         world
@@ -396,7 +396,7 @@
             sockets: self.sockets,
             disk_mb: self.disk_mb,
             targets: &targets,
-            couriers: self.fleet_size,
+            fleet_size: self.fleet_size,
             classes: &classes,
             zone: self.zone.get(),
             slots: self.slots,
