--- /dev/null
+++ b/fault-shim/descriptors.rs
@@ -0,0 +1,110 @@
+//! What a descriptor or path refers to: faults apply to sockets, the state folder and the configuration, and not to
+//! other files.
+
+use crate::errno::SavedErrno;
+use crate::fault_page::Call;
+use crate::mapped_page::MappedPage;
+use crate::next_function::real;
+use libc::{c_int, c_void, socklen_t};
+use std::ffi::CString;
+use std::os::unix::ffi::OsStrExt;
+use std::sync::OnceLock;
+
+/// Names the folder of the gateway's state.
+const STATE_VARIABLE: &str = "BALANCER_STATE";
+/// Names the gateway's configuration file.
+const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
+/// Longest path that Linux knows.
+const PATH_BYTES: usize = libc::PATH_MAX as usize;
+
+/// What a descriptor or path refers to.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Kind {
+    TcpSocket,
+    UnixSocket,
+    /// A file of the state folder.
+    StateFile,
+    ConfigFile,
+    Other,
+}
+
+impl Kind {
+    /// The kind of what a path names.
+    pub fn of_path(path: &[u8]) -> Self {
+        static STATE: OnceLock<Option<Vec<u8>>> = OnceLock::new();
+        static CONFIG: OnceLock<Option<Vec<u8>>> = OnceLock::new();
+        if variable(STATE_VARIABLE, &STATE).is_some_and(|folder| path.starts_with(folder)) {
+            Kind::StateFile
+        } else if variable(CONFIG_VARIABLE, &CONFIG).is_some_and(|file| path == file) {
+            Kind::ConfigFile
+        } else {
+            Kind::Other
+        }
+    }
+
+    /// The kind of an open descriptor. `errno` stays as it is.
+    pub fn of_descriptor(fd: c_int) -> Self {
+        if MappedPage::get().is_none() {
+            return Kind::Other;
+        }
+        let _saved = SavedErrno::save();
+        match socket_domain(fd) {
+            Some(libc::AF_INET | libc::AF_INET6) => Kind::TcpSocket,
+            Some(libc::AF_UNIX) => Kind::UnixSocket,
+            Some(_) => Kind::Other,
+            None => Self::of_open_file(fd),
+        }
+    }
+
+    fn of_open_file(fd: c_int) -> Self {
+        let Ok(link) = CString::new(format!("/proc/self/fd/{fd}")) else { return Kind::Other };
+        let mut target = [0_u8; PATH_BYTES];
+        // SAFETY: the link's name ends with a zero byte, and no more is written than the buffer holds.
+        let length = unsafe { libc::readlink(link.as_ptr(), target.as_mut_ptr().cast(), target.len()) };
+        usize::try_from(length).map_or(Kind::Other, |length| Self::of_path(&target[..length]))
+    }
+
+    /// What a read from such a descriptor counts as; `None` if it never fails.
+    pub fn read_call(self) -> Option<Call> {
+        match self {
+            Kind::TcpSocket => Some(Call::TcpRead),
+            Kind::UnixSocket => Some(Call::UnixRead),
+            Kind::StateFile => Some(Call::StateRead),
+            Kind::ConfigFile => Some(Call::ConfigRead),
+            Kind::Other => None,
+        }
+    }
+
+    /// What a write to such a descriptor counts as; `None` if it never fails.
+    pub fn write_call(self) -> Option<Call> {
+        match self {
+            Kind::TcpSocket => Some(Call::TcpWrite),
+            Kind::UnixSocket => Some(Call::UnixWrite),
+            Kind::StateFile => Some(Call::StateWrite),
+            Kind::ConfigFile | Kind::Other => None,
+        }
+    }
+}
+
+/// The address family of a socket; `None` if the descriptor is no socket.
+fn socket_domain(fd: c_int) -> Option<c_int> {
+    let mut domain: c_int = 0;
+    let mut domain_bytes = size_of::<c_int>() as socklen_t;
+    let level = libc::SOL_SOCKET;
+    let name = libc::SO_DOMAIN;
+    let value = (&raw mut domain).cast::<c_void>();
+    let length = &raw mut domain_bytes;
+    let result = real!(getsockopt(
+        fd: c_int,
+        level: c_int,
+        name: c_int,
+        value: *mut c_void,
+        length: *mut socklen_t,
+    ) -> c_int);
+    (result == 0).then_some(domain)
+}
+
+/// A variable of the environment as it was when it was first asked for.
+fn variable(name: &str, cache: &'static OnceLock<Option<Vec<u8>>>) -> Option<&'static [u8]> {
+    cache.get_or_init(|| std::env::var_os(name).map(|value| value.as_bytes().to_vec())).as_deref()
+}
--- /dev/null
+++ b/fault-shim/hooks/event_loop.rs
@@ -0,0 +1,51 @@
+//! What an event loop is made of: epoll and event descriptors.
+
+use crate::fault_page::Call;
+use crate::faults::check;
+use crate::next_function::real;
+use libc::{c_int, c_uint, epoll_event};
+
+#[no_mangle]
+pub extern "C" fn epoll_create1(flags: c_int) -> c_int {
+    if let Err(failed) = check(Call::EpollCreate) {
+        return failed;
+    }
+    real!(epoll_create1(flags: c_int) -> c_int)
+}
+
+/// Only registering a descriptor can fail: Linux documents no passing error for the others.
+#[no_mangle]
+pub extern "C" fn epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
+    if operation == libc::EPOLL_CTL_ADD {
+        if let Err(failed) = check(Call::EpollControl) {
+            return failed;
+        }
+    }
+    real!(epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int)
+}
+
+#[no_mangle]
+pub extern "C" fn epoll_wait(
+    epoll: c_int,
+    events: *mut epoll_event,
+    max_events: c_int,
+    timeout_ms: c_int,
+) -> c_int {
+    if let Err(failed) = check(Call::EpollWait) {
+        return failed;
+    }
+    real!(epoll_wait(
+        epoll: c_int,
+        events: *mut epoll_event,
+        max_events: c_int,
+        timeout_ms: c_int,
+    ) -> c_int)
+}
+
+#[no_mangle]
+pub extern "C" fn eventfd(count: c_uint, flags: c_int) -> c_int {
+    if let Err(failed) = check(Call::EventFd) {
+        return failed;
+    }
+    real!(eventfd(count: c_uint, flags: c_int) -> c_int)
+}
--- /dev/null
+++ b/fault-shim/mapped_page.rs
@@ -0,0 +1,114 @@
+//! The page of shared memory that says which calls fail, mapped into this process.
+//!
+//! The page is mapped at the first use and stays mapped until the process ends. Its layout is that of
+//! [`crate::fault_page`].
+
+use crate::fault_page::{
+    Call, BUDGET_WORD, CALLS_WORD, ERRORS, ERRORS_WORD, HITS_WORD, PAGE_BYTES, PAGE_VARIABLE, RATE_WORD,
+    SKIPPED_WORD, WALL_OFFSET_BYTE, WORD_BYTES,
+};
+use crate::next_function::real;
+use libc::{c_char, c_int, mode_t};
+use std::ffi::CString;
+use std::os::unix::ffi::OsStrExt;
+use std::sync::atomic::{AtomicI64, AtomicU32, AtomicU64, Ordering};
+use std::sync::OnceLock;
+
+/// The page that this process has mapped.
+#[derive(Clone, Copy)]
+pub struct MappedPage {
+    /// Where the mapping begins, aligned to a memory page.
+    address: usize,
+}
+
+impl MappedPage {
+    /// The page that the environment names; none if it names none, or it cannot be mapped.
+    pub fn get() -> Option<Self> {
+        static PAGE: OnceLock<Option<MappedPage>> = OnceLock::new();
+        *PAGE.get_or_init(Self::map)
+    }
+
+    fn map() -> Option<Self> {
+        let path = std::env::var_os(PAGE_VARIABLE)?;
+        let path = CString::new(path.as_bytes()).ok()?;
+        let file = open_real(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC, 0);
+        if file < 0 {
+            return None;
+        }
+        let protection = libc::PROT_READ | libc::PROT_WRITE;
+        // SAFETY: the kernel chooses the address, so that the mapping overlaps no other memory.
+        let mapped =
+            unsafe { libc::mmap(std::ptr::null_mut(), PAGE_BYTES, protection, libc::MAP_SHARED, file, 0) };
+        // The descriptor is closed because it would count against the gateway's own limit.
+        // SAFETY: the descriptor was opened above and is used nowhere else; a mapping outlives its descriptor.
+        unsafe { libc::close(file) };
+        (mapped != libc::MAP_FAILED).then_some(MappedPage { address: mapped as usize })
+    }
+
+    /// The seed of all that is drawn at random.
+    pub fn seed(self) -> u64 {
+        // SAFETY: the page begins with the seed, is aligned, and is never unmapped.
+        unsafe { &*(self.address as *const AtomicU64) }.load(Ordering::Relaxed)
+    }
+
+    /// By how many milliseconds the wall clock is to be ahead of the machine's.
+    pub fn wall_offset_ms(self) -> i64 {
+        let address = self.address + WALL_OFFSET_BYTE;
+        // SAFETY: the offset lies inside the page, at a multiple of 8 bytes, and the page is never unmapped.
+        unsafe { &*(address as *const AtomicI64) }.load(Ordering::Relaxed)
+    }
+
+    /// The part of the page that is about one call.
+    pub fn entry(self, call: Call) -> Entry {
+        Entry { address: self.address + WORD_BYTES * call.entry() }
+    }
+}
+
+/// The part of the page that is about one call.
+#[derive(Clone, Copy)]
+pub struct Entry {
+    address: usize,
+}
+
+impl Entry {
+    fn word(&self, word: usize) -> &AtomicU32 {
+        let address = self.address + WORD_BYTES * word;
+        // SAFETY: the entry lies inside the page, aligned to words, and the page is never unmapped.
+        unsafe { &*(address as *const AtomicU32) }
+    }
+
+    /// How many calls fail, in parts of [`crate::fault_page::ALWAYS`].
+    pub fn rate(&self) -> &AtomicU32 {
+        self.word(RATE_WORD)
+    }
+
+    /// Calls that may still fail, or [`crate::fault_page::UNLIMITED`].
+    pub fn budget(&self) -> &AtomicU32 {
+        self.word(BUDGET_WORD)
+    }
+
+    /// Calls that are still let through before one fails.
+    pub fn skipped(&self) -> &AtomicU32 {
+        self.word(SKIPPED_WORD)
+    }
+
+    /// Calls made since the page was created.
+    pub fn calls(&self) -> &AtomicU32 {
+        self.word(CALLS_WORD)
+    }
+
+    /// Calls that failed since the page was created.
+    pub fn hits(&self) -> &AtomicU32 {
+        self.word(HITS_WORD)
+    }
+
+    /// The errors of which each failure draws one; zeros stand for none.
+    pub fn errors(&self) -> [i32; ERRORS] {
+        std::array::from_fn(|error| self.word(ERRORS_WORD + error).load(Ordering::SeqCst) as i32)
+    }
+}
+
+/// The C library's `open64`, which fails no call. It has no mode unless it creates a file.
+pub fn open_real(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    real!(open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int)
+}
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -1,27 +1,45 @@
-//! The page of memory that tells the fault shim (`fault-shim/`) which system calls of a courier are to fail.
+//! The page of shared memory that tells the fault shim (`fault-shim/`) which system calls of a gateway are to fail.
 //!
-//! The page is a file that the shim maps, so that whoever holds the file changes the faults of a running process by
-//! writing to it, and reads back how often each call was made and failed. This module owns the layout alone: it
-//! injects nothing and judges nothing.
+//! The page is a file that the shim maps. A test or the soak writes to the file to change the faults of a running
+//! process, and reads from it how often each call was made and failed. This module owns the page's layout and the side
+//! that writes it; the shim includes it for the layout alone.
+//!
+//! Layout, in little-endian words of 4 bytes: the seed (two words), the offset of the wall clock in milliseconds (two
+//! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, hits, and
+//! the errors.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Names the file of the page to the shim.
+/// The environment variable that names the page's file to the shim.
 pub const PAGE_VARIABLE: &str = "FAULT_PAGE";
 /// Errors that one call can be given, of which each failure draws one.
 pub const ERRORS: usize = 8;
-/// A fault that goes on until it is cleared.
+/// The budget of a fault that lasts until it is cleared.
 pub const UNLIMITED: u32 = u32::MAX;
-/// The rate of a call that fails each time; rates are parts of this.
+/// The rate at which each call fails; other rates are parts of this.
 pub const ALWAYS: u32 = 1 << 16;
 
-/// Words (of 4 bytes) before the entries: the seed (two) and the offset of the wall clock in milliseconds (two).
-pub const HEADER_WORDS: usize = 4;
-/// Words of one entry: rate, budget, skipped, calls, hits, and the errors.
-pub const ENTRY_WORDS: usize = 5 + ERRORS;
+/// Bytes of a word.
+pub const WORD_BYTES: usize = size_of::<u32>();
+/// Where the seed begins, in bytes.
+const SEED_BYTE: usize = 0;
+/// Where the offset of the wall clock begins, in bytes.
+pub const WALL_OFFSET_BYTE: usize = 2 * WORD_BYTES;
+/// Words before the first entry.
+const HEADER_WORDS: usize = 4;
+
+/// Words of an entry, counted from its beginning.
+pub const RATE_WORD: usize = 0;
+pub const BUDGET_WORD: usize = 1;
+pub const SKIPPED_WORD: usize = 2;
+pub const CALLS_WORD: usize = 3;
+pub const HITS_WORD: usize = 4;
+pub const ERRORS_WORD: usize = 5;
+/// Words of one entry.
+const ENTRY_WORDS: usize = ERRORS_WORD + ERRORS;
 
 /// System calls that can fail, told apart by what they are made on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +50,7 @@
     Bind,
     Listen,
     Connect,
-    /// The error of a connection that came up late, as `SO_ERROR` tells it.
+    /// The error of a connection that was established in the background, as `SO_ERROR` reports it.
     ConnectResult,
     SetSocketOption,
     GetSocketName,
@@ -49,7 +67,7 @@
     EpollControl,
     EpollWait,
     EventFd,
-    /// Opening a file of the folder that lasts, for reading or writing.
+    /// Opening a file of the state folder, for reading or writing.
     StateOpen,
     StateRead,
     StateWrite,
@@ -64,15 +82,16 @@
 }
 
 impl Call {
-    /// In the place of an error number: only a part of the bytes is read or written, without an error.
+    /// Instead of an error number: only a part of the bytes is read or written, without an error.
     pub const SHORT: i32 = -1;
-    /// In the place of an error number: a part of the bytes is written, and then the disk is full.
+    /// Instead of an error number: a part of the bytes is written, and then the disk is full.
     pub const TORN: i32 = -2;
-    /// The process is killed before the call, or when half of the bytes are written ...
+    /// Instead of an error number: the process is killed before the call, or when half of the bytes are written.
     pub const KILLED_BEFORE: i32 = -3;
-    /// ... or right behind the call, before it returns.
+    /// Instead of an error number: the process is killed after the call, before it returns.
     pub const KILLED_BEHIND: i32 = -4;
 
+    /// All calls, in the order of their entries.
     pub const ALL: [Call; 28] = [
         Call::Accept,
         Call::Socket,
@@ -111,18 +130,18 @@
 }
 
 /// Bytes of the whole page.
-pub const PAGE_BYTES: usize = 4 * (HEADER_WORDS + Call::ALL.len() * ENTRY_WORDS);
+pub const PAGE_BYTES: usize = WORD_BYTES * (HEADER_WORDS + Call::ALL.len() * ENTRY_WORDS);
 
 /// Which calls fail, and how.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Of [`ALWAYS`].
+    /// How many of the calls fail, in parts of [`ALWAYS`].
     pub rate: u32,
     /// Calls that fail at most, or [`UNLIMITED`].
     pub budget: u32,
-    /// Calls that are let through first.
+    /// Calls that succeed before the first failure.
     pub skipped: u32,
-    /// Error numbers, or one of the negative numbers of [`Call`]; unused places hold 0.
+    /// Error numbers, or the negative numbers of [`Call`]; unused elements are 0.
     pub errors: [i32; ERRORS],
 }
 
@@ -130,16 +149,16 @@
     /// Fails each call with one of these errors.
     pub fn always(errors: &[i32]) -> Self {
         let mut padded = [0; ERRORS];
-        padded.iter_mut().zip(errors).for_each(|(place, error)| *place = *error);
+        padded.iter_mut().zip(errors).for_each(|(unused, error)| *unused = *error);
         Fault { rate: ALWAYS, budget: UNLIMITED, skipped: 0, errors: padded }
     }
 
-    /// Fails this part of the calls.
+    /// Fails this part of the calls, from 0 to 1.
     pub fn part(self, part: f64) -> Self {
         Fault { rate: (part * f64::from(ALWAYS)) as u32, ..self }
     }
 
-    /// Lets so many calls through first.
+    /// Lets so many calls succeed first.
     pub fn after(self, skipped: u32) -> Self {
         Fault { skipped, ..self }
     }
@@ -150,50 +169,61 @@
     }
 }
 
-/// What the shim has counted of one call.
+/// What the shim has counted of one call since the page was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counted {
     pub calls: u32,
+    /// Calls that failed.
     pub hits: u32,
 }
 
-/// The side of the page that decides what fails.
+/// The page as a test or the soak writes it. The methods fail where the page's file cannot be read or written.
 pub struct FaultPage(File);
 
 impl FaultPage {
-    /// A page on which nothing fails.
+    /// Creates a page on which nothing fails, in place of any that the file held.
     pub fn create(path: &Path, seed: u64) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(PAGE_BYTES as u64)?;
-        file.write_all_at(&seed.to_le_bytes(), 0)?;
+        file.write_all_at(&seed.to_le_bytes(), SEED_BYTE as u64)?;
         Ok(FaultPage(file))
     }
 
-    /// Steps the wall clock, against the machine's own.
+    /// Sets the process's wall clock ahead of the machine's, or back where the offset is negative.
     pub fn step_wall_clock(&self, offset_ms: i64) -> io::Result<()> {
-        self.0.write_all_at(&offset_ms.to_le_bytes(), 8)
+        self.0.write_all_at(&offset_ms.to_le_bytes(), WALL_OFFSET_BYTE as u64)
     }
 
     /// Lets a call fail from now on.
     pub fn set(&self, call: Call, fault: Fault) -> io::Result<()> {
-        let at = 4 * call.entry() as u64;
         let errors: Vec<u8> = fault.errors.iter().flat_map(|error| error.to_le_bytes()).collect();
-        // The rate goes last: what it sets off is complete by then.
-        self.0.write_all_at(&errors, at + 20)?;
-        self.0.write_all_at(&[fault.budget.to_le_bytes(), fault.skipped.to_le_bytes()].concat(), at + 4)?;
-        self.0.write_all_at(&fault.rate.to_le_bytes(), at)
+        let limits = [fault.budget.to_le_bytes(), fault.skipped.to_le_bytes()].concat();
+        // The rate is written last, as the fault takes effect with it.
+        self.0.write_all_at(&errors, byte_of(call, ERRORS_WORD))?;
+        self.0.write_all_at(&limits, byte_of(call, BUDGET_WORD))?;
+        self.0.write_all_at(&fault.rate.to_le_bytes(), byte_of(call, RATE_WORD))
     }
 
     /// Lets a call succeed again.
     pub fn clear(&self, call: Call) -> io::Result<()> {
-        self.0.write_all_at(&0_u32.to_le_bytes(), 4 * call.entry() as u64)
+        self.0.write_all_at(&0_u32.to_le_bytes(), byte_of(call, RATE_WORD))
     }
 
-    /// What was counted since the page was made.
+    /// Reads what the shim has counted of a call.
     pub fn counted(&self, call: Call) -> io::Result<Counted> {
-        let mut words = [0; 8];
-        self.0.read_exact_at(&mut words, 4 * call.entry() as u64 + 12)?;
-        let [a, b, c, d, e, f, g, h] = words;
-        Ok(Counted { calls: u32::from_le_bytes([a, b, c, d]), hits: u32::from_le_bytes([e, f, g, h]) })
+        let calls = self.read_word(call, CALLS_WORD)?;
+        let hits = self.read_word(call, HITS_WORD)?;
+        Ok(Counted { calls, hits })
+    }
+
+    fn read_word(&self, call: Call, word: usize) -> io::Result<u32> {
+        let mut bytes = [0; WORD_BYTES];
+        self.0.read_exact_at(&mut bytes, byte_of(call, word))?;
+        Ok(u32::from_le_bytes(bytes))
     }
 }
+
+/// Where a word of a call's entry begins, in bytes.
+fn byte_of(call: Call, word: usize) -> u64 {
+    (WORD_BYTES * (call.entry() + word)) as u64
+}
