--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -1194,6 +1194,8 @@
         Err(error) => panic!("{error}"),
     }
     let places = reference::all_reached();
+    // Shown with `--nocapture`.
+    println!("seed {seed}: how often the histories reached each branch and event: {places:?}");
     let missed: Vec<_> = MUST_REACH
         .iter()
         .map(|place| (place, places.get(place).copied().unwrap_or(0)))
