--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -1,156 +1,154 @@
-//! Terms in force that the bench may not show, over loopback sockets. Where a term names a time, the verdict goes by
-//! what comes first: the end of a message that has just so much time, or what is due by then.
+//! Guarantees of a gateway that involve its sockets, journal and watch together. Where a guarantee names a time, the
+//! test lets a message with just that deadline time out, and checks what has happened by then.
 
 mod world;
 
 use world::*;
 
-/// A destination for each endpoint, and endpoints enough for these tests.
-fn apart(endpoints: usize) -> World {
+/// Deadline of the message that measures the time in which a change of the endpoint list has to be learned, in
+/// milliseconds: a change counts as announced this long after it.
+const ANNOUNCED_AFTER_MS: u32 = 6_000;
+/// Clients that connect and stay idle.
+const IDLE_CLIENTS: usize = 300;
+/// Descriptors that a gateway under test may have open.
+const DESCRIPTOR_LIMIT: usize = 256;
+/// Fewest messages that fill a journal of the size used here.
+const FULL_JOURNAL_MESSAGES: usize = 5_000;
+
+/// A test environment in which each endpoint has a destination of its own and the settings are patient.
+fn one_destination_each(endpoints: usize) -> World {
     let mut world = World::patient(endpoints, 3.0);
     world.apart = true;
     world
 }
 
-/// Hands in a message that has 6 s, as much as it may take until a change counts as told; its call hangs.
-fn begin_six_seconds(world: &World, courier: &Scheduler, destination: u16) -> Call {
-    let fields = format!("c=salary,d=6000,dest={destination}");
-    assert_eq!(courier.client().ask(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
+/// Enqueues a message whose deadline is the time in which a change counts as announced; its call gets no response.
+fn start_announcement_timer(world: &World, gateway: &Scheduler, destination: u16) -> Call {
+    let fields = format!("c=salary,d={ANNOUNCED_AFTER_MS},dest={destination}");
+    assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
     let call = world.call();
     assert_eq!(call.id, "six");
     call
 }
 
-/// When the 6 s are over, a message for what drains is handed back; it would be sent if the drain was not known.
-fn knows_of_the_drain(world: &World, courier: &Scheduler, drained: u16) {
+/// Waits until the timer's message has failed, and checks that a message for the drained destination is returned: it
+/// would be sent if the gateway had not learned of the drain.
+fn assert_drain_is_known(world: &World, gateway: &Scheduler, drained: u16) {
     assert_eq!(world.notice(), r#"{"id":"six","state":"failed"}"#);
     let fields = format!("c=salary,d=500,dest={drained}");
-    assert_eq!(courier.client().ask(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
-    let told = world.notice();
-    assert!(told.contains(r#""id":"after","state":"returned""#), "{told}");
+    assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
+    let notification = world.notice();
+    assert!(notification.contains(r#""id":"after","state":"returned""#), "{notification}");
 }
 
-/// A watch that falls silent is broken, and what it misses counts as told 6 s later: it is opened anew before. The
-/// world's watches are silent from their first line on.
+/// A watch that falls silent is replaced before what it missed counts as announced. The watches of the test's discovery
+/// are silent after their first line.
 #[test]
-fn what_a_silent_watch_missed_is_heard_before_it_counts_as_told() {
-    let world = apart(2);
-    let courier = world.start();
-    let _out = begin_six_seconds(&world, &courier, 2);
-    courier.log_until("endpoint watch failed");
+fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_announced() {
+    let world = one_destination_each(2);
+    let gateway = world.start();
+    let _in_flight = start_announcement_timer(&world, &gateway, 2);
+    gateway.log_until("endpoint watch failed");
     world.drain(0);
-    knows_of_the_drain(&world, &courier, 1);
+    assert_drain_is_known(&world, &gateway, 1);
 }
 
-/// A call for the list that discovery took and never answered is given up, and the next one is in time too.
+/// A watch request that discovery accepted and never answered is given up, and the next one is made in time too.
 #[test]
-fn what_discovery_has_at_its_return_is_heard_before_it_counts_as_told() {
-    let world = apart(2);
+fn a_watch_is_reestablished_in_time_after_an_outage_of_discovery() {
+    let world = one_destination_each(2);
     world.silence_discovery(true);
-    let courier = world.start();
-    courier.log_until("endpoint watch failed");
-    // The next call is out by the end of this, and hangs too: none is answered that came before the return.
+    let gateway = world.start();
+    gateway.log_until("endpoint watch failed");
+    // The next request is made meanwhile and gets no response either: none made before the recovery is answered.
     world.no_call();
     world.drain(0);
-    let _out = begin_six_seconds(&world, &courier, 2);
+    let _in_flight = start_announcement_timer(&world, &gateway, 2);
     world.silence_discovery(false);
-    knows_of_the_drain(&world, &courier, 1);
+    assert_drain_is_known(&world, &gateway, 1);
+}
+
+/// Connects clients that stay idle, every other one after a request.
+fn connect_idle_clients(gateway: &Scheduler, idle: &mut Vec<Client>) {
+    for number in 0..IDLE_CLIENTS {
+        let mut client = gateway.client();
+        if number % 2 == 0 {
+            client.command(&["PING"]);
+        }
+        idle.push(client);
+    }
+    let open = gateway.descriptors();
+    assert!(open <= DESCRIPTOR_LIMIT, "{open} descriptors");
+}
+
+/// Enqueues a message from a new client, and has its call answered.
+fn deliver_from_new_client(world: &World, gateway: &Scheduler, id: &str) {
+    assert_eq!(gateway.client().enqueue(id, "0", "salary", 2, b"x"), "+OK");
+    let call = world.call();
+    assert_eq!(call.id, id);
+    call.answer("200 OK", "");
 }
 
-/// Idle clients fill the descriptors while discovery is down, those that never asked and those that asked once: whoever
-/// asks is served, what is owed is told, and the list is heard when discovery is back.
+/// Idle clients use up the descriptors while discovery is down: new clients are still served, final outcomes are still
+/// notified, and the endpoint list is read once discovery is back.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_nobody_out_while_discovery_is_down() {
-    let mut world = apart(2);
-    world.sockets = 256;
+fn descriptors_used_up_by_idle_clients_block_nothing_while_discovery_is_down() {
+    let mut world = one_destination_each(2);
+    world.sockets = DESCRIPTOR_LIMIT as u32;
     world.silence_discovery(true);
-    let courier = world.start();
-    let mut crowd: Vec<Client> = Vec::new();
-    let fill = |crowd: &mut Vec<Client>| {
-        for number in 0..300 {
-            let mut client = courier.client();
-            if number % 2 == 0 {
-                client.command(&["PING"]);
-            }
-            crowd.push(client);
-        }
-        let held = courier.descriptors();
-        assert!(held <= 256, "{held} descriptors");
-    };
-    fill(&mut crowd);
+    let gateway = world.start();
+    let mut idle: Vec<Client> = Vec::new();
+    connect_idle_clients(&gateway, &mut idle);
     for number in 0..10 {
-        let id = format!("f{number}");
-        assert_eq!(courier.client().enqueue(&id, "0", "salary", 2, b"x"), "+OK");
-        let call = world.call();
-        assert_eq!(call.id, id);
-        call.answer("200 OK", "");
+        deliver_from_new_client(&world, &gateway, &format!("f{number}"));
     }
-    courier.log_until("endpoint watch failed");
-    fill(&mut crowd);
-    // What has failed is told through what is left.
-    assert_eq!(courier.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
+    gateway.log_until("endpoint watch failed");
+    connect_idle_clients(&gateway, &mut idle);
+    // A failure is notified with the descriptors that are left.
+    assert_eq!(gateway.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
     world.call().reset();
     assert_eq!(world.notice(), r#"{"id":"lost","state":"failed"}"#);
     world.drain(0);
     world.silence_discovery(false);
-    fill(&mut crowd);
-    courier.log_until("the list has changed");
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
-    // The descriptors may be full at a restart too.
-    let courier = courier.kill_and_restart();
-    let _idle: Vec<Client> = (0..300).map(|_| courier.client()).collect();
-    assert_eq!(courier.client().enqueue("again", "0", "salary", 2, b"x"), "+OK");
-    let call = world.call();
-    assert_eq!(call.id, "again");
-    call.answer("200 OK", "");
+    connect_idle_clients(&gateway, &mut idle);
+    gateway.log_until("the list has changed");
+    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    // The descriptors may be used up at a restart too.
+    let gateway = gateway.kill_and_restart();
+    let _idle: Vec<Client> = (0..IDLE_CLIENTS).map(|_| gateway.client()).collect();
+    deliver_from_new_client(&world, &gateway, "again");
 }
 
-/// A process is ready within 10 s of its start with a journal as full as it gets, and what it finds untried is tried:
-/// messages that have 10 s at the kill, of a class that may be repeated and of one that may not, still get their calls.
-#[test]
-fn with_a_full_journal_a_restart_is_ready_in_time_to_try_what_was_untried() {
-    let mut world = apart(4);
-    world.max_pending_messages = 100_000;
-    let courier = world.start();
-    let mut client = courier.client();
-    // Two that make room when they are over, as a full journal takes nothing on.
-    let room: Vec<Call> = ["room1", "room2"]
-        .iter()
-        .map(|id| {
-            assert_eq!(client.enqueue(id, "0", "salary", 3, &[b'x'; 2_000]), "+OK");
-            world.call()
-        })
-        .collect();
-    // All but these wait for long; a restart ends the wait.
+/// Makes the destinations wait: each gets a long Retry-After, which a restart ends.
+fn send_long_retry_after(world: &World, gateway: &Scheduler, client: &mut Client) {
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
         world.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
-        courier.log_until("told to wait");
+        gateway.log_until("told to wait");
     }
-    let mut taken = 0;
+}
+
+/// Enqueues messages for a waiting destination until the gateway rejects one, as its journal is full.
+fn fill_journal(client: &mut Client) {
+    let mut accepted = 0;
     loop {
-        let answer = client.enqueue(&format!("b{taken}"), "0", "salary", 1, b"x");
-        if answer != "+OK" {
-            assert!(answer.starts_with("-BUSY "), "{answer}");
+        let reply = client.enqueue(&format!("b{accepted}"), "0", "salary", 1, b"x");
+        if reply != "+OK" {
+            assert!(reply.starts_with("-BUSY "), "{reply}");
             break;
         }
-        taken += 1;
+        accepted += 1;
     }
-    assert!(taken > 5_000, "{taken} messages fill the journal");
-    room.into_iter().for_each(|call| call.answer("200 OK", ""));
-    for (id, class, destination) in [("untried2", "salary", 2), ("untried4", "notice,k=k4", 4)] {
-        let fields = format!("c={class},d=10000,dest={destination}");
-        // Room comes with the answers, which may still be on their way.
-        while client.ask(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
-    }
-    world.no_call();
-    let courier = courier.kill_and_restart();
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
-    let mut untried = vec!["untried2".to_owned(), "untried4".to_owned()];
-    while !untried.is_empty() {
+    assert!(accepted > FULL_JOURNAL_MESSAGES, "{accepted} messages fill the journal");
+}
+
+/// Waits until all these messages have been sent; none of them may get a final outcome before.
+fn assert_all_are_sent(world: &World, ids: &[&str]) {
+    let mut unsent = ids.to_vec();
+    while !unsent.is_empty() {
         match world.call_or_notice() {
             Seen::Call(call) => {
-                untried.retain(|id| *id != call.id);
+                unsent.retain(|id| *id != call.id);
                 call.answer("200 OK", "");
             }
             Seen::Notice(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
@@ -158,29 +156,59 @@
     }
 }
 
-/// The window for repeats may be 1 s or less where couriers are restarted: a call that was out at the kill and may have
-/// run is not sent again by the next process once the window is over, and its message ends at once.
+/// A process with a journal as full as it gets is ready within 10 s of its start, and attempts what was never
+/// attempted: messages that have 10 s left at the kill, idempotent or not, still get their calls.
+#[test]
+fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
+    let mut world = one_destination_each(4);
+    world.max_pending_messages = 100_000;
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // Two calls whose completion frees room, as a full journal accepts nothing.
+    let in_flight: Vec<Call> = ["room1", "room2"]
+        .iter()
+        .map(|id| {
+            assert_eq!(client.enqueue(id, "0", "salary", 3, &[b'x'; 2_000]), "+OK");
+            world.call()
+        })
+        .collect();
+    send_long_retry_after(&world, &gateway, &mut client);
+    fill_journal(&mut client);
+    in_flight.into_iter().for_each(|call| call.answer("200 OK", ""));
+    for (id, class, destination) in [("untried2", "salary", 2), ("untried4", "notice,k=k4", 4)] {
+        let fields = format!("c={class},d=10000,dest={destination}");
+        // The responses that free the room may still be on their way.
+        while client.ask(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
+    }
+    world.no_call();
+    let gateway = gateway.kill_and_restart();
+    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_all_are_sent(&world, &["untried2", "untried4"]);
+}
+
+/// An idempotency window may be shorter than a restart takes: a call that was in flight at the kill and may have run is
+/// not sent again by the next process once the window has ended, and its message fails at once.
 #[test]
-fn a_window_that_ends_before_the_restart_lets_nothing_out() {
-    let world = apart(2);
-    let courier = world.start();
-    let mut client = courier.client();
-    // Its window is 0.4 s from here on.
+fn no_message_is_resent_after_an_idempotency_window_that_ended_before_the_restart() {
+    let world = one_destination_each(2);
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // Its idempotency window of 0.4 s begins here.
     assert_eq!(client.enqueue("w1", "0", "brief,k=w1", 1, b"x"), "+OK");
-    let _out = world.call();
-    // Half a second has passed when this one is over.
+    let _in_flight = world.call();
+    // Half a second has passed when this one fails.
     assert_eq!(client.ask(&["ENQUEUE", "0", "t1", "c=salary,d=500,dest=2", "x"]), "+OK");
-    let _hangs = world.call();
+    let _unresponsive = world.call();
     assert_eq!(world.notice(), r#"{"id":"t1","state":"failed"}"#);
-    let courier = courier.kill_and_restart();
-    // The notice for the other may be told once more, as the kill came behind it.
-    let mut ended = world.notice();
-    while ended.contains(r#""id":"t1""#) {
-        ended = world.notice();
+    let gateway = gateway.kill_and_restart();
+    // The other message may be notified once more, if the kill came before the acknowledgement was recorded.
+    let mut notification = world.notice();
+    while notification.contains(r#""id":"t1""#) {
+        notification = world.notice();
     }
-    assert_eq!(ended, r#"{"id":"w1","state":"failed"}"#);
+    assert_eq!(notification, r#"{"id":"w1","state":"failed"}"#);
     world.no_call();
-    // So too when the next process dies as well.
-    let _courier = courier.kill_and_restart();
+    // The same holds when the next process is killed as well.
+    let _gateway = gateway.kill_and_restart();
     world.no_call();
 }
