--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,5 +1,5 @@
 //! Admission and load shedding: which messages are accepted, and which accepted ones get their final outcome
-//! before they were delivered, because their time is over or because the gateway is nearly full.
+//! without delivery, because their time has run out or because the gateway is nearly full.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -13,8 +13,8 @@
 
 /// Ratio of the messages that may be pending above which those of least value are shed.
 const SHED_ABOVE_RATIO: f64 = 0.93;
-/// A message that wasn't sent is shed at a cost in this first part of its time: its client has waited in
-/// vain, where one that is rejected at once has not.
+/// Shedding a message that was never sent has a cost in this first part of its time: its client has waited in
+/// vain, while the client of a rejected message can go elsewhere at once.
 const EARLY_RATIO_OF_DEADLINE: f64 = 0.7;
 /// That cost, as a ratio of the message's full value.
 const EARLY_SHED_COST_RATIO: f64 = 0.3;
@@ -26,8 +26,8 @@
 }
 
 impl Scheduler {
-    /// Whether a new message is accepted rather than rejected: nearly full, only if it is worth more than
-    /// what has to be shed for it and what that costs.
+    /// Whether to accept a new message rather than reject it. Nearly full, it is accepted only if it is worth
+    /// more than the message that would have to be shed for it, plus the cost of shedding that one.
     pub fn admits(&mut self, now: Time, accepted: &AcceptedMessage) -> bool {
         if self.lame_duck.rejects_messages(now) {
             return false;
@@ -76,7 +76,7 @@
         self.messages.insert(id, message);
     }
 
-    /// When a client does well to send a message for this destination again that was rejected.
+    /// After how long a client should send a rejected message for this destination again.
     pub fn suggested_retry_after(&mut self, now: Time, destination: DestinationId) -> Duration {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
         let routes: Vec<RouteId> =
@@ -110,8 +110,8 @@
         self.complete_message(id);
     }
 
-    /// Gives up the messages whose time is over. One in flight may still be delivered for half of the grace
-    /// time.
+    /// Gives up the messages whose time has run out. One in flight may still be delivered during half of the
+    /// grace time.
     pub(super) fn give_up_expired(&mut self, now: Time) {
         while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
             self.deadlines.remove(&deadline);
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Nearly full: gives up the messages of least value, before new ones are rejected unseen.
+    /// Nearly full: gives up the messages of least value, before new ones have to be rejected whatever their
+    /// value.
     pub(super) fn shed_load(&mut self, now: Time) {
         while self.open_messages > self.max_open_messages() {
             let Some(id) = self.least_valuable(now).map(|least| least.message.accepted.id) else { return };
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// An endpoint asked to be left alone for so long, in whatever way.
+    /// An endpoint does not want its route to be called for this long.
     pub(super) fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return };
         let id = self.route_of(&endpoint.entry);
@@ -27,7 +27,7 @@
 
     /// An attempt of a message finished.
     pub(super) fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
-        // The first message of a call that brings a Retry-After makes it hold, whatever became of the
+        // A Retry-After holds from the first message of a call that brings it, whatever the state of that
         // message.
         if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
             self.on_retry_after(now, finished.endpoint, delay);
@@ -55,8 +55,7 @@
         self.forget_if_settled(id);
     }
 
-    /// What a message keeps of a finished attempt: attempts made, uncertainty, backoff and the hold on its
-    /// key.
+    /// Updates a message after an attempt: attempts made, uncertainty, backoff and the hold on its key.
     fn record_attempt(&mut self, now: Time, call_id: CallId, finished: &FinishedAttempt) {
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get(&call_id) else { return };
@@ -80,8 +79,8 @@
         }
     }
 
-    /// A message that can never be sent again gets its final outcome then: it would only take up capacity and
-    /// keep its ordering key from the messages behind it.
+    /// A message that can never be sent again gets its final outcome then: it would only use up capacity and
+    /// block the messages behind it in the order of its key.
     pub(super) fn set_last_send_deadline(&mut self, now: Time, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(last_send_at) = idempotency::last_send_at(&self.settings, message) {
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Frees the slot of a call and lets connections, endpoint and route learn from its outcome.
+    /// Frees the slot of a call, and updates connection reuse, endpoint and route by its outcome.
     fn complete_call(&mut self, now: Time, id: CallId, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.calls.remove(&id);
@@ -201,9 +200,8 @@
     }
 }
 
-/// What a call that wasn't rejected says of an outage, if none has succeeded since it was sent. Errors and
-/// resets say nothing while an endpoint is left that did not fail; silence does, as all endpoints mostly hang
-/// together.
+/// How severe a failed call is, if no call has succeeded since it was sent. Errors and resets don't count
+/// while the route has a healthy endpoint. Missing responses do, as mostly all endpoints hang together.
 fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
         AttemptOutcome::ConnectFailed => Severity::Certain,
@@ -234,9 +232,9 @@
         self.circuit.on_success(now);
     }
 
-    /// The destination is shut, and said until when. All that it rejected come back at that moment: the slow
-    /// start begins there, each gateway somewhere inside the interval between two of its calls, with nothing
-    /// saved up.
+    /// The destination is closed, and has announced when it is back. All rejected messages wait for that
+    /// moment: the slow start begins there, with no tokens saved up, and the first call of each gateway is at
+    /// a random point within the interval between two of its calls.
     fn learn_announced_return(&mut self, chance: f64) {
         let back_at = self.retry_after.until();
         self.slow_start.begin(back_at);
@@ -256,7 +254,7 @@
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
-    /// A route whose circuit is open has no slow start any more.
+    /// An open circuit ends a slow start.
     fn learn_failure(&mut self, now: Time, settings: &Settings, failure: Failure, chance: f64) {
         if self.circuit.on_failure(failure) {
             self.schedule_probe(now, settings, chance);
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -1,4 +1,4 @@
-//! The start of a call: the messages that it carries, and the connection that it goes out on.
+//! The start of a call: which messages it carries, and whether it reuses a connection.
 
 use super::connection_reuse::{IdleConnections, NextCall};
 use super::idempotency;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Starts a call with the message that was chosen and, where a call may carry more, others that wait.
+    /// Starts a call with the chosen message and, where a call can carry more, further waiting ones.
     pub(super) fn start_call(
         &mut self,
         now: Time,
@@ -70,7 +70,7 @@
             Some(route) => retry::attempt_timeout(&self.settings, now, message, &route.latency),
             None => deadline - now,
         };
-        // A message that shares the call may wait longer for the connection than this one has time.
+        // Other messages of the call may be able to wait longer for the connection than this one.
         let last_send_at = idempotency::last_send_at(&self.settings, message);
         let send_within = last_send_at.map_or(deadline, |last| last.min(deadline)) - now;
         message.attempts += 1;
@@ -80,8 +80,8 @@
         self.update_standing(message_id);
     }
 
-    /// Closes idle connections to an endpoint where they are too risky. Returns how long the connection has
-    /// been idle that the next call there will use, where that is known.
+    /// Closes the idle connections to an endpoint if reusing one is too risky. Returns how long the
+    /// connection has been idle that the next call will use, if that is certain.
     fn prepare_connection(
         &mut self,
         now: Time,
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -1,8 +1,8 @@
 //! The circuit breaker of a route: it opens after failures or silence, and half-open probes show when it may
 //! close.
 //!
-//! Probes back off with jitter, and never exceed this gateway's share of the overload budget: gateways are
-//! many, and probes alone could overload a destination that is coming back.
+//! Probes back off with jitter, and stay within this gateway's share of the overload budget: the probes of
+//! many gateways alone could overload a recovering destination.
 
 use super::backoff;
 use crate::model::{CircuitRecord, LoadReport, Settings, Time};
@@ -17,22 +17,22 @@
 const BASE_PROBE_DELAY_OF_WINDOW: f64 = 0.1;
 /// Longest delay between probes, as a ratio of the overload window.
 const MAX_PROBE_DELAY_OF_WINDOW: f64 = 0.6;
-/// Part of a delay that jitter leaves at least.
+/// Jitter leaves at least this ratio of a delay.
 const MIN_JITTER: f64 = 0.25;
-/// Failures without success for less than this ratio of the overload window are transient: no slow start
-/// follows.
+/// Failures without success for less than this ratio of the overload window are transient, and not followed
+/// by a slow start.
 const TRANSIENT_OF_WINDOW: f64 = 0.6;
-/// A rejection with more headroom reported than this isn't for the limit.
+/// A rejection that reports more headroom than this was not caused by the rate limit.
 const HEADROOM_LEFT: f64 = 0.3;
 
-/// How much an outcome says of an outage.
+/// How strongly an outcome suggests that the destination is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// Nothing.
+    /// Not at all.
     None,
-    /// Little, as a single rejection is ordinary.
+    /// Weakly: a single rejection is ordinary.
     Minor,
-    /// Two in a row open the circuit, as a gateway with low traffic has few calls.
+    /// Two in a row open the circuit: a gateway with low traffic has few calls to learn from.
     Major,
     /// One opens the circuit.
     Certain,
@@ -48,7 +48,7 @@
 }
 
 impl Severity {
-    /// Of a rejection: with headroom left the destination is shut, or hangs with its queue full.
+    /// The severity of a rejection. With headroom left the destination is shut, or hangs with a full queue.
     pub fn of_rejection(report: Option<LoadReport>) -> Severity {
         let has_headroom = |report: LoadReport| report.limit_per_sec > 0.0 && report.headroom > HEADROOM_LEFT;
         if report.is_some_and(has_headroom) {
@@ -68,11 +68,11 @@
     }
 }
 
-/// What an open circuit waits for before its next probe.
+/// What the time of the next probe depends on.
 pub struct ProbeBudget {
     /// Calls a second that this gateway may send.
     pub calls_per_sec: f64,
-    /// No probe before this, as the destination asked.
+    /// No probe before this time, as the destination asked with a Retry-After.
     pub not_before: Time,
     /// A random number in `0.0..1.0`.
     pub chance: f64,
@@ -86,7 +86,7 @@
     last_success_at: Time,
 }
 
-/// The time without success that an open circuit stands for.
+/// The time without success during which the circuit is open.
 #[derive(Default, Serialize, Deserialize)]
 struct OpenInterval {
     /// The last success before it.
@@ -121,8 +121,8 @@
         self.open.as_ref().map(|open| open.next_probe_at)
     }
 
-    /// Whether a probe carries one message only, as it may be lost. What is only rejected comes back
-    /// unharmed, so that such a probe may carry all that a call can.
+    /// Whether a probe carries only one message, as it may be lost. Rejected messages are unharmed, so a
+    /// probe that can only be rejected carries a full batch.
     pub fn probe_may_be_lost(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_lost_calls)
     }
@@ -137,7 +137,8 @@
         sent_at.max(self.last_success_at) + patience
     }
 
-    /// Opens on silence alone, long before a time-out would: only few calls are risked.
+    /// Opens the circuit because of a missing response, long before the attempt times out, so that few calls
+    /// are lost.
     pub fn open_on_silence(&mut self, now: Time, sent_at: Time, patience: Duration) {
         self.open = Some(OpenInterval {
             since: self.last_success_at.min(sent_at),
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Whether a success now ends an outage that was long enough for a slow start. The time counts from the
-    /// last success, so that gateways that saw only the end of an outage are covered.
+    /// Whether a success now ends an outage that was long enough for a slow start. The outage counts from the
+    /// last success, so that it is recognized by gateways that saw only its end.
     pub fn success_ends_outage(&self, now: Time, settings: &Settings) -> bool {
         let is_outage =
             |open: &OpenInterval| open.has_failures && now - open.since > longest_transient(settings);
@@ -169,7 +170,7 @@
         self.last_success_at = now;
     }
 
-    /// The destination said when it is back: probes aren't needed.
+    /// The destination has announced when it is back: the circuit closes, as no probes are needed.
     pub fn on_announced_return(&mut self) {
         self.open = None;
     }
@@ -200,19 +201,17 @@
         let delay = backoff::exponential(window, BASE_PROBE_DELAY_OF_WINDOW, open.probes)
             .min(window.mul_f64(MAX_PROBE_DELAY_OF_WINDOW));
         let jitter = MIN_JITTER + budget.chance * (1.0 - MIN_JITTER);
-        // No delay runs out before a Retry-After does: gateways that wait for it together must not call
-        // together.
+        // The delay starts after a Retry-After: gateways that wait for it together must not call together.
         open.next_probe_at = now.max(budget.not_before) + delay.max(budget_delay).mul_f64(jitter);
     }
 
-    /// The endpoint is used again after operators had disabled it: what its calls met before says nothing of
-    /// it now.
+    /// Operators use the endpoint again: earlier failures say nothing of its present state.
     pub fn reset(&mut self) {
         self.open = None;
         self.failure_score = 0;
     }
 
-    /// Goes on with what was seen before a restart.
+    /// Restores what was learnt before a restart.
     pub fn restore(&mut self, record: &CircuitRecord) {
         self.last_success_at = record.last_success_at;
         self.failure_score = record.failure_score;
@@ -242,7 +241,7 @@
     }
 }
 
-/// Failures, and waits that a destination asks for, up to this length need no slow start.
+/// Failures, and waits that a destination asks for, of up to this length are not followed by a slow start.
 pub fn longest_transient(settings: &Settings) -> Duration {
     settings.limits.overload_window.mul_f64(TRANSIENT_OF_WINDOW)
 }
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -1,8 +1,8 @@
 //! Whether a call may reuse an idle connection.
 //!
-//! Some networks drop idle connections without telling either end, and the next call on one is lost. One
-//! gateway calls each endpoint too seldom to learn this there, so that the risk is learnt over all endpoints,
-//! by idle time. Also, no idle connection is kept for a while after an endpoint had too many of them.
+//! Some networks drop idle connections without notice to either end, and the next call on such a connection
+//! is lost. One gateway calls each endpoint too rarely to learn this there, so the risk is learnt over all
+//! endpoints, by idle time. Also, no connections are left idle for a while after an endpoint had too many.
 
 use super::derived_settings::shortest_objective_secs;
 use crate::model::{Settings, Time};
--- a/src/scheduler/derived_settings.rs
+++ b/src/scheduler/derived_settings.rs
@@ -1,5 +1,5 @@
-//! Figures that several rules derive from the settings in the same way. None of them can be zero, so that
-//! they may stand under a fraction.
+//! Values that several rules derive from the settings in the same way. None of them is zero, so that they can
+//! be divisors.
 
 use crate::model::Settings;
 use std::time::Duration;
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -6,8 +6,8 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// An endpoint that failed is chosen last for this ratio of the overload window at first; doubles with each
-/// failure, up to the length of a slow start.
+/// After a failure an endpoint is the last choice for this ratio of the overload window; the time doubles
+/// with each further failure, up to the length of a slow start.
 const BASE_AVOIDANCE_OF_WINDOW: f64 = 0.1;
 
 impl Scheduler {
@@ -72,8 +72,8 @@
         self.avoid_until = now + avoidance.mul_f64(chance);
     }
 
-    /// Operators use it again: it may have been restarted, and what its calls met before says nothing of it
-    /// now.
+    /// Operators use it again: it may have been restarted, and earlier failures say nothing of its present
+    /// state.
     pub fn reset(&mut self, now: Time) {
         self.failures = 0;
         self.avoid_until = now;
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -51,12 +51,12 @@
     settings.limits.overload_window.as_secs_f64() * SPAN_IN_OVERLOAD_WINDOWS
 }
 
-/// How long to wait before a high ratio is looked at again: about as long as it takes to fade.
+/// When to check a high ratio again: after about the time that it takes to fall.
 pub fn recheck_delay(settings: &Settings) -> Duration {
     settings.limits.overload_window.mul_f64(SPAN_IN_OVERLOAD_WINDOWS * MAX_RATIO_ABOVE_BASELINE)
 }
 
-/// From this time on a message of this class is sent whatever the ratio is, as it can't wait any longer.
+/// The time from which on a message of this class is sent whatever the ratio, as it cannot wait any longer.
 pub fn last_attempt_at(class: &Class, deadline: Time) -> Time {
     deadline - class.latency_objective.mul_f64(LAST_ATTEMPT_IN_OBJECTIVES)
 }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,4 +1,4 @@
-//! Keeps the state and its indexes in step: what a change touches, and what is settled and can be forgotten.
+//! Keeps the state and its indexes in step: what a change affects, and what can be forgotten.
 
 use super::route::Route;
 use super::state::queue::Standing;
@@ -8,8 +8,8 @@
 use crate::model::*;
 
 impl Scheduler {
-    /// Something has changed at a destination: it is looked at in the next step. Up to the last step its
-    /// routes were as the last look had left them.
+    /// Something has changed at a destination: the next step visits it. The token buckets of its routes are
+    /// refilled as the visits up to the last step would have done.
     pub(super) fn touch(&mut self, destination: DestinationId) {
         self.ready_index.touch(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells the queue of a message how the message stands; to be called whenever that may have changed.
+    /// Updates the queue entry of a message; to be called whenever its standing may have changed.
     pub(super) fn update_standing(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         let standing = self.standing(message);
@@ -92,14 +92,14 @@
         }
         let key = message.accepted.key;
         self.messages.remove(&id);
-        // The next message of its key has its turn now, wherever it goes.
+        // It is the turn of the next message of its key, whatever its destination.
         let next = key.and_then(|key| self.ordering.remove(key, id));
         if let Some(next) = next.and_then(|next| self.messages.get(&next)) {
             self.touch(next.accepted.destination);
         }
     }
 
-    /// Makes the indexes anew from the state: all is to be looked at.
+    /// Rebuilds the indexes from the state; the next step visits everything.
     pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
             route.rate_limit.settle(self.last_round_at);
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -20,8 +20,8 @@
 }
 
 impl Scheduler {
-    /// The message of most value that may go by a route to one of these zones now; if none, `revisit` gets
-    /// the time when that may be. A half-open probe rather takes one that can be resent.
+    /// The message of highest value that may go by a route to one of these zones now. If there is none,
+    /// `revisit` says when to try again. A half-open probe prefers a message that can be resent.
     pub(super) fn choose_message(
         &mut self,
         now: Time,
@@ -29,7 +29,7 @@
         zones: &[ZoneId],
         revisit: &mut Revisit,
     ) -> Option<ChosenMessage> {
-        // What is lost on all routes alike is no reason to wait.
+        // Losses that all routes have are no reason to wait.
         let baseline = self.connection_reuse.baseline_risk();
         let route = self.routes.get_mut(&route_id);
         let is_probe = route.as_ref().is_some_and(|route| route.circuit.is_open());
@@ -45,7 +45,7 @@
             let send_at = self.earliest_send(now, message);
             if send_at.is_none_or(|at| at > now) {
                 earliest(&mut revisit.send_at, send_at);
-                // When its idempotency window ends first, there is nothing to be done at that time any more.
+                // If its idempotency window ends before that time, it can never be sent.
                 let expires_at = idempotency::last_send_at(&self.settings, message)
                     .map(|last_send_at| last_send_at + Duration::from_nanos(1));
                 earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
@@ -69,8 +69,8 @@
         best.map(|(_, chosen)| chosen)
     }
 
-    /// The one condition of every attempt: when a message may be sent; none if only after some event, or
-    /// never.
+    /// The condition that every attempt has to meet: when a message may be sent. None if that depends on some
+    /// event, or if it may never be sent again.
     fn earliest_send(&self, now: Time, message: &Message) -> Option<Time> {
         let last_send_at = idempotency::last_send_at(&self.settings, message);
         if message.completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
@@ -82,8 +82,8 @@
         Some(message.not_before.max(turn_at))
     }
 
-    /// Of a long queue, some messages of which one is the best; none where the queue is short. With
-    /// `include_non_idempotent`, all that aren't idempotent are among them.
+    /// A short list from a long queue that contains its best message; none if the queue is short. With
+    /// `include_non_idempotent` it contains all messages that are not idempotent.
     fn best_of_long_queue(
         &mut self,
         now: Time,
--- a/src/scheduler/message_value.rs
+++ b/src/scheduler/message_value.rs
@@ -1,11 +1,11 @@
-//! What it is worth to send one message rather than another.
+//! The value of sending one message rather than another.
 
 use super::idempotency;
 use super::state::message::Message;
 use super::state::value_decay::RemainingValue;
 use crate::model::{Settings, Time};
 
-/// Weight of what waiting for one more latency objective would lose, against the value itself.
+/// Weight of the value that is lost by waiting for one more latency objective, relative to the value itself.
 const WAITING_LOSS_WEIGHT: f64 = 2.0;
 
 /// Value of a message on time.
@@ -14,8 +14,9 @@
     message.class(settings).priority_weight * quota_ratio
 }
 
-/// Value still to be won, and what of it waiting would lose: on time goes before late, what is about to be
-/// late before what is fresh, and what is about to run out before what may wait.
+/// The value that can still be gained, and what waiting would lose of it: a message on time goes before a
+/// late one, one that is about to be late before a fresh one, and one that is about to expire before one that
+/// can wait.
 pub fn current(settings: &Settings, now: Time, message: &Message) -> f64 {
     let class = message.class(settings);
     let last_send_secs =
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -2,16 +2,16 @@
 //! cancelled.
 //!
 //! A message waits in the queue of its destination. A free call slot goes to the waiting destination with the
-//! fewest calls in flight. A message whose attempt may have been processed is sent again under its one
-//! idempotency key, inside its deduplication scope, its window and the limit of attempts, after a backoff
-//! with full jitter. All else protects that path.
+//! fewest calls in flight. A message whose attempt may have been processed is sent again under the same
+//! idempotency key, within its deduplication scope, its idempotency window and the limit of attempts, after a
+//! backoff with full jitter. Everything else protects this path.
 //!
-//! Each rule stands in a module of its own with its constants and its state, and reads no other rule's state:
+//! Each rule has a module of its own with its constants and its state, and reads no other rule's state:
 //! `quota`, `idempotency`, `ordering`, `retry`, `message_value`, `connection_reuse` and `watch_backoff` for
 //! messages, connections and the endpoint list; `retry_after`, `circuit_breaker`, `slow_start`, `rate_limit`,
 //! `loss_ratio` and `traffic` for a route, which holds their state. The other modules compose them:
 //! [`Scheduler::decide`] lists the steps in their order, `route_availability` the rules that a call has to
-//! pass, `call_outcome` what is learnt from one.
+//! pass, `call_outcome` what is learnt from a call.
 
 use crate::model::*;
 use serde::{Deserialize, Serialize};
@@ -95,15 +95,15 @@
     lame_duck: LameDuck,
     /// Endpoints that operators have disabled, listed or not.
     disabled_endpoints: BTreeSet<EndpointId>,
-    /// When free slots were last filled as far as possible.
+    /// When free slots were last filled.
     last_round_at: Time,
     #[serde(skip)]
     timer: Option<Timer>,
     last_timer_token: u64,
-    /// What is to be done, until `decide` hands it over.
+    /// Actions of this step, until `decide` returns them.
     #[serde(skip)]
     actions: Vec<Action>,
-    /// What the next steps have to look at.
+    /// What the next steps have to visit.
     #[serde(skip)]
     ready_index: ReadyIndex,
 }
@@ -123,13 +123,13 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows only its settings; `seed` is its one source of chance.
+    /// A scheduler without any state; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let latency = Latency::initial(&settings);
         Scheduler { settings, rng: fastrand::Rng::with_seed(seed), latency, ..Scheduler::default() }
     }
 
-    /// Goes on in another process, in the place of a `fresh` scheduler with the same settings. All state is
+    /// Continues in another process, in place of a `fresh` scheduler with the same settings. All state is
     /// kept, except that the old process was to end.
     pub fn resumed(self, fresh: Scheduler) -> Self {
         let shutdown = Shutdown::default();
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Acts on all that was recorded: the steps of a decision, in their order.
+    /// Decides on all recorded events; lists the steps of a decision in their order. New actions are appended
+    /// to `actions`.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.give_up_expired(now);
         self.shed_load(now);
@@ -175,14 +176,14 @@
         watch_backoff::initial_delay(&self.settings, self.rng.f64())
     }
 
-    /// All is looked at in each step from now on: which calls would be over in time changes from moment to
-    /// moment.
+    /// From now on each step visits all destinations: which calls can still complete in time changes from
+    /// moment to moment.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
         self.ready_index.all = true;
     }
 
-    /// One timer is outstanding: the earliest moment at which something could be done without an event.
+    /// One timer is set at a time: for the earliest moment at which something can be done without an event.
     fn set_timer(&mut self, now: Time, next: Option<Time>) {
         let next_deadline = self.deadlines.first().map(|deadline| deadline.at);
         let Some(at) = next.into_iter().chain(next_deadline).min() else { return };
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas: which messages are beyond what their tenant may send, and so are worth less.
+//! Tenant quotas: which messages are over their tenant's quota, and so of less value.
 //!
 //! A quota holds for all gateways together, and none sees what the others accept. Each gateway enforces its
 //! own share with a token bucket that holds one second of it.
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -10,29 +10,30 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a rejection leaves of the rate: by the number of cuts since the last success. After the last one only
-/// the overload budget is left, as it may be an outage, or all gateways may have to slow down.
+/// Ratio of the rate that is left after a rejection, by the number of cuts since the last success. After the
+/// last one only the overload budget is left, as the destination may be unavailable, or all gateways may have
+/// to slow down.
 const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
 /// Rejections within this time of a cut don't cut again: they were caused by the same rate.
 const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
-/// Rate of a route at first, in even shares of the listed limit. More than the limit over all gateways would
-/// serve nobody, as rejected calls use it up as well.
+/// Initial rate of a route, in even shares of the listed limit. If all gateways together sent more than the
+/// limit, rejected calls would use it up.
 const INITIAL_SHARES: f64 = 1.0;
-/// Rate of a route at first is at least so many calls within the shortest deadline.
+/// Initial rate of a route: at least this many calls within the shortest deadline.
 const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
-/// Listed limits, in calls a second, below this count as this.
+/// Lower bound for listed limits, in calls a second.
 const MIN_LISTED_LIMIT_PER_SEC: f64 = 0.1;
-/// Listed limits, in calls a second, above this count as this.
+/// Upper bound for listed limits, in calls a second.
 const MAX_LISTED_LIMIT_PER_SEC: f64 = 1e6;
-/// Growth with each success of a rate that limits, as a ratio of the rate, or of one call a latency objective
-/// where that is less.
+/// Growth of a binding rate with each success, as a ratio of the rate, or of one call a latency objective if
+/// that is less.
 const GROWTH_RATIO: f64 = 0.08;
-/// Growth is up to so many times more, the further the rate is below an even share of the limit: that much
-/// mostly is there, and a gateway that calls seldom would take minutes to get back to it.
+/// Growth is up to this many times larger, the further the rate is below an even share of the limit: a
+/// gateway that calls rarely would need minutes to get back to its share otherwise.
 const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
-/// Growth where the destination reports its headroom, in multiples of it.
+/// Growth if the destination reports its headroom: the headroom times this, as a ratio of the rate.
 const GROWTH_OF_HEADROOM: f64 = 2.0;
-/// The time over which the rate of calls sent is taken.
+/// Time span of the rate of sent calls, in seconds.
 const SENT_SPAN_SECS: f64 = 1.0;
 /// Tokens that may be saved up, in seconds of the rate; one at least.
 const BURST_SECS: f64 = 0.4;
@@ -42,36 +43,36 @@
 const MAX_WAIT_SECS: f64 = 3600.0;
 /// Longest wait for a token during a slow start, as the rate grows meanwhile.
 const MAX_WAIT_IN_SLOW_START_SECS: f64 = 10.0;
-/// After a rejection a gateway with low traffic calls again within so many calls of its rate, by chance: such
-/// gateways are many.
+/// After a rejection, a gateway with low traffic waits a random time of up to this many calls at its rate:
+/// such gateways are many, and must not all call at the same moment.
 const LOW_TRAFFIC_SPREAD_CALLS: f64 = 3.0;
 
-/// What the rate goes by now.
+/// What determines the rate now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RatePhase {
-    /// By rejections and successes.
+    /// Rejections and successes.
     Steady,
-    /// By the slow start: nothing is saved up.
+    /// The slow start: no tokens are saved up.
     SlowStart,
 }
 
-/// Whether a call may be sent.
+/// Whether a call may be sent now.
 #[derive(Clone, Copy, Debug)]
 pub enum Token {
-    /// It may.
+    /// Yes.
     Available,
     /// Not yet.
     Due {
-        /// When there will be a token at the rate of now.
+        /// When there will be a token at the present rate.
         due: Time,
-        /// When the rate has to be looked at again.
+        /// When to check again whether the token has come earlier.
         recheck_at: Time,
-        /// Whether `due` is when the token comes in, rather than the bound of a wait.
+        /// Whether `due` is the time of the token, and not the longest permitted wait.
         is_exact: bool,
     },
 }
 
-/// What a rejection goes by.
+/// What the response to a rejection depends on.
 pub struct Rejection {
     /// Messages that wait for the destination.
     pub waiting_messages: f64,
@@ -95,10 +96,9 @@
     rate_per_sec: f64,
     tokens: f64,
     refilled_at: Time,
-    /// The last look at the bucket found no token: only then a success says that there could be more.
+    /// The last check found no token: only then a success says that the rate could be higher.
     is_binding: bool,
-    /// The bucket was looked at and may be left alone since: tokens have come in up to the last step that
-    /// looked.
+    /// The bucket was checked, and counts as refilled up to the last step even without another check.
     refill_pending: bool,
     last_cut_at: Time,
     /// Cuts since the last success.
@@ -107,11 +107,11 @@
 }
 
 impl RateLimit {
-    /// The limit of a route that is new. The first calls of all gateways must not come at the same moment:
-    /// each begins somewhere inside the interval between two calls; `chance` is a random number in
+    /// The limit of a new route. Its first call is at a random point within the interval between two calls,
+    /// as the first calls of all gateways must not come at the same moment; `chance` is a random number in
     /// `0.0..1.0`.
     pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, chance: f64) -> RateLimit {
-        // A limit that isn't listed has to be found out, and one that is far too low must not hold messages
+        // An unlisted limit has to be explored, and a listed one that is far too low must not hold messages
         // back.
         let share = match listed_limit_per_sec(settings, endpoint) {
             Some(_) => (INITIAL_SHARES / fleet_size(settings)).min(1.0),
@@ -175,7 +175,7 @@
         self.sent.record(now, SENT_SPAN_SECS);
     }
 
-    /// Adds what a look at that time would have added, had there been one.
+    /// Adds the tokens that a check at that time would have added.
     pub fn settle(&mut self, last_round_at: Time) {
         if std::mem::take(&mut self.refill_pending) && self.refilled_at < last_round_at {
             self.refill(last_round_at, self.rate_per_sec, burst(self.rate_per_sec));
@@ -187,12 +187,12 @@
         self.refilled_at = now;
     }
 
-    /// Nothing is saved up for what comes now.
+    /// Removes all saved tokens.
     pub fn drain(&mut self) {
         self.tokens = 0.0;
     }
 
-    /// The bucket begins at this time, with so many tokens.
+    /// Starts the bucket at this time, with this many tokens.
     pub fn restart(&mut self, at: Time, tokens: f64) {
         self.refilled_at = at;
         self.tokens = tokens;
@@ -216,12 +216,12 @@
         ratio * self.rate_per_sec.min(shortest_objective_secs(settings).recip())
     }
 
-    /// A call was rejected without a Retry-After that matters.
+    /// A call was rejected without a Retry-After, or with a short one.
     pub fn on_rejection(&mut self, now: Time, settings: &Settings, rejection: &Rejection) {
         if now - self.last_cut_at > MIN_CUT_INTERVAL {
             self.cut(now, settings, rejection);
         }
-        // By chance, as all that were rejected together would come back together.
+        // At random, as all gateways that were rejected together must not call again together.
         let spread_calls = if rejection.low_traffic { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
         self.tokens = self.tokens.min(-rejection.chance * spread_calls);
     }
@@ -230,8 +230,8 @@
         let ratio = CUT_RATIOS[self.cuts.min(CUT_RATIOS.len() - 1)];
         self.cuts += 1;
         let call_per_objective = shortest_objective_secs(settings).recip();
-        // A clump of messages must not wait at the rate of ordinary times until it has run out. Where a call
-        // carries many, what waits goes together, and one call a latency objective is enough.
+        // A burst of messages must not be sent at the ordinary rate for a long time. Where a call carries
+        // many messages, waiting messages go together, and one call a latency objective is enough.
         let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
             (0.0, call_per_objective)
         } else {
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// How much was looked at so far.
+    /// How much was visited so far.
     pub fn work(&self) -> WorkCounters {
         self.ready_index.work
     }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -1,12 +1,12 @@
-//! What a gateway goes on with after a restart: pending messages, and what was learnt of outages.
+//! What a gateway continues with after a restart: pending messages, and what it had learnt of outages.
 
 use super::state::{RouteId, UncertainAttempt};
 use super::Scheduler;
 use crate::model::*;
 
 impl Scheduler {
-    /// Accepts a message again that was pending before the restart. Calls in flight then broke with the old
-    /// process at the latest, so that ordering keys are held from now on.
+    /// Accepts a message again that was pending before the restart. Calls in flight ended with the old
+    /// process at the latest, so ordering keys are held from now on.
     pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
         self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Goes on with what was learnt of a route before the restart.
+    /// Restores what was learnt of a route before the restart.
     pub(super) fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
         self.touch(record.destination);
         let chance = self.rng.f64();
--- a/src/scheduler/retry_after.rs
+++ b/src/scheduler/retry_after.rs
@@ -1,4 +1,5 @@
-//! Retry-After: the time for which a destination asked to be left alone, and the one that clients are told.
+//! Retry-After: how long a destination does not want to be called, and what clients are told with a
+//! rejection.
 
 use super::retry;
 use crate::model::Time;
@@ -12,12 +13,12 @@
 }
 
 impl RetryAfter {
-    /// The destination asked to be left alone until then. A shorter wait doesn't end a longer one.
+    /// The destination does not want to be called before this time. A shorter wait does not end a longer one.
     pub fn extend(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// When the last wait that was asked for ends; may lie in the past.
+    /// When the longest wait so far ends; may lie in the past.
     pub fn until(&self) -> Time {
         self.until
     }
@@ -33,8 +34,8 @@
     }
 }
 
-/// What a client is told with a rejection: the destination's own wait, or the time in which this gateway
-/// sends what waits there; within the bounds of a backoff.
+/// What a client is told with a rejection: the destination's own wait, or the time in which this gateway can
+/// send the waiting messages, whichever is longer; within the bounds of a backoff.
 pub fn suggested_delay(
     objective_secs: f64,
     waiting_messages: f64,
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -1,5 +1,4 @@
-//! When a route may take one more call: the rules that can hold it back, in the order in which they are
-//! asked.
+//! When a route may take one more call: the rules that can hold it back, in the order in which they apply.
 
 use super::rate_limit::{RatePhase, Token};
 use super::state::ready_index::{earliest, Revisit};
@@ -7,13 +6,13 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// Half-open probes of a route may take this ratio of the free slots; one is always permitted.
+/// Half-open probes of a route may use this ratio of the free slots; one is always permitted.
 const MAX_PROBES_OF_FREE_SLOTS: f64 = 0.25;
 
 impl Scheduler {
-    /// When a route may take one more call: now, later, or only after some event (none). What else would
-    /// change the answer goes to `revisit`. Asks, in this order: Retry-After, shutdown, circuit breaker,
-    /// bulkhead, rate limit.
+    /// When a route may take one more call: now, later, or only after some event (none). `revisit` is told
+    /// what else can change the answer. The rules apply in this order: Retry-After, shutdown, circuit
+    /// breaker, bulkhead, rate limit.
     pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, revisit: &mut Revisit) -> Option<Time> {
         let patience = self.patience(id);
         let free_slots = self.free_slots();
@@ -40,12 +39,12 @@
             }
         }
         if let Some(next_probe_at) = route.circuit.next_probe_at() {
-            // Probes that hang must not gather until they take the slots of healthy destinations.
+            // Unresponsive probes must not use up the slots of healthy destinations.
             let needed_slots = ((route.calls.len() + 1) as f64 / MAX_PROBES_OF_FREE_SLOTS).ceil() as usize;
             let is_free = route.calls.is_empty() || revisit.needs_slots(needed_slots, free_slots);
             return is_free.then_some(next_probe_at);
         }
-        // Bulkhead: no route has more calls in flight than slots are left for all others.
+        // Bulkhead: no route has more calls in flight than slots are free for all others.
         if !route.calls.is_empty() && !revisit.needs_slots(route.calls.len() + 1, free_slots) {
             return None;
         }
--- a/src/scheduler/shutdown.rs
+++ b/src/scheduler/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of this process: no call is begun that would most likely still be in flight then.
+//! The end of this process: no call is started that would most likely still be in flight then.
 
 use crate::model::Time;
 use serde::{Deserialize, Serialize};
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -1,8 +1,8 @@
 //! Which destination gets a free call slot, and with which message, route and endpoint.
 //!
 //! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
-//! best message is worth most for the time that it takes the slot. A destination is looked at only when
-//! something has changed there, or when its last look said so ([`Revisit`]).
+//! best message has the highest value for each second that it uses the slot. A destination is visited only
+//! when something has changed there, or when its last visit asked for it ([`Revisit`]).
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
@@ -13,8 +13,8 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest is for
-/// the call.
+/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
+/// time is needed for the call.
 const COST_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
 
 /// What may be sent to a destination now.
@@ -32,7 +32,7 @@
     value_per_sec: f64,
 }
 
-/// The cheapest route that is well and may take a call later.
+/// The cheapest healthy route that can take a call later, but not now.
 #[derive(Clone, Copy)]
 struct CheaperRoute {
     cost: f64,
@@ -41,12 +41,13 @@
 }
 
 impl Scheduler {
-    /// Call slots that are not taken.
+    /// Call slots that are free.
     pub(super) fn free_slots(&self) -> usize {
         self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
-    /// Starts calls until no slot is free or nothing may be sent; `next` gets the time of the next look.
+    /// Starts calls until no slot is free or nothing may be sent. `next` is moved to the time of the next
+    /// visit.
     pub(super) fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         if self.free_slots() == 0 {
             return;
@@ -64,7 +65,7 @@
             let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
             let Some(first) = first else { break };
             let destination = ready.swap_remove(first).destination;
-            // Slots were taken since it was found ready: what was free may not be so now.
+            // Other calls have started since it was found ready, so it may have to wait now.
             let Some(candidate) = self.look_at(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
@@ -91,7 +92,8 @@
         Some(ReadyDestination { destination, value_per_sec })
     }
 
-    /// What may be sent to a destination now. If nothing may, it isn't looked at again before that changes.
+    /// What may be sent to a destination now. If nothing may, it is not visited again before that can have
+    /// changed.
     fn look_at(
         &mut self,
         now: Time,
@@ -114,8 +116,8 @@
         candidate
     }
 
-    /// The best message of a destination that may be sent now, by the cheapest route that may take it; if
-    /// none, `revisit` gets the time when that may be.
+    /// The best message of a destination that may be sent now, by the cheapest route that can take it. If
+    /// there is none, `revisit` says when to try again.
     fn find_candidate(
         &mut self,
         now: Time,
@@ -138,7 +140,7 @@
             let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
             if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
                 if self.can_wait_for(&cheaper, destination, chosen.id) {
-                    // Which message is best, and so how long it may wait, changes from moment to moment.
+                    // The best message, and so how long it can wait, changes from moment to moment.
                     revisit.each_step = true;
                     earliest(&mut revisit.send_at, Some(cheaper.free_at));
                     continue;
@@ -159,7 +161,7 @@
         routes
     }
 
-    /// Messages a second that a route takes, unless it is recovering or has no endpoint that may be called.
+    /// Messages a second that a route can take; none if it is recovering or has no eligible endpoint.
     fn messages_per_sec_if_healthy(&mut self, now: Time, id: RouteId) -> Option<f64> {
         let calls_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get(&id)?;
@@ -167,8 +169,8 @@
         is_healthy.then_some(calls_per_sec * route.batch_size as f64)
     }
 
-    /// Whether a message can wait for a cheaper route: only if all that waits can go that way in time. Else
-    /// what a dearer route could take now would be lost.
+    /// Whether a message can wait for a cheaper route. Only if that route can deliver the whole queue in
+    /// time: otherwise the capacity of the more expensive route would be wasted.
     fn can_wait_for(&self, cheaper: &CheaperRoute, destination: DestinationId, message: MessageId) -> bool {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
         let queue_secs = waiting_messages / cheaper.messages_per_sec.max(0.001);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start of a destination that is back after an outage, and the budget that keeps it from being
 //! overloaded.
 //!
-//! A recovering destination can do only a part of its capacity, and fails again if it gets more than a
-//! multiple of that for the overload window. Half-open probes, slow starts and the lowest rate after
-//! rejections share one budget.
+//! A recovering destination has only a part of its capacity, and fails again if it gets more than a multiple
+//! of that during the overload window. Half-open probes, slow starts and the lowest rate after rejections
+//! share one budget.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
 use super::traffic::Traffic;
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Part of the budget that is used: rejected calls, batches and chance need the rest.
+/// Ratio of the budget that is used; the rest is a margin for rejected calls, batches and random variation.
 const USED_BUDGET_RATIO: f64 = 0.8;
 
-/// The slow start of a route, while one runs.
+/// The slow start of a route, if one is active.
 #[derive(Default, Serialize, Deserialize)]
 pub struct SlowStart {
     /// May lie in the future, where the destination said when it is back.
@@ -22,44 +22,44 @@
 }
 
 impl SlowStart {
-    /// One begins at this time.
+    /// Begins one at this time.
     pub fn begin(&mut self, at: Time) {
         self.since = Some(at);
     }
 
-    /// None runs any more, as the destination is out again.
+    /// Cancels it, as the destination is unavailable again.
     pub fn cancel(&mut self) {
         self.since = None;
     }
 
-    /// Goes on with one that began before a restart.
+    /// Continues one that began before a restart.
     pub fn restore(&mut self, since: Option<Time>) {
         self.since = since;
     }
 
-    /// When the one that runs began.
+    /// When it began, if one is active.
     pub fn since(&self) -> Option<Time> {
         self.since
     }
 
-    /// Whether one runs.
+    /// Whether one is active.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
-    /// When the one that runs ends.
+    /// When it ends, if one is active.
     pub fn ends_at(&self, settings: &Settings) -> Option<Time> {
         let length = Duration::from_secs_f64(warm_up_secs(settings));
         self.since.map(|since| since + length)
     }
 
-    /// How far the one that runs has got, from 0 to 1; none where none runs or it has run out.
+    /// Its progress from 0 to 1; none if none is active or its time has run out.
     pub fn warmth(&self, now: Time, settings: &Settings) -> Option<f64> {
         let warmth = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
         (warmth < 1.0).then_some(warmth)
     }
 
-    /// Ends one that has run out; says whether it did.
+    /// Ends it if its time has run out. Returns whether it did.
     pub fn finish_if_warm(&mut self, now: Time, settings: &Settings) -> bool {
         let is_over = self.since.is_some() && self.warmth(now, settings).is_none();
         if is_over {
@@ -71,9 +71,8 @@
 
 /// This gateway's share of what a recovering destination may get, in calls a second.
 ///
-/// `limit_per_sec` is what the destination takes from all gateways when it is well, `warmth` runs from 0 to 1
-/// over a slow start. The share goes by what this gateway sends there in ordinary times, and is at least an
-/// even one.
+/// `limit_per_sec` is what the healthy destination takes from all gateways; `warmth` runs from 0 to 1 over a
+/// slow start. The share follows what this gateway ordinarily sends there, and is at least an even share.
 pub fn overload_budget_per_sec(
     settings: &Settings,
     now: Time,
@@ -81,8 +80,8 @@
     limit_per_sec: f64,
     warmth: f64,
 ) -> f64 {
-    // A gateway with low traffic gets one call a deadline, lest its messages run out unsent. Gateways are few
-    // that have low traffic and messages for one destination at the same time.
+    // A gateway with low traffic may send one call in each deadline, as its messages would run out unsent
+    // otherwise. Few gateways have low traffic and messages for the same destination at the same time.
     let least_per_sec =
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
     let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -107,9 +107,9 @@
     /// Destinations that are not visited before one of the four above asks for it or something happens to
     /// them, with their entries in the two sets of slots.
     parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
-    /// When the oldest call of a route that is not stalled yet becomes so.
+    /// When the oldest responsive call of a route becomes unresponsive.
     pub silence_checks: DueQueue<RouteId>,
-    /// Calls that are stalled and were not cancelled, the oldest first.
+    /// Calls that are unresponsive and were not cancelled, the oldest first.
     pub unresponsive_calls: BTreeSet<CallId>,
     /// Endpoints that are removed from the list and kept while they have calls in flight.
     pub removed_endpoints: BTreeSet<EndpointId>,
--- a/src/scheduler/state/value_decay.rs
+++ b/src/scheduler/state/value_decay.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Class, Decay};
 
-/// Stages of the value of a message: on time, late, at its least, past its deadline.
+/// Stages of the value of a message: on time, late, at its minimum, past its deadline.
 pub const VALUE_STAGES: usize = 4;
 
 /// What is left of the value of a message at some age.
--- a/src/scheduler/traffic.rs
+++ b/src/scheduler/traffic.rs
@@ -1,7 +1,7 @@
 //! How much this gateway sends a route in ordinary times.
 //!
-//! What was served there before an outage adds up, over all gateways, to what the destination can do, however
-//! many messages wait. Both rates are taken over about the length of a slow start.
+//! The calls that were served there before an outage add up, over all gateways, to what the destination can
+//! do, whatever the number of waiting messages. Both rates are taken over the length of a slow start.
 
 use super::derived_settings::warm_up_secs;
 use super::state::decaying_rate::DecayingRate;
@@ -19,13 +19,12 @@
 pub struct Traffic {
     demand: DecayingRate,
     served: DecayingRate,
-    /// Calls served a second as of the last success, that one left out; doesn't fall during an outage or
-    /// recovery.
+    /// Calls served a second before the last success. Does not fall while the route recovers.
     baseline_per_sec: f64,
 }
 
 impl Traffic {
-    /// A message for the route was accepted, or rejected for want of capacity here.
+    /// A message for the route was accepted, or was rejected because this gateway was nearly full.
     pub fn record_demand(&mut self, now: Time, settings: &Settings) {
         self.demand.record(now, warm_up_secs(settings));
     }
@@ -43,7 +42,7 @@
         self.demand.per_sec(now, warm_up_secs(settings))
     }
 
-    /// What this gateway would send now if the destination were well, in calls a second.
+    /// What this gateway would send now to the healthy destination, in calls a second.
     pub fn expected_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
         let most_per_sec = self.baseline_per_sec * MAX_DEMAND_OF_BASELINE;
         self.demand_per_sec(now, settings).clamp(self.baseline_per_sec, most_per_sec)
@@ -59,7 +58,7 @@
         self.baseline_per_sec
     }
 
-    /// Takes the baseline from before a restart.
+    /// Restores the baseline after a restart.
     pub fn restore_baseline(&mut self, baseline_per_sec: f64) {
         self.baseline_per_sec = baseline_per_sec;
     }
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -1,5 +1,5 @@
-//! Calls that are silent for too long: each counts as a loss for the reuse of connections, and when all slots
-//! are taken while messages wait, the oldest one is cancelled.
+//! Calls without a response for too long. Each counts as a loss for the reuse of connections. When messages
+//! wait and no slot is free, the oldest one is cancelled.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -12,8 +12,8 @@
 const PATIENCE_IN_LATENCIES: f64 = 3.0;
 /// ... but not before this ratio of the shortest latency objective: short pauses of an endpoint are ordinary.
 const MIN_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
-/// A call with a message that isn't idempotent gets so many times that patience before it is cancelled, as
-/// the message is lost then.
+/// A call with a message that is not idempotent gets this multiple of that patience before it is cancelled,
+/// as the message is lost with it.
 const PATIENCE_MULTIPLE_NON_IDEMPOTENT: u32 = 2;
 
 impl Scheduler {
@@ -40,8 +40,8 @@
         self.ready_index.silence_checks.first()
     }
 
-    /// Sets when the oldest call of a route that isn't unresponsive yet will be: they get so in the order
-    /// sent.
+    /// Schedules the time at which the oldest responsive call of a route becomes unresponsive. Calls become
+    /// so in the order in which they were sent.
     pub(super) fn schedule_silence_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.patience(id));
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -60,7 +60,7 @@
             .min(MAX_REJECTION_DELAY_PER_GATEWAY)
             .mul_f64(fleet_size(settings));
         let delay = if longest > MAX_REJECTION_DELAY {
-            // All gateways have grown to this bound: they spread over its second half.
+            // All gateways reach this bound together: they spread over its second half.
             MAX_REJECTION_DELAY.mul_f64(0.5 + 0.5 * chance)
         } else {
             longest.mul_f64(chance)
