--- a/fault-shim/faults.rs
+++ b/fault-shim/faults.rs
@@ -52,7 +52,7 @@
     }
     let errors: Vec<i32> = entry.errors().into_iter().filter(|error| *error != 0).collect();
     let error = *errors.get((drawn >> 32) as usize % errors.len().max(1))?;
-    entry.hits().fetch_add(1, Ordering::SeqCst);
+    entry.failures().fetch_add(1, Ordering::SeqCst);
     Some(InjectedFault::from(error))
 }
 
--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -98,7 +98,7 @@
     }
 
     /// Calls that failed since the page was created.
-    pub fn hits(&self) -> &AtomicU32 {
+    pub fn failures(&self) -> &AtomicU32 {
         self.word(FAILURES_WORD)
     }
 
