--- a/src/bin/delivery-gateway/config.rs
+++ b/src/bin/delivery-gateway/config.rs
@@ -2,7 +2,7 @@
 //! use. The file's keys are mapped to the program's terms here, once.
 
 use delivery_gateway::discovery::DiscoveryUpdate;
-use delivery_gateway::socket::persistently;
+use delivery_gateway::socket::retry_transient;
 use delivery_gateway::{settings_from_json, ParsedSettings};
 use serde::Deserialize;
 use std::ffi::OsString;
@@ -74,7 +74,7 @@
     /// # Errors
     /// The file cannot be read, or is not of this form.
     pub async fn read(path: &Path) -> Result<Self, StartError> {
-        persistently("reading the configuration", || async {
+        retry_transient("reading the configuration", || async {
             let text = std::fs::read(path)
                 .map_err(|source| StartError::ReadConfig { path: path.to_owned(), source })?;
             serde_json::from_slice(&text)
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -2,7 +2,7 @@
 //! end or another process has taken over.
 
 use delivery_gateway::discovery::{AgentAddress, DiscoveryUpdate, EndpointWatch};
-use delivery_gateway::socket::persistently;
+use delivery_gateway::socket::retry_transient;
 use delivery_gateway::ParsedSettings;
 use std::io;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
 impl EventLoopPlan {
     async fn make(&self) -> Result<EventLoop, StartError> {
         let open = || async { Ok::<_, StartError>(Journal::open(&self.state_folder, self.disk_bytes)?) };
-        let journal = persistently("opening the journal", open).await?;
+        let journal = retry_transient("opening the journal", open).await?;
         let channels = self.channels.clone();
         Ok(EventLoop::new(self.parsed.clone(), self.seed, journal, self.endpoint_sockets, channels))
     }
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -2,7 +2,7 @@
 //! has ended.
 
 use bytes::Bytes;
-use delivery_gateway::socket::is_momentary;
+use delivery_gateway::socket::is_transient;
 use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
 use std::collections::HashMap;
 use std::fs::{File, TryLockError};
@@ -59,7 +59,7 @@
         match lock.try_lock() {
             Ok(()) => return Ok(None),
             Err(TryLockError::WouldBlock) => {}
-            Err(TryLockError::Error(error)) if is_momentary(&error) => {
+            Err(TryLockError::Error(error)) if is_transient(&error) => {
                 sleep(RETRY_DELAY).await;
                 continue;
             }
@@ -180,8 +180,8 @@
                 stream,
                 buffer: buffer.clone(),
                 served,
-                left,
-                waited: Duration::ZERO,
+                time_left: left,
+                unread_for: Duration::ZERO,
             }),
             Err(error) => warn!(%error, "cannot adopt a client connection of the previous process: closed"),
         }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -24,7 +24,7 @@
 mod signals;
 mod start_error;
 
-use delivery_gateway::socket::persistently_blocking;
+use delivery_gateway::socket::retry_transient_blocking;
 use delivery_gateway::Settings;
 use std::io;
 use std::process::ExitCode;
@@ -54,9 +54,9 @@
 
 /// The signals first: without a handler a signal would end the process.
 fn prepare_process() -> io::Result<(Handlers, Runtime)> {
-    let handlers = persistently_blocking("handling signals", Handlers::install)?;
+    let handlers = retry_transient_blocking("handling signals", Handlers::install)?;
     let build = || Builder::new_current_thread().enable_all().build();
-    let runtime = persistently_blocking("making the event loop", build)?;
+    let runtime = retry_transient_blocking("making the event loop", build)?;
     Ok((handlers, runtime))
 }
 
--- a/src/bin/delivery-gateway/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-use delivery_gateway::socket::{not_now, persistently, try_transfer, Transfer};
+use delivery_gateway::socket::{memory_backoff, retry_transient, try_transfer, Transfer};
 
 /// How often the flags are read even if no write to the pipe arrives.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_secs(1);
@@ -59,7 +59,7 @@
     /// The pipe cannot be registered with the runtime.
     pub async fn listen(self) -> io::Result<Signals> {
         let Handlers { hang_up, terminate, wakeups } = self;
-        let wakeups = persistently("waiting for signals", || async {
+        let wakeups = retry_transient("waiting for signals", || async {
             let wakeups = wakeups.try_clone()?;
             UnixStream::from_std(wakeups)
         })
@@ -84,9 +84,9 @@
     loop {
         match try_transfer(|| wakeups.try_read(&mut bytes)) {
             Ok(Transfer::Bytes(1..)) => {}
-            Ok(Transfer::Nothing) => return,
+            Ok(Transfer::WouldBlock) => return,
             // What stays unread would wake the task again at once.
-            Ok(Transfer::Bytes(0) | Transfer::NotNow) | Err(_) => return not_now().await,
+            Ok(Transfer::Bytes(0) | Transfer::OutOfMemory) | Err(_) => return memory_backoff().await,
         }
     }
 }
