--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -43,13 +43,13 @@
     ) -> CallResult {
         let started = Instant::now();
         let deadline = started + call.attempt_timeout;
-        let mut attempt = Attempt { pool: self, call, stop, sent, started, deadline };
+        let mut ongoing = OngoingCall { pool: self, call, stop, sent, started, deadline };
         loop {
-            let acquired = match attempt.connect(&too_late).await {
+            let acquired = match ongoing.connect(&too_late).await {
                 Ok(acquired) => acquired,
-                Err(outcome) => return attempt.result(outcome),
+                Err(outcome) => return ongoing.result(outcome),
             };
-            if let ControlFlow::Break(result) = attempt.send(acquired).await {
+            if let ControlFlow::Break(result) = ongoing.send(acquired).await {
                 return result;
             }
         }
@@ -57,7 +57,7 @@
 }
 
 /// A call that is being made.
-struct Attempt<'a> {
+struct OngoingCall<'a> {
     pool: &'a Rc<Pool>,
     call: &'a mut Call,
     stop: oneshot::Receiver<StopReason>,
@@ -82,7 +82,7 @@
     Stopped(Option<StopReason>),
 }
 
-impl Attempt<'_> {
+impl OngoingCall<'_> {
     /// Waits for a connection, and meanwhile removes messages from the call that may not be sent any more.
     async fn connect(
         &mut self,
