--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -53,7 +53,7 @@
     let mut retried = false;
     while !(failed && retried) {
         match world.call_or_notice() {
-            Seen::Notice(line) => {
+            Seen::Notification(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
                 failed = true;
             }
