--- /dev/null
+++ b/tests/scheduler_guarantees/main.rs
@@ -0,0 +1,9 @@
+//! Guarantees of the scheduler that hold for a whole fleet or over restarts. They are tested on the scheduler alone,
+//! without sockets and with a simulated clock.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod fleet_recovery;
+mod idempotency_window;
+mod restart;
+mod watch;
--- /dev/null
+++ b/tests/scheduler_guarantees/restart.rs
@@ -0,0 +1,107 @@
+//! What a restart does with messages that were accepted and never attempted.
+
+use super::common::*;
+use delivery_gateway::*;
+use std::time::Duration;
+
+const DESTINATIONS: u16 = 40;
+/// Every so many destinations, one has an open circuit.
+const OPEN_CIRCUIT_EVERY: usize = 4;
+/// Classes of messages, one of each kind of idempotency.
+const CLASSES: u32 = 3;
+/// How long a call takes.
+const LATENCY: Duration = Duration::from_millis(40);
+
+/// What became of the restored messages in the time that they had left.
+struct Outcomes {
+    attempted: usize,
+    /// Messages that were given up without an attempt, by class.
+    given_up: [u32; CLASSES as usize],
+}
+
+/// Restores open circuits for a part of the destinations.
+fn restore_circuits(bench: &mut Bench) {
+    for destination in (1..=u32::from(DESTINATIONS)).step_by(OPEN_CIRCUIT_EVERY) {
+        bench.tell(Event::CircuitRestored(CircuitRecord {
+            destination: DestinationId(destination),
+            endpoint: None,
+            last_success_at: bench.now - Duration::from_secs(5),
+            failure_score: 6,
+            calls_lost: Some(true),
+            slow_start_since: None,
+            baseline_rate: 0.3,
+        }));
+    }
+}
+
+/// Restores messages that were never attempted, of all classes and destinations in turn.
+fn restore_messages(bench: &mut Bench, count: u32, time_left: Duration) {
+    let classes = bench.settings.classes.clone();
+    for id in 0..count {
+        let class = ClassId((id % CLASSES) as u8);
+        let rules = &classes[usize::from(class.0)];
+        let destination = (id % u32::from(DESTINATIONS) + 1) as u16;
+        let message = AcceptedMessage {
+            deadline: bench.now + time_left,
+            ..accepted(bench.now, id, (class, rules), destination, None)
+        };
+        bench.tell(Event::MessageRestored(RestoredMessage {
+            message,
+            attempts: 0,
+            first_uncertain_attempt: None,
+            outcome_recorded: false,
+        }));
+    }
+}
+
+/// Delivers all that is sent until the messages' deadline.
+fn run_until(bench: &mut Bench, deadline: Time, messages: u32) -> Outcomes {
+    let mut attempted = vec![false; messages as usize];
+    let mut given_up = [0; CLASSES as usize];
+    while bench.now < deadline {
+        for action in bench.decide() {
+            match action {
+                Action::StartAttempt { message, endpoint, .. } => {
+                    attempted[message.0 as usize] = true;
+                    bench.finish(message.0, endpoint.0, AttemptOutcome::Delivered, LATENCY);
+                }
+                Action::Reject { message, .. } | Action::ReportFailure { message }
+                    if !attempted[message.0 as usize] =>
+                {
+                    given_up[(message.0 % CLASSES) as usize] += 1;
+                }
+                _ => {}
+            }
+        }
+        bench.now = bench.now + ms(5);
+    }
+    Outcomes { attempted: attempted.into_iter().filter(|attempted| *attempted).count(), given_up }
+}
+
+/// Messages that a restart finds unattempted, with half of their time left, are attempted and not given up early: of
+/// each class, with open circuits at many destinations, and as many messages as may be pending.
+#[test]
+fn unattempted_messages_are_attempted_after_a_restart() {
+    let classes = vec![keyed(), unsafe_class(), safe()];
+    let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
+    // Ten messages for each destination, and a small part of its rate for them all: 1.3 calls a second, for 10 s.
+    let listed = |number: u16| Endpoint { weight: 400.0, ..endpoint(u32::from(number), number) };
+    let endpoints: Vec<Endpoint> = (1..=DESTINATIONS).map(listed).collect();
+    let all = settings.max_pending_messages as u32;
+    let time_left = settings.classes[0].deadline / 2;
+    for seed in 1..=5 {
+        let mut bench = Bench::new(settings.clone(), endpoints.clone());
+        bench.restart(settings.clone(), seed, endpoints.clone());
+        restore_circuits(&mut bench);
+        restore_messages(&mut bench, all, time_left);
+        let deadline = bench.now + time_left;
+        let Outcomes { attempted, given_up } = run_until(&mut bench, deadline, all);
+        // Load shedding down to what may be pending takes a tenth at most.
+        assert!(
+            given_up.iter().all(|given_up| given_up * 10 <= all / 3),
+            "seed {seed}: {given_up:?} of {} each given up",
+            all / 3
+        );
+        assert!(attempted as u32 * 2 > all, "seed {seed}: {attempted} of {all} attempted");
+    }
+}
--- /dev/null
+++ b/tests/scheduler_guarantees/watch.rs
@@ -0,0 +1,82 @@
+//! How soon the watch on the endpoint list is established again: gateways must know of a change of the list before it
+//! counts as announced.
+
+use super::common::*;
+use delivery_gateway::*;
+use std::time::Duration;
+
+/// A change of the list counts as announced so long after discovery had it and could be reached.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
+/// Gateways in fleets from very small to the largest expected.
+const FLEET_SIZES: [u32; 4] = [3, 30, 300, 6_900];
+/// Steps of the simulated clock.
+const STEP: Duration = Duration::from_millis(20);
+
+/// Time from the last of so many failures in a row to the next watch request; one step more than
+/// [`ANNOUNCED_AFTER`] at most if there is none until then.
+fn delay_after(failures: u32, fleet_size: u32, seed: u64, failure: &EndpointUpdate) -> Duration {
+    let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+    let start = Time::ZERO + Duration::from_secs(100);
+    (0..failures).for_each(|_| scheduler.handle(start, Event::EndpointsUpdated(failure.clone())));
+    let mut actions = Vec::new();
+    let mut delay = Duration::ZERO;
+    while delay <= ANNOUNCED_AFTER {
+        scheduler.decide(start + delay, &mut actions);
+        if actions.contains(&Action::WatchEndpoints { active: true }) {
+            return delay;
+        }
+        delay += STEP;
+    }
+    delay
+}
+
+/// Backoff after rejected watch requests is limited: the next one is made before a change can count as announced,
+/// however often the watch was rejected and however large the fleet is.
+#[test]
+fn a_rejected_watch_is_retried_before_a_change_counts_as_announced() {
+    let mut late = Vec::new();
+    for fleet_size in FLEET_SIZES {
+        for rejections in [1, 2, 4, 12] {
+            let delays = (1..=20)
+                .map(|seed| delay_after(rejections, fleet_size, seed, &EndpointUpdate::WatchRejected));
+            let count = delays.filter(|delay| *delay > ANNOUNCED_AFTER).count();
+            if count > 0 {
+                late.push(format!(
+                    "{fleet_size} gateways, rejection {rejections}: {count} of 20 retry later"
+                ));
+            }
+        }
+    }
+    assert!(late.is_empty(), "{late:#?}");
+}
+
+/// A watch that failed, even one given up after all the time that discovery may take to respond, is requested again in
+/// time in every fleet.
+#[test]
+fn a_failed_watch_is_retried_before_a_change_counts_as_announced() {
+    for fleet_size in FLEET_SIZES {
+        for failures in [1, 2, 12] {
+            for seed in 1..=5 {
+                let delay = delay_after(failures, fleet_size, seed, &EndpointUpdate::WatchFailed);
+                assert!(
+                    WATCH_RESPONSE_TIMEOUT + delay <= ANNOUNCED_AFTER,
+                    "{fleet_size} gateways, failure {failures}: {delay:?} after {WATCH_RESPONSE_TIMEOUT:?}"
+                );
+            }
+        }
+    }
+}
+
+/// Changes that discovery announced before a process started apply to it from its first moment: the first watch request
+/// leaves half of the time in which calls to draining endpoints must stop.
+#[test]
+fn the_first_watch_is_in_time_in_every_fleet_size() {
+    let drain_grace = Settings::default().limits.drain_grace;
+    for fleet_size in FLEET_SIZES {
+        for seed in 0..500 {
+            let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+            let first = scheduler.initial_watch_delay();
+            assert!(first <= drain_grace / 2, "{fleet_size} gateways, seed {seed}: {first:?}");
+        }
+    }
+}
