--- /dev/null
+++ b/src/socket/retry.rs
@@ -0,0 +1,90 @@
+//! Retries system calls for as long as their errors are transient.
+
+use std::future::Future;
+use std::io::{self, ErrorKind};
+use std::thread;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+use tracing::warn;
+
+use super::errors::{is_transient, AsIoError};
+use super::RETRY_DELAY;
+
+/// How long transient errors are retried before the operation fails.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Retries a system call for as long as signals interrupt it.
+///
+/// # Errors
+/// Any error of the call but an interruption.
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    loop {
+        match call() {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
+}
+
+/// Retries of one operation, for as long as its errors are [transient](is_transient).
+struct TransientRetries<'a> {
+    operation: &'a str,
+    deadline: Instant,
+    is_logged: bool,
+}
+
+impl<'a> TransientRetries<'a> {
+    fn new(operation: &'a str) -> Self {
+        TransientRetries { operation, deadline: Instant::now() + RETRY_TIMEOUT, is_logged: false }
+    }
+
+    /// Whether to retry after this error. The first one is logged.
+    fn should_retry(&mut self, error: &io::Error) -> bool {
+        let retries = is_transient(error) && Instant::now() < self.deadline;
+        if retries && !self.is_logged {
+            warn!(%error, operation = self.operation, "transient system error; retrying");
+            self.is_logged = true;
+        }
+        retries
+    }
+}
+
+/// Retries an operation for as long as its errors are [transient](is_transient), for 20 s at most. `operation` names it
+/// in the log.
+///
+/// # Errors
+/// The first error that is not transient, or the last one after 20 s.
+pub async fn retry_transient<T, E, F>(operation: &str, mut call: impl FnMut() -> F) -> Result<T, E>
+where
+    E: AsIoError,
+    F: Future<Output = Result<T, E>>,
+{
+    let mut retries = TransientRetries::new(operation);
+    loop {
+        match call().await {
+            Err(error) if error.as_io_error().is_some_and(|error| retries.should_retry(error)) => {
+                sleep(RETRY_DELAY).await
+            }
+            result => return result,
+        }
+    }
+}
+
+/// Does the same as [`retry_transient`] where no event loop runs: this thread waits.
+///
+/// # Errors
+/// The first error that is not transient, or the last one after 20 s.
+pub fn retry_transient_blocking<T, E: AsIoError>(
+    operation: &str,
+    mut call: impl FnMut() -> Result<T, E>,
+) -> Result<T, E> {
+    let mut retries = TransientRetries::new(operation);
+    loop {
+        match call() {
+            Err(error) if error.as_io_error().is_some_and(|error| retries.should_retry(error)) => {
+                thread::sleep(RETRY_DELAY)
+            }
+            result => return result,
+        }
+    }
+}
--- /dev/null
+++ b/src/socket/stream.rs
@@ -0,0 +1,84 @@
+//! TCP connections: opening one, and one for libraries that do their own reading and writing.
+
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, Instant};
+use tracing::debug;
+
+use super::errors::is_transient;
+use super::transfer::{poll_read, poll_write};
+use super::RETRY_DELAY;
+
+/// How long transient errors of a connect are retried before it fails.
+const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Connects, and has small writes sent at once. Transient errors are retried for 250 ms.
+///
+/// # Errors
+/// The peer refuses or cannot be reached, or the last transient error after 250 ms.
+pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let retry_until = Instant::now() + CONNECT_RETRY_TIMEOUT;
+    loop {
+        match TcpStream::connect(address).await {
+            Ok(stream) => {
+                disable_nagle(&stream);
+                return Ok(stream);
+            }
+            Err(error) if is_transient(&error) && Instant::now() + RETRY_DELAY < retry_until => {
+                sleep(RETRY_DELAY).await
+            }
+            Err(error) => return Err(error),
+        }
+    }
+}
+
+/// Has small writes sent at once. Failure is logged only: the connection works without it.
+pub fn disable_nagle(stream: &TcpStream) {
+    if let Err(error) = stream.set_nodelay(true) {
+        debug!(%error, "cannot disable Nagle's algorithm; small writes may be delayed");
+    }
+}
+
+/// A connection for libraries that do their own reading and writing; interruptions and short transfers are hidden from
+/// them.
+#[derive(Debug)]
+pub struct RetryingStream(pub TcpStream);
+
+impl AsyncRead for RetryingStream {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let count = ready!(poll_read(&self.0, cx, buf.initialize_unfilled()))?;
+        buf.advance(count);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for RetryingStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+        poll_write(&self.0, cx, |stream| stream.try_write(buf))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        poll_write(&self.0, cx, |stream| stream.try_write_vectored(bufs))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(cx)
+    }
+}
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -151,7 +151,7 @@
                 unsent.retain(|id| *id != call.id);
                 call.answer("200 OK", "");
             }
-            Seen::Notice(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
+            Seen::Notification(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
         }
     }
 }
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -66,7 +66,8 @@
         assert!(latest <= window_end, "{case}: may be sent {:?} late", latest - window_end);
         self.attempts += 1;
         self.resent += 1;
-        let outcome = if self.seed % 2 == 0 { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
+        let outcome =
+            if self.seed.is_multiple_of(2) { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
         self.bench.tell(Event::AttemptFinished(FinishedAttempt {
             message: MESSAGE,
             endpoint: ENDPOINT,
