--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,7 +1,7 @@
 //! Keeps the state and its indexes in step: what a change affects, and what can be forgotten.
 
 use super::route::Route;
-use super::state::queue::Standing;
+use super::state::queue::{Lane, Standing};
 use super::state::ready_index::ReadyIndex;
 use super::state::{Message, RouteId};
 use super::{Deadline, Scheduler};
@@ -30,7 +30,7 @@
             return Standing::Individual;
         }
         Standing::Grouped {
-            lane: (message.accepted.class, message.over_quota),
+            lane: Lane { class: message.accepted.class, over_quota: message.over_quota },
             enqueued_at: message.enqueued_at,
             not_before: message.not_before,
         }
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -95,7 +95,7 @@
             |id| self.messages.get(&id).map_or(Standing::InFlight, |message| self.standing(message));
         let index = queue.take_index(standing);
         let best = index.map(|mut index| {
-            let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
+            let class = |lane: Lane| &self.settings.classes[usize::from(lane.class.0)];
             let stage = |lane: Lane, enqueued_at: Time| {
                 let age_secs = (now - enqueued_at).as_secs_f64();
                 let objective_secs = class(lane).latency_objective.as_secs_f64();
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -24,9 +24,14 @@
 /// Position of a message in its queue; grows from message to message.
 pub type Seq = u64;
 
-/// Messages that differ in nothing but their age: their class, and whether they are beyond their tenant's
-/// quota.
-pub type Lane = (ClassId, bool);
+/// Messages that differ in nothing but their age.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Lane {
+    /// Their class.
+    pub class: ClassId,
+    /// Whether they are beyond their tenant's quota.
+    pub over_quota: bool,
+}
 
 /// State of a message in its queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -6,7 +6,7 @@
 //! `same_decisions.rs` plays the same histories to both and compares.
 //!
 //! `scheduler.rs` and `state.rs` are copies. They are not to be made faster or tidier. A decision that is changed on
-//! purpose in `src/scheduler/mod.rs` is changed here by the same lines, in the same commit, in the form that looks through
+//! purpose in `src/scheduler/` is changed here by the same lines, in the same commit, in the form that looks through
 //! everything; a difference that the test shows without such a purpose is a fault of the product. The types of
 //! `interface.rs` are the product's own. `reached` counts which branches the histories took, and decides nothing.
 
