--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -76,7 +76,7 @@
     let call = world.call();
     let responded_at = Instant::now();
     call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
-    gateway.log_until("told to wait");
+    gateway.log_until("Retry-After received");
     assert_eq!(gateway.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
@@ -125,8 +125,8 @@
     world.nothing();
 }
 
-/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and what
-/// it still responds delivers nothing. The others are retried under their keys.
+/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and
+/// what it still responds delivers nothing. The others are retried under their keys.
 #[test]
 fn a_batch_times_out_with_its_first_message_to_expire() {
     let world = one_slot();
