--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are spoilt, or bring more than belongs to them, and endpoints that come and go, over loopback
+//! Responses that are malformed or longer than announced, and endpoints that are added and removed, over loopback
 //! sockets.
 
 mod world;
@@ -9,12 +9,12 @@
 
 const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A first line that says 200 is true, whatever is wrong behind it; the connection is of no further use.
+/// A status line with 200 means delivered, whatever is wrong behind it; the connection is not reused.
 #[test]
-fn a_first_line_with_200_delivers() {
+fn a_status_line_with_200_delivers() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let mut used = Vec::new();
     for (number, answer) in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nhello",
@@ -36,12 +36,12 @@
     world.nothing();
 }
 
-/// What cannot be read may have run: an unsafe message fails, soon, and is not sent again. That it never ran is
-/// believed only of a whole answer.
+/// A malformed response may have been processed: a non-idempotent message fails soon, and is not sent again. Only a
+/// complete response proves that a call was not processed.
 #[test]
-fn a_spoilt_answer_may_have_run() {
+fn a_malformed_response_may_have_been_processed() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
+    let gateway = world.start();
     let endless = format!("HTTP/1.1 503 Busy\r\nX-Endless: {}", "x".repeat(100_000));
     for (number, answer) in [
         "\u{0}\u{7}noise\u{1}",
@@ -54,8 +54,8 @@
     .enumerate()
     {
         let id = format!("s{number}");
-        assert_eq!(courier.client().enqueue(&id, "0", "salary", 1, b"x"), "+OK");
-        // After the first ones the courier waits before it risks the next.
+        assert_eq!(gateway.client().enqueue(&id, "0", "salary", 1, b"x"), "+OK");
+        // After the first ones the gateway waits before it sends the next.
         let call = world.call();
         let begun = Instant::now();
         call.raw(answer.as_bytes());
@@ -65,13 +65,13 @@
     world.no_call();
 }
 
-/// A new connection that is refused as one too many: its message goes again, and from then on each call closes the
-/// connection that it opened, as the endpoint could not take others.
+/// A new connection is rejected as one too many: its message is retried, and from then on each call closes the
+/// connection that it opened, as the endpoint could not accept others.
 #[test]
-fn where_connections_are_too_many_none_is_kept() {
+fn no_connection_is_kept_where_there_are_too_many() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("c1", "0", "salary", 1, b"x"), "+OK");
     world.call().raw(b"HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     for (number, id) in ["c1", "c2", "c3"].iter().enumerate() {
@@ -88,12 +88,12 @@
     world.nothing();
 }
 
-/// A second answer right behind one is no answer to the next call, whether it comes with the first one, ...
+/// A second response right behind one does not answer the next call, whether it arrives with the first one, ...
 #[test]
-fn bytes_behind_an_answer_answer_nothing() {
+fn bytes_after_a_response_answer_no_call() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let twice = [WHOLE, WHOLE].concat();
     for number in 0..30 {
         assert_eq!(client.enqueue(&format!("b{number}"), "0", "salary", 1, b"x"), "+OK");
@@ -104,21 +104,21 @@
     world.nothing();
 }
 
-/// ... or while the next call is on its way: the courier finds both at once.
+/// ... or while the next call is on its way: the gateway finds both at once.
 #[test]
-fn bytes_that_race_with_the_next_call_answer_nothing() {
+fn bytes_that_race_with_the_next_call_answer_no_call() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     for number in 0..10 {
         assert_eq!(client.enqueue(&format!("r{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
         assert_eq!(call.id, format!("r{number}"));
         let mut stream = call.stream();
         call.answer("200 OK", "");
-        // Answered after the delivery is known, so that the connection is idle.
+        // Answered after the delivery is recorded, so that the connection is idle.
         assert_eq!(client.ask(&["PING"]), "+PONG");
-        courier.while_stopped(|| {
+        gateway.while_stopped(|| {
             client.begin_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
             let _ = stream.write_all(WHOLE);
         });
@@ -130,19 +130,19 @@
     world.nothing();
 }
 
-/// Bytes that come a moment after an answer could not be told from the next one if the next call had gone out by
-/// then: a connection rests for 5 ms before it is used again.
+/// Bytes that arrive a moment after a response could not be told from the next response if the next call had been sent
+/// by then: a connection pauses for 5 ms before it is reused.
 #[test]
-fn a_connection_rests_between_two_calls() {
+fn a_connection_pauses_between_two_calls() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("m0", "0", "salary", 1, b"x"), "+OK");
     let mut call = world.call();
     for number in 1..10 {
         let (connection, answered) = (call.connection(), Instant::now());
         call.answer("200 OK", "");
-        // The connection is idle, or will be in a moment; only one that is used again has to rest.
+        // The connection is idle, or will be in a moment; only one that is reused has to pause.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
         call = world.call();
         let rested = answered.elapsed();
@@ -152,12 +152,12 @@
     world.nothing();
 }
 
-/// Interim answers are passed over, and the connection is kept; without end they are no answer.
+/// Interim responses are skipped, and the connection is kept; an endless series of them is no response.
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let hint = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     assert_eq!(client.enqueue("e1", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
@@ -171,15 +171,15 @@
     assert_eq!(world.notice(), r#"{"id":"e2","state":"failed"}"#);
 }
 
-/// Connections belong to an endpoint, not to its address: a new endpoint at the address of one that is gone gets
-/// its own, and keeps them when the list changes again.
+/// Connections belong to an endpoint, not to its address: a new endpoint at the address of a removed one gets its own,
+/// and keeps them when the endpoint list changes again.
 #[test]
-fn an_address_used_again_gets_connections_of_its_own() {
+fn a_reused_address_gets_connections_of_its_own() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     world.remove(1);
-    courier.log_until("endpoint list updated");
+    gateway.log_until("endpoint list updated");
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -190,26 +190,26 @@
     };
     let old = deliver("a1");
     world.replace(0, 0, 1);
-    courier.log_times("endpoint list updated", 2);
+    gateway.log_times("endpoint list updated", 2);
     let new = deliver("a2");
     assert_ne!(new, old);
     world.remove(1);
-    courier.log_times("endpoint list updated", 3);
+    gateway.log_times("endpoint list updated", 3);
     assert_eq!(deliver("a3"), new);
 }
 
-/// Endpoints that are gone are forgotten: ten thousand of them leave nothing behind.
+/// Removed endpoints are forgotten: ten thousand of them leave nothing behind.
 #[test]
-fn endpoints_that_are_gone_are_forgotten() {
+fn removed_endpoints_are_forgotten() {
     const TIMES: u32 = 1000;
     let world = World::new(1, 3.0);
-    let courier = world.start();
+    let gateway = world.start();
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
             world.replace(0, round, TIMES);
-            courier.log_times("endpoint list updated", round as usize + 1);
+            gateway.log_times("endpoint list updated", round as usize + 1);
         }
-        courier.memory()
+        gateway.memory()
     };
     // The first rounds grow the buffers.
     let before = replace(0..5);
@@ -217,16 +217,16 @@
     assert!(after < before + 1500, "{before} KiB before, {after} KiB after");
 }
 
-/// Many endpoints, few descriptors: idle connections give way, and the limit holds.
+/// Many endpoints, few descriptors: idle connections are evicted, and the limit holds.
 #[test]
-fn descriptors_stay_inside_their_limit() {
+fn descriptors_stay_within_their_limit() {
     let mut world = World::patient(40, 3.0);
     (world.apart, world.sockets) = (true, 44);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     for destination in 1..=40 {
         assert_eq!(client.enqueue(&format!("n{destination}"), "0", "salary", destination, b"x"), "+OK");
         world.call().answer("200 OK", "");
-        assert!(courier.descriptors() <= 44, "{} descriptors", courier.descriptors());
+        assert!(gateway.descriptors() <= 44, "{} descriptors", gateway.descriptors());
     }
 }
--- a/tests/courier.rs
+++ b/tests/gateway.rs
@@ -1,16 +1,16 @@
-//! The courier over loopback sockets: each test guards against one way of breaking a promise.
+//! The gateway over loopback sockets: each test guards against one way of breaking a promise.
 
 mod world;
 
 use std::time::{Duration, Instant};
 use world::*;
 
-/// A message reaches its endpoint as it was handed in, and nothing more is told about it.
+/// A message reaches its endpoint as it was enqueued, and no notification follows.
 #[test]
-fn delivers_what_a_client_hands_in() {
+fn delivers_an_enqueued_message() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"\x00pay\r\n"), "+OK");
     let call = world.call();
@@ -24,17 +24,17 @@
     world.nothing();
 }
 
-/// Who stays inside its share is served before who has passed its own, also after a restart.
+/// A tenant within its quota is served before one beyond its own, also after a restart.
 #[test]
-fn a_tenant_is_held_to_its_own_share() {
+fn a_tenant_beyond_its_quota_is_served_last() {
     for restart in [false, true] {
         let mut world = World::new(1, 3.0);
         world.slots = 1;
-        let mut courier = world.start();
-        let mut client = courier.client();
+        let mut gateway = world.start();
+        let mut client = gateway.client();
         assert_eq!(client.enqueue("first", "0", "salary,t=south", 1, b"x"), "+OK");
         let first = world.call();
-        // North has no share at all, so that the order is no matter of time.
+        // North has a quota of zero, so that the order does not depend on time.
         for (id, tenant) in [
             ("n1", "north"),
             ("s1", "south"),
@@ -46,12 +46,12 @@
             assert_eq!(client.enqueue(id, "0", &format!("salary,t={tenant}"), 1, b"x"), "+OK");
         }
         if restart {
-            courier = courier.kill_and_restart();
+            gateway = gateway.kill_and_restart();
         } else {
             first.answer("200 OK", "");
         }
         let (mut order, mut notices) = (Vec::new(), Vec::new());
-        // After a restart the notice for the first one and the next call go out side by side.
+        // After a restart the notification for the first one and the next call are sent concurrently.
         while order.len() + notices.len() < 6 + usize::from(restart) {
             match world.call_or_notice() {
                 Seen::Call(call) => {
@@ -64,15 +64,16 @@
         assert!(notices.iter().all(|line| line == r#"{"id":"first","state":"failed"}"#), "{notices:?}");
         let inside = order.iter().take(3).all(|id| id.starts_with('s'));
         assert!(inside, "after a restart: {restart}: {order:?}");
-        assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+        assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
     }
 }
 
-/// Bad input is answered and harms nobody else: no panic, no recursion, no allocation by an announced length.
+/// Malformed input gets an error and affects no other client: no panic, no recursion, no allocation by an announced
+/// length.
 #[test]
-fn malformed_input_is_answered_and_the_process_lives() {
+fn malformed_requests_get_an_error_and_do_no_harm() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
+    let gateway = world.start();
     let nested = "*1\r\n".repeat(15_000);
     for bad in [
         "hello\r\n",
@@ -82,11 +83,11 @@
         "*1\r\n$4\r\nPINGxx",
         &nested,
     ] {
-        let mut client = courier.client();
+        let mut client = gateway.client();
         client.send(bad.as_bytes());
         assert!(client.line().starts_with("-ERR"), "{bad:.20}");
     }
-    let mut client = courier.client();
+    let mut client = gateway.client();
     assert!(client.ask(&["FLUSH"]).starts_with("-ERR"));
     assert!(client.ask(&["ENQUEUE", "0", "id"]).starts_with("-ERR"));
     assert!(client.enqueue("b1", "0", "unheard-of", 1, b"").starts_with("-ERR"));
@@ -95,33 +96,33 @@
     assert_eq!(client.ask(&["PING"]), "+PONG");
 }
 
-/// An unsafe message whose call was out when the process was killed may have run: it ends as failed, at once
-/// and without another call.
+/// A non-idempotent message whose call was in flight when the process was killed may have been processed: it fails at
+/// once, without another call.
 #[test]
-fn an_unsafe_message_with_a_call_out_at_the_kill_fails() {
+fn a_non_idempotent_message_in_flight_at_a_kill_fails() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     let _open = world.call();
-    let courier = courier.kill_and_restart();
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+    let gateway = gateway.kill_and_restart();
+    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
     assert_eq!(world.notice(), r#"{"id":"u1","state":"failed"}"#);
     world.no_call();
 }
 
-/// A keyed one goes on under its key, before the message behind it; what was delivered does not come again.
+/// An idempotent message is retried under its key, before the message behind it; a delivered one is not sent again.
 #[test]
-fn keyed_messages_go_on_in_order_after_a_kill() {
+fn idempotent_messages_continue_in_order_after_a_kill() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("k0", "9", "notice,k=k0", 1, b"0"), "+OK");
     world.call().answer("200 OK", "");
     assert_eq!(client.enqueue("k1", "9", "notice,k=k1", 1, b"1"), "+OK");
     let open = world.call();
     assert_eq!(open.id, "k1");
     assert_eq!(client.enqueue("k2", "9", "notice,k=k2", 1, b"2"), "+OK");
-    let _courier = courier.kill_and_restart();
+    let _gateway = gateway.kill_and_restart();
     let again = world.call();
     assert_eq!((again.id.as_str(), again.header("idempotency-key")), ("k1", Some("k1")));
     world.no_call();
@@ -131,19 +132,19 @@
     behind.answer("200 OK", "");
 }
 
-/// A message that ends by a notice is over when the notice is answered: until then nothing is sent for the
-/// next one with its key, and after a kill the notice goes out again instead of another call.
+/// A message that was not delivered is completed when its notification is acknowledged: until then nothing is sent for
+/// the next one with its ordering key, and after a kill the notification is sent again instead of another call.
 #[test]
-fn a_key_waits_for_the_answer_to_a_notice() {
+fn an_ordering_key_waits_until_a_notification_is_acknowledged() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     world.hold_notices(true);
     assert_eq!(client.enqueue("n1", "9", "brief,k=n1", 1, b"1"), "+OK");
-    let held = world.call();
+    let first = world.call();
     assert_eq!(client.enqueue("n2", "9", "notice,k=n2", 1, b"2"), "+OK");
-    held.answer("500 Oops", "");
-    // Its window is short: it fails as soon as it may not be sent again.
+    first.answer("500 Oops", "");
+    // Its idempotency window is short: it fails as soon as it may not be sent again.
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
         match world.call_or_notice() {
@@ -155,7 +156,7 @@
         }
     }
     world.no_call();
-    let _courier = courier.kill_and_restart();
+    let _gateway = gateway.kill_and_restart();
     assert_eq!(world.notice(), failed);
     world.no_call();
     world.hold_notices(false);
@@ -164,14 +165,14 @@
     next.answer("200 OK", "");
 }
 
-/// A connection that is refused proves that the call never ran: the unsafe message goes to another endpoint.
+/// A refused connection proves that the call was not processed: the non-idempotent message goes to another endpoint.
 #[test]
-fn an_unsafe_message_goes_on_where_a_connection_is_refused() {
+fn a_non_idempotent_message_is_retried_when_a_connection_is_refused() {
     let mut world = World::new(2, 3.0);
     world.refuse_connections(0);
-    let courier = world.start();
-    let mut client = courier.client();
-    // With calls left open at the one endpoint, the other has the fewest and is tried.
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // While calls stay in flight at the one endpoint, the other has the fewest and is tried.
     let ids = ["r1", "r2", "r3"];
     ids.iter().for_each(|id| assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK"));
     let calls: Vec<Call> = ids.iter().map(|_| world.call()).collect();
@@ -180,61 +181,63 @@
     world.nothing();
 }
 
-/// A connection that breaks after the call was sent may have run it.
+/// A call whose connection breaks after it was sent may have been processed.
 #[test]
-fn an_unsafe_message_fails_at_once_where_a_connection_is_reset() {
+fn a_non_idempotent_message_fails_at_once_when_its_connection_is_reset() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("x1", "0", "salary", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("x1", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
     assert_eq!(world.notice(), r#"{"id":"x1","state":"failed"}"#);
     world.no_call();
 }
 
-/// 504 says that the attempts are used up: the end is owed at once, and as a refusal, since nothing ran. Once
-/// told, the client may hand the message in again, so that nothing may be sent for it after a restart either.
+/// 504 says that the attempts are exhausted: the message is returned at once, since nothing was processed. Once
+/// notified, the client may enqueue it again, so that nothing may be sent for it after a restart either.
 #[test]
-fn a_spent_message_is_returned_at_once_and_for_good() {
+fn a_message_without_attempts_left_is_returned_at_once_and_for_good() {
     let world = World::new(1, 3.0);
     world.hold_notices(true);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("504 Spent", "");
-    let notice = world.notice();
-    assert!(notice.starts_with(r#"{"after_ms":"#) && notice.contains(r#""state":"returned""#), "{notice}");
-    let _courier = courier.kill_and_restart();
-    assert_eq!(world.notice(), notice);
+    let notification = world.notice();
+    assert!(
+        notification.starts_with(r#"{"after_ms":"#) && notification.contains(r#""state":"returned""#),
+        "{notification}"
+    );
+    let _gateway = gateway.kill_and_restart();
+    assert_eq!(world.notice(), notification);
     world.no_call();
 }
 
-/// A told wait holds for all messages to that destination.
+/// A Retry-After holds for all messages to the destination.
 #[test]
-fn a_told_wait_is_heeded_by_all_messages() {
+fn a_retry_after_holds_for_all_messages_to_the_destination() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
-    let told = Instant::now();
+    let responded_at = Instant::now();
     world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
-    courier.log_until("Retry-After received");
+    gateway.log_until("Retry-After received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
-    assert!(told.elapsed() >= Duration::from_millis(700), "after {:?}", told.elapsed());
+    assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
     call.answer("200 OK", "");
     world.call().answer("200 OK", "");
 }
 
-/// What was told of a drain counts after a restart too, though the list given at the start is older and
-/// discovery is silent.
+/// A draining endpoint stays so after a restart, though the configured endpoint list is older and discovery is silent.
 #[test]
-fn a_drain_is_kept_over_a_restart() {
+fn a_draining_endpoint_stays_draining_over_a_restart() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
+    let gateway = world.start();
     world.drain(0);
-    courier.log_until("endpoint list updated");
+    gateway.log_until("endpoint list updated");
     world.silence_discovery(true);
-    let courier = courier.kill_and_restart();
-    let mut client = courier.client();
+    let gateway = gateway.kill_and_restart();
+    let mut client = gateway.client();
     let mut open = Vec::new();
     for id in ["e1", "e2", "e3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
@@ -245,117 +248,117 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// On SIGTERM: a call out ends, new connections are served, idle ones are closed, and the process ends by
-/// itself in time; what it could not send goes on at the next start.
+/// On SIGTERM calls in flight finish, new connections are served, idle ones are closed, and the process ends by itself
+/// in time.
 #[test]
-fn sigterm_lets_calls_out_end_and_takes_on_until_the_end() {
+fn sigterm_finishes_calls_in_flight_and_accepts_until_the_end() {
     let world = World::new(1, 3.0);
-    let mut courier = world.start();
-    let mut idle = courier.client();
+    let mut gateway = world.start();
+    let mut idle = gateway.client();
     assert_eq!(idle.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
     let out = world.call();
-    courier.terminate();
+    gateway.terminate();
     assert!(idle.is_closed());
-    assert_eq!(courier.client().enqueue("t2", "0", "salary", 1, b"x"), "+OK");
+    assert_eq!(gateway.client().enqueue("t2", "0", "salary", 1, b"x"), "+OK");
     out.answer("200 OK", "");
     let second = world.call();
     assert_eq!(second.id, "t2");
     second.answer("200 OK", "");
-    assert!(courier.wait(Duration::from_millis(3700)).success());
+    assert!(gateway.wait(Duration::from_millis(3700)).success());
     world.nothing();
 }
 
-/// A hung call does not keep the process beyond SIGKILL, and its message ends at the next start.
+/// An unresponsive call does not keep the process until SIGKILL, and its message fails at the next start.
 #[test]
-fn sigterm_does_not_wait_for_a_hung_call() {
+fn sigterm_does_not_wait_for_an_unresponsive_call() {
     let world = World::new(1, 3.0);
-    let mut courier = world.start();
-    assert_eq!(courier.client().enqueue("h1", "0", "salary", 1, b"x"), "+OK");
+    let mut gateway = world.start();
+    assert_eq!(gateway.client().enqueue("h1", "0", "salary", 1, b"x"), "+OK");
     let _hung = world.call();
-    courier.terminate();
-    assert!(courier.wait(Duration::from_millis(3700)).success());
-    let _courier = courier.kill_and_restart();
+    gateway.terminate();
+    assert!(gateway.wait(Duration::from_millis(3700)).success());
+    let _gateway = gateway.kill_and_restart();
     assert_eq!(world.notice(), r#"{"id":"h1","state":"failed"}"#);
 }
 
-/// The worst backlog: messages are taken on only while the journal has room, old and new file together stay
-/// within the limit, and what was taken on is all there after a kill.
+/// Messages are accepted only while the journal has room, the old and the new file together stay within the limit, and
+/// all accepted messages are there after a kill.
 #[test]
-fn a_full_journal_turns_messages_away_and_keeps_what_it_took() {
+fn a_full_journal_rejects_messages_and_keeps_accepted_ones() {
     let world = World::patient(1, 0.3);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let body = vec![b'x'; 4000];
-    let mut taken = 0;
+    let mut accepted = 0;
     for number in 0..60 {
         match client.enqueue(&format!("f{number}"), "0", "salary", 1, &body).as_str() {
-            "+OK" => taken += 1,
+            "+OK" => accepted += 1,
             answer => assert!(answer.starts_with("-BUSY "), "{answer}"),
         }
         assert!(world.disk_used() <= 300_000);
     }
-    assert!((5..60).contains(&taken), "{taken}");
-    let courier = courier.kill_and_restart();
-    assert!(courier.log_until("journal replayed").contains(&format!("pending={taken}")));
+    assert!((5..60).contains(&accepted), "{accepted}");
+    let gateway = gateway.kill_and_restart();
+    assert!(gateway.log_until("journal replayed").contains(&format!("pending={accepted}")));
 }
 
-/// A torn or damaged tail of the journal is cut off; what stands before it is kept, and the process starts.
+/// A torn or damaged tail of the journal is truncated; what stands before it is kept, and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("j1", "0", "salary", 1, b"x"), "+OK");
     let _out = world.call();
     drop(client);
-    let courier = courier.kill();
+    let gateway = gateway.kill();
     world.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
-    let courier = courier.restart();
-    assert!(courier.log_until("journal replayed").contains("pending=1"));
+    let gateway = gateway.restart();
+    assert!(gateway.log_until("journal replayed").contains("pending=1"));
     assert_eq!(world.notice(), r#"{"id":"j1","state":"failed"}"#);
 }
 
-/// An unwritable disk is a refusal, not a crash.
+/// An unwritable disk leads to rejections, not to a crash.
 #[test]
-fn an_unwritable_journal_turns_messages_away() {
+fn an_unwritable_journal_rejects_messages() {
     let world = World::new(1, 0.0001);
-    let courier = world.start();
-    assert!(courier.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+    let gateway = world.start();
+    assert!(gateway.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
+    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
 }
 
-/// No more is held than the settings allow, ends that are still owed included: one message more is turned away,
-/// and told when to come.
+/// No more messages are pending than the settings allow, those with an unacknowledged outcome included: one more is
+/// rejected with a Retry-After.
 #[test]
-fn no_more_messages_are_held_than_the_settings_allow() {
+fn no_more_messages_are_pending_than_the_settings_allow() {
     let mut world = World::patient(1, 3.0);
     world.max_pending_messages = 3;
     world.hold_notices(true);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     for id in ["m1", "m2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
     let calls = [world.call(), world.call()];
-    // Nearly full, the module hands the next one back at once; its end is owed until the notice is answered.
+    // Nearly full, the scheduler returns the next one at once; it stays pending until its notification is acknowledged.
     assert_eq!(client.enqueue("m3", "0", "salary", 1, b"x"), "+OK");
     assert!(world.notice().contains(r#""id":"m3","state":"returned""#));
     let answer = client.enqueue("m4", "0", "salary", 1, b"x");
     let after = answer.strip_prefix("-BUSY ").and_then(|ms| ms.parse::<u64>().ok());
     assert!(after.is_some_and(|ms| ms > 0), "{answer}");
-    // The same id once more is the same message, which is held already.
+    // The same id once more is the same message, which is pending already.
     assert_eq!(client.enqueue("m1", "0", "salary", 1, b"x"), "+OK");
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
     world.no_call();
 }
 
-/// A timed-out call closes its connection before the next attempt goes out: an attempt with the earlier one
-/// still on an open connection would be a second copy.
+/// A timed-out call closes its connection before the next attempt is sent: with the earlier one still on an open
+/// connection there would be two at once.
 #[test]
 fn a_timed_out_call_is_closed_before_the_next_attempt() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("c1", "9", "notice,k=c1", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("c1", "9", "notice,k=c1", 1, b"x"), "+OK");
     let first = world.call();
     let second = world.call();
     assert_eq!(second.id, "c1");
@@ -364,72 +367,71 @@
     world.nothing();
 }
 
-/// Silence of discovery is no empty list: messages go on, and the watch is taken up again when it is back.
+/// Silence of discovery is no empty list: delivery continues, and the watch is established again when it is back.
 #[test]
-fn discovery_may_be_silent() {
+fn delivery_continues_while_discovery_is_silent() {
     let world = World::new(2, 3.0);
     world.silence_discovery(true);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("q1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
-    courier.log_until("endpoint watch failed");
-    assert_eq!(courier.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
+    gateway.log_until("endpoint watch failed");
+    assert_eq!(gateway.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     world.drain(0);
     world.silence_discovery(false);
-    courier.log_until("endpoint list updated");
+    gateway.log_until("endpoint list updated");
 }
 
-/// Lists may come indented, also by the watch, and in pieces; one that breaks off is damage, and the watch is begun
-/// anew with the next line instead of waiting for the rest.
+/// Endpoint lists may be indented, also on the watch, and arrive in pieces; one that breaks off is malformed, and the
+/// watch is established anew with the next line instead of waiting for the rest.
 #[test]
-fn an_indented_list_is_heard_and_a_broken_one_is_not_waited_for() {
+fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
     let world = World::new(2, 3.0);
-    let courier = world.start();
+    let gateway = world.start();
     let text = world.indented_drain(0);
     let (first, rest) = text.split_at(text.len() / 2);
     world.tell_text(first);
     world.tell_text(rest);
-    courier.log_until("endpoint list updated revision=2 changed=1");
+    gateway.log_until("endpoint list updated revision=2 changed=1");
     for id in ["i1", "i2"] {
-        assert_eq!(courier.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
+        assert_eq!(gateway.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
     world.tell_text("{\n  \"rev\": 3,\n");
     world.tell_text("\n");
-    courier.log_until("endpoint watch failed");
+    gateway.log_until("endpoint watch failed");
 }
 
-/// Discovery that is slow, as a whole fleet asks at once, is asked once: who hung up after half a second asked
-/// again and again for what was already being done.
+/// A slow discovery is requested once: hanging up early would repeat the request while it is still being served.
 #[test]
-fn a_slow_discovery_is_asked_once() {
+fn a_slow_discovery_is_requested_once() {
     let world = World::new(1, 3.0);
     world.slow_discovery(Duration::from_millis(1500));
-    let courier = world.start();
-    courier.client();
+    let gateway = world.start();
+    gateway.client();
     world.drain(0);
-    courier.log_until("endpoint list updated");
+    gateway.log_until("endpoint list updated");
     assert_eq!(world.watches(), 1);
 }
 
-/// A notice is sent until it is answered.
+/// A notification is sent until it is acknowledged.
 #[test]
-fn a_notice_is_sent_until_it_is_answered() {
+fn a_notification_is_sent_until_it_is_acknowledged() {
     let world = World::new(1, 3.0);
     world.hold_notices(true);
-    let courier = world.start();
-    assert_eq!(courier.client().enqueue("o1", "0", "salary", 1, b"x"), "+OK");
+    let gateway = world.start();
+    assert_eq!(gateway.client().enqueue("o1", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
     let failed = r#"{"id":"o1","state":"failed"}"#;
     assert_eq!(world.notice(), failed);
     assert_eq!(world.notice(), failed);
     world.hold_notices(false);
-    // Those behind it go out once it is answered.
-    assert_eq!(courier.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
+    // Those behind it are sent once it is acknowledged.
+    assert_eq!(gateway.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
     loop {
         match world.call_or_notice() {
             Seen::Call(call) => call.reset(),
@@ -439,14 +441,13 @@
     }
 }
 
-/// A connection to the agent may fall silent while the agent itself answers: a final answer has 300 ms from the end of
-/// its message's time on, so that it goes again on another connection long before 0.6 s, as it used to, and takes
-/// along what came behind it.
+/// A connection to the agent may fall silent while the agent itself responds: a final outcome has 300 ms from its
+/// message's deadline on, so that the notification is resent early on another connection, with those queued behind it.
 #[test]
-fn a_notice_on_a_connection_that_fell_silent_is_told_in_time() {
+fn a_notification_on_a_connection_that_fell_silent_is_resent_in_time() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let mut out = Vec::new();
     for id in ["n1", "n2", "n3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
@@ -458,19 +459,19 @@
     world.lose_notices(1);
     let begun = Instant::now();
     out.into_iter().for_each(Call::reset);
-    let mut told = [world.notice(), world.notice()];
+    let mut notified = [world.notice(), world.notice()];
     assert!(begun.elapsed() < Duration::from_millis(500), "after {:?}", begun.elapsed());
-    told.sort();
-    assert_eq!(told, ["n2", "n3"].map(failed));
+    notified.sort();
+    assert_eq!(notified, ["n2", "n3"].map(failed));
     world.nothing();
 }
 
-/// The journal of a long day is compacted again and again: it stays inside the disk, and keeps what is held.
+/// A long journal is compacted again and again: it stays within the disk's limit, and keeps pending messages.
 #[test]
 fn a_long_journal_is_compacted() {
     let world = World::patient(1, 0.1);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("kept", "0", "salary", 1, b"x"), "+OK");
     let _open = world.call();
     let body = vec![b'x'; 2000];
@@ -479,17 +480,17 @@
         world.call().answer("200 OK", "");
         assert!(world.disk_used() <= 100_000);
     }
-    let courier = courier.kill_and_restart();
+    let gateway = gateway.kill_and_restart();
     assert_eq!(world.notice(), r#"{"id":"kept","state":"failed"}"#);
-    drop(courier);
+    drop(gateway);
 }
 
-/// A kept connection that the endpoint has closed is not used: a call on it would be lost.
+/// An idle connection that the endpoint has closed is not reused: a call on it would be lost.
 #[test]
-fn a_closed_connection_is_not_used_again() {
+fn a_closed_connection_is_not_reused() {
     let world = World::new(1, 3.0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     for id in ["y1", "y2", "y3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -499,39 +500,38 @@
     world.nothing();
 }
 
-/// A call whose connection comes up only after a wait was told, or a drain, must not go out on it.
+/// A call whose connection is established only after a Retry-After, or while draining, must not be sent on it.
 #[test]
-fn calls_still_connecting_are_withdrawn_when_a_wait_is_told() {
+fn calls_still_connecting_are_withdrawn_on_a_retry_after() {
     let mut world = World::new(2, 3.0);
     let hanging = world.hang_connections(0);
-    let courier = world.start();
-    let mut client = courier.client();
-    // Of two messages one goes to each endpoint, as each has the fewest calls out in its turn.
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["v1", "v2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
     let call = world.call();
     assert_eq!(call.endpoint, 1);
-    let told = Instant::now();
+    let responded_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
-    courier.log_until("Retry-After received");
+    gateway.log_until("Retry-After received");
     world.release(hanging);
     for _ in 0..2 {
         let call = world.call();
-        assert!(told.elapsed() >= Duration::from_millis(3500), "after {:?}", told.elapsed());
+        assert!(responded_at.elapsed() >= Duration::from_millis(3500), "after {:?}", responded_at.elapsed());
         call.answer("200 OK", "");
     }
 }
 
-/// A repeat whose connection comes up only after its window has passed must not go out on it: fleet day
-/// split+mass, 691518538276, where a connection took 1.0 s and the repeat left at 6.430 s of 6.43 s.
+/// A retry whose connection is established only after its idempotency window has passed must not be sent on it.
 #[test]
-fn a_repeat_still_connecting_at_the_end_of_its_window_is_not_sent() {
+fn a_retry_still_connecting_at_the_end_of_its_window_is_not_sent() {
     let mut world = World::new(2, 3.0);
     let hanging = world.hang_connections(0);
-    let courier = world.start();
-    let mut client = courier.client();
-    // One goes to each endpoint; the repeat of the failed one goes where nothing has failed yet.
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // One goes to each endpoint; the retry of the failed one goes where nothing has failed yet.
     for id in ["w1", "w2"] {
         assert_eq!(client.enqueue(id, &id[1..], "brief,k=w", 1, b"x"), "+OK");
     }
@@ -543,49 +543,49 @@
     assert!(sent.elapsed() < Duration::from_secs(4), "its connection was waited for: {:?}", sent.elapsed());
     world.release(hanging);
     let other = world.call();
-    assert_ne!(other.id, id, "it left after its window");
+    assert_ne!(other.id, id, "it was sent after its window");
     other.answer("200 OK", "");
     world.nothing();
 }
 
-/// A call that several share may connect for as long as one of them has time; what runs out meanwhile has had its
-/// final answer by then and must not leave (fleet day join+mass, seed 2: a call left 0.66 s after the notice).
+/// A call that several messages share may connect for as long as one of them has time; a message that expires meanwhile
+/// has had its final outcome by then and must not be sent.
 #[test]
-fn what_runs_out_while_its_shared_call_connects_does_not_leave() {
+fn a_message_that_expires_while_its_shared_call_connects_is_not_sent() {
     let mut world = World::new(1, 3.0);
     world.batch = 4;
     let hanging = world.hang_connections(0);
-    let courier = world.start();
-    let mut client = courier.client();
-    // Both wait for the endpoint, so that they go together.
-    assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
+    let gateway = world.start();
+    let mut client = gateway.client();
+    // Both wait for the endpoint, so that they share a call.
+    assert_eq!(gateway.operate("POST /_endpoints/detach?id=s-0"), 200);
     for (id, left) in [("short", 2000), ("long", 20_000)] {
         let fields = format!("c=salary,d={left},dest=1");
         assert_eq!(client.ask(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
-    assert_eq!(courier.operate("POST /_endpoints/attach?id=s-0"), 200);
-    let told = world.notice();
+    assert_eq!(gateway.operate("POST /_endpoints/attach?id=s-0"), 200);
+    let notification = world.notice();
     assert!(
-        told.starts_with(r#"{"after_ms":"#) && told.contains(r#""id":"short","state":"returned""#),
-        "{told}"
+        notification.starts_with(r#"{"after_ms":"#)
+            && notification.contains(r#""id":"short","state":"returned""#),
+        "{notification}"
     );
     world.release(hanging);
     let call = world.call();
     assert_eq!((call.path.as_str(), call.id.as_str()), ("/hook", "long"));
     call.answer("200 OK", "");
-    courier.log_until("messages waited too long for a connection");
+    gateway.log_until("messages waited too long for a connection");
     world.nothing();
 }
 
-/// Connections are kept at each endpoint, also where there are more endpoints than call slots: with no more idle
-/// ones than slots, each call put out a connection that the next but one needed again (286 connections where 223
-/// do, on a day of 27 endpoints).
+/// Idle connections are kept at each endpoint, also where there are more endpoints than call slots: with only as many
+/// as slots, each call would evict a connection that is soon needed again.
 #[test]
-fn connections_are_kept_at_more_endpoints_than_slots() {
+fn idle_connections_are_kept_at_more_endpoints_than_slots() {
     let mut world = World::patient(6, 3.0);
     (world.slots, world.apart) = (2, true);
-    let courier = world.start();
-    let mut client = courier.client();
+    let gateway = world.start();
+    let mut client = gateway.client();
     let mut round = |number: u32| -> Vec<_> {
         (1..=6)
             .map(|destination| {
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -1,4 +1,4 @@
-//! Deployments of a thousand endpoints and couriers, on a small machine for each courier.
+//! A deployment of a thousand endpoints and gateways, each gateway on a small machine.
 
 mod world;
 
@@ -16,10 +16,10 @@
     world
 }
 
-/// Each destination gets its message, through fewer descriptors than there are endpoints. Of one order key, each goes
-/// out when the one before is over; the last stays out.
-fn deliver_to_all(world: &World, courier: &Scheduler, round: &str) -> Call {
-    let mut client = courier.client();
+/// Each destination gets its message, through fewer descriptors than there are endpoints. Under one ordering key each is
+/// sent when the one before is completed; the last stays in flight.
+fn deliver_to_all(world: &World, gateway: &Scheduler, round: &str) -> Call {
+    let mut client = gateway.client();
     let mut send = |id: &str, destination| {
         assert_eq!(client.enqueue(id, "9", "notice,k=k", destination, b"x"), "+OK");
         let call = world.call();
@@ -29,36 +29,36 @@
     for destination in 1..=MANY {
         let id = format!("{round}{destination}");
         send(&id, destination).answer("200 OK", "");
-        let held = courier.descriptors();
+        let held = gateway.descriptors();
         assert!(held <= SOCKETS as usize, "{held} descriptors at {id}");
     }
-    let most = courier.peak_memory();
+    let most = gateway.peak_memory();
     assert!(most <= u64::from(MEMORY_MB) << 10, "{most} KiB");
     send(&format!("{round}-last"), MANY)
 }
 
-/// The list comes by the watch, from the journal after a kill, and whole from another agent: each time all of it counts,
-/// inside the limits.
+/// The endpoint list arrives by the watch, from the journal after a kill, and as a snapshot of another agent: each time
+/// all of it applies, within the limits.
 #[test]
-fn a_thousand_endpoints_and_couriers_fit_a_small_machine() {
+fn a_thousand_endpoints_and_gateways_fit_a_small_machine() {
     let world = large();
     world.known.set(1);
-    let courier = world.start();
-    assert!(courier.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
+    let gateway = world.start();
+    assert!(gateway.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
     world.tell_all(2);
-    courier.log_until("endpoint list updated revision=2 changed=1024");
-    let _out = deliver_to_all(&world, &courier, "w");
-    let courier = courier.kill_and_restart();
-    courier.log_until("journal replayed pending=1 revision=2");
+    gateway.log_until("endpoint list updated revision=2 changed=1024");
+    let _out = deliver_to_all(&world, &gateway, "w");
+    let gateway = gateway.kill_and_restart();
+    gateway.log_until("journal replayed pending=1 revision=2");
     let again = world.call();
     assert_eq!(again.id, "w-last");
     again.answer("200 OK", "");
-    let _out = deliver_to_all(&world, &courier, "j");
+    let _out = deliver_to_all(&world, &gateway, "j");
     let agent = world.agent_with_drain(MANY as usize - 1);
     world.configure(&agent);
-    courier.hang_up();
-    courier.log_until("endpoint list updated revision=5 changed=1024");
-    let mut client = courier.client();
+    gateway.hang_up();
+    gateway.log_until("endpoint list updated revision=5 changed=1024");
+    let mut client = gateway.client();
     assert_eq!(client.enqueue("drains", "0", "salary", MANY, b"x"), "+OK");
     assert_eq!(client.enqueue("serves", "0", "salary", MANY - 1, b"x"), "+OK");
     let call = world.call();
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -17,9 +17,9 @@
         (SystemCall::TcpWrite, SystemCall::SHORT),
     ] {
         let world = World::faulty(1, 1);
-        let courier = world.start();
+        let gateway = world.start();
         world.fail(call, Fault::always(&[error]).part(0.5));
-        let mut client = courier.client().within(Duration::from_millis(400));
+        let mut client = gateway.client().within(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
             let answer = client.enqueue(&id, "0", "salary", 1, &[b'x'; 9000]);
@@ -31,9 +31,9 @@
     }
 }
 
-/// Words between two processes that are interrupted arrive all the same: neither takes the other for gone.
+/// Interrupted transfers between two processes complete all the same: neither takes the other for ended.
 #[test]
-fn a_hand_over_survives_interrupted_transfers() {
+fn a_handover_survives_interrupted_transfers() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
         let world = World::faulty(1, 1);
         let mut old = world.start();
@@ -56,25 +56,26 @@
         world.nothing();
     }
 }
-/// A signal is heard, and a process lives, though the reading of the signal's own pipe is interrupted.
+
+/// A signal is handled though reading the pipe that announces it is interrupted.
 #[test]
-fn an_interrupted_signal_is_heard() {
+fn an_interrupted_signal_is_handled() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
         let world = World::faulty(1, 1);
-        let mut courier = world.start();
+        let mut gateway = world.start();
         world.fail(call, Fault::always(&[EINTR]).part(0.5));
         for round in 1..=4 {
-            courier.hang_up();
-            courier.log_times("configuration reloaded", round);
+            gateway.hang_up();
+            gateway.log_times("configuration reloaded", round);
         }
-        courier.terminate();
-        assert!(courier.wait(Duration::from_secs(5)).success(), "{call:?}");
+        gateway.terminate();
+        assert!(gateway.wait(Duration::from_secs(5)).success(), "{call:?}");
     }
 }
 
-/// A journal that cannot be opened or repaired for a moment is no reason to end, nor to forget it.
+/// A journal that cannot be opened or truncated for a moment is retried, and nothing in it is lost.
 #[test]
-fn a_folder_that_fails_at_the_start_is_tried_again() {
+fn a_state_folder_that_fails_at_the_start_is_retried() {
     let calls = [
         SystemCall::StateOpen,
         SystemCall::StateRead,
@@ -84,26 +85,26 @@
     ];
     for call in calls {
         let world = World::faulty(1, 1);
-        let courier = world.start();
-        assert_eq!(courier.client().enqueue("o1", "0", "notice,k=aa", 1, b"x"), "+OK");
+        let gateway = world.start();
+        assert_eq!(gateway.client().enqueue("o1", "0", "notice,k=aa", 1, b"x"), "+OK");
         let _out = world.call();
-        let stopped = courier.kill();
-        // A tail to be cut off, and a copy to be removed.
+        let stopped = gateway.kill();
+        // A torn tail to be truncated, and a copy to be removed.
         world.append_to_journal(b"torn");
         world.leave_copy_of_journal();
         world.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
-        let courier = stopped.restart();
+        let gateway = stopped.restart();
         assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
         let call = world.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
-        drop(courier);
+        drop(gateway);
     }
 }
 
-/// The first address that cannot be had for a moment is tried again.
+/// System calls that fail at first are retried.
 #[test]
-fn a_courier_starts_though_its_first_calls_fail() {
+fn the_gateway_starts_though_its_first_system_calls_fail() {
     for call in [
         SystemCall::Socket,
         SystemCall::Bind,
@@ -113,53 +114,53 @@
     ] {
         let world = World::faulty(1, 1);
         world.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
-        let courier = world.start();
+        let gateway = world.start();
         assert_eq!(world.faults().counted(call).unwrap().hits, 4, "{call:?}");
-        assert_eq!(courier.client().ask(&["PING"]), "+PONG", "{call:?}");
+        assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
 
-/// An event loop that cannot be made at first, and an address that cannot be told.
+/// A runtime that cannot be built at first is retried, and so is the query of the bound address.
 #[test]
-fn a_courier_starts_though_its_event_loop_fails_at_first() {
+fn the_gateway_starts_though_its_runtime_fails_at_first() {
     let calls =
         [SystemCall::EpollCreate, SystemCall::EventFd, SystemCall::SocketPair, SystemCall::GetSocketName];
     for call in calls {
         let world = World::faulty(1, 1);
         world.fail(call, Fault::always(&[ENFILE, ENOMEM]).times(2));
-        let courier = world.start();
-        assert_eq!(courier.client().ask(&["PING"]), "+PONG", "{call:?}");
+        let gateway = world.start();
+        assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
 
-/// A configuration that cannot be read just then is read a moment later.
+/// A configuration that cannot be read for a moment is retried.
 #[test]
-fn a_configuration_that_cannot_be_read_at_once_is_read_later() {
+fn a_configuration_that_cannot_be_read_is_retried() {
     for call in [SystemCall::ConfigOpen, SystemCall::ConfigRead] {
         let world = World::faulty(2, 1);
-        let courier = world.start();
+        let gateway = world.start();
         let agent = world.agent_with_drain(0);
         world.configure(&agent);
         world.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
-        courier.hang_up();
-        courier.log_until("configuration reloaded");
+        gateway.hang_up();
+        gateway.log_until("configuration reloaded");
         assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
     }
 }
 
-/// A connection that this machine cannot make for a moment says nothing of the endpoint, and is made a moment later.
+/// A connection that this machine cannot make for a moment says nothing of the endpoint, and is retried.
 #[test]
-fn a_connect_that_fails_here_is_no_outage_there() {
+fn a_local_connect_failure_does_not_open_the_circuit() {
     let errors = [EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ENFILE, EAGAIN, EINTR];
     for (call, error) in
         errors.map(|error| (SystemCall::Connect, error)).into_iter().chain([(SystemCall::Socket, ENFILE)])
     {
         let world = World::faulty(1, 1);
-        let courier = world.start();
+        let gateway = world.start();
         world.until_watched();
         world.fail(call, Fault::always(&[error]).times(2));
-        assert_eq!(courier.client().enqueue("c1", "0", "salary", 1, b"x"), "+OK");
+        assert_eq!(gateway.client().enqueue("c1", "0", "salary", 1, b"x"), "+OK");
         world.call().answer("200 OK", "");
-        assert!(!courier.has_logged("open circuits changed"), "{call:?} {error}");
+        assert!(!gateway.has_logged("open circuits changed"), "{call:?} {error}");
     }
 }
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -1,6 +1,6 @@
-//! Every system call that a courier makes, with every error that Linux documents for it and that may pass, from the
-//! first call of the process on: a short life of a courier, with a new configuration, an end and a restart, in which
-//! each request has to get its final answer inside the rules.
+//! Every system call of the gateway, with every transient error that Linux documents for it, from the first call of the
+//! process on: a short run with a new configuration, a shutdown and a restart, in which each request must get its final
+//! outcome within the rules.
 
 mod world;
 
@@ -12,7 +12,7 @@
 
 /// Messages of each class that one life brings.
 const MESSAGES: usize = 8;
-/// Messages that it takes at most until the journal is compacted.
+/// Messages until the journal is compacted, at most.
 const MOST_FILLERS: usize = 400;
 /// Which calls of a kind fail: the first ones of each process where there are only a few, or a part of all.
 #[derive(Clone, Copy)]
@@ -54,27 +54,27 @@
 
 fn live(world: &World, what: &str, clients: Clients) {
     let mut life = Life::new(world);
-    let mut courier = world.start();
+    let mut gateway = world.start();
     for number in 0..MESSAGES {
-        life.hand_in(&courier, &format!("a{number}"), true, clients);
-        life.hand_in(&courier, &format!("b{number}"), false, clients);
+        life.hand_in(&gateway, &format!("a{number}"), true, clients);
+        life.hand_in(&gateway, &format!("b{number}"), false, clients);
     }
-    // Until the journal is compacted, whether or not that comes to its end.
+    // Until the journal is compacted, whether or not that succeeds.
     let compactions = || world.faults().counted(SystemCall::StateRename).unwrap().calls;
     for number in (0..MOST_FILLERS).take_while(|_| compactions() == 0) {
-        life.hand_in(&courier, &format!("e{number}"), false, clients);
+        life.hand_in(&gateway, &format!("e{number}"), false, clients);
         life.see(Duration::from_millis(50));
     }
     assert!(compactions() > 0, "{what}: the journal was never compacted");
-    courier.hang_up();
-    life.hand_in(&courier, "c0", true, clients);
-    courier.terminate();
-    assert!(courier.wait(Duration::from_secs(6)).success(), "{what}: the process did not end well");
-    let courier = world.start();
-    life.hand_in(&courier, "d0", true, clients);
-    life.hand_in(&courier, "d1", false, clients);
+    gateway.hang_up();
+    life.hand_in(&gateway, "c0", true, clients);
+    gateway.terminate();
+    assert!(gateway.wait(Duration::from_secs(6)).success(), "{what}: the process did not end well");
+    let gateway = world.start();
+    life.hand_in(&gateway, "d0", true, clients);
+    life.hand_in(&gateway, "d1", false, clients);
     life.settle(what);
-    assert!(!courier.has_logged("panicked"), "{what}");
+    assert!(!gateway.has_logged("panicked"), "{what}");
 }
 
 /// A test for each call, with its errors, the part of the calls that fail, and what that means for clients.
