--- a/src/bin/simulator-adapter/translation.rs
+++ b/src/bin/simulator-adapter/translation.rs
@@ -50,8 +50,8 @@
             zone: ZoneId(entry.zone),
             kind: DestinationKindId(entry.kind),
             destination: DestinationId(entry.destination.into()),
-            mode: availability(entry.state)?,
-            weight: f64::from(entry.weight),
+            availability: availability(entry.state)?,
+            capacity_hint: f64::from(entry.weight),
         })
     }
 }
--- a/src/bin/testbed/layout.rs
+++ b/src/bin/testbed/layout.rs
@@ -81,7 +81,7 @@
         zone: ZoneId(0),
         kind: DestinationKindId(0),
         destination: destination(of)?,
-        mode: Availability::Ready,
-        weight,
+        availability: Availability::Ready,
+        capacity_hint: weight,
     })
 }
--- a/src/bin/testbed/list_changes.rs
+++ b/src/bin/testbed/list_changes.rs
@@ -81,7 +81,7 @@
         kind: "banks".into(),
         destination: endpoint.destination.0,
         state,
-        capacity_hint: endpoint.weight,
+        capacity_hint: endpoint.capacity_hint,
     }
 }
 
--- a/src/discovery/update.rs
+++ b/src/discovery/update.rs
@@ -74,7 +74,7 @@
     pub destination: u32,
     /// Whether it may be sent new calls.
     pub state: EndpointState,
-    /// Its weight; see [`WeightSource`](crate::WeightSource).
+    /// Its weight; see [`CapacityHints`](crate::WeightSource).
     pub capacity_hint: f64,
 }
 
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -27,9 +27,9 @@
     /// The destination that it belongs to.
     pub destination: DestinationId,
     /// Whether it may be given new work.
-    pub mode: Availability,
-    /// See [`WeightSource`](super::WeightSource).
-    pub weight: f64,
+    pub availability: Availability,
+    /// See [`CapacityHints`](super::WeightSource).
+    pub capacity_hint: f64,
 }
 
 /// What the watch on the endpoint list brings.
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -20,7 +20,7 @@
             EndpointUpdate::Snapshot(entries) => {
                 // What a snapshot does not name gets nothing new from now on.
                 for endpoint in self.endpoints.values_mut() {
-                    endpoint.entry.mode = Availability::Removed;
+                    endpoint.entry.availability = Availability::Removed;
                 }
                 self.ready_index.removed_endpoints = self.endpoints.keys().copied().collect();
                 self.ready_index.all = true;
@@ -45,11 +45,11 @@
 
     fn apply_entry(&mut self, now: Time, entry: Endpoint) {
         let previous_destination = self.endpoints.get(&entry.id).map(|endpoint| endpoint.entry.destination);
-        if entry.mode == Availability::Removed && previous_destination.is_none() {
+        if entry.availability == Availability::Removed && previous_destination.is_none() {
             return;
         }
         previous_destination.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
-        if entry.mode == Availability::Removed {
+        if entry.availability == Availability::Removed {
             self.ready_index.removed_endpoints.insert(entry.id);
         } else {
             self.ready_index.removed_endpoints.remove(&entry.id);
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -13,7 +13,8 @@
 impl Scheduler {
     /// Whether an endpoint may get new calls: it is listed as ready, and operators have not disabled it.
     pub(super) fn is_eligible(&self, endpoint: &TrackedEndpoint) -> bool {
-        endpoint.entry.mode == Availability::Ready && !self.disabled_endpoints.contains(&endpoint.entry.id)
+        endpoint.entry.availability == Availability::Ready
+            && !self.disabled_endpoints.contains(&endpoint.entry.id)
     }
 
     /// Endpoints of a route that may get new calls.
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -6,7 +6,7 @@
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs};
 use super::state::decaying_rate::DecayingRate;
-use crate::model::{Endpoint, LoadReport, Settings, Time, WeightSource};
+use crate::model::{CapacityHints, Endpoint, LoadReport, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -250,8 +250,8 @@
 
 /// The limit that the endpoint list has for an endpoint, in calls a second over all gateways.
 fn listed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> Option<f64> {
-    let is_listed = settings.weights != WeightSource::Silent && endpoint.weight > 0.0;
-    is_listed.then(|| endpoint.weight.clamp(MIN_LISTED_LIMIT_PER_SEC, MAX_LISTED_LIMIT_PER_SEC))
+    let is_listed = settings.capacity_hints != CapacityHints::Ignored && endpoint.capacity_hint > 0.0;
+    is_listed.then(|| endpoint.capacity_hint.clamp(MIN_LISTED_LIMIT_PER_SEC, MAX_LISTED_LIMIT_PER_SEC))
 }
 
 /// The same, or what is assumed where none is listed.
--- a/src/scheduler/state/endpoint.rs
+++ b/src/scheduler/state/endpoint.rs
@@ -35,6 +35,6 @@
 
     /// Whether the list has removed it and it may be forgotten once no call is in flight.
     pub fn is_removed(&self) -> bool {
-        self.entry.mode == Availability::Removed
+        self.entry.availability == Availability::Removed
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,8 +32,8 @@
         zone: ZoneId(0),
         kind: DestinationKindId(0),
         destination: DestinationId(destination.into()),
-        mode: Availability::Ready,
-        weight: 100.0,
+        availability: Availability::Ready,
+        capacity_hint: 100.0,
     }
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -50,7 +50,7 @@
     let endpoints = (0..6)
         .map(|id| Endpoint {
             kind: DestinationKindId((id % 2) as u16),
-            weight: 20.0,
+            capacity_hint: 20.0,
             zone: ZoneId((id % 2) as u8),
             ..endpoint(id, 1 + (id / 2) as u16)
         })
@@ -165,7 +165,7 @@
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
     bench.scheduler = Scheduler::new(settings.clone(), seed);
     bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.clone())));
-    let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
+    let modes = endpoints.iter().map(|e| (e.id.0, e.availability)).collect();
     let (held, retry_after_delays, rests) = Default::default();
     let mut judge = Judge { settings, held, retry_after_delays, rests, modes };
     let mut all = Vec::new();
@@ -220,7 +220,7 @@
             }
             Step::Availability { endpoint, mode } => {
                 let mode = [Availability::Ready, Availability::Draining, Availability::Removed][mode];
-                let entry = Endpoint { mode, ..endpoints[endpoint as usize].clone() };
+                let entry = Endpoint { availability: mode, ..endpoints[endpoint as usize].clone() };
                 bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
                 judge.modes.insert(endpoint, mode);
             }
@@ -318,7 +318,7 @@
             bench.accept(step, (step % 4) as u8, 1 + (step % 3) as u16, Some(u64::from(step)));
             // Endpoints come and go as well.
             let new = Endpoint { id: EndpointId(1000 + step), ..endpoints[0].clone() };
-            let gone = Endpoint { mode: Availability::Removed, ..new.clone() };
+            let gone = Endpoint { availability: Availability::Removed, ..new.clone() };
             bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
             for (message, endpoint, _) in bench.routes() {
                 bench.finish(message, endpoint, outcome((step % 9) as usize), ms(7));
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -16,10 +16,10 @@
 /// What both share: types only.
 mod interface {
     pub use delivery_gateway::{
-        AcceptedMessage, Action, AttemptOutcome, Availability, CircuitRecord, Class, Decay,
+        AcceptedMessage, Action, AttemptOutcome, Availability, CapacityHints, CircuitRecord, Class, Decay,
         DeduplicationScope, DestinationId, Endpoint, EndpointId, EndpointUpdate, Event, FinishedAttempt,
         Idempotency, MessageId, OrderingKey, RestoredMessage, RouteStatus, SentAttempt, Settings, TenantId,
-        Time, WeightSource, ZoneId,
+        Time, ZoneId,
     };
 }
 
