--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -531,12 +531,13 @@
     let hanging = world.hang_connections(0);
     let gateway = world.start();
     let mut client = gateway.client();
-    // One goes to each endpoint; the retry of the failed one goes where nothing has failed yet.
+    // One goes to each endpoint. The one that responds is disabled then, so that the retry has to go to the other one.
     for id in ["w1", "w2"] {
         assert_eq!(client.enqueue(id, &id[1..], "brief,k=w", 1, b"x"), "+OK");
     }
     let failed = world.call();
     assert_eq!(failed.endpoint, 1);
+    assert_eq!(gateway.operate("POST /_endpoints/detach?id=s-1"), 200);
     let (id, sent) = (failed.id.clone(), Instant::now());
     failed.answer("500 No", "");
     assert_eq!(world.notice(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
