--- a/src/bin/delivery-gateway/background.rs
+++ b/src/bin/delivery-gateway/background.rs
@@ -17,11 +17,15 @@
 
 /// What the tasks work with.
 pub struct BackgroundTasks {
+    /// Goes to the event loop.
     pub events: UnboundedSender<GatewayEvent>,
+    /// The notifications to be sent.
     pub notifications: UnboundedReceiver<OutcomeNotification>,
     /// Notifications are sent while its one permit is free.
     pub notification_gate: Arc<Semaphore>,
+    /// Tells the admin endpoint whether the gateway is ready.
     pub phase: watch::Receiver<ServicePhase>,
+    /// The address of the discovery agent in force.
     pub agent: AgentAddress,
     /// Changes `agent`.
     pub discovery_address: watch::Sender<String>,
--- a/src/bin/delivery-gateway/budget.rs
+++ b/src/bin/delivery-gateway/budget.rs
@@ -13,6 +13,7 @@
 
 /// The shares of the parts.
 pub struct ResourceBudget {
+    /// What clients' connections may take.
     pub clients: ClientLimits,
     /// Descriptors for endpoints: calls in flight, calls that are ending, and idle connections.
     pub endpoint_sockets: usize,
--- a/src/bin/delivery-gateway/config.rs
+++ b/src/bin/delivery-gateway/config.rs
@@ -17,6 +17,7 @@
 pub struct Environment {
     /// The folder of what outlasts the process.
     pub state_folder: PathBuf,
+    /// The configuration file.
     pub config_path: PathBuf,
 }
 
@@ -51,6 +52,7 @@
     #[serde(rename = "admin_addr")]
     admin_address: Option<String>,
     seed: String,
+    /// What the process may use of its machine.
     pub limits: ResourceLimits,
     /// The endpoint list to start with, unless the journal has a later one.
     #[serde(rename = "known")]
@@ -61,10 +63,12 @@
 /// What the process may use of its machine.
 #[derive(Deserialize)]
 pub struct ResourceLimits {
+    /// In units of 10⁶ bytes.
     pub memory_mb: f64,
     /// Open descriptors, sockets and files alike.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
+    /// For the journal's files, in units of 10⁶ bytes.
     pub disk_mb: f64,
 }
 
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -224,7 +224,7 @@
             self.note_retry_after(endpoint, delay);
             self.scheduler.handle(now, Event::RetryAfter { endpoint, delay });
         }
-        // The scheduler judges an endpoint by the last outcome of a call: those that say nothing of it come first.
+        // The scheduler judges an endpoint by the last outcome of a call: those that say nothing of it go first.
         let mut results: Vec<(MessageId, AttemptResult)> =
             messages.iter().copied().zip(result.attempts.iter().copied()).collect();
         results.sort_by_key(|(_, result)| {
--- a/src/bin/delivery-gateway/event_loop/in_flight.rs
+++ b/src/bin/delivery-gateway/event_loop/in_flight.rs
@@ -13,11 +13,13 @@
 use crate::events::StopReason;
 use crate::http_client::Descriptor;
 
-/// A call in flight, in terms that the next process understands.
+/// A call in flight, as a successor process needs it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct InFlightCall {
-    pub(super) endpoint: EndpointId,
-    pub(super) messages: Vec<MessageId>,
+    /// Where it went.
+    pub endpoint: EndpointId,
+    /// The messages that share it.
+    pub messages: Vec<MessageId>,
     /// Its first byte has left.
     pub(super) sent: bool,
 }
@@ -27,7 +29,7 @@
     stop: Cell<Option<oneshot::Sender<StopReason>>>,
     /// Its first byte has left.
     sent: Rc<Cell<bool>>,
-    /// For a call of the previous process: stands for the descriptor that it holds there.
+    /// For a call of the predecessor process: stands for the descriptor that it holds there.
     _remote_descriptor: Option<Descriptor>,
 }
 
@@ -37,8 +39,8 @@
         CallHandle::stoppable(sent, None)
     }
 
-    /// A call that the previous process makes. The receiver gets the reason to stop it there.
-    pub(super) fn of_previous_process(
+    /// A call that the predecessor process makes. The receiver gets the reason to stop it there.
+    pub(super) fn of_predecessor(
         sent: bool,
         descriptor: Descriptor,
     ) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -1,10 +1,16 @@
-//! The event loop: the one owner of the gateway's state. Events of all other parts go in, the scheduler decides, and
-//! its actions go out. It waits for no socket, and for nothing but events and its timers.
+//! The event loop: the one owner of the gateway's state. It takes in the events of all other parts, lets the scheduler
+//! decide, and carries out its actions. It waits for nothing but events and its timers.
 //!
-//! Here are the loop itself, the dispatch of events and of actions, and the end of the process. What an event or an
-//! action does stands in a module of its own: [`admission`], [`delivery`], [`outcomes`], [`persisted_circuits`],
-//! [`endpoints`], [`operations`]; the start in [`recovery`] and [`takeover`]; log lines in [`reporting`]. Of state of
-//! their own are [`catalog`], [`pending_index`] and [`in_flight`].
+//! This module has the loop itself, the dispatch of events and of actions, and the shutdown. Beside it:
+//!
+//! - [`admission`]: from an enqueue request to its reply.
+//! - [`delivery`]: the attempts of messages, from start to recorded result; [`in_flight`] keeps track of them.
+//! - [`outcomes`]: final outcomes, recorded and then notified.
+//! - [`endpoints`]: changes of the endpoint list; [`operations`]: requests of operators.
+//! - [`persisted_circuits`]: what the journal remembers of open circuits.
+//! - [`recovery`]: the start from the journal; [`takeover`]: the handover between processes.
+//! - [`reporting`]: counters and log lines.
+//! - [`catalog`], [`pending_index`]: classes, tenants and pending messages by name.
 
 mod admission;
 mod catalog;
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -49,9 +49,9 @@
     fn set_lame_duck(&mut self, now: Time, on: bool) {
         info!(on, pending = self.journal.state.pending.len(), "lame duck mode switched by operators");
         self.scheduler.handle(now, Event::LameDuck(on));
-        let phase = if on { ServicePhase::LameDuck } else { ServicePhase::Serving };
+        let phase = ServicePhase::in_service(on);
         self.phase.send_if_modified(|current| {
-            // A process that is ending, or handing over, goes on with that.
+            // Neither a shutdown nor a handover is interrupted.
             let may_change = !matches!(*current, ServicePhase::ShuttingDown | ServicePhase::HandingOver);
             let changed = may_change && *current != phase;
             if changed {
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -1,7 +1,7 @@
 //! Final outcomes: each is recorded, then notified to the platform, and its message forgotten once the notification
 //! is acknowledged.
 //!
-//! An outcome is in the journal before it is notified: a client that was told that its message was returned may
+//! An outcome is in the journal before it is notified: a client that was notified of a returned message may
 //! enqueue it again, and nothing may be sent for the first one after that. While the journal cannot be written,
 //! notifications wait.
 
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -24,7 +24,7 @@
         info!(pending = numbers.len(), revision = self.endpoints_revision(), "journal replayed");
     }
 
-    /// The list in the journal counts unless the configuration's is newer.
+    /// The journal's endpoint list applies unless the configured one is newer.
     fn restore_endpoints(&mut self, now: Time, configured: &DiscoveryUpdate) {
         let destinations = configured.endpoints.iter().map(|endpoint| endpoint.destination);
         self.journal.state.destinations.extend(destinations);
@@ -42,28 +42,28 @@
     }
 
     fn restore_circuits(&mut self, now: Time) {
-        for note in self.journal.state.circuits.iter() {
-            if let Some(record) = self.circuit_record(note) {
+        for circuit in self.journal.state.circuits.iter() {
+            if let Some(record) = self.circuit_record(circuit) {
                 self.scheduler.handle(now, Event::CircuitRestored(record));
             }
         }
         self.persist_all_circuits();
     }
 
-    /// A note in the scheduler's terms; none if it is of an endpoint that is no longer known.
-    fn circuit_record(&self, note: &PersistedCircuit) -> Option<CircuitRecord> {
-        let endpoint = match &note.uid {
+    /// A persisted circuit in the scheduler's terms; none if its endpoint is no longer listed.
+    fn circuit_record(&self, circuit: &PersistedCircuit) -> Option<CircuitRecord> {
+        let endpoint = match &circuit.uid {
             Some(uid) => Some(self.directory.endpoint_id(uid)?),
             None => None,
         };
         Some(CircuitRecord {
-            destination: DestinationId(note.destination),
+            destination: DestinationId(circuit.destination),
             endpoint,
-            last_success_at: self.clock.scheduler_time(note.last_success_ms),
-            failure_score: note.failure_score,
-            calls_lost: note.calls_lost,
-            slow_start_since: note.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
-            baseline_rate: note.baseline_rate,
+            last_success_at: self.clock.scheduler_time(circuit.last_success_ms),
+            failure_score: circuit.failure_score,
+            calls_lost: circuit.calls_lost,
+            slow_start_since: circuit.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
+            baseline_rate: circuit.baseline_rate,
         })
     }
 
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -1,8 +1,8 @@
-//! What one process passes to the next, and how the event loop goes on with it.
+//! What the event loop passes to its successor process, and how it continues from what its predecessor has passed on.
 //!
-//! A process that shares the scheduler's memory layout gets a [`HandoverSnapshot`], and the calls in flight go on in
-//! the process before. Any other goes on from the journal, with [`CarriedOverConstraints`] for what the journal does
-//! not hold. The protocol between the processes is the `handover` module's.
+//! A successor of the same fingerprint gets a [`HandoverSnapshot`], and the predecessor finishes the calls in flight.
+//! Any other continues from the journal, with [`CarriedOverConstraints`] for what the journal does not hold. The
+//! protocol between the processes is the `handover` module's.
 
 use delivery_gateway::discovery::EndpointIdTable;
 use delivery_gateway::{EndpointId, Event, MessageId, Scheduler, Time};
@@ -22,51 +22,56 @@
 /// How long aborted calls may take to end.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What binds a process that does not share the scheduler's memory layout.
+/// What binds a successor that cannot read a [`HandoverSnapshot`]. The order of fields is the wire between two builds.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CarriedOverConstraints {
-    /// What is left of each `Retry-After`, by the uids of endpoints.
-    retry_after_delays: Vec<(String, Duration)>,
-    lame: bool,
+    retry_after_delays: Vec<RetryAfterDelay>,
+    is_lame_duck: bool,
 }
 
-/// All that the next process needs beside the journal to go on as the same gateway.
+/// What is left of a `Retry-After`.
+#[derive(Debug, Serialize, Deserialize)]
+struct RetryAfterDelay {
+    /// The uid of an endpoint that it binds.
+    uid: String,
+    delay: Duration,
+}
+
+/// All that a successor needs beside the journal to continue as the same gateway.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverSnapshot {
     scheduler: Scheduler,
     /// Time since the scheduler's clock began, when the clock was read.
-    passed: Duration,
+    elapsed: Duration,
     clock: ClockReading,
-    numbers: EndpointIdTable,
+    endpoint_ids: EndpointIdTable,
     /// Messages of which more than one request was acknowledged.
-    shared: Vec<MessageId>,
-    /// Calls that the process before goes on with.
+    shared_messages: Vec<MessageId>,
+    /// Calls that the predecessor finishes.
     calls: Vec<InFlightCall>,
 }
 
 impl HandoverSnapshot {
-    /// The messages of each call that stays with the process before, and where it went.
-    pub fn away(&self) -> impl Iterator<Item = (EndpointId, Vec<MessageId>)> + '_ {
-        self.calls.iter().map(|call| (call.endpoint, call.messages.clone()))
+    /// The calls that the predecessor finishes.
+    pub fn calls(&self) -> &[InFlightCall] {
+        &self.calls
     }
 }
 
 impl EventLoop {
-    /// Goes on where another process stopped, with the calls that it still has in flight. `stop` asks it to end one.
+    /// Continues where the predecessor stopped, with the calls that it finishes. `stop` asks it to stop one.
     pub fn resume_from(
         &mut self,
         snapshot: HandoverSnapshot,
         stop: impl Fn(MessageId, StopReason) + Clone + 'static,
     ) {
-        let HandoverSnapshot { scheduler, passed, clock, numbers, shared, calls } = snapshot;
+        let HandoverSnapshot { scheduler, elapsed, clock, endpoint_ids, shared_messages, calls } = snapshot;
         self.scheduler = scheduler.resumed(std::mem::take(&mut self.scheduler));
-        let phase =
-            if self.scheduler.is_lame_duck() { ServicePhase::LameDuck } else { ServicePhase::Serving };
-        self.phase.send_replace(phase);
-        self.clock = Clock::resumed(passed, clock);
-        self.directory.adopt_ids(numbers);
+        self.phase.send_replace(ServicePhase::in_service(self.scheduler.is_lame_duck()));
+        self.clock = Clock::resumed(elapsed, clock);
+        self.directory.adopt_ids(endpoint_ids);
         self.resume_endpoints();
-        self.resume_pending(&shared);
+        self.resume_pending(&shared_messages);
         self.persist_all_circuits();
         calls.into_iter().for_each(|call| self.resume_call(call, stop.clone()));
         info!(
@@ -93,7 +98,7 @@
                 self.pending.mark_shared(id);
             }
             if let Some(final_outcome) = pending.final_outcome {
-                // The process before may have sent it; a notification may arrive twice.
+                // The predecessor may have sent it; a notification may arrive twice.
                 let message = MessageId(*number);
                 let _ =
                     self.notifications.send(OutcomeNotification { message, id: id.clone(), final_outcome });
@@ -103,7 +108,7 @@
 
     fn resume_call(&mut self, call: InFlightCall, stop: impl Fn(MessageId, StopReason) + 'static) {
         let InFlightCall { endpoint, messages, sent } = call;
-        let (handle, stopped) = CallHandle::of_previous_process(sent, self.pool.reserve_descriptor());
+        let (handle, stopped) = CallHandle::of_predecessor(sent, self.pool.reserve_descriptor());
         messages.iter().for_each(|message| self.track_attempt(*message, endpoint, &handle));
         let Some(first) = messages.first().copied() else { return };
         tokio::task::spawn_local(async move {
@@ -113,13 +118,16 @@
         });
     }
 
-    /// All that the next process needs, as bytes. This one must decide nothing as long as the other may.
+    /// The snapshot for a successor, as bytes. This process must decide nothing as long as the successor may.
+    ///
+    /// # Errors
+    /// It cannot be encoded.
     pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
         let snapshot = HandoverSnapshot {
-            passed: self.clock.elapsed(),
+            elapsed: self.clock.elapsed(),
             clock: self.clock.reading(),
-            numbers: self.directory.id_table(),
-            shared: self.pending.shared_messages(),
+            endpoint_ids: self.directory.id_table(),
+            shared_messages: self.pending.shared_messages(),
             calls: self.in_flight.calls(),
             scheduler: std::mem::take(&mut self.scheduler),
         };
@@ -128,32 +136,31 @@
         bytes
     }
 
-    /// What the journal does not hold, in words that any process understands.
+    /// What a successor of another fingerprint must observe beside the journal.
     pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
-        let by_uid = |(id, delay): (EndpointId, Duration)| Some((self.directory.uid(id)?.to_owned(), delay));
+        let by_uid = |(id, delay): (EndpointId, Duration)| {
+            Some(RetryAfterDelay { uid: self.directory.uid(id)?.to_owned(), delay })
+        };
+        let delays = self.scheduler.retry_after_delays(self.clock.now());
         CarriedOverConstraints {
-            retry_after_delays: self
-                .scheduler
-                .retry_after_delays(self.clock.now())
-                .filter_map(by_uid)
-                .collect(),
-            lame: self.scheduler.is_lame_duck(),
+            retry_after_delays: delays.filter_map(by_uid).collect(),
+            is_lame_duck: self.scheduler.is_lame_duck(),
         }
     }
 
-    /// Goes on where a process of another memory layout stopped: from the journal, which has been replayed, and
-    /// under these constraints. That process has no calls in flight any more.
+    /// Continues where a predecessor of another fingerprint stopped: from the journal, which has been replayed, and
+    /// under these constraints. It has no calls in flight any more.
     pub fn apply_constraints(&mut self, constraints: CarriedOverConstraints) {
         let now = self.clock.now();
-        for (uid, delay) in constraints.retry_after_delays {
+        for RetryAfterDelay { uid, delay } in constraints.retry_after_delays {
             if let Some(endpoint) = self.directory.endpoint_id(&uid) {
                 self.scheduler.handle(now, Event::RetryAfter { endpoint, delay });
             }
         }
-        self.resume_phase(if constraints.lame { ServicePhase::LameDuck } else { ServicePhase::Serving });
+        self.resume_phase(ServicePhase::in_service(constraints.is_lame_duck));
     }
 
-    /// Goes on in the phase that came before the hand-over.
+    /// Continues in the phase before the handover.
     pub fn resume_phase(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
         self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
@@ -239,7 +246,7 @@
         self.pool.set_max_idle(self.max_idle_connections);
     }
 
-    /// Whether another process would find in the journal all that this one knows.
+    /// Whether a successor would find in the journal all that this process knows.
     pub fn journal_is_flushed(&self) -> bool {
         self.journal.is_flushed()
     }
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -43,20 +43,34 @@
     HandingOver,
 }
 
+impl ServicePhase {
+    /// The phase of a gateway that is neither ending nor handed over.
+    pub fn in_service(is_lame_duck: bool) -> Self {
+        if is_lame_duck {
+            ServicePhase::LameDuck
+        } else {
+            ServicePhase::Serving
+        }
+    }
+}
+
 /// What the event loop sends to.
 #[derive(Clone)]
 pub struct Channels {
     /// To the event loop itself, for the tasks that it spawns.
     pub events: UnboundedSender<GatewayEvent>,
+    /// To the task that sends notifications.
     pub notifications: UnboundedSender<OutcomeNotification>,
     /// Asks for the endpoint list to be watched again.
     pub watch: watch::Sender<()>,
+    /// To the tasks that serve clients and operators.
     pub phase: watch::Sender<ServicePhase>,
 }
 
 /// A message that a client asks the gateway to deliver.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EnqueueRequest {
+    /// Chosen by the client, and unique to the message.
     pub id: String,
     /// Messages of one key are delivered in order; zero where the class has no order.
     pub ordering_key: u64,
@@ -64,12 +78,15 @@
     pub class: String,
     /// By name; empty where the client names none.
     pub tenant: String,
+    /// The destination's number.
     pub destination: u32,
     /// How long it may still be delivered.
     pub time_left: Duration,
+    /// What endpoints recognize a retry by.
     pub idempotency_key: Option<String>,
     /// The client may have given the message to another gateway before.
     pub redelivered: bool,
+    /// What is delivered.
     pub body: Bytes,
 }
 
@@ -89,8 +106,11 @@
 /// The final outcome of a message that was not delivered, for the platform.
 #[derive(Debug)]
 pub struct OutcomeNotification {
+    /// The gateway's number of the message.
     pub message: MessageId,
+    /// The client's id of it.
     pub id: String,
+    /// What the platform is told.
     pub final_outcome: FinalOutcome,
 }
 
@@ -106,11 +126,13 @@
 /// How a call ended for one of its messages.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
+    /// What became of the attempt.
     pub outcome: AttemptOutcome,
     /// Time since the attempt was sent.
     pub latency: Duration,
     /// The message is completed, and needs no notification.
     pub complete: bool,
+    /// What the endpoint reported of its capacity.
     pub load_report: Option<LoadReport>,
 }
 
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The parts that a hand-over concerns, and what they are made of.
+/// The parts that a handover concerns, and what they are made of.
 pub struct Gateway {
     event_loop: EventLoop,
     events: UnboundedReceiver<GatewayEvent>,
@@ -187,7 +187,7 @@
     /// Serves until the process is to end, or another process has taken over.
     ///
     /// # Errors
-    /// The state could not be restored after a hand-over that failed.
+    /// The state could not be restored after a handover that failed.
     pub async fn serve(mut self, mut listener: TcpListener) -> Result<(), StartError> {
         loop {
             let intake = self.start_intake(listener);
@@ -254,8 +254,7 @@
         Some(())
     }
 
-    /// Stops the intake. Connections that can move go out to be transferred, after the requests that they have in
-    /// hand are answered. None if the process is to end meanwhile.
+    /// Stops the intake. Connections go to be transferred once the request that each may have open is answered. None if the process is to end meanwhile.
     async fn pause(&mut self, intake: Intake) -> Result<Option<Paused>, StartError> {
         let phase = self.plan.channels.phase.send_replace(ServicePhase::HandingOver);
         intake.watching.abort();
@@ -275,8 +274,8 @@
         Ok(Some(Paused { listener, phase, _gate: ClosedGate { closing, _permit: permit } }))
     }
 
-    /// Hands the service over, unless the journal lacks what the other process would need. The calls in flight go on
-    /// here for a process that means the same by a snapshot.
+    /// Hands the service over, unless the journal lacks what the successor would need. Calls in flight are finished here
+    /// for a successor of the same fingerprint, and aborted before for any other.
     async fn hand_over(&mut self, successor: SuccessorConnection, listener: &TcpListener) -> HandoverResult {
         self.event_loop.process_queued(&mut self.events);
         if !successor.shares_state {
@@ -290,7 +289,7 @@
         successor.hand_over(event_loop, events, transferred, listener, &ownership.lock).await
     }
 
-    /// Takes the service back from a process that ended before it was in service. `missed` is what happened here
+    /// Takes the service back from a successor that ended before it was in service. `missed` is what happened here
     /// meanwhile.
     async fn take_back(&mut self, missed: Vec<GatewayEvent>) -> Result<(), StartError> {
         let journal_untouched = self.event_loop.journal_is_untouched();
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -113,8 +113,8 @@
         };
         let mut in_flight = HashMap::new();
         if let HandedOverState::Snapshot(snapshot) = &state {
-            for (endpoint, messages) in snapshot.away() {
-                in_flight.extend(messages.into_iter().map(|message| (message, endpoint)));
+            for call in snapshot.calls() {
+                in_flight.extend(call.messages.iter().map(|message| (*message, call.endpoint)));
             }
         }
         let listener = TcpListener::from_std(listener.into()).map_err(HandoverError::Listener)?;
--- a/src/bin/delivery-gateway/ownership.rs
+++ b/src/bin/delivery-gateway/ownership.rs
@@ -10,6 +10,7 @@
 
 /// The state folder's lock, and how it changes hands.
 pub struct Ownership {
+    /// The lock file; locked by whoever owns the folder.
     pub lock: File,
     socket: PathBuf,
     /// What a handover snapshot looks like: it means the same only to a process of the same fingerprint.
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -36,22 +36,30 @@
 
 /// What is known of a message that is about to be sent.
 pub struct Attempt<'a> {
+    /// The class of the message.
     pub class: &'a Class,
+    /// Another attempt of it is in flight.
     pub is_in_flight: bool,
+    /// It must not be sent any more.
     pub has_final_outcome: bool,
+    /// The message must not be sent from then on.
     pub deadline: Time,
     /// Attempts started so far.
     pub attempts: u32,
     /// The first of the attempts that may have been processed.
     pub first_uncertain: Option<SentAttempt>,
+    /// Where it is to go.
     pub receiver: Receiver,
 }
 
 /// Where a message is to go.
 #[derive(Clone, Copy, Debug)]
 pub struct Receiver {
+    /// The endpoint itself.
     pub endpoint: EndpointId,
+    /// The destination that it belongs to.
     pub destination: DestinationId,
+    /// The zone that it is in.
     pub zone: ZoneId,
     /// It may be given new work.
     pub is_open: bool,
@@ -77,6 +85,7 @@
 }
 
 impl SendGuard {
+    /// A guard under these settings, with no delay in force.
     pub fn new(settings: &Settings) -> Self {
         SendGuard { max_attempts: settings.max_attempts, retry_after: HashMap::new(), breaches: 0 }
     }
--- a/src/bin/delivery-gateway/start_error.rs
+++ b/src/bin/delivery-gateway/start_error.rs
@@ -10,6 +10,7 @@
 use crate::handover::HandoverError;
 use crate::journal::JournalError;
 
+/// Why the gateway could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("the environment variable {0} is not set; it must name a path")]
