--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,17 +1,17 @@
-//! Keeps the state and its indexes in step: what a change touches, and what is settled and can be forgotten.
+//! Keeps the state and its indexes in step: what a change affects, and what can be forgotten.
 
 use super::route::Route;
 use super::state::queue::Standing;
-use super::state::ready_index::Agenda;
+use super::state::ready_index::ReadyIndex;
 use super::state::{Message, RouteId};
-use super::Scheduler;
+use super::{Deadline, Scheduler};
 use crate::model::*;
 
 impl Scheduler {
-    /// Something has changed at a destination: it is looked at in the next step. Up to the last step its
-    /// routes were as the last look had left them.
+    /// Something has changed at a destination: the next step visits it. The token buckets of its routes are
+    /// refilled as the visits up to the last step would have done.
     pub(super) fn touch(&mut self, destination: DestinationId) {
-        self.agenda.touch(destination);
+        self.ready_index.touch(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
             route.rate_limit.settle(self.last_round_at);
         }
@@ -21,27 +21,27 @@
     /// alone.
     pub(super) fn standing(&self, message: &Message) -> Standing {
         if message.call.is_some() {
-            return Standing::Out;
+            return Standing::InFlight;
         }
         if message.ordering_key(&self.settings).is_some()
             || message.first_uncertain_attempt.is_some()
             || message.attempts >= self.settings.max_attempts
         {
-            return Standing::Apart;
+            return Standing::Individual;
         }
-        Standing::Among {
+        Standing::Grouped {
             lane: (message.accepted.class, message.over_quota),
-            born: message.enqueued_at,
+            enqueued_at: message.enqueued_at,
             not_before: message.not_before,
         }
     }
 
-    /// Tells the queue of a message how the message stands; to be called whenever that may have changed.
+    /// Updates the queue entry of a message; to be called whenever its standing may have changed.
     pub(super) fn update_standing(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         let standing = self.standing(message);
         if let Some(queue) = self.queues.get_mut(&message.accepted.destination) {
-            queue.stands(message.seq, standing);
+            queue.set_standing(message.seq, standing);
         }
     }
 
@@ -62,7 +62,7 @@
         if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.completed) {
             message.completed = true;
             self.open_messages -= 1;
-            self.deadlines.remove(&(message.accepted.deadline, id));
+            self.deadlines.remove(&Deadline { at: message.accepted.deadline, message: id });
             let destination = message.accepted.destination;
             if let Some(queue) = self.queues.get_mut(&destination) {
                 queue.remove(message.seq);
@@ -92,26 +92,26 @@
         }
         let key = message.accepted.key;
         self.messages.remove(&id);
-        // The next message of its key has its turn now, wherever it goes.
+        // It is the turn of the next message of its key, whatever its destination.
         let next = key.and_then(|key| self.ordering.remove(key, id));
         if let Some(next) = next.and_then(|next| self.messages.get(&next)) {
             self.touch(next.accepted.destination);
         }
     }
 
-    /// Makes the indexes anew from the state: all is to be looked at.
-    pub(super) fn rebuild_agenda(&mut self) {
+    /// Rebuilds the indexes from the state; the next step visits everything.
+    pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
             route.rate_limit.settle(self.last_round_at);
         }
-        self.agenda = Agenda::default();
-        self.agenda.all = true;
+        self.ready_index = ReadyIndex::default();
+        self.ready_index.all = true;
         let unresponsive = self.calls.iter().filter(|(_, call)| call.is_unresponsive && !call.is_cancelled);
-        self.agenda.hanging = unresponsive.map(|(id, _)| *id).collect();
+        self.ready_index.unresponsive_calls = unresponsive.map(|(id, _)| *id).collect();
         let removed = self.endpoints.values().filter(|endpoint| endpoint.is_removed());
-        self.agenda.gone = removed.map(|endpoint| endpoint.entry.id).collect();
+        self.ready_index.removed_endpoints = removed.map(|endpoint| endpoint.entry.id).collect();
         let with_record = self.routes.iter().filter(|(_, route)| route.has_circuit_record());
-        self.agenda.circuit_records = with_record.map(|(id, _)| *id).collect();
+        self.ready_index.changed_circuits = with_record.map(|(id, _)| *id).collect();
         let with_calls = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
         for id in with_calls.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.schedule_silence_check(id);
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -4,7 +4,7 @@
 use super::loss_ratio;
 use super::message_value;
 use super::state::queue::{Lane, Queue, Standing};
-use super::state::ready_index::{earliest, Look};
+use super::state::ready_index::{earliest, Revisit};
 use super::state::{Message, RemainingValue, RouteId};
 use super::Scheduler;
 use crate::model::*;
@@ -13,21 +13,23 @@
 /// A message that may be sent now.
 #[derive(Clone, Copy)]
 pub struct ChosenMessage {
+    /// The message.
     pub id: MessageId,
+    /// Its value now.
     pub value: f64,
 }
 
 impl Scheduler {
-    /// The message of most value that may go by a route to one of these zones now; if none, `look` gets the
-    /// time when that may be. A half-open probe rather takes one that can be resent.
+    /// The message of highest value that may go by a route to one of these zones now. If there is none,
+    /// `revisit` says when to try again. A half-open probe prefers a message that can be resent.
     pub(super) fn choose_message(
         &mut self,
         now: Time,
         route_id: RouteId,
         zones: &[ZoneId],
-        look: &mut Look,
+        revisit: &mut Revisit,
     ) -> Option<ChosenMessage> {
-        // What is lost on all routes alike is no reason to wait.
+        // Losses that all routes have are no reason to wait.
         let baseline = self.connection_reuse.baseline_risk();
         let route = self.routes.get_mut(&route_id);
         let is_probe = route.as_ref().is_some_and(|route| route.circuit.is_open());
@@ -42,11 +44,11 @@
         for message in ids.filter_map(|id| self.messages.get(&id)).filter(may_go_there) {
             let send_at = self.earliest_send(now, message);
             if send_at.is_none_or(|at| at > now) {
-                earliest(&mut look.wake, send_at);
-                // When its idempotency window ends first, there is nothing to be done at that time any more.
+                earliest(&mut revisit.send_at, send_at);
+                // If its idempotency window ends before that time, it can never be sent.
                 let expires_at = idempotency::last_send_at(&self.settings, message)
                     .map(|last_send_at| last_send_at + Duration::from_nanos(1));
-                earliest(&mut look.change, expires_at.filter(|_| send_at.is_some()));
+                earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
                 continue;
             }
             let class = message.class(&self.settings);
@@ -54,8 +56,8 @@
             let last_attempt_at = loss_ratio::last_attempt_at(class, message.accepted.deadline);
             if loses_calls && !is_resendable && now < last_attempt_at {
                 let recheck_at = now + loss_ratio::recheck_delay(&self.settings);
-                look.always = true;
-                earliest(&mut look.wake, Some(recheck_at.min(last_attempt_at)));
+                revisit.each_step = true;
+                earliest(&mut revisit.send_at, Some(recheck_at.min(last_attempt_at)));
                 continue;
             }
             let is_preferred = !is_probe || is_resendable;
@@ -67,8 +69,8 @@
         best.map(|(_, chosen)| chosen)
     }
 
-    /// The one condition of every attempt: when a message may be sent; none if only after some event, or
-    /// never.
+    /// The condition that every attempt has to meet: when a message may be sent. None if that depends on some
+    /// event, or if it may never be sent again.
     fn earliest_send(&self, now: Time, message: &Message) -> Option<Time> {
         let last_send_at = idempotency::last_send_at(&self.settings, message);
         if message.completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
@@ -80,8 +82,8 @@
         Some(message.not_before.max(turn_at))
     }
 
-    /// Of a long queue, some messages of which one is the best; none where the queue is short. With
-    /// `include_non_idempotent`, all that aren't idempotent are among them.
+    /// A short list from a long queue that contains its best message; none if the queue is short. With
+    /// `include_non_idempotent` it contains all messages that are not idempotent.
     fn best_of_long_queue(
         &mut self,
         now: Time,
@@ -89,7 +91,8 @@
         include_non_idempotent: bool,
     ) -> Option<Vec<MessageId>> {
         let mut queue = std::mem::take(self.queues.get_mut(&destination)?);
-        let standing = |id| self.messages.get(&id).map_or(Standing::Out, |message| self.standing(message));
+        let standing =
+            |id| self.messages.get(&id).map_or(Standing::InFlight, |message| self.standing(message));
         let index = queue.take_index(standing);
         let best = index.map(|mut index| {
             let class = |lane: Lane| &self.settings.classes[usize::from(lane.0 .0)];
@@ -106,7 +109,7 @@
             queue.give_back(index);
             best
         });
-        self.agenda.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
+        self.ready_index.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
         self.queues.insert(destination, queue);
         best
     }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -1,20 +1,20 @@
 //! Which destination gets a free call slot, and with which message, route and endpoint.
 //!
 //! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
-//! best message is worth most for the time that it takes the slot. A destination is looked at only when
-//! something has changed there, or when its last look said so ([`Look`]).
+//! best message has the highest value for each second that it uses the slot. A destination is visited only
+//! when something has changed there, or when its last visit asked for it ([`Revisit`]).
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
-use super::state::ready_index::{earliest, Look};
+use super::state::ready_index::{earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest is for
-/// the call.
+/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
+/// time is needed for the call.
 const COST_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
 
 /// What may be sent to a destination now.
@@ -32,7 +32,7 @@
     value_per_sec: f64,
 }
 
-/// The cheapest route that is well and may take a call later.
+/// The cheapest healthy route that can take a call later, but not now.
 #[derive(Clone, Copy)]
 struct CheaperRoute {
     cost: f64,
@@ -41,30 +41,31 @@
 }
 
 impl Scheduler {
-    /// Call slots that are not taken.
+    /// Call slots that are free.
     pub(super) fn free_slots(&self) -> usize {
         self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
-    /// Starts calls until no slot is free or nothing may be sent; `next` gets the time of the next look.
+    /// Starts calls until no slot is free or nothing may be sent. `next` is moved to the time of the next
+    /// visit.
     pub(super) fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         if self.free_slots() == 0 {
             return;
         }
-        let mut due = self.agenda.due(now, self.free_slots());
-        if self.shutdown.is_scheduled() || std::mem::take(&mut self.agenda.all) {
+        let mut due = self.ready_index.due(now, self.free_slots());
+        if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.all) {
             due.extend(self.queues.keys());
         }
         let mut ready: Vec<ReadyDestination> = Vec::new();
         for destination in due {
             ready.extend(self.ready_destination(now, destination, next));
         }
-        earliest(next, self.agenda.next_wake());
+        earliest(next, self.ready_index.next_send_at());
         while self.free_slots() > 0 {
             let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
             let Some(first) = first else { break };
             let destination = ready.swap_remove(first).destination;
-            // Slots were taken since it was found ready: what was free may not be so now.
+            // Other calls have started since it was found ready, so it may have to wait now.
             let Some(candidate) = self.look_at(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
@@ -91,7 +92,8 @@
         Some(ReadyDestination { destination, value_per_sec })
     }
 
-    /// What may be sent to a destination now. If nothing may, it isn't looked at again before that changes.
+    /// What may be sent to a destination now. If nothing may, it is not visited again before that can have
+    /// changed.
     fn look_at(
         &mut self,
         now: Time,
@@ -99,34 +101,34 @@
         next: &mut Option<Time>,
     ) -> Option<Candidate> {
         if !self.queues.contains_key(&destination) {
-            self.agenda.forget(destination);
+            self.ready_index.forget(destination);
             return None;
         }
-        let mut look = Look::default();
-        let candidate = self.find_candidate(now, destination, &mut look);
-        earliest(next, look.wake);
-        self.agenda.work.destinations += 1;
-        if candidate.is_none() && !look.always {
-            self.agenda.park(destination, &look);
+        let mut revisit = Revisit::default();
+        let candidate = self.find_candidate(now, destination, &mut revisit);
+        earliest(next, revisit.send_at);
+        self.ready_index.work.destinations += 1;
+        if candidate.is_none() && !revisit.each_step {
+            self.ready_index.park(destination, &revisit);
         } else {
             self.touch(destination);
         }
         candidate
     }
 
-    /// The best message of a destination that may be sent now, by the cheapest route that may take it; if
-    /// none, `look` gets the time when that may be.
+    /// The best message of a destination that may be sent now, by the cheapest route that can take it. If
+    /// there is none, `revisit` says when to try again.
     fn find_candidate(
         &mut self,
         now: Time,
         destination: DestinationId,
-        look: &mut Look,
+        revisit: &mut Revisit,
     ) -> Option<Candidate> {
         let mut cheaper: Option<CheaperRoute> = None;
         for (cost, route) in self.routes_by_cost(destination) {
-            let free_at = self.route_free_at(now, route, look);
+            let free_at = self.route_free_at(now, route, revisit);
             if free_at.is_none_or(|at| at > now) {
-                earliest(&mut look.wake, free_at);
+                earliest(&mut revisit.send_at, free_at);
                 let messages_per_sec = self.messages_per_sec_if_healthy(now, route);
                 if let (None, Some(free_at), Some(messages_per_sec)) = (cheaper, free_at, messages_per_sec) {
                     cheaper = Some(CheaperRoute { cost, free_at, messages_per_sec });
@@ -135,12 +137,12 @@
             }
             let zones: Vec<ZoneId> =
                 self.eligible_endpoints(route).map(|endpoint| endpoint.entry.zone).collect();
-            let Some(chosen) = self.choose_message(now, route, &zones, look) else { continue };
+            let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
             if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
                 if self.can_wait_for(&cheaper, destination, chosen.id) {
-                    // Which message is best, and so how long it may wait, changes from moment to moment.
-                    look.always = true;
-                    earliest(&mut look.wake, Some(cheaper.free_at));
+                    // The best message, and so how long it can wait, changes from moment to moment.
+                    revisit.each_step = true;
+                    earliest(&mut revisit.send_at, Some(cheaper.free_at));
                     continue;
                 }
             }
@@ -159,7 +161,7 @@
         routes
     }
 
-    /// Messages a second that a route takes, unless it is recovering or has no endpoint that may be called.
+    /// Messages a second that a route can take; none if it is recovering or has no eligible endpoint.
     fn messages_per_sec_if_healthy(&mut self, now: Time, id: RouteId) -> Option<f64> {
         let calls_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get(&id)?;
@@ -167,8 +169,8 @@
         is_healthy.then_some(calls_per_sec * route.batch_size as f64)
     }
 
-    /// Whether a message can wait for a cheaper route: only if all that waits can go that way in time. Else
-    /// what a dearer route could take now would be lost.
+    /// Whether a message can wait for a cheaper route. Only if that route can deliver the whole queue in
+    /// time: otherwise the capacity of the more expensive route would be wasted.
     fn can_wait_for(&self, cheaper: &CheaperRoute, destination: DestinationId, message: MessageId) -> bool {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
         let queue_secs = waiting_messages / cheaper.messages_per_sec.max(0.001);
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -1,9 +1,9 @@
-//! Calls that are silent for too long: each counts as a loss for the reuse of connections, and when all slots
-//! are taken while messages wait, the oldest one is cancelled.
+//! Calls without a response for too long. Each counts as a loss for the reuse of connections. When messages
+//! wait and no slot is free, the oldest one is cancelled.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
-use super::state::{Call, RouteId};
+use super::state::{Call, CallId, RouteId};
 use super::Scheduler;
 use crate::model::*;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 const PATIENCE_IN_LATENCIES: f64 = 3.0;
 /// ... but not before this ratio of the shortest latency objective: short pauses of an endpoint are ordinary.
 const MIN_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
-/// A call with a message that isn't idempotent gets so many times that patience before it is cancelled, as
-/// the message is lost then.
+/// A call with a message that is not idempotent gets this multiple of that patience before it is cancelled,
+/// as the message is lost with it.
 const PATIENCE_MULTIPLE_NON_IDEMPOTENT: u32 = 2;
 
 impl Scheduler {
@@ -27,32 +27,32 @@
 
     /// Marks the calls that have become unresponsive; returns when the next one will.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
-        while let Some(route_id) = self.agenda.stalls.due(now) {
+        while let Some(route_id) = self.ready_index.silence_checks.due(now) {
             let oldest = self.oldest_responsive_call(route_id);
             if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
                 call.is_unresponsive = true;
                 let connection_idle = call.connection_idle;
-                self.agenda.hanging.insert(id);
+                self.ready_index.unresponsive_calls.insert(id);
                 self.connection_reuse.record_loss(now, &self.settings, connection_idle);
             }
             self.schedule_silence_check(route_id);
         }
-        self.agenda.stalls.first()
+        self.ready_index.silence_checks.first()
     }
 
-    /// Sets when the oldest call of a route that isn't unresponsive yet will be: they get so in the order
-    /// sent.
+    /// Schedules the time at which the oldest responsive call of a route becomes unresponsive. Calls become
+    /// so in the order in which they were sent.
     pub(super) fn schedule_silence_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.patience(id));
-        self.agenda.stalls.set(id, at);
+        self.ready_index.silence_checks.set(id, at);
     }
 
-    fn oldest_responsive_call(&mut self, id: RouteId) -> Option<u64> {
+    fn oldest_responsive_call(&mut self, id: RouteId) -> Option<CallId> {
         let calls = self.routes.get(&id)?.calls.iter();
-        let is_responsive = |call: &&u64| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
+        let is_responsive = |call: &&CallId| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
         let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
-        self.agenda.work.calls += 1 + skipped as u64;
+        self.ready_index.work.calls += 1 + skipped as u64;
         Some(*found)
     }
 
@@ -62,10 +62,11 @@
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
             return;
         }
-        let unresponsive = self.agenda.hanging.iter().filter_map(|id| Some((*id, self.calls.get(id)?)));
+        let unresponsive =
+            self.ready_index.unresponsive_calls.iter().filter_map(|id| Some((*id, self.calls.get(id)?)));
         let mut cancellable = unresponsive.filter(|(_, call)| self.is_cancellable(now, call));
         let Some((id, _)) = cancellable.next() else { return };
-        self.agenda.hanging.remove(&id);
+        self.ready_index.unresponsive_calls.remove(&id);
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.is_cancelled = true;
         for message_id in &call.messages {
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -18,7 +18,7 @@
     ] {
         let world = World::faulty(1, 1);
         let gateway = world.start();
-        world.fail(call, Fault::always(&[error]).part(0.5));
+        world.fail(call, Fault::always(&[error]).with_ratio(0.5));
         let mut client = gateway.client().within(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
@@ -27,7 +27,7 @@
             world.call().answer("200 OK", "");
         }
         world.nothing();
-        assert!(world.faults().counted(call).unwrap().hits > 10, "{call:?} {error}");
+        assert!(world.faults().counted(call).unwrap().failures > 10, "{call:?} {error}");
     }
 }
 
@@ -40,7 +40,7 @@
         let mut client = old.client();
         assert_eq!(client.enqueue("u1", "0", "salary", 1, b"x"), "+OK");
         let out = world.call();
-        world.fail(call, Fault::always(&[EINTR]).part(0.5));
+        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         let new = world.start_beside().listening();
         assert!(new.has_logged("took over from the predecessor"), "{call:?}");
         // On the connection that moved.
@@ -63,7 +63,7 @@
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
         let world = World::faulty(1, 1);
         let mut gateway = world.start();
-        world.fail(call, Fault::always(&[EINTR]).part(0.5));
+        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         for round in 1..=4 {
             gateway.hang_up();
             gateway.log_times("configuration reloaded", round);
@@ -94,7 +94,7 @@
         world.leave_copy_of_journal();
         world.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let gateway = stopped.restart();
-        assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
+        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
         let call = world.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
@@ -115,7 +115,7 @@
         let world = World::faulty(1, 1);
         world.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
         let gateway = world.start();
-        assert_eq!(world.faults().counted(call).unwrap().hits, 4, "{call:?}");
+        assert_eq!(world.faults().counted(call).unwrap().failures, 4, "{call:?}");
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
@@ -144,7 +144,7 @@
         world.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         gateway.hang_up();
         gateway.log_until("configuration reloaded");
-        assert!(world.faults().counted(call).unwrap().hits > 0, "{call:?}");
+        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
     }
 }
 
