--- a/fault-shim/lib.rs
+++ b/fault-shim/lib.rs
@@ -1,30 +1,25 @@
-//! A library that is loaded into a gateway's process (`LD_PRELOAD`) and makes its system calls fail on demand.
+//! A library for `LD_PRELOAD` that makes system calls of a gateway process fail on demand.
 //!
-//! It stands in front of the C library's functions of the same names. Which calls fail, how, and how often is read from
-//! a page that the test or the soak holds (`src/bin/testbed/fault_page.rs`); without one every call goes through.
-//! Randomness comes from the page's seed and a count of the calls alone. It keeps to what Linux documents: an error
-//! comes in the place of the call, except where a part of the work is done first (short and torn writes).
+//! [`hooks`] exports functions with the names of the C library's own, which the dynamic linker resolves to this
+//! library first. Which calls fail, how and how often is read from a page of shared memory that a test or the soak
+//! writes (`src/bin/testbed/fault_page.rs`); without a page every call goes through. What is drawn at random depends
+//! on the page's seed and the number of the call alone, so that a run can be repeated.
 //!
-//! A short read leaves bytes unread without the edge that a runtime may wait for. Linux documents that `read` and
-//! `write` may be cut short by a signal, while `epoll(7)` takes a short one for an empty or full socket. The shim
-//! makes no new edge: a gateway must not depend on the stronger of the two.
+//! The faults are those that Linux documents: an error is returned instead of making the call, except where a part
+//! of the work is done first (short and torn writes).
 //!
-//! - `page` maps the page, `injection` decides from it which calls fail.
-//! - `descriptors` tells sockets, state files and the configuration apart.
-//! - `real` finds the functions behind this library.
-//! - `sockets`, `transfers`, `files` and `events` are the functions in front of them.
+//! A short read leaves bytes unread without the edge that an edge-triggered runtime may wait for. Linux documents that
+//! a signal may cut `read` and `write` short, while `epoll(7)` takes a short transfer as a sign that the socket is
+//! empty or full. The shim creates no new edge: a gateway must not depend on the stronger of the two promises.
 
-// The C library, whose names these are, documents what callers must ensure.
-#![allow(clippy::missing_safety_doc)]
-
-mod descriptors;
-mod events;
 #[path = "../src/bin/testbed/fault_page.rs"]
 #[allow(dead_code)]
 mod fault_page;
-mod files;
-mod injection;
-mod page;
-mod real;
-mod sockets;
-mod transfers;
+
+mod descriptors;
+mod errno;
+mod faults;
+mod hooks;
+mod mapped_page;
+mod next_function;
+mod random;
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -159,9 +159,9 @@
 
     /// Does not make an attempt that would break a rule.
     fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
-        if let Some(more) = self.breach_lines.due() {
+        if let Some(suppressed) = self.breach_lines.due() {
             let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
-            error!(?id, endpoint = endpoint.0, %breach, more, "a rule would have been broken: not sent");
+            error!(?id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
         }
         // The attempt that is in flight already will report its own result.
         if breach != Breach::AlreadyInFlight {
@@ -184,21 +184,21 @@
     }
 
     fn start_call(&mut self, endpoint: EndpointId, address: SocketAddr, batch: Batch) {
-        let Batch { messages: loads, attempt_timeout, .. } = batch;
+        let Batch { messages, attempt_timeout, .. } = batch;
         let sent = Rc::new(Cell::new(false));
         let (handle, stopped) = CallHandle::new(sent.clone());
-        loads.iter().for_each(|load| self.track_attempt(load.message, endpoint, &handle));
+        messages.iter().for_each(|outgoing| self.track_attempt(outgoing.message, endpoint, &handle));
         self.counters.calls += 1;
-        for load in &loads {
+        for outgoing in &messages {
             debug!(
-                id = load.id,
+                id = outgoing.id,
                 endpoint = endpoint.0,
                 ?attempt_timeout,
-                shared = loads.len(),
-                "an attempt begins"
+                messages = messages.len(),
+                "attempt started"
             );
         }
-        let mut call = Call { endpoint, address, messages: loads, attempt_timeout };
+        let mut call = Call { endpoint, address, messages, attempt_timeout };
         let pool = self.pool.clone();
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -207,7 +207,7 @@
                 let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
             };
             let result = pool.call(&mut call, stopped, sent, too_late).await;
-            let messages = call.messages.iter().map(|load| load.message).collect();
+            let messages = call.messages.iter().map(|outgoing| outgoing.message).collect();
             let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
         });
     }
@@ -241,8 +241,8 @@
         if let Some(receiver) = self.receiver(endpoint) {
             self.guard.note_retry_after(self.clock.now(), &receiver, delay);
         }
-        if let Some(more) = self.retry_after_lines.due() {
-            info!(?destination, wait = ?delay, more, "told to wait");
+        if let Some(suppressed) = self.retry_after_lines.due() {
+            info!(?destination, ?delay, suppressed, "Retry-After received");
         }
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
     }
@@ -252,7 +252,7 @@
         let AttemptResult { outcome, latency, complete, load_report } = result;
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             let id = &pending.message.id;
-            debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "an attempt has ended");
+            debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "attempt finished");
         }
         if let AttemptOutcome::Rejected(Some(delay)) = outcome {
             self.note_retry_after(endpoint, delay);
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -31,7 +31,7 @@
 /// System calls that fail while a disk does.
 const DISK_CALLS: [Call; 3] = [Call::StateWrite, Call::StateTruncate, Call::StateRename];
 /// Logged by a gateway that stops itself from breaking a rule.
-const GUARD_LINE: &str = "a rule would have been broken";
+const GUARD_LINE: &str = "it would break a delivery rule";
 
 /// Whether a process is told to end before it is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
