--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -22,5 +22,5 @@
     ClassId, DestinationId, DestinationKindId, EndpointId, MessageId, OrderingKey, TenantId, ZoneId,
 };
 pub use message::{AcceptedMessage, RestoredMessage, SentAttempt};
-pub use settings::{DeliveryLimits, DestinationKind, Settings, Tenant, WeightSource};
+pub use settings::{CapacityHints, DeliveryLimits, DestinationKind, Settings, Tenant};
 pub use time::Time;
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -114,8 +114,8 @@
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
     let base = settings(vec![safe()]);
     let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
-    let costly = Endpoint { zone: ZoneId(2), weight: 5.0, ..endpoint(7, 1) };
-    let cheap = Endpoint { zone: ZoneId(1), weight: 5.0, ..endpoint(8, 1) };
+    let costly = Endpoint { zone: ZoneId(2), capacity_hint: 5.0, ..endpoint(7, 1) };
+    let cheap = Endpoint { zone: ZoneId(1), capacity_hint: 5.0, ..endpoint(8, 1) };
     let zone_costs = vec![0.0, 0.03, 0.06];
     let mut bench = Bench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
     bench.accept(1, 0, 1, None);
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -179,7 +179,7 @@
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
         let mut bench = one(safe());
-        let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
+        let told = Endpoint { capacity_hint: 10_000.0, ..endpoint(7, 1) };
         bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![told]);
         bench.now = bench.now + ms(20);
         bench.accept(1, 0, 1, None);
@@ -276,7 +276,7 @@
 #[test]
 fn a_slow_start_progresses_while_nothing_happens() {
     let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
-    let mut bench = Bench::new(settings, vec![Endpoint { weight: 40.0, ..endpoint(11, 3) }]);
+    let mut bench = Bench::new(settings, vec![Endpoint { capacity_hint: 40.0, ..endpoint(11, 3) }]);
     let begun = bench.now;
     bench.tell(Event::CircuitRestored(CircuitRecord {
         destination: DestinationId(3),
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -112,7 +112,7 @@
     bench.now = bench.now + ms(50);
     bench.finish(1, first, AttemptOutcome::Reset, ms(50));
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
-    let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
+    let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
     bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
     let end = bench.until_action(Duration::from_secs(30));
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
@@ -163,7 +163,7 @@
     for per_endpoint_limits in [false, true] {
         let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
-        let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
+        let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
         // It is worth more than the new messages.
         bench.now = bench.now + Duration::from_secs(2);
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -8,7 +8,10 @@
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(7, 1) }])));
+        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
+            availability: mode,
+            ..endpoint(7, 1)
+        }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
         let routes = bench.routes();
         assert!(!routes.is_empty() && routes.iter().all(|r| r.1 == 8));
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -166,7 +166,8 @@
 
     /// A scheduler that knows the endpoint list and nothing else.
     fn new_scheduler(&self, number: u64) -> Scheduler {
-        let listed = Endpoint { weight: self.scenario.capacity_per_sec, ..endpoint(ENDPOINT.0, DESTINATION) };
+        let listed =
+            Endpoint { capacity_hint: self.scenario.capacity_per_sec, ..endpoint(ENDPOINT.0, DESTINATION) };
         let mut scheduler = Scheduler::new(self.settings.clone(), self.seed * 1000 + number);
         scheduler.handle(self.now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed])));
         scheduler
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -85,7 +85,7 @@
     let classes = vec![keyed(), unsafe_class(), safe()];
     let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
     // Ten messages for each destination, and a small part of its rate for them all: 1.3 calls a second, for 10 s.
-    let listed = |number: u16| Endpoint { weight: 400.0, ..endpoint(u32::from(number), number) };
+    let listed = |number: u16| Endpoint { capacity_hint: 400.0, ..endpoint(u32::from(number), number) };
     let endpoints: Vec<Endpoint> = (1..=DESTINATIONS).map(listed).collect();
     let all = settings.max_pending_messages as u32;
     let time_left = settings.classes[0].deadline / 2;
