--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -159,7 +159,7 @@
 
     /// Does not make an attempt that would break a rule.
     fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
-        if let Some(suppressed) = self.breach_lines.due() {
+        if let Some(suppressed) = self.lines.breach.due() {
             let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
             error!(?id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
         }
@@ -173,7 +173,8 @@
     fn report_not_made(&mut self, message: MessageId, endpoint: EndpointId, result: AttemptResult) {
         self.track_attempt(message, endpoint, &CallHandle::not_started());
         let result = CallResult { attempts: vec![result], retry_after: None };
-        let _ = self.events.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result });
+        let _ =
+            self.channels.events.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result });
     }
 
     /// Notes that a message is in flight.
@@ -200,7 +201,7 @@
         }
         let mut call = Call { endpoint, address, messages, attempt_timeout };
         let pool = self.pool.clone();
-        let events = self.events.clone();
+        let events = self.channels.events.clone();
         tokio::task::spawn_local(async move {
             let too_late = |messages: Vec<MessageId>| {
                 let result = CallResult { attempts: vec![NOT_SENT; messages.len()], retry_after: None };
@@ -241,7 +242,7 @@
         if let Some(receiver) = self.receiver(endpoint) {
             self.guard.note_retry_after(self.clock.now(), &receiver, delay);
         }
-        if let Some(suppressed) = self.retry_after_lines.due() {
+        if let Some(suppressed) = self.lines.retry_after.due() {
             info!(?destination, ?delay, suppressed, "Retry-After received");
         }
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -31,8 +31,7 @@
 use delivery_gateway::{Action, EndpointId, Event, ParsedSettings, Scheduler, Settings, Time};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
-use tokio::sync::watch;
+use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{interval, sleep_until, Instant};
 use tracing::info;
 
@@ -41,13 +40,12 @@
 use self::outcomes::DeferredOutcomes;
 use self::pending_index::PendingIndex;
 use self::persisted_circuits::PersistedCircuitWriter;
-use self::reporting::{JournalErrorLog, LoadCounters, REPORT_SWEEPS};
+use self::reporting::{JournalErrorLog, LoadCounters, RateLimitedLines, REPORT_SWEEPS};
 use crate::clock::Clock;
 use crate::completed_messages::CompletedMessages;
-use crate::events::{Channels, GatewayEvent, OutcomeNotification, ServicePhase, StopReason};
+use crate::events::{Channels, GatewayEvent, ServicePhase, StopReason};
 use crate::http_client::Pool;
 use crate::journal::{FinalOutcome, Journal};
-use crate::rate_limited_log::RateLimitedLog;
 use crate::send_guard::SendGuard;
 
 /// Events that one decision takes in at most.
@@ -103,16 +101,10 @@
     shutdown: Option<Shutdown>,
     /// Kept for its buffer.
     actions: Vec<Action>,
-    events: UnboundedSender<GatewayEvent>,
-    notifications: UnboundedSender<OutcomeNotification>,
-    /// Asks for the endpoint list to be watched again.
-    watch: watch::Sender<()>,
-    phase: watch::Sender<ServicePhase>,
+    channels: Channels,
     counters: LoadCounters,
     journal_errors: JournalErrorLog,
-    lateness_lines: RateLimitedLog,
-    retry_after_lines: RateLimitedLog,
-    breach_lines: RateLimitedLog,
+    lines: RateLimitedLines,
 }
 
 /// Idle connections that the pool keeps. Some descriptors are left for calls, so that these need not wait for idle
@@ -140,7 +132,7 @@
         seed: u64,
         mut journal: Journal,
         endpoint_sockets: usize,
-        Channels { events, notifications, watch, phase }: Channels,
+        channels: Channels,
     ) -> Self {
         parsed.settings.outcomes_need_acknowledgement = true;
         let directory = EndpointDirectory::new(&parsed);
@@ -175,15 +167,10 @@
             timer: None,
             shutdown: None,
             actions: Vec::new(),
-            events,
-            notifications,
-            watch,
-            phase,
+            channels,
             counters: LoadCounters::default(),
             journal_errors: JournalErrorLog::default(),
-            lateness_lines: RateLimitedLog::default(),
-            retry_after_lines: RateLimitedLog::default(),
-            breach_lines: RateLimitedLog::default(),
+            lines: RateLimitedLines::default(),
         }
     }
 
@@ -303,7 +290,7 @@
                 self.timer = Some(Timer { due: self.clock.instant(now + after), token });
             }
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
-            Action::WatchEndpoints { .. } => self.watch.send_replace(()),
+            Action::WatchEndpoints { .. } => self.channels.watch.send_replace(()),
             // These have been started as calls.
             Action::StartAttempt { .. } => {}
         }
@@ -322,8 +309,8 @@
         self.shutdown = Some(Shutdown { earliest: begun + MIN_SHUTDOWN, latest: begun + MAX_SHUTDOWN });
         self.scheduler.handle(now, Event::ShutdownScheduled(now + MAX_SHUTDOWN));
         // Connections that move to another process are served there.
-        if *self.phase.borrow() != ServicePhase::HandingOver {
-            self.phase.send_replace(ServicePhase::ShuttingDown);
+        if *self.channels.phase.borrow() != ServicePhase::HandingOver {
+            self.channels.phase.send_replace(ServicePhase::ShuttingDown);
         }
     }
 
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -50,7 +50,7 @@
         info!(on, pending = self.journal.state.pending.len(), "lame duck mode switched by operators");
         self.scheduler.handle(now, Event::LameDuck(on));
         let phase = ServicePhase::in_service(on);
-        self.phase.send_if_modified(|current| {
+        self.channels.phase.send_if_modified(|current| {
             // Neither a shutdown nor a handover is interrupted.
             let may_change = !matches!(*current, ServicePhase::ShuttingDown | ServicePhase::HandingOver);
             let changed = may_change && *current != phase;
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -54,7 +54,7 @@
         debug!(id = pending.message.id, ?final_outcome, is_recorded, "final outcome recorded or deferred");
         let notification = OutcomeNotification { message, id: pending.message.id.clone(), final_outcome };
         if is_recorded {
-            let _ = self.notifications.send(notification);
+            let _ = self.channels.notifications.send(notification);
         } else {
             let deadline = self.clock.scheduler_time(pending.message.deadline_ms);
             self.deferred_outcomes.push(notification, self.clock.instant(deadline));
@@ -84,7 +84,7 @@
         }
         let all_recorded = self.journal.has_all_records();
         for notification in self.deferred_outcomes.take_due(now, all_recorded) {
-            let _ = self.notifications.send(notification);
+            let _ = self.channels.notifications.send(notification);
         }
     }
 
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -92,7 +92,7 @@
         }
         self.scheduler.handle(now, Event::MessageRestored(restored));
         if let Some(final_outcome) = final_outcome {
-            let _ = self.notifications.send(OutcomeNotification { message, id, final_outcome });
+            let _ = self.channels.notifications.send(OutcomeNotification { message, id, final_outcome });
         }
     }
 }
--- a/src/bin/delivery-gateway/event_loop/reporting.rs
+++ b/src/bin/delivery-gateway/event_loop/reporting.rs
@@ -26,6 +26,15 @@
     max_lateness: Duration,
 }
 
+/// The rate-limited lines of the event loop.
+#[derive(Default)]
+pub(super) struct RateLimitedLines {
+    pub(super) lateness: RateLimitedLog,
+    pub(super) retry_after: RateLimitedLog,
+    /// Attempts that the send guard forbids.
+    pub(super) breach: RateLimitedLog,
+}
+
 /// Logs journal errors at a bounded rate.
 #[derive(Default)]
 pub(super) struct JournalErrorLog {
@@ -48,7 +57,7 @@
     pub(super) fn note_lateness(&mut self, late: Duration, what: &str) {
         self.counters.max_lateness = self.counters.max_lateness.max(late);
         if late > LATENESS_LIMIT {
-            if let Some(suppressed) = self.lateness_lines.due() {
+            if let Some(suppressed) = self.lines.lateness.due() {
                 warn!(?late, suppressed, "{what}");
             }
         }
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -67,7 +67,7 @@
     ) {
         let HandoverSnapshot { scheduler, elapsed, clock, endpoint_ids, shared_messages, calls } = snapshot;
         self.scheduler = scheduler.resumed(std::mem::take(&mut self.scheduler));
-        self.phase.send_replace(ServicePhase::in_service(self.scheduler.is_lame_duck()));
+        self.channels.phase.send_replace(ServicePhase::in_service(self.scheduler.is_lame_duck()));
         self.clock = Clock::resumed(elapsed, clock);
         self.directory.adopt_ids(endpoint_ids);
         self.resume_endpoints();
@@ -100,8 +100,11 @@
             if let Some(final_outcome) = pending.final_outcome {
                 // The predecessor may have sent it; a notification may arrive twice.
                 let message = MessageId(*number);
-                let _ =
-                    self.notifications.send(OutcomeNotification { message, id: id.clone(), final_outcome });
+                let _ = self.channels.notifications.send(OutcomeNotification {
+                    message,
+                    id: id.clone(),
+                    final_outcome,
+                });
             }
         }
     }
@@ -165,7 +168,7 @@
         let now = self.clock.now();
         self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
         self.scheduler.handle(now, Event::ShutdownScheduled(Time(u64::MAX)));
-        self.phase.send_replace(phase);
+        self.channels.phase.send_replace(phase);
     }
 
     /// Starts no more calls.
