--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -236,7 +236,7 @@
             per_endpoint_limits: kind_settings.is_some_and(|kind| kind.per_endpoint_limits),
         };
         self.entries.insert(id, entry);
-        Endpoint { id, zone, kind, destination, mode: availability, weight: discovered.capacity_hint }
+        Endpoint { id, zone, kind, destination, availability, capacity_hint: discovered.capacity_hint }
     }
 }
 
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -19,7 +19,11 @@
 ];
 
 fn listed(id: u32, mode: Availability) -> Endpoint {
-    Endpoint { kind: DestinationKindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
+    Endpoint {
+        kind: DestinationKindId((id % 2) as u16),
+        availability: mode,
+        ..endpoint(id, 1 + (id / 4) as u16)
+    }
 }
 
 /// Changes since a hand-over or a start come on top of all records known then, or of none.
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -94,7 +94,7 @@
     /// Calls that the destination accepts before it rejects.
     room: f64,
     /// What gateways that saw the outage sent since the recovery, by weight.
-    weights: Vec<(Time, f64)>,
+    capacity_hints: Vec<(Time, f64)>,
     since_return: BTreeSet<MessageId>,
     delivered: usize,
     /// Calls before the outage: all, and those rejected.
@@ -119,7 +119,8 @@
             let survives = recovering_fleet.settings.limits.overload_multiple
                 * recovering_fleet.capacity()
                 * fall.as_secs_f64();
-            let recent = recovering_fleet.weights.iter().filter(|(at, _)| recovering_fleet.now - *at < fall);
+            let recent =
+                recovering_fleet.capacity_hints.iter().filter(|(at, _)| recovering_fleet.now - *at < fall);
             worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
         }
     }
@@ -162,7 +163,7 @@
     fn new(plan: Plan) -> Self {
         let settings = settings_of(&plan);
         let start = Time::ZERO + Duration::from_secs(100);
-        let listed = Endpoint { weight: plan.capacity * plan.told, ..endpoint(TO.0, 1) };
+        let listed = Endpoint { capacity_hint: plan.capacity * plan.told, ..endpoint(TO.0, 1) };
         let shares: Vec<f64> = (0..plan.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
         let all: f64 = shares.iter().sum();
         let member = |(number, share): (usize, &f64)| {
@@ -183,7 +184,7 @@
             attempts: BTreeMap::new(),
             count: 0,
             room: 1.0,
-            weights: Vec::new(),
+            capacity_hints: Vec::new(),
             since_return: BTreeSet::new(),
             delivered: 0,
             early: (0, 0),
@@ -269,7 +270,7 @@
                 }
                 Action::StartAttempt { message, attempt_timeout, .. } => {
                     if self.members[member].aware && self.now >= self.back {
-                        self.weights.push((self.now, if fate.is_none() { 1.0 } else { ITEM }));
+                        self.capacity_hints.push((self.now, if fate.is_none() { 1.0 } else { ITEM }));
                     }
                     let (outcome, after) = *fate.get_or_insert_with(|| self.call(attempt_timeout));
                     let attempts = self.attempts.entry(message).or_default();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -42,7 +42,7 @@
 fn entries(listing: EndpointUpdate) -> Vec<(u32, Availability)> {
     match listing {
         EndpointUpdate::Snapshot(entries) | EndpointUpdate::Delta(entries) => {
-            entries.iter().map(|entry| (entry.id.0, entry.mode)).collect()
+            entries.iter().map(|entry| (entry.id.0, entry.availability)).collect()
         }
         other => panic!("no entries in {other:?}"),
     }
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -92,7 +92,7 @@
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
         let base = settings(vec![safe()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
-        let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
+        let told = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
         // Its rate is far above its part of what is announced now.
         bench
--- a/tests/same_decisions.rs
+++ b/tests/same_decisions.rs
@@ -344,7 +344,7 @@
             destination_kinds: [(1, false), (1, true), (3, false), (4, true)]
                 .map(|(batch, per_endpoint_limits)| DestinationKind { batch, per_endpoint_limits })
                 .into(),
-            weights: if self.on(0) { WeightSource::Silent } else { WeightSource::Nominal },
+            capacity_hints: if self.on(0) { CapacityHints::Ignored } else { CapacityHints::Exact },
             decay: if self.on(1) { Decay::Halving } else { Decay::Linear },
             zone_costs: vec![0.0, 0.2, 0.5],
             max_in_flight_calls: self.slots,
@@ -371,8 +371,9 @@
             zone: ZoneId(((d + place) % 3) as u8),
             kind: DestinationKindId((d % 4) as u16),
             destination: DestinationId(destination.into()),
-            mode: Availability::Ready,
-            weight: [100.0, 5.0, 0.0, 20.0, 40.0][((d * 2 + place + self.seed as u32 % 5) % 5) as usize],
+            availability: Availability::Ready,
+            capacity_hint: [100.0, 5.0, 0.0, 20.0, 40.0]
+                [((d * 2 + place + self.seed as u32 % 5) % 5) as usize],
         }
     }
 }
@@ -548,7 +549,8 @@
     }
 
     fn tell_whole_list(&mut self) {
-        let listed = self.list.values().filter(|e| e.mode != Availability::Removed).cloned().collect();
+        let listed =
+            self.list.values().filter(|e| e.availability != Availability::Removed).cloned().collect();
         self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(listed)));
     }
 
@@ -689,7 +691,7 @@
         attempt_timeout: Option<Duration>,
     ) -> (Duration, AttemptOutcome, Option<LoadReport>) {
         let chance = self.chance(message);
-        let weight = self.list.get(&endpoint.0).map_or(0.0, |e| e.weight);
+        let weight = self.list.get(&endpoint.0).map_or(0.0, |e| e.capacity_hint);
         let soon = ms(15 + 5 * (chance % 8));
         let patience = attempt_timeout.unwrap_or_default();
         let load_report = |left: f64| Some(LoadReport { headroom: left, limit_per_sec: weight });
@@ -923,35 +925,38 @@
                         Availability::Draining => reached("endpoint drained"),
                         Availability::Removed => reached("endpoint deleted"),
                     }
-                    self.change(id, |entry| entry.mode = mode);
+                    self.change(id, |entry| entry.availability = mode);
                 }
             }
             Step::Reopen(which) => {
-                let drained = self.list.values().filter(|e| e.mode == Availability::Draining);
+                let drained = self.list.values().filter(|e| e.availability == Availability::Draining);
                 let ids: Vec<u32> = drained.map(|e| e.id.0).collect();
                 if let Some(&id) = pick(&ids, which) {
-                    self.change(id, |entry| entry.mode = Availability::Ready);
+                    self.change(id, |entry| entry.availability = Availability::Ready);
                 }
             }
             Step::Reweigh(which, weight) => {
                 if let Some(id) = self.listed(which) {
-                    self.change(id, |entry| entry.weight = weight);
+                    self.change(id, |entry| entry.capacity_hint = weight);
                 }
             }
             Step::NewEndpoint(which) => {
                 // Every other time one that is gone, if there is any.
                 let all: Vec<u32> = self.list.keys().copied().collect();
-                let is_gone = |id: &u32| self.list[id].mode == Availability::Removed;
+                let is_gone = |id: &u32| self.list[id].availability == Availability::Removed;
                 let gone: Vec<u32> = all.iter().copied().filter(is_gone).collect();
                 let ids = if which % 2 == 0 && !gone.is_empty() { gone } else { all };
                 if let Some(old) = pick(&ids, which).map(|id| self.list[id].clone()) {
-                    if old.mode == Availability::Removed {
+                    if old.availability == Availability::Removed {
                         reached("endpoint back under a new id");
                         self.list.remove(&old.id.0);
                     }
                     self.last_endpoint += 1;
                     let id = self.last_endpoint;
-                    self.list.insert(id, Endpoint { id: EndpointId(id), mode: Availability::Ready, ..old });
+                    self.list.insert(
+                        id,
+                        Endpoint { id: EndpointId(id), availability: Availability::Ready, ..old },
+                    );
                     self.change(id, |_| ());
                 }
             }
@@ -959,7 +964,7 @@
                 reached("whole list");
                 let entries = self.list.values_mut().enumerate();
                 for (_, entry) in entries.filter(|(at, _)| without.is_some_and(|every| at % every == 1)) {
-                    entry.mode = Availability::Removed;
+                    entry.availability = Availability::Removed;
                 }
                 self.tell_whole_list();
             }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -90,7 +90,7 @@
         classes: vec![class],
         tenants: vec![Tenant { quota_per_sec: f64::INFINITY }],
         destination_kinds: Vec::new(),
-        weights: WeightSource::Silent,
+        capacity_hints: CapacityHints::Ignored,
         allow_cancel: false,
         ..Settings::default()
     };
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -44,8 +44,8 @@
         zone: ZoneId(0),
         kind: DestinationKindId(0),
         destination: destination(number % DESTINATIONS),
-        mode: Availability::Ready,
-        weight: 1e6,
+        availability: Availability::Ready,
+        capacity_hint: 1e6,
     }
 }
 
@@ -277,7 +277,10 @@
         let before = site.scheduler.work();
         for mode in [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
         {
-            site.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(3) }])));
+            site.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
+                availability: mode,
+                ..endpoint(3)
+            }])));
             assert_eq!(site.step(), []);
         }
         since(before, site.scheduler.work()).endpoints
