--- a/src/bin/testbed/bounds.rs
+++ b/src/bin/testbed/bounds.rs
@@ -1,4 +1,5 @@
-//! Keeps a run inside its bounds of time and memory, and ends it when it is interrupted. It owns the counting allocator.
+//! Keeps a run inside its bounds of time and memory, and ends it when it is interrupted. It owns the counting
+//! allocator.
 
 use crate::experiment::Bounds;
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
--- a/src/bin/testbed/endpoint_script.rs
+++ b/src/bin/testbed/endpoint_script.rs
@@ -42,7 +42,7 @@
 }
 
 impl TokenBucket {
-    /// Fills up to a second's worth, and takes a token if there is one.
+    /// Fills up to the tokens of one second, and takes one if there is one.
     fn try_take(&mut self, now: Time, limit_per_sec: f64) -> bool {
         let filled = self.tokens + (now - self.filled_at).as_secs_f64() * limit_per_sec;
         self.tokens = filled.min(limit_per_sec.max(1.0));
--- a/src/bin/testbed/experiment.rs
+++ b/src/bin/testbed/experiment.rs
@@ -297,8 +297,8 @@
     }
 }
 
-/// Reads an experiment and checks it against a machine with so many bytes of memory. Only the sweeps named in `only` are
-/// kept, if any is named.
+/// Reads an experiment and checks it against a machine with so many bytes of memory. Only the sweeps named in `only`
+/// are kept, if any is named.
 ///
 /// # Errors
 /// The file cannot be read, or what it says is wrong; see [`ExperimentError`].
--- a/src/bin/testbed/fit.rs
+++ b/src/bin/testbed/fit.rs
@@ -78,7 +78,8 @@
     }
 }
 
-/// Slope and constant of the line by weighted least squares, of points with `(x, y, weight)`; none if all have one size.
+/// Slope and constant of the line by weighted least squares, of points with `(x, y, weight)`; none if all have one
+/// size.
 fn line(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
     let sum = |of: fn((f64, f64, f64)) -> f64| points.clone().map(of).sum::<f64>();
     let weight = sum(|(_, _, w)| w);
--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -1,5 +1,5 @@
-//! The sweep of the journal: a real gateway accepts messages that it cannot deliver, is killed, and starts again on what
-//! it left. Measured is the time to its first `+PONG`, and how many of the messages it then attempts.
+//! The sweep of the journal: a real gateway accepts messages that it cannot deliver, is killed, and starts again on
+//! what it left. Measured is the time to its first `+PONG`, and how many of the messages it then attempts.
 
 use std::collections::HashSet;
 use std::net::{SocketAddr, TcpListener};
--- a/src/bin/testbed/simulated_gateway.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -1,5 +1,5 @@
-//! A simulated gateway: the real scheduler, stepped on a simulated clock as the real gateway's event loop steps it, with
-//! scripted endpoints in the place of sockets. It opens no socket and reads no clock.
+//! A simulated gateway: the real scheduler, stepped on a simulated clock as the real gateway's event loop steps it,
+//! with scripted endpoints in the place of sockets. It opens no socket and reads no clock.
 
 use delivery_gateway::discovery::EndpointDirectory;
 use delivery_gateway::*;
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints of a soak: they serve, reject, break connections and stop responding, by random and as their behavior says.
+//! Endpoints of a soak: they serve, reject, break connections and stop responding, at random and as their behavior
+//! says.
 //! What each did with an attempt goes to the ledger before the gateway can know it.
 
 use std::net::{SocketAddr, TcpListener};
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -33,7 +33,7 @@
 /// Logged by a gateway that stops itself from breaking a rule.
 const GUARD_LINE: &str = "it would break a delivery rule";
 
-/// Whether a process is told to end before it is killed.
+/// Whether a process is terminated before it is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restart {
     /// By SIGTERM, and only then by SIGKILL.
--- a/src/bin/testbed/soak/ledger.rs
+++ b/src/bin/testbed/soak/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of a soak: everything that was seen of each message, and which rules of the protocol that broke. It learns
-//! from clients, endpoints and discovery alone, and decides nothing of what happens.
+//! The ledger of a soak: everything that was seen of each message, and which rules of the protocol that broke. It
+//! learns from clients, endpoints and discovery alone, and decides nothing of what happens.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
@@ -314,7 +314,7 @@
 
     // ---- Processes ----
 
-    /// A gateway's process is told to end, or killed.
+    /// A gateway's process is terminated or killed.
     pub fn gateway_stops(&mut self, gateway: usize) {
         self.restarts.entry(gateway).or_default().push(Restart { begun_at: Instant::now(), ready_at: None });
     }
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -87,7 +87,7 @@
     pub bytes_sent: AtomicU64,
 }
 
-/// A token bucket of watches, which holds a second's worth.
+/// A token bucket of watches, which holds those of one second.
 pub struct Capacity {
     per_s: f64,
     tokens: f64,
--- a/src/bin/testbed/watch_sweep.rs
+++ b/src/bin/testbed/watch_sweep.rs
@@ -255,7 +255,10 @@
     /// The same, until they have the present revision of the list.
     async fn wait_for_update(&mut self, watchers: u64, patience: Duration) -> Result<u64, NotRun> {
         let revision = self.revision;
-        let is_update = move |progress: &WatcherProgress| matches!(progress, WatcherProgress::Updated(own) if *own == revision);
+        let is_update = move |progress: &WatcherProgress| match progress {
+            WatcherProgress::Updated(own) => *own == revision,
+            WatcherProgress::Watching => false,
+        };
         self.wait_for(watchers, is_update, patience).await
     }
 
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -208,7 +208,7 @@
             warn!(
                 uid = discovered.uid,
                 address = discovered.address,
-                "an endpoint's address is unreadable: it is taken for draining"
+                "an endpoint's address is unreadable: it counts as draining"
             );
         }
         let availability = match discovered.state {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// How the scheduler is told of a failure.
+/// How a failure is announced to the scheduler.
 fn announcement(error: &DiscoveryError) -> EndpointUpdate {
     match error {
         DiscoveryError::Status(StatusCode::SERVICE_UNAVAILABLE) | DiscoveryError::WatchNotServed => {
