--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -47,8 +47,8 @@
 
 // ---- Destinations ----
 
-/// What the weight of an endpoint means: `silent`, `nominal`, `rough`, or `live` (the same as `silent`).
-pub const WEIGHT_SOURCE: Setting<CapacityHints> = setting("WeightSource", CapacityHints::Ignored);
+/// What the capacity hint of an endpoint means: `silent`, `nominal`, `rough`, or `live` (the same as `silent`).
+pub const CAPACITY_HINTS: Setting<CapacityHints> = setting("WeightSource", CapacityHints::Ignored);
 /// Messages that one call may carry, as a list by kind of destination; 1 where absent.
 pub const BATCH_BY_KIND: &str = "FamilyInfo.KindBatch";
 /// Whether each endpoint of a destination has its own limits, as a list by kind of destination; `false` where absent.
--- a/src/config/mapping.rs
+++ b/src/config/mapping.rs
@@ -48,7 +48,7 @@
         classes: values.items(keys::CLASSES)?.map(|item| class(&item)).collect::<Result<_, _>>()?,
         tenants: values.items(keys::TENANTS)?.map(|item| tenant(&item)).collect::<Result<_, _>>()?,
         destination_kinds: destination_kinds(root)?,
-        capacity_hints: root.get(keys::WEIGHT_SOURCE)?,
+        capacity_hints: root.get(keys::CAPACITY_HINTS)?,
         decay: root.get(keys::DECAY)?,
         zone_costs: zone_costs(root)?,
         max_in_flight_calls: root.get(keys::MAX_IN_FLIGHT_CALLS)?,
--- a/src/discovery/update.rs
+++ b/src/discovery/update.rs
@@ -74,7 +74,7 @@
     pub destination: u32,
     /// Whether it may be sent new calls.
     pub state: EndpointState,
-    /// Its weight; see [`CapacityHints`](crate::WeightSource).
+    /// What its capacity is said to be; see [`CapacityHints`](crate::CapacityHints).
     pub capacity_hint: f64,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 //! let now = Time::ZERO + Duration::from_secs(1);
 //! scheduler.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![Endpoint {
 //!     id: EndpointId(11), zone: ZoneId(0), kind: DestinationKindId(0), destination: DestinationId(3),
-//!     mode: Availability::Ready, weight: 10.0,
+//!     availability: Availability::Ready, capacity_hint: 10.0,
 //! }])));
 //! scheduler.handle(now, Event::MessageAccepted(AcceptedMessage {
 //!     id: MessageId(1), class: ClassId(0), destination: DestinationId(3), key: None,
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -28,7 +28,7 @@
     pub destination: DestinationId,
     /// Whether it may be given new work.
     pub availability: Availability,
-    /// See [`CapacityHints`](super::WeightSource).
+    /// See [`CapacityHints`](super::CapacityHints).
     pub capacity_hint: f64,
 }
 
