--- /dev/null
+++ b/tests/same_decisions/history.rs
@@ -0,0 +1,368 @@
+//! Random histories: the settings and endpoints that a case has, and the steps that it is made of.
+
+use delivery_gateway::*;
+use proptest::prelude::*;
+use std::time::Duration;
+
+/// The settings and endpoints of a case.
+#[derive(Clone, Debug)]
+pub struct Scenario {
+    pub seed: u64,
+    pub destinations: u8,
+    pub slots: usize,
+    pub max_pending_messages: usize,
+    pub fleet_size: u32,
+    pub max_attempts: u32,
+    /// Messages that are accepted for each one of the history: many make long queues.
+    pub messages_for_each: u8,
+    /// Each bit is one [`Switch`].
+    switches: u8,
+}
+
+/// A setting that a scenario switches: the number of its bit.
+#[derive(Clone, Copy)]
+enum Switch {
+    SilentWeights = 0,
+    HalvingDecay = 1,
+    NoCancel = 2,
+    OutcomesNeedAcknowledgement = 3,
+    ShortIdleTimeout = 4,
+    OrderingKeyHold = 5,
+}
+
+/// How an endpoint responds.
+#[derive(Clone, Copy, Debug)]
+pub enum Behavior {
+    Healthy,
+    /// Delivers, with a load report.
+    Reporting,
+    /// Above its limit: rejects two in three.
+    OverLimit,
+    /// Rejects with headroom left.
+    Closed,
+    /// Rejects with a Retry-After of so many milliseconds.
+    RetryAfter(u64),
+    ConnectionRefused,
+    Unresponsive,
+    /// Delivers after so many milliseconds.
+    Slow(u64),
+    /// Resets every other call.
+    Lossy,
+    ErrorResponses,
+    /// All other outcomes in turn.
+    UncommonOutcomes,
+}
+
+/// Which endpoints change their behavior with one.
+#[derive(Clone, Copy, Debug)]
+pub enum Scope {
+    Endpoint,
+    Destination,
+    Zone,
+    All,
+}
+
+/// A moment shortly before, at or after another, in nanoseconds from it.
+#[derive(Clone, Copy, Debug)]
+pub struct Offset(pub i64);
+
+impl Offset {
+    pub fn from(self, at: Time) -> Time {
+        Time(at.0.saturating_add_signed(self.0))
+    }
+
+    pub fn is_before(self) -> bool {
+        self.0 < 0
+    }
+
+    pub fn is_after(self) -> bool {
+        self.0 > 0
+    }
+}
+
+/// One step of a history. Where it names one of several things, that is the number `which`, modulo how many there are.
+#[derive(Clone, Debug)]
+pub enum Step {
+    /// So many milliseconds pass; where timers are late, they fire at the end.
+    Pass {
+        ms: u64,
+        late_timers: bool,
+    },
+    ToTimer(Offset),
+    ToRetryAfterEnd(usize, Offset),
+    Accept(AcceptStep),
+    SetBehavior {
+        which: usize,
+        scope: Scope,
+        behavior: Behavior,
+    },
+    /// A call in flight ends at once, as if its endpoint behaved so.
+    Finish {
+        which: usize,
+        behavior: Behavior,
+    },
+    /// A Retry-After of so many milliseconds, in a response that accepted its messages.
+    RetryAfter(usize, u64),
+    Abandon(usize),
+    SetAvailability(usize, Availability),
+    /// A draining endpoint is ready again.
+    Reopen(usize),
+    SetWeight(usize, f64),
+    /// A removed endpoint comes back under a new id, or one more is added.
+    NewEndpoint(usize),
+    /// The whole endpoint list, without every so-manieth endpoint.
+    Snapshot(Option<usize>),
+    WatchFails {
+        rejected: bool,
+    },
+    Disable(usize),
+    Enable(usize),
+    LameDuck(bool),
+    /// The process ends in so many milliseconds; not at all where absent.
+    Shutdown(Option<u64>),
+    Restart,
+    HandOver,
+    Query(u8),
+}
+
+/// Messages of one kind that are accepted one after the other.
+#[derive(Clone, Debug)]
+pub struct AcceptStep {
+    pub destination: u8,
+    pub class: usize,
+    /// The ordering key; 0 for none.
+    pub key: u64,
+    pub count: u8,
+    pub tenant: u32,
+    /// Ratio of its time that a message has left.
+    pub time_left_ratio: f64,
+    pub redelivered: bool,
+}
+
+/// A step, and whether the scheduler decides after it or only after the next.
+#[derive(Clone, Debug)]
+pub struct HistoryStep {
+    pub step: Step,
+    pub decides: bool,
+}
+
+fn behaviors() -> impl Strategy<Value = Behavior> {
+    prop_oneof![
+        4 => Just(Behavior::Healthy),
+        2 => Just(Behavior::Reporting),
+        2 => Just(Behavior::OverLimit),
+        1 => Just(Behavior::Closed),
+        2 => (20u64..1100).prop_map(Behavior::RetryAfter),
+        1 => (1300u64..4000).prop_map(Behavior::RetryAfter),
+        2 => Just(Behavior::ConnectionRefused),
+        3 => Just(Behavior::Unresponsive),
+        1 => (200u64..2500).prop_map(Behavior::Slow),
+        2 => Just(Behavior::Lossy),
+        1 => Just(Behavior::ErrorResponses),
+        2 => Just(Behavior::UncommonOutcomes),
+    ]
+}
+
+fn scopes() -> impl Strategy<Value = Scope> {
+    prop_oneof![
+        4 => Just(Scope::Endpoint),
+        6 => Just(Scope::Destination),
+        1 => Just(Scope::Zone),
+        1 => Just(Scope::All),
+    ]
+}
+
+fn offsets() -> impl Strategy<Value = Offset> {
+    prop_oneof![
+        3 => Just(Offset(0)),
+        1 => Just(Offset(-1)),
+        1 => Just(Offset(1)),
+        1 => Just(Offset(-1_000_000)),
+        1 => Just(Offset(1_000_000)),
+    ]
+}
+
+fn availabilities() -> impl Strategy<Value = Availability> {
+    prop_oneof![
+        3 => Just(Availability::Ready),
+        2 => Just(Availability::Draining),
+        1 => Just(Availability::Removed),
+    ]
+}
+
+fn accept_steps() -> impl Strategy<Value = AcceptStep> {
+    // Most messages go to a few destinations, so that queues form there; the others wait beside them.
+    let destinations = prop_oneof![2 => 0u8..4, 3 => 0u8..40];
+    let time_left_ratios = prop_oneof![4 => Just(1.0), 1 => 0.05f64..1.0];
+    let redelivered = prop::bool::weighted(0.05);
+    (destinations, 0usize..6, 0u64..5, 1u8..7, 0u32..3, time_left_ratios, redelivered).prop_map(
+        |(destination, class, key, count, tenant, time_left_ratio, redelivered)| AcceptStep {
+            destination,
+            class,
+            key,
+            count,
+            tenant,
+            time_left_ratio,
+            redelivered,
+        },
+    )
+}
+
+/// Time, messages and responses.
+fn common_steps() -> impl Strategy<Value = Step> {
+    let which = 0usize..1000;
+    let late = || prop::bool::weighted(0.2);
+    let pass = |(ms, late_timers)| Step::Pass { ms, late_timers };
+    prop_oneof![
+        2 => Just(0u64).prop_map(|ms| Step::Pass { ms, late_timers: false }),
+        2 => Just(1u64).prop_map(|ms| Step::Pass { ms, late_timers: false }),
+        8 => (5u64..400, late()).prop_map(pass),
+        1 => (500u64..6000, late()).prop_map(pass),
+        6 => offsets().prop_map(Step::ToTimer),
+        4 => (which.clone(), offsets()).prop_map(|(which, offset)| Step::ToRetryAfterEnd(which, offset)),
+        24 => accept_steps().prop_map(Step::Accept),
+        6 => (which.clone(), scopes(), behaviors()).prop_map(|(which, scope, behavior)| {
+            Step::SetBehavior { which, scope, behavior }
+        }),
+        6 => (which, behaviors()).prop_map(|(which, behavior)| Step::Finish { which, behavior }),
+    ]
+}
+
+/// Changes of the endpoint list, operators, clients that give up, and the ends of processes.
+fn rare_steps() -> impl Strategy<Value = Step> {
+    let which = 0usize..1000;
+    let availability = (which.clone(), availabilities());
+    prop_oneof![
+        4 => (which.clone(), 0u64..1500).prop_map(|(which, ms)| Step::RetryAfter(which, ms)),
+        4 => which.clone().prop_map(Step::Abandon),
+        6 => availability.prop_map(|(which, availability)| Step::SetAvailability(which, availability)),
+        3 => which.clone().prop_map(Step::Reopen),
+        2 => (which.clone(), 0.0f64..200.0).prop_map(|(which, weight)| Step::SetWeight(which, weight)),
+        3 => which.clone().prop_map(Step::NewEndpoint),
+        2 => prop::option::of(2usize..9).prop_map(Step::Snapshot),
+        2 => any::<bool>().prop_map(|rejected| Step::WatchFails { rejected }),
+        4 => which.clone().prop_map(Step::Disable),
+        6 => which.prop_map(Step::Enable),
+        1 => prop::bool::weighted(0.4).prop_map(Step::LameDuck),
+        1 => prop::option::weighted(0.5, 100u64..4000).prop_map(Step::Shutdown),
+        2 => Just(Step::Restart),
+        2 => Just(Step::HandOver),
+        4 => (0u8..40).prop_map(Step::Query),
+    ]
+}
+
+/// The steps of a case.
+pub fn histories() -> impl Strategy<Value = Vec<HistoryStep>> {
+    let step = prop_oneof![5 => common_steps(), 1 => rare_steps()];
+    let step = (step, prop::bool::weighted(0.85)).prop_map(|(step, decides)| HistoryStep { step, decides });
+    prop::collection::vec(step, 1..250)
+}
+
+/// The settings and endpoints of a case.
+pub fn scenarios() -> impl Strategy<Value = Scenario> {
+    // Mostly many destinations with few messages each, else few with many.
+    let wide = (12u8..=40, 20usize..120, Just(1u8));
+    let deep = (1u8..=3, 250usize..700, 10u8..=25);
+    let sizes = (any::<u64>(), prop_oneof![9 => wide.boxed(), 1 => deep.boxed()], 3usize..=14);
+    let rest = (prop_oneof![Just(1u32), Just(3), Just(30)], 2u32..10, any::<u8>());
+    (sizes, rest).prop_map(|((seed, size, slots), (fleet_size, max_attempts, switches))| {
+        let (destinations, max_pending_messages, messages_for_each) = size;
+        Scenario {
+            seed,
+            destinations,
+            slots,
+            max_pending_messages,
+            fleet_size,
+            max_attempts,
+            messages_for_each,
+            switches,
+        }
+    })
+}
+
+impl Scenario {
+    fn is_on(&self, switch: Switch) -> bool {
+        self.switches & (1 << switch as u8) != 0
+    }
+
+    pub fn settings(&self) -> Settings {
+        let base = Settings::default();
+        Settings {
+            fleet_size: self.fleet_size,
+            classes: classes(),
+            tenants: vec![
+                Tenant { quota_per_sec: f64::INFINITY },
+                Tenant { quota_per_sec: 3.0 * f64::from(self.fleet_size) },
+            ],
+            destination_kinds: [(1, false), (1, true), (3, false), (4, true)]
+                .map(|(batch, per_endpoint_limits)| DestinationKind { batch, per_endpoint_limits })
+                .into(),
+            weights: if self.is_on(Switch::SilentWeights) {
+                WeightSource::Silent
+            } else {
+                WeightSource::Nominal
+            },
+            decay: if self.is_on(Switch::HalvingDecay) { Decay::Halving } else { Decay::Linear },
+            zone_costs: vec![0.0, 0.2, 0.5],
+            max_in_flight_calls: self.slots,
+            max_pending_messages: self.max_pending_messages,
+            max_attempts: self.max_attempts,
+            allow_cancel: !self.is_on(Switch::NoCancel),
+            outcomes_need_acknowledgement: self.is_on(Switch::OutcomesNeedAcknowledgement),
+            over_quota_value_ratio: 0.1,
+            connection_idle_timeout: if self.is_on(Switch::ShortIdleTimeout) {
+                ms(700)
+            } else {
+                Duration::from_secs(15)
+            },
+            limits: DeliveryLimits {
+                warm_up: Duration::from_secs(5),
+                ordering_key_hold: if self.is_on(Switch::OrderingKeyHold) { ms(150) } else { Duration::ZERO },
+                ..base.limits.clone()
+            },
+            ..base
+        }
+    }
+
+    /// Endpoint number `index` of a destination: alike in kind, apart in zone and weight.
+    pub fn endpoint(&self, id: u32, destination: u8, index: u32) -> Endpoint {
+        const WEIGHTS: [f64; 5] = [100.0, 5.0, 0.0, 20.0, 40.0];
+        let number = u32::from(destination);
+        Endpoint {
+            id: EndpointId(id),
+            zone: ZoneId(((number + index) % 3) as u8),
+            kind: DestinationKindId((number % 4) as u16),
+            destination: DestinationId(destination.into()),
+            mode: Availability::Ready,
+            weight: WEIGHTS[((number * 2 + index + self.seed as u32 % 5) % 5) as usize],
+        }
+    }
+}
+
+/// Classes of each kind of idempotency, deduplication scope and order.
+fn classes() -> Vec<Class> {
+    let latency_objective = Duration::from_secs(1);
+    let deadline = Duration::from_secs(6);
+    let keyed = Class { latency_objective, deadline, idempotency_window: ms(2500), ..Class::default() };
+    let by_zone = Class {
+        deduplication_scope: DeduplicationScope::Zone,
+        latency_objective: latency_objective * 2,
+        deadline: deadline * 2,
+        ..keyed.clone()
+    };
+    let non_idempotent =
+        Class { idempotency: Idempotency::NonIdempotent, priority_weight: 2.0, ..keyed.clone() };
+    let idempotent = Class {
+        idempotency: Idempotency::Idempotent,
+        latency_objective: latency_objective * 3,
+        priority_weight: 0.5,
+        ..keyed.clone()
+    };
+    let ordered = Class { ordered: true, ..keyed.clone() };
+    let non_idempotent_ordered = Class { ordered: true, deadline: deadline * 2, ..non_idempotent.clone() };
+    vec![keyed, by_zone, non_idempotent, idempotent, ordered, non_idempotent_ordered]
+}
+
+pub fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
--- /dev/null
+++ b/tests/same_decisions/simulation.rs
@@ -0,0 +1,320 @@
+//! One history as it is played: the clock, the timers and the comparison of both schedulers at each decision.
+//!
+//! The simulation plays the endpoints, the clients, the journal and discovery. What messages do is in
+//! [`super::messages`], the steps of a history are in [`super::steps`].
+
+use super::comparison::{same_actions, same_circuits, same_timers, Sides, Timer};
+use super::history::{ms, Behavior, Scenario};
+use super::reference::reached;
+use super::schedulers::SchedulerPair;
+use delivery_gateway::*;
+use proptest::test_runner::TestCaseError;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+use std::time::Duration;
+
+/// How near to a whole token no step may fall.
+const TOKEN_EDGE: Duration = Duration::from_micros(2);
+/// How far a step that does is moved aside each time.
+const ASIDE: Duration = Duration::from_micros(5);
+/// How often it is moved at most.
+const MAX_MOVES_ASIDE: usize = 20;
+/// Moments at which something comes due while time passes in one step; what comes later than these comes late.
+const MAX_STOPS: usize = 60;
+/// How long discovery takes to answer a watch request.
+const WATCH_LATENCY: Duration = Duration::from_millis(30);
+
+/// A destination, and one of its endpoints where that has a circuit of its own.
+type CircuitKey = (DestinationId, Option<EndpointId>);
+
+/// A message that the schedulers have not forgotten.
+pub struct PendingMessage {
+    pub accepted: AcceptedMessage,
+    pub attempts: u32,
+    pub first_uncertain_attempt: Option<SentAttempt>,
+    /// Has its final outcome, or was abandoned by its client.
+    pub is_closed: bool,
+    /// When its final outcome is acknowledged, if that is still to come.
+    pub acknowledged_at: Option<Time>,
+}
+
+/// An attempt in flight, as far as one message goes.
+pub struct InFlight {
+    pub endpoint: EndpointId,
+    pub sent_at: Time,
+    pub finishes_at: Time,
+    pub outcome: AttemptOutcome,
+    pub load_report: Option<LoadReport>,
+}
+
+pub struct Simulation {
+    pub scenario: Scenario,
+    pub settings: Settings,
+    pub schedulers: SchedulerPair,
+    pub now: Time,
+    pub timers: Sides<Option<Timer>>,
+    /// Messages that the schedulers have not forgotten.
+    pub pending: BTreeMap<u32, PendingMessage>,
+    /// Attempts in flight, by message.
+    pub in_flight: BTreeMap<u32, InFlight>,
+    pub endpoints: BTreeMap<u32, Endpoint>,
+    pub behaviors: BTreeMap<u32, Behavior>,
+    /// Endpoints that operators have disabled.
+    pub disabled: BTreeSet<u32>,
+    /// When each Retry-After ends.
+    pub retry_after_ends: BTreeSet<Time>,
+    /// Circuits by what the product reported of their changes, as a journal records them.
+    pub recorded_circuits: BTreeMap<CircuitKey, CircuitRecord>,
+    /// When discovery answers the watch request.
+    pub watch_established_at: Option<Time>,
+    pub last_message: u32,
+    pub last_endpoint: u32,
+    pub decisions: usize,
+    /// Processes so far.
+    pub processes: u64,
+    /// Events since the last decision, for the report of a difference.
+    events: Vec<String>,
+}
+
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Self {
+        let settings = scenario.settings();
+        let mut simulation = Simulation {
+            schedulers: SchedulerPair::new(&settings, scenario.seed),
+            settings,
+            now: Time::ZERO + Duration::from_secs(100),
+            timers: Sides { product: None, reference: None },
+            pending: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            behaviors: BTreeMap::new(),
+            disabled: BTreeSet::new(),
+            retry_after_ends: BTreeSet::new(),
+            recorded_circuits: BTreeMap::new(),
+            watch_established_at: None,
+            last_message: 0,
+            last_endpoint: 0,
+            decisions: 0,
+            processes: 1,
+            events: Vec::new(),
+            scenario,
+        };
+        simulation.list_endpoints();
+        simulation.send_snapshot();
+        simulation
+    }
+
+    /// Gives each destination one to four endpoints.
+    fn list_endpoints(&mut self) {
+        for destination in 0..self.scenario.destinations {
+            let count = 1 + (u32::from(destination) + self.scenario.seed as u32 / 5) % 4;
+            for index in 0..count {
+                self.last_endpoint += 1;
+                let endpoint = self.scenario.endpoint(self.last_endpoint, destination, index);
+                self.endpoints.insert(endpoint.id.0, endpoint);
+            }
+        }
+    }
+
+    /// Lets both schedulers handle an event.
+    pub fn handle(&mut self, event: Event) {
+        self.events.push(format!("{event:?}"));
+        self.schedulers.handle(self.now, event);
+    }
+
+    pub fn send_snapshot(&mut self) {
+        let listed =
+            self.endpoints.values().filter(|endpoint| endpoint.mode != Availability::Removed).cloned();
+        let listed = listed.collect();
+        self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(listed)));
+    }
+
+    /// The failure of a case: what differs, when, and what led to it.
+    pub fn difference(&self, what: &str, product: &dyn Debug, reference: &dyn Debug) -> TestCaseError {
+        let (decision, now, events) = (self.decisions, self.now.0, self.events.join("\n    "));
+        TestCaseError::fail(format!(
+            "{what} differ first at decision {decision}, {now} ns\n  events since the one before:\n    {events}\n  \
+             product:   {product:?}\n  reference: {reference:?}\n"
+        ))
+    }
+
+    /// Lets both decide, and compares all that can be seen of them.
+    pub fn decide(&mut self) -> Result<(), TestCaseError> {
+        self.decisions += 1;
+        let mut product = Vec::new();
+        let mut reference = Vec::new();
+        self.schedulers.product.decide(self.now, &mut product);
+        self.schedulers.reference.decide(self.now, &mut reference);
+        self.compare_actions(&product, &reference)?;
+        self.compare_circuits()?;
+        self.compare_retry_afters()?;
+        self.events.clear();
+        for action in reference {
+            self.perform(action);
+        }
+        Ok(())
+    }
+
+    /// Compares the actions of one decision, and sets the timers that they ask for.
+    fn compare_actions(&mut self, product: &[Action], reference: &[Action]) -> Result<(), TestCaseError> {
+        let timers_before = self.timers;
+        let (product_timer, product_actions) = split_timer(self.now, product);
+        let (reference_timer, reference_actions) = split_timer(self.now, reference);
+        self.timers.product = product_timer.or(self.timers.product);
+        self.timers.reference = reference_timer.or(self.timers.reference);
+        let was_set = Sides { product: product_timer.is_some(), reference: reference_timer.is_some() };
+        if same_actions(product_actions, reference_actions)
+            && same_timers(&timers_before, &self.timers, &was_set)
+        {
+            return Ok(());
+        }
+        let product = format!("{product:?}, timer {:?}", self.timers.product);
+        let reference = format!("{reference:?}, timer {:?}", self.timers.reference);
+        Err(self.difference("actions", &product, &reference))
+    }
+
+    /// Compares the circuits as both report them, all at once and by their changes; returns the reference's.
+    pub fn compare_circuits(&mut self) -> Result<Vec<CircuitRecord>, TestCaseError> {
+        let product = sorted_circuits(self.schedulers.product.circuit_records());
+        let reference = sorted_circuits(self.schedulers.reference.circuit_records());
+        if !same_circuits(&product, &reference) {
+            return Err(self.difference("circuits", &product, &reference));
+        }
+        for change in self.schedulers.product.take_circuit_changes() {
+            let key = (change.destination, change.endpoint);
+            match change.record {
+                Some(record) => self.recorded_circuits.insert(key, record),
+                None => self.recorded_circuits.remove(&key),
+            };
+        }
+        let recorded: Vec<CircuitRecord> = self.recorded_circuits.values().copied().collect();
+        if !same_circuits(&recorded, &reference) {
+            return Err(self.difference("circuits by their changes", &recorded, &reference));
+        }
+        Ok(reference)
+    }
+
+    fn compare_retry_afters(&self) -> Result<(), TestCaseError> {
+        let mut product: Vec<_> = self.schedulers.product.retry_after_delays(self.now).collect();
+        let mut reference: Vec<_> = self.schedulers.reference.retry_after_delays(self.now).collect();
+        product.sort();
+        reference.sort();
+        if product != reference {
+            return Err(self.difference("Retry-After delays", &product, &reference));
+        }
+        Ok(())
+    }
+
+    /// Does what both schedulers ask for.
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
+                self.send(message, endpoint, attempt_timeout)
+            }
+            Action::Reject { message, .. } | Action::ReportFailure { message } => self.give_outcome(message),
+            Action::CancelAttempt { message, .. } => self.cancel(message),
+            Action::WatchEndpoints { active: true } => {
+                self.watch_established_at = Some(self.now + WATCH_LATENCY);
+            }
+            _ => {}
+        }
+    }
+
+    /// Lets time pass; what comes due meanwhile comes at its time, but for late timers, which fire at the end.
+    pub fn advance(&mut self, to: Time, late_timers: bool, stay_before: bool) -> Result<(), TestCaseError> {
+        for _ in 0..MAX_STOPS {
+            let Some(due) = self.next_due(late_timers).filter(|due| *due <= to) else { break };
+            self.now = self.off_token_edges(due, false);
+            self.deliver_due(late_timers);
+            self.decide()?;
+        }
+        self.now = self.off_token_edges(to, stay_before);
+        self.deliver_due(false);
+        Ok(())
+    }
+
+    /// Lets time pass with nothing out of the ordinary.
+    pub fn settle(&mut self, span: Duration) -> Result<(), TestCaseError> {
+        self.advance(self.now + span, false, false)
+    }
+
+    /// When the next outcome, acknowledgement, timer or answer to a watch request comes.
+    fn next_due(&self, late_timers: bool) -> Option<Time> {
+        let finished = self.in_flight.values().map(|attempt| attempt.finishes_at);
+        let acknowledged = self.pending.values().filter_map(|pending| pending.acknowledged_at);
+        let timer = self.timer_times().map(|(_, last)| last).filter(|_| !late_timers);
+        finished.chain(acknowledged).chain(timer).chain(self.watch_established_at).min()
+    }
+
+    /// The first moment from this one on, or the last one up to it, that is not near a whole token.
+    fn off_token_edges(&self, at: Time, stay_before: bool) -> Time {
+        let mut at = at;
+        for _ in 0..MAX_MOVES_ASIDE {
+            if at <= self.now || !self.schedulers.reference.is_on_token_edge(at, TOKEN_EDGE) {
+                break;
+            }
+            at = if stay_before { at - ASIDE } else { at + ASIDE };
+        }
+        self.now.max(at)
+    }
+
+    /// When the first and the last of the two timers fire, which differ by rounding at most.
+    pub fn timer_times(&self) -> Option<(Time, Time)> {
+        let product = self.timers.product?.0;
+        let reference = self.timers.reference?.0;
+        Some((product.min(reference), product.max(reference)))
+    }
+
+    fn deliver_due(&mut self, late_timers: bool) {
+        self.deliver_outcomes();
+        self.deliver_acknowledgements();
+        if self.watch_established_at.take_if(|at| *at <= self.now).is_some() {
+            self.handle(Event::WatchEstablished);
+        }
+        if !late_timers && self.timer_times().is_some_and(|(_, last)| last <= self.now) {
+            self.fire_timers();
+        }
+        self.retry_after_ends.retain(|end| *end > self.now);
+    }
+
+    fn deliver_acknowledgements(&mut self) {
+        let now = self.now;
+        let is_due = |pending: &PendingMessage| pending.acknowledged_at.is_some_and(|at| at <= now);
+        let due: Vec<u32> =
+            self.pending.iter().filter(|(_, pending)| is_due(pending)).map(|(id, _)| *id).collect();
+        for message in due {
+            self.pending.get_mut(&message).expect("pending").acknowledged_at = None;
+            reached("outcome acknowledged");
+            self.handle(Event::OutcomeAcknowledged(MessageId(message)));
+            self.forget_if_completed(message);
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let timers = std::mem::replace(&mut self.timers, Sides { product: None, reference: None });
+        self.events.push("TimerFired".to_owned());
+        if let (Some((_, product)), Some((_, reference))) = (timers.product, timers.reference) {
+            self.schedulers.product.handle(self.now, Event::TimerFired(product));
+            self.schedulers.reference.handle(self.now, Event::TimerFired(reference));
+        }
+    }
+
+    /// When an outcome that is given now is acknowledged.
+    pub fn acknowledgement_time(&self, message: u32) -> Time {
+        self.now + ms(10 + 10 * (self.draw(message) % 40))
+    }
+}
+
+/// The timer that the last of these actions sets, if it does, and the actions before it.
+fn split_timer(now: Time, actions: &[Action]) -> (Option<Timer>, &[Action]) {
+    match actions.split_last() {
+        Some((Action::SetTimer { after, token }, before)) => (Some((now + *after, *token)), before),
+        _ => (None, actions),
+    }
+}
+
+fn sorted_circuits(records: impl Iterator<Item = CircuitRecord>) -> Vec<CircuitRecord> {
+    let mut records: Vec<CircuitRecord> = records.collect();
+    records.sort_by_key(|record| (record.destination, record.endpoint));
+    records
+}
