--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -4,7 +4,7 @@
 //! [`crate::fault_page`].
 
 use crate::fault_page::{
-    Call, BUDGET_WORD, CALLS_WORD, ERRORS, ERRORS_WORD, HITS_WORD, PAGE_BYTES, PAGE_VARIABLE, RATE_WORD,
+    Call, BUDGET_WORD, CALLS_WORD, ERRORS, ERRORS_WORD, FAILURES_WORD, PAGE_BYTES, PAGE_VARIABLE, RATE_WORD,
     SKIPPED_WORD, WALL_OFFSET_BYTE, WORD_BYTES,
 };
 use crate::next_function::real;
@@ -98,8 +98,8 @@
     }
 
     /// Calls that failed since the page was created.
-    pub fn hits(&self) -> &AtomicU32 {
-        self.word(HITS_WORD)
+    pub fn failures(&self) -> &AtomicU32 {
+        self.word(FAILURES_WORD)
     }
 
     /// The errors of which each failure draws one; zeros stand for none.
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -5,7 +5,7 @@
 //! that writes it; the shim includes it for the layout alone.
 //!
 //! Layout, in little-endian words of 4 bytes: the seed (two words), the offset of the wall clock in milliseconds (two
-//! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, hits, and
+//! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, failures, and
 //! the errors.
 
 use std::fs::{File, OpenOptions};
@@ -36,7 +36,7 @@
 pub const BUDGET_WORD: usize = 1;
 pub const SKIPPED_WORD: usize = 2;
 pub const CALLS_WORD: usize = 3;
-pub const HITS_WORD: usize = 4;
+pub const FAILURES_WORD: usize = 4;
 pub const ERRORS_WORD: usize = 5;
 /// Words of one entry.
 const ENTRY_WORDS: usize = ERRORS_WORD + ERRORS;
@@ -154,8 +154,8 @@
     }
 
     /// Fails this part of the calls, from 0 to 1.
-    pub fn part(self, part: f64) -> Self {
-        Fault { rate: (part * f64::from(ALWAYS)) as u32, ..self }
+    pub fn with_ratio(self, ratio: f64) -> Self {
+        Fault { rate: (ratio * f64::from(ALWAYS)) as u32, ..self }
     }
 
     /// Lets so many calls succeed first.
@@ -174,7 +174,7 @@
 pub struct Counted {
     pub calls: u32,
     /// Calls that failed.
-    pub hits: u32,
+    pub failures: u32,
 }
 
 /// The page as a test or the soak writes it. The methods fail where the page's file cannot be read or written.
@@ -212,8 +212,8 @@
     /// Reads what the shim has counted of a call.
     pub fn counted(&self, call: Call) -> io::Result<Counted> {
         let calls = self.read_word(call, CALLS_WORD)?;
-        let hits = self.read_word(call, HITS_WORD)?;
-        Ok(Counted { calls, hits })
+        let failures = self.read_word(call, FAILURES_WORD)?;
+        Ok(Counted { calls, failures })
     }
 
     fn read_word(&self, call: Call, word: usize) -> io::Result<u32> {
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -111,7 +111,7 @@
     world.drain(0);
     world.silence_discovery(false);
     connect_idle_clients(&gateway, &mut idle);
-    gateway.log_until("the list has changed");
+    gateway.log_until("endpoint list updated");
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
     // The descriptors may be used up at a restart too.
     let gateway = gateway.kill_and_restart();
@@ -124,7 +124,7 @@
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
         world.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
-        gateway.log_until("told to wait");
+        gateway.log_until("Retry-After received");
     }
 }
 
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -40,7 +40,7 @@
     let gateway = world.start();
     life.hand_in(&gateway, "after", true, Clients::AreAnswered);
     life.settle(&what);
-    assert!(!gateway.has_logged("a rule would have been broken"), "{what}");
+    assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
     killed
 }
 
@@ -107,7 +107,7 @@
     killed_page.clear(call).unwrap();
     // A kill that has started completes; no other one starts.
     thread::sleep(Duration::from_millis(50));
-    let killed = killed_page.counted(call).unwrap().hits > 0;
+    let killed = killed_page.counted(call).unwrap().failures > 0;
     let has_ended = match which {
         Killed::Predecessor => predecessor.has_ended(),
         Killed::Successor => successor.has_ended(),
