--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -3,7 +3,7 @@
 mod common;
 mod world;
 
-use common::{accepted, endpoint, ms, safe, settings, Bench};
+use common::{accepted, endpoint, idempotent, ms, settings, Bench, StartedAttempt};
 use delivery_gateway::{Action, AttemptOutcome, ClassId, DestinationKind, Event, Settings};
 use std::io::Write;
 use std::net::Shutdown;
@@ -163,17 +163,17 @@
 /// Once clients have had time to notice, a lame duck accepts nothing.
 #[test]
 fn a_lame_duck_accepts_nothing_after_its_grace() {
-    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
-    bench.tell(Event::LameDuck(true));
-    let class = (ClassId(0), &safe());
+    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
+    bench.handle(Event::LameDuck(true));
+    let class = (ClassId(0), &idempotent());
     let admits =
         |bench: &mut Bench| bench.scheduler.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
     assert!(admits(&mut bench));
     bench.now = bench.now + ms(2000);
-    bench.tell(Event::LameDuck(true));
+    bench.handle(Event::LameDuck(true));
     bench.now = bench.now + ms(1500);
     assert!(!admits(&mut bench));
-    bench.tell(Event::LameDuck(false));
+    bench.handle(Event::LameDuck(false));
     assert!(admits(&mut bench));
 }
 
@@ -182,25 +182,25 @@
 fn an_enabled_endpoint_gets_a_slow_start() {
     let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(
-        Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![safe()]) },
+        Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![idempotent()]) },
         vec![endpoint(11, 3), endpoint(12, 4)],
     );
-    bench.tell(Event::EndpointDisabled(delivery_gateway::EndpointId(11)));
+    bench.handle(Event::EndpointDisabled(delivery_gateway::EndpointId(11)));
     let actions = bench.decide();
     assert!(
         actions.contains(&Action::CloseIdleConnections { endpoint: delivery_gateway::EndpointId(11) }),
         "{actions:?}"
     );
     (1..=40).for_each(|id| bench.accept(id, 0, 3, None));
-    assert_eq!(bench.routes(), []);
-    bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(11)));
+    assert_eq!(bench.start_attempts(), []);
+    bench.handle(Event::EndpointEnabled(delivery_gateway::EndpointId(11)));
     // One that was never disabled is as warm as ever.
-    bench.tell(Event::EndpointEnabled(delivery_gateway::EndpointId(12)));
+    bench.handle(Event::EndpointEnabled(delivery_gateway::EndpointId(12)));
     (41..=60).for_each(|id| bench.accept(id, 0, 4, None));
     let (mut cold, mut warm) = (0, 0);
     let end = bench.now + Duration::from_secs(1);
     while bench.now < end {
-        for (message, at, _) in bench.routes() {
+        for StartedAttempt { message, endpoint: at, .. } in bench.start_attempts() {
             *(if at == 11 { &mut cold } else { &mut warm }) += 1;
             bench.finish(message, at, AttemptOutcome::Delivered, ms(5));
         }
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -33,7 +33,7 @@
         let settings = Settings {
             destination_kinds: destination_kinds.into(),
             max_in_flight_calls: 24,
-            ..settings(vec![safe()])
+            ..settings(vec![idempotent()])
         };
         let all = |mode| (0..16).map(|id| listed(id, mode)).collect::<Vec<_>>();
         let mut bench = Bench::new(settings.clone(), all(Availability::Ready));
@@ -46,14 +46,14 @@
                     let mode =
                         [Availability::Ready, Availability::Draining, Availability::Removed][rng.usize(..3)];
                     let changed = listed(rng.u32(..16), mode);
-                    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])));
+                    bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])));
                 }
-                1 => bench.tell(Event::EndpointDisabled(EndpointId(rng.u32(..16)))),
-                2 | 3 => bench.tell(Event::EndpointEnabled(EndpointId(rng.u32(..16)))),
+                1 => bench.handle(Event::EndpointDisabled(EndpointId(rng.u32(..16)))),
+                2 | 3 => bench.handle(Event::EndpointEnabled(EndpointId(rng.u32(..16)))),
                 4 if step % 5 == 0 => {
                     let before: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
                     bench.restart(settings.clone(), step.into(), all(Availability::Ready));
-                    before.into_iter().for_each(|outage| bench.tell(Event::CircuitRestored(outage)));
+                    before.into_iter().for_each(|outage| bench.handle(Event::CircuitRestored(outage)));
                     (known, out) = (BTreeMap::new(), Vec::new());
                 }
                 5 if step % 5 == 0 => {
@@ -62,7 +62,7 @@
                 }
                 6..20 => bench.accept(step, 0, rng.u16(1..5), None),
                 _ if !out.is_empty() => {
-                    let (message, endpoint, _): Sent = out.swap_remove(rng.usize(..out.len()));
+                    let StartedAttempt { message, endpoint, .. } = out.swap_remove(rng.usize(..out.len()));
                     // Each endpoint has its intervals of failure.
                     let bad = (step / 100 + endpoint) % 3 == 0;
                     let outcome =
@@ -71,7 +71,7 @@
                 }
                 _ => {}
             }
-            out.extend(bench.routes());
+            out.extend(bench.start_attempts());
             for CircuitChange { destination, endpoint, record: outage } in
                 bench.scheduler.take_circuit_changes()
             {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,28 +4,38 @@
 pub mod recovering_fleet;
 
 use delivery_gateway::*;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// What a call takes where a test does not say how long.
+const LATENCY: Duration = Duration::from_millis(20);
+
+/// So many milliseconds.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn keyed() -> Class {
+/// A class whose messages are idempotent inside a window, by a key.
+pub fn idempotent_with_key() -> Class {
     Class::default()
 }
 
-pub fn unsafe_class() -> Class {
+/// A class whose messages must not be sent twice.
+pub fn non_idempotent() -> Class {
     Class { idempotency: Idempotency::NonIdempotent, ..Class::default() }
 }
 
-pub fn safe() -> Class {
+/// A class whose messages may be sent any number of times.
+pub fn idempotent() -> Class {
     Class { idempotency: Idempotency::Idempotent, ..Class::default() }
 }
 
+/// Settings of a single gateway with these classes, and defaults for all else.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings { classes, fleet_size: 1, ..Settings::default() }
 }
 
+/// A ready endpoint that takes 100 calls a second.
 pub fn endpoint(id: u32, destination: u16) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
@@ -56,37 +66,48 @@
     }
 }
 
-/// An attempt that the scheduler started: message, endpoint, timeout.
-pub type Sent = (u32, u32, Duration);
+/// An attempt that the scheduler started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StartedAttempt {
+    pub message: u32,
+    pub endpoint: u32,
+    pub timeout: Duration,
+}
 
+/// A scheduler and its simulated clock.
 pub struct Bench {
     pub scheduler: Scheduler,
     pub now: Time,
     pub settings: Settings,
-    attempts: std::collections::BTreeMap<u32, u16>,
+    /// Attempts of each message so far.
+    attempts: BTreeMap<u32, u16>,
 }
 
 impl Bench {
+    /// A scheduler that knows these endpoints, at 100 s of its clock.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut bench = Bench {
             scheduler: Scheduler::new(settings.clone(), 1),
             now: Time::ZERO + Duration::from_secs(100),
             settings,
-            attempts: Default::default(),
+            attempts: BTreeMap::new(),
         };
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
         bench
     }
 
-    pub fn tell(&mut self, event: Event) {
+    /// Lets the scheduler handle an event now.
+    pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event);
     }
 
+    /// Accepts a message of a class, which is named by its number.
     pub fn accept(&mut self, id: u32, class: u8, destination: u16, key: Option<u64>) {
         let class = (ClassId(class), &self.settings.classes[usize::from(class)]);
-        self.tell(Event::MessageAccepted(accepted(self.now, id, class, destination, key)));
+        self.handle(Event::MessageAccepted(accepted(self.now, id, class, destination, key)));
     }
 
+    /// Lets the scheduler decide now.
     pub fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.decide(self.now, &mut actions);
@@ -98,14 +119,15 @@
         actions
     }
 
-    pub fn routes(&mut self) -> Vec<Sent> {
-        let routed = |action: &Action| match action {
+    /// Lets the scheduler decide now; returns the attempts that it starts.
+    pub fn start_attempts(&mut self) -> Vec<StartedAttempt> {
+        let started = |action: &Action| match action {
             Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
-                Some((message.0, endpoint.0, *attempt_timeout))
+                Some(StartedAttempt { message: message.0, endpoint: endpoint.0, timeout: *attempt_timeout })
             }
             _ => None,
         };
-        self.decide().iter().filter_map(routed).collect()
+        self.decide().iter().filter_map(started).collect()
     }
 
     /// Advances time in small steps, deciding at each; stops at the first step with an attempt or a final
@@ -127,25 +149,21 @@
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.scheduler = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
-        self.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
+        self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
     }
 
+    /// Reports the outcome of a message's last attempt.
     pub fn finish(&mut self, message: u32, endpoint: u32, outcome: AttemptOutcome, latency: Duration) {
-        self.finish_telling(message, endpoint, outcome, latency, None);
+        self.finish_with_report(message, endpoint, outcome, latency, None);
     }
 
-    /// A rejection with a load report.
-    pub fn refuse(&mut self, message: u32, endpoint: u32, left: f64, limit: f64) {
-        self.finish_telling(
-            message,
-            endpoint,
-            AttemptOutcome::Rejected(None),
-            ms(20),
-            Some(LoadReport { headroom: left, limit_per_sec: limit }),
-        );
+    /// Reports that a message's last attempt was rejected, with a load report.
+    pub fn reject_with_report(&mut self, message: u32, endpoint: u32, headroom: f64, limit_per_sec: f64) {
+        let load_report = Some(LoadReport { headroom, limit_per_sec });
+        self.finish_with_report(message, endpoint, AttemptOutcome::Rejected(None), LATENCY, load_report);
     }
 
-    fn finish_telling(
+    fn finish_with_report(
         &mut self,
         message: u32,
         endpoint: u32,
@@ -154,7 +172,7 @@
         load_report: Option<LoadReport>,
     ) {
         let attempt = self.attempts.get(&message).map_or(0, |count| count - 1);
-        self.tell(Event::AttemptFinished(FinishedAttempt {
+        self.handle(Event::AttemptFinished(FinishedAttempt {
             message: MessageId(message),
             endpoint: EndpointId(endpoint),
             attempt,
@@ -166,7 +184,7 @@
     }
 }
 
-/// One class of message, and endpoint 7 of destination 1.
-pub fn one(class: Class) -> Bench {
+/// A scheduler with one class, and endpoint 7 as the only one of destination 1.
+pub fn single_destination(class: Class) -> Bench {
     Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::recovering_fleet::{live_through, OutageKind, Plan};
-use common::{endpoint, ms, safe, settings, Bench};
+use common::{endpoint, idempotent, ms, settings, Bench, StartedAttempt};
 use delivery_gateway::*;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
             for fleet_size in [0, 1, 100, u32::MAX] {
                 let case = format!("{weights:?} {weight} {fleet_size}");
                 let told = Endpoint { weight, ..endpoint(7, 1) };
-                let base = settings(vec![safe()]);
+                let base = settings(vec![idempotent()]);
                 let mut bench = Bench::new(Settings { fleet_size, weights, ..base }, vec![told]);
                 let (mut calls, mut waiting) = (0, 0);
                 for step in 0..24_000 {
@@ -68,7 +68,7 @@
                     if step % 200 == 0 {
                         bench.accept(step, 0, 1, None);
                     }
-                    for (id, to, _) in bench.routes() {
+                    for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                         calls += 1;
                         waiting += usize::from(step >= 20_000);
                         // From then on it is given an endless Retry-After.
@@ -96,27 +96,28 @@
 /// time.
 #[test]
 fn without_an_endpoint_list_messages_get_their_outcome_in_time() {
-    let settings = Settings { fleet_size: 100, ..settings(vec![safe()]) };
+    let settings = Settings { fleet_size: 100, ..settings(vec![idempotent()]) };
     let mut bench = Bench::new(settings.clone(), Vec::new());
     bench.accept(1, 0, 1, None);
     let span = settings.classes[0].deadline;
     assert!(matches!(bench.until_action(span + ms(10))[..], [Action::Reject { .. }]));
     bench.accept(2, 0, 1, None);
-    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
+    bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
     assert!(matches!(bench.until_action(span)[..], [Action::StartAttempt { .. }]));
 }
 
 /// After a lowered limit a low-traffic gateway is back at its part within a few calls, not minutes.
 #[test]
 fn a_reduced_rate_limit_recovers_to_the_announced_part() {
-    let mut bench = Bench::new(Settings { fleet_size: 100, ..settings(vec![safe()]) }, vec![endpoint(7, 1)]);
+    let mut bench =
+        Bench::new(Settings { fleet_size: 100, ..settings(vec![idempotent()]) }, vec![endpoint(7, 1)]);
     let (mut id, mut refused, mut served) = (0, 0, 0);
     let mut end = bench.now + Duration::from_secs(600);
     while bench.now < end {
         bench.now = bench.now + ms(50);
         id += 1;
         bench.accept(id, 0, 1, None);
-        for (id, to, _) in bench.routes() {
+        for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
             if refused == 3 {
                 served += 1;
                 bench.finish(id, to, AttemptOutcome::Delivered, ms(20));
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -31,9 +31,9 @@
 }
 
 fn world() -> (Settings, Vec<Endpoint>) {
-    let ordered = Class { ordered: true, ..unsafe_class() };
-    let by_zone = Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() };
-    let base = settings(vec![keyed(), unsafe_class(), safe(), ordered, by_zone]);
+    let ordered = Class { ordered: true, ..non_idempotent() };
+    let by_zone = Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() };
+    let base = settings(vec![idempotent_with_key(), non_idempotent(), idempotent(), ordered, by_zone]);
     let destination_kinds = vec![
         DestinationKind { batch: 1, per_endpoint_limits: false },
         DestinationKind { batch: 3, per_endpoint_limits: false },
@@ -164,7 +164,7 @@
     let (settings, endpoints) = world();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
     bench.scheduler = Scheduler::new(settings.clone(), seed);
-    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.clone())));
+    bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints.clone())));
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
     let (held, retry_after_delays, rests) = Default::default();
     let mut judge = Judge { settings, held, retry_after_delays, rests, modes };
@@ -214,14 +214,14 @@
                 let open: Vec<u32> = judge.held.iter().filter(|(_, h)| !h.ended).map(|(i, _)| *i).collect();
                 if !open.is_empty() {
                     let gone = open[which % open.len()];
-                    bench.tell(Event::MessageAbandoned(MessageId(gone)));
+                    bench.handle(Event::MessageAbandoned(MessageId(gone)));
                     judge.held.get_mut(&gone).expect("open").ended = true;
                 }
             }
             Step::Availability { endpoint, mode } => {
                 let mode = [Availability::Ready, Availability::Draining, Availability::Removed][mode];
                 let entry = Endpoint { mode, ..endpoints[endpoint as usize].clone() };
-                bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
+                bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
                 judge.modes.insert(endpoint, mode);
             }
         }
@@ -319,18 +319,18 @@
             // Endpoints come and go as well.
             let new = Endpoint { id: EndpointId(1000 + step), ..endpoints[0].clone() };
             let gone = Endpoint { mode: Availability::Removed, ..new.clone() };
-            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
-            for (message, endpoint, _) in bench.routes() {
+            bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![new])));
+            for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
                 bench.finish(message, endpoint, outcome((step % 9) as usize), ms(7));
             }
-            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+            bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
         }
         // All that is still held runs out.
         let longest = bench.settings.classes.iter().map(|class| class.deadline).max().unwrap();
         let end = bench.now + longest * 2;
         while bench.now < end {
             bench.now = bench.now + ms(500);
-            for (message, endpoint, _) in bench.routes() {
+            for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
                 bench.finish(message, endpoint, AttemptOutcome::Delivered, ms(7));
             }
         }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -31,14 +31,14 @@
 }
 
 fn ordered() -> Class {
-    Class { ordered: true, ..keyed() }
+    Class { ordered: true, ..idempotent_with_key() }
 }
 
 #[test]
 fn a_non_idempotent_message_that_may_have_run_fails_at_once() {
-    let mut bench = bench(vec![unsafe_class()], true);
+    let mut bench = bench(vec![non_idempotent()], true);
     let message = restored(&bench, 1, None, 1, Some(bench.now - ms(700)));
-    bench.tell(Event::MessageRestored(message));
+    bench.handle(Event::MessageRestored(message));
     let actions = bench.decide();
     assert!(matches!(actions[0], Action::ReportFailure { message: MessageId(1) }), "{actions:?}");
     assert!(!actions.iter().any(|action| matches!(action, Action::StartAttempt { .. })));
@@ -46,21 +46,21 @@
 
 #[test]
 fn a_non_idempotent_message_that_did_not_run_is_sent() {
-    let mut bench = bench(vec![unsafe_class()], true);
+    let mut bench = bench(vec![non_idempotent()], true);
     let message = restored(&bench, 1, None, 2, None);
-    bench.tell(Event::MessageRestored(message));
-    assert_eq!(bench.routes().len(), 1);
+    bench.handle(Event::MessageRestored(message));
+    assert_eq!(bench.start_attempts().len(), 1);
 }
 
 /// The window runs from the first attempt, which the old process made, and not from the restart.
 #[test]
 fn an_idempotency_window_continues_from_the_first_attempt() {
-    let mut bench = bench(vec![keyed()], true);
+    let mut bench = bench(vec![idempotent_with_key()], true);
     let (inside, outside) = (bench.now - Duration::from_secs(5), bench.now - Duration::from_secs(10));
     let (first, second) =
         (restored(&bench, 1, None, 1, Some(inside)), restored(&bench, 2, None, 1, Some(outside)));
-    bench.tell(Event::MessageRestored(first));
-    bench.tell(Event::MessageRestored(second));
+    bench.handle(Event::MessageRestored(first));
+    bench.handle(Event::MessageRestored(second));
     let actions = bench.decide();
     let sent =
         |id| actions.iter().any(|a| matches!(a, Action::StartAttempt { message, .. } if message.0 == id));
@@ -70,9 +70,9 @@
 
 #[test]
 fn attempts_made_before_a_restart_count() {
-    let mut bench = bench(vec![keyed()], true);
+    let mut bench = bench(vec![idempotent_with_key()], true);
     let message = restored(&bench, 1, None, bench.settings.max_attempts, None);
-    bench.tell(Event::MessageRestored(message));
+    bench.handle(Event::MessageRestored(message));
     let actions = bench.decide();
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
@@ -84,12 +84,12 @@
     let mut bench = bench(vec![ordered()], true);
     for id in [1, 2] {
         let message = restored(&bench, id, Some(5), 0, None);
-        bench.tell(Event::MessageRestored(message));
+        bench.handle(Event::MessageRestored(message));
     }
     bench.accept(3, 0, 3, Some(6));
-    assert_eq!(bench.routes(), []);
+    assert_eq!(bench.start_attempts(), []);
     bench.now = bench.now + ms(100);
-    let sent: Vec<u32> = bench.routes().iter().map(|(message, ..)| *message).collect();
+    let sent: Vec<u32> = bench.start_attempts().iter().map(|attempt| attempt.message).collect();
     assert!(sent.contains(&1) && sent.contains(&3) && !sent.contains(&2), "{sent:?}");
 }
 
@@ -101,20 +101,20 @@
         outcome_recorded: true,
         ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900)))
     };
-    bench.tell(Event::MessageRestored(answered));
+    bench.handle(Event::MessageRestored(answered));
     bench.accept(2, 0, 3, Some(5));
     bench.now = bench.now + Duration::from_secs(1);
-    assert_eq!(bench.routes(), []);
-    bench.tell(Event::OutcomeAcknowledged(MessageId(1)));
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts(), []);
+    bench.handle(Event::OutcomeAcknowledged(MessageId(1)));
+    assert_eq!(bench.start_attempts().len(), 1);
 }
 
 /// An open circuit of before a restart stays open after it.
 #[test]
 fn an_open_circuit_is_remembered() {
-    let mut bench = bench(vec![safe()], true);
+    let mut bench = bench(vec![idempotent()], true);
     (1..=3).for_each(|id| bench.accept(id, 0, 3, None));
-    for (message, endpoint, _) in bench.routes() {
+    for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
         bench.finish(message, endpoint, AttemptOutcome::ConnectFailed, ms(1));
     }
     let circuit_records: Vec<CircuitRecord> = bench.scheduler.circuit_records().collect();
@@ -122,10 +122,10 @@
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
     assert_eq!(bench.scheduler.circuit_records().count(), 0);
-    circuit_records.iter().for_each(|outage| bench.tell(Event::CircuitRestored(*outage)));
+    circuit_records.iter().for_each(|outage| bench.handle(Event::CircuitRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
     // Without the record all ten would go at once.
-    assert!(bench.routes().len() <= 1);
+    assert!(bench.start_attempts().len() <= 1);
     assert_eq!(
         bench.scheduler.circuit_records().next().map(|outage| outage.last_success_at),
         Some(circuit_records[0].last_success_at)
@@ -135,21 +135,21 @@
 /// No call is started that would not be over at the shutdown.
 #[test]
 fn nothing_is_started_shortly_before_shutdown() {
-    let mut bench = bench(vec![keyed()], true);
-    bench.tell(Event::ShutdownScheduled(bench.now + Duration::from_secs(3)));
+    let mut bench = bench(vec![idempotent_with_key()], true);
+    bench.handle(Event::ShutdownScheduled(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.now = bench.now + ms(2900);
     bench.accept(2, 0, 3, None);
-    assert_eq!(bench.routes(), []);
+    assert_eq!(bench.start_attempts(), []);
 }
 
 /// Exhausted attempts complete a message at once, and as rejected where none of them ran.
 #[test]
 fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
-    let mut bench = bench(vec![unsafe_class()], true);
+    let mut bench = bench(vec![non_idempotent()], true);
     bench.accept(1, 0, 3, None);
-    let (message, endpoint, _) = bench.routes()[0];
+    let StartedAttempt { message, endpoint, .. } = bench.start_attempts()[0];
     bench.finish(message, endpoint, AttemptOutcome::AttemptsExhausted, ms(1));
     let actions = bench.decide();
     let told = actions.iter().find_map(|action| match action {
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn when_nearly_full_the_least_valuable_messages_are_rejected() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), rich]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     (0..10).for_each(|id| bench.accept(id, 0, 1, None));
     (10..20).for_each(|id| bench.accept(id, 1, 1, None));
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_free_slot_goes_to_the_destination_with_fewest_calls_in_flight() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let mut bench = Bench::new(
         Settings { max_in_flight_calls: 4, ..base },
         vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)],
@@ -26,27 +26,27 @@
     (0..4).for_each(|id| bench.accept(id, 0, 1, None));
     (4..8).for_each(|id| bench.accept(id, 0, 2, None));
     (8..12).for_each(|id| bench.accept(id, 0, 3, None));
-    let mut first: Vec<u32> = bench.routes().iter().take(3).map(|r| r.1).collect();
+    let mut first: Vec<u32> = bench.start_attempts().iter().take(3).map(|attempt| attempt.endpoint).collect();
     first.sort_unstable();
     assert_eq!(first, [1, 2, 3]);
 }
 
 #[test]
 fn one_call_carries_a_batch_where_the_kind_allows_it() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits: false }];
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 1, destination_kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| bench.accept(id, 0, 1, None));
-    assert_eq!(bench.routes().len(), 5);
+    assert_eq!(bench.start_attempts().len(), 5);
 }
 
 /// A message that is not admitted has not waited in vain: rejecting an accepted one for it costs more than it
 /// is worth, unless it is worth much more; then the least valuable one goes.
 #[test]
 fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), rich]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     let classes = bench.settings.classes.clone();
     let admits = |bench: &mut Bench, class: u8| {
@@ -67,7 +67,7 @@
 
 #[test]
 fn messages_beyond_a_tenants_quota_are_shed_first() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let tenants = vec![Tenant { quota_per_sec: 5.0 }, Tenant { quota_per_sec: 1000.0 }];
     let mut bench = Bench::new(
         Settings { max_pending_messages: 40, tenants, over_quota_value_ratio: 0.1, ..base },
@@ -80,7 +80,7 @@
         let id = MessageId(id);
         let redelivered = false;
         let taken = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
-        bench.tell(Event::MessageAccepted(taken));
+        bench.handle(Event::MessageAccepted(taken));
     }
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
@@ -96,15 +96,19 @@
 fn the_cost_of_waiting_follows_the_configured_decay() {
     for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
         let latency_objective = Duration::from_secs(3);
-        let class =
-            Class { latency_objective, deadline: latency_objective * 4, late_value_ratio: 0.5, ..safe() };
+        let class = Class {
+            latency_objective,
+            deadline: latency_objective * 4,
+            late_value_ratio: 0.5,
+            ..idempotent()
+        };
         let mut bench = Bench::new(Settings { decay, ..settings(vec![class]) }, vec![]);
         bench.accept(1, 0, 1, None);
         bench.now = bench.now + latency_objective * 5 / 2;
         bench.accept(2, 0, 1, None);
         bench.now = bench.now + latency_objective / 15;
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
-        assert_eq!(bench.routes()[0].0, first, "{decay:?}");
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
+        assert_eq!(bench.start_attempts()[0].message, first, "{decay:?}");
     }
 }
 
@@ -112,21 +116,21 @@
 /// that is too much for it uses the costly one as well.
 #[test]
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let costly = Endpoint { zone: ZoneId(2), weight: 5.0, ..endpoint(7, 1) };
     let cheap = Endpoint { zone: ZoneId(1), weight: 5.0, ..endpoint(8, 1) };
     let zone_costs = vec![0.0, 0.03, 0.06];
     let mut bench = Bench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
     bench.accept(1, 0, 1, None);
-    assert_eq!(bench.routes()[0].1, 8);
+    assert_eq!(bench.start_attempts()[0].endpoint, 8);
     bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
     bench.accept(2, 0, 1, None);
     let next = bench.until_action(ms(700));
     assert!(matches!(next[..], [Action::StartAttempt { endpoint: EndpointId(8), .. }]), "{next:?}");
     bench.finish(2, 8, AttemptOutcome::Delivered, ms(20));
     (3..40).for_each(|id| bench.accept(id, 0, 1, None));
-    assert!(bench.routes().iter().any(|sent| sent.1 == 7));
+    assert!(bench.start_attempts().iter().any(|attempt| attempt.endpoint == 7));
 }
 
 /// With few calls in each gateway, a tie broken by id would send all of them to the same endpoint of a
@@ -135,15 +139,15 @@
 fn gateways_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
         .map(|seed| {
-            let mut bench = Bench::new(settings(vec![safe()]), vec![]);
+            let mut bench = Bench::new(settings(vec![idempotent()]), vec![]);
             bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
-            bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
+            bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
                 endpoint(7, 1),
                 endpoint(8, 1),
                 endpoint(9, 1),
             ])));
             bench.accept(1, 0, 1, None);
-            bench.routes()[0].1
+            bench.start_attempts()[0].endpoint
         })
         .collect();
     assert_eq!(chosen.len(), 3, "{chosen:?}");
@@ -152,11 +156,11 @@
 /// A slot goes where a message of more value waits, not where the list starts.
 #[test]
 fn ties_between_destinations_go_by_value() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), rich]);
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     bench.accept(1, 0, 1, None);
     bench.accept(2, 1, 2, None);
-    assert_eq!(bench.routes()[0].0, 2);
+    assert_eq!(bench.start_attempts()[0].message, 2);
 }
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn a_failed_destination_gets_single_probes_and_a_slow_start() {
-    let mut bench = one(safe());
+    let mut bench = single_destination(idempotent());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
-    for (id, to, _) in bench.routes() {
+    for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
         bench.finish(id, to, AttemptOutcome::ConnectFailed, ms(10));
     }
     let began = bench.now;
@@ -27,7 +27,7 @@
     let rules = bench.settings.limits.clone();
     while bench.now - back < rules.overload_window {
         bench.now = bench.now + ms(5);
-        for (id, to, _) in bench.routes() {
+        for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
             if sent == 0.0 {
                 back = bench.now;
             }
@@ -45,17 +45,17 @@
 /// Silence stops further calls long before an attempt would time out.
 #[test]
 fn an_unresponsive_destination_gets_no_more_than_probes() {
-    let mut bench = one(unsafe_class());
+    let mut bench = single_destination(non_idempotent());
     for id in 0..20 {
         bench.accept(id, 0, 1, None);
-        bench.routes();
+        bench.start_attempts();
         bench.now = bench.now + ms(200);
     }
     bench.now = bench.now + ms(1000);
     let mut late = 0;
     for id in 20..60 {
         bench.accept(id, 0, 1, None);
-        late += bench.routes().len();
+        late += bench.start_attempts().len();
         bench.now = bench.now + ms(100);
     }
     assert!(late <= 6, "{late} unsafe messages risked");
@@ -65,12 +65,12 @@
 #[test]
 fn unresponsive_destinations_leave_slots_for_the_healthy() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
-    let mut bench = Bench::new(settings(vec![unsafe_class()]), all);
+    let mut bench = Bench::new(settings(vec![non_idempotent()]), all);
     let mut healthy = 0;
     for id in 0..400 {
         bench.now = bench.now + ms(25);
         bench.accept(id, 0, 1 + (id % 5) as u16, None);
-        for (message, to, _) in bench.routes() {
+        for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
             // Only the fifth destination responds.
             if to == 5 {
                 healthy += 1;
@@ -84,9 +84,9 @@
 /// Timeouts follow a destination that slows down, or retries would meet the first call still running.
 #[test]
 fn attempt_timeouts_grow_after_timeouts() {
-    let mut bench = one(safe());
+    let mut bench = single_destination(idempotent());
     bench.accept(1, 0, 1, None);
-    let first = bench.routes()[0].2;
+    let first = bench.start_attempts()[0].timeout;
     let mut last = first;
     for _ in 0..6 {
         bench.now = bench.now + last;
@@ -110,7 +110,7 @@
 #[test]
 fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
     for recovers in [true, false] {
-        let mut bench = Bench::new(settings(vec![safe(), unsafe_class()]), vec![endpoint(7, 1)]);
+        let mut bench = Bench::new(settings(vec![idempotent(), non_idempotent()]), vec![endpoint(7, 1)]);
         let deadline = bench.settings.classes[1].deadline;
         let (mut taken, mut waited, mut others) = (None, None, 0);
         for step in 0..400 {
@@ -119,7 +119,7 @@
                 taken = Some(bench.now);
             }
             bench.accept(step + 2, 0, 1, None);
-            for (id, to, _) in bench.routes() {
+            for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                 if id == 1 {
                     waited = waited.or(taken.map(|taken| bench.now - taken));
                     continue;
@@ -132,7 +132,7 @@
                     if fails { AttemptOutcome::ErrorResponse } else { AttemptOutcome::Delivered },
                     ms(20),
                 );
-                bench.tell(Event::MessageAbandoned(MessageId(id)));
+                bench.handle(Event::MessageAbandoned(MessageId(id)));
             }
             bench.now = bench.now + ms(100);
         }
@@ -148,7 +148,7 @@
 /// connections were closed before use.
 fn closes_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
-    let mut bench = Bench::new(settings(vec![safe()]), all);
+    let mut bench = Bench::new(settings(vec![idempotent()]), all);
     let mut id = 0;
     let mut call = |bench: &mut Bench, to: u32, outcome: AttemptOutcome| {
         id += 1;
@@ -157,7 +157,7 @@
         let closes = actions.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
         bench.now = bench.now + ms(20);
         bench.finish(id, to, if closes > 0 { AttemptOutcome::Delivered } else { outcome }, ms(20));
-        bench.tell(Event::MessageAbandoned(MessageId(id)));
+        bench.handle(Event::MessageAbandoned(MessageId(id)));
         closes
     };
     (1..=count).for_each(|to| assert_eq!(call(&mut bench, to, AttemptOutcome::Delivered), 0));
@@ -178,16 +178,16 @@
 #[test]
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
-        let mut bench = one(safe());
+        let mut bench = single_destination(idempotent());
         let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
         bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![told]);
         bench.now = bench.now + ms(20);
         bench.accept(1, 0, 1, None);
-        bench.routes();
+        bench.start_attempts();
         bench.now = bench.now + ms(20);
         bench.finish(1, 7, outcome, ms(20));
         bench.accept(2, 0, 1, None);
-        !bench.routes().is_empty()
+        !bench.start_attempts().is_empty()
     };
     assert!(next_send(AttemptOutcome::Reset));
     assert!(!next_send(AttemptOutcome::ConnectFailed));
@@ -196,11 +196,11 @@
 /// With no slot left, the oldest stalled call is cancelled.
 #[test]
 fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     (0..2).for_each(|id| bench.accept(id, 0, 1 + id as u16, None));
-    assert_eq!(bench.routes().len(), 2);
+    assert_eq!(bench.start_attempts().len(), 2);
     bench.accept(5, 0, 2, None);
     let off = bench.until_action(Duration::from_secs(3));
     assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
@@ -211,11 +211,11 @@
 fn low_traffic_gateways_probe_a_failed_destination_rarely() {
     let mut trials = 0;
     for seed in 0..100 {
-        let mut bench = one(safe());
+        let mut bench = single_destination(idempotent());
         bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.now = bench.now + Duration::from_secs(4);
         bench.accept(1, 0, 1, None);
-        bench.routes();
+        bench.start_attempts();
         bench.finish(1, 7, AttemptOutcome::ConnectFailed, ms(20));
         let began = bench.now;
         while bench.now - began < Duration::from_secs(12) {
@@ -235,12 +235,12 @@
 #[test]
 fn malformed_responses_open_no_circuit() {
     let outages_after = |outcome| {
-        let mut bench = one(safe());
+        let mut bench = single_destination(idempotent());
         for id in 1..=4 {
             bench.accept(id, 0, 1, None);
-            for (message, endpoint, _) in bench.routes() {
+            for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
                 bench.finish(message, endpoint, outcome, ms(50));
-                bench.tell(Event::MessageAbandoned(MessageId(message)));
+                bench.handle(Event::MessageAbandoned(MessageId(message)));
             }
             bench.now = bench.now + ms(100);
         }
@@ -253,7 +253,7 @@
 /// A low-traffic gateway has no later event that would show the silence: the timer of its due moment has to.
 #[test]
 fn silence_opens_the_circuit_at_the_moment_it_is_due() {
-    let mut bench = one(safe());
+    let mut bench = single_destination(idempotent());
     bench.accept(1, 0, 1, None);
     let due = |action: &Action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
@@ -266,7 +266,7 @@
             break;
         }
         bench.now = bench.now + after;
-        bench.tell(Event::TimerFired(token));
+        bench.handle(Event::TimerFired(token));
     }
     assert!(bench.scheduler.longest_queue(bench.now).unwrap().2[0].circuit_open);
 }
@@ -275,10 +275,10 @@
 /// time, and not when the first moment's rate would have allowed it.
 #[test]
 fn a_slow_start_progresses_while_nothing_happens() {
-    let settings = Settings { fleet_size: 300, ..settings(vec![safe()]) };
+    let settings = Settings { fleet_size: 300, ..settings(vec![idempotent()]) };
     let mut bench = Bench::new(settings, vec![Endpoint { weight: 40.0, ..endpoint(11, 3) }]);
     let begun = bench.now;
-    bench.tell(Event::CircuitRestored(CircuitRecord {
+    bench.handle(Event::CircuitRestored(CircuitRecord {
         destination: DestinationId(3),
         endpoint: None,
         last_success_at: begun,
@@ -299,6 +299,6 @@
         }
         let (after, token) = wake.expect("asked for a timer");
         bench.now = bench.now + after;
-        bench.tell(Event::TimerFired(token));
+        bench.handle(Event::TimerFired(token));
     }
 }
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -6,13 +6,13 @@
 
 #[test]
 fn a_retry_after_holds_back_every_message_of_the_destination() {
-    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
-    let first = bench.routes()[0].1;
+    let first = bench.start_attempts()[0].endpoint;
     bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
     let told = bench.now;
     bench.accept(2, 0, 1, None);
-    assert!(bench.routes().is_empty());
+    assert!(bench.start_attempts().is_empty());
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
     assert!(bench.now - told >= ms(800));
 }
@@ -20,7 +20,7 @@
 /// A Retry-After that comes with the first outcome of a batched call binds, too.
 #[test]
 fn a_retry_after_with_any_message_of_a_call_is_kept() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let mut bench = Bench::new(
         Settings {
             destination_kinds: vec![DestinationKind { batch: 5, per_endpoint_limits: false }],
@@ -29,7 +29,7 @@
         vec![endpoint(7, 1)],
     );
     (1..=3).for_each(|id| bench.accept(id, 0, 1, None));
-    assert_eq!(bench.routes().len(), 3);
+    assert_eq!(bench.start_attempts().len(), 3);
     bench.finish(1, 7, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
     bench.finish(2, 7, AttemptOutcome::Rejected(None), ms(20));
     bench.finish(3, 7, AttemptOutcome::Rejected(None), ms(20));
@@ -40,30 +40,30 @@
 
 #[test]
 fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
     let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
-    let first = bench.routes()[0].1;
+    let first = bench.start_attempts()[0].endpoint;
     bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
     bench.accept(2, 0, 1, None);
-    let other = bench.routes();
+    let other = bench.start_attempts();
     assert_eq!(other.len(), 1);
-    assert_ne!(other[0].1, first);
+    assert_ne!(other[0].endpoint, first);
 }
 
 /// An unresponsive destination with a full queue rejects although its limit has headroom.
 #[test]
 fn rejections_with_headroom_left_count_as_failures() {
     let sends_after = |left: f64| {
-        let mut bench = one(safe());
+        let mut bench = single_destination(idempotent());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
         let mut sends = 0;
         let began = bench.now;
         while bench.now - began < Duration::from_secs(4) {
-            for (id, to, _) in bench.routes() {
+            for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                 sends += 1;
-                bench.refuse(id, to, left, 100.0);
+                bench.reject_with_report(id, to, left, 100.0);
             }
             bench.now = bench.now + ms(50);
         }
@@ -75,12 +75,12 @@
 /// What stays inside a gateway's even part of the announced rate is not held back.
 #[test]
 fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
-    let mut bench = one(safe());
+    let mut bench = single_destination(idempotent());
     bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
         bench.now = bench.now + Duration::from_secs(4);
         bench.accept(id, 0, 1, None);
-        assert_eq!(bench.routes().len(), 1);
+        assert_eq!(bench.start_attempts().len(), 1);
         bench.now = bench.now + ms(30);
         bench.finish(id, 7, AttemptOutcome::Delivered, ms(30));
     }
@@ -90,7 +90,7 @@
 #[test]
 fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
-        let base = settings(vec![safe()]);
+        let base = settings(vec![idempotent()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
         let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
@@ -103,9 +103,9 @@
         let mut calls = 0;
         let began = bench.now;
         while bench.now - began < Duration::from_secs(seconds) {
-            let sent = bench.routes();
+            let sent = bench.start_attempts();
             calls += sent.len();
-            for (id, to, _) in sent {
+            for StartedAttempt { message: id, endpoint: to, .. } in sent {
                 bench.finish(id, to, AttemptOutcome::Rejected(None), ms(20));
             }
             bench.now = bench.now + ms(20);
@@ -120,11 +120,11 @@
 #[test]
 fn low_traffic_gateways_rejected_together_retry_apart() {
     let back_after = |seed: u64| {
-        let mut bench = one(safe());
+        let mut bench = single_destination(idempotent());
         bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(1, 0, 1, None);
-        bench.routes();
+        bench.start_attempts();
         bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
         let refused = bench.now;
         assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::StartAttempt { .. }]));
@@ -132,7 +132,7 @@
     };
     let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
     gaps.sort_unstable();
-    let latency_objective = safe().latency_objective;
+    let latency_objective = idempotent().latency_objective;
     assert!(
         gaps[39] - gaps[0] > latency_objective,
         "from {:?} to {:?}, aim {latency_objective:?}",
@@ -145,27 +145,27 @@
 /// other gateways out.
 #[test]
 fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
-    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 2)]);
+    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 2)]);
     let closes =
         |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
     bench.accept(1, 0, 2, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
     assert!(!closes(&bench.decide(), 8));
     for id in 2..12 {
         bench.now = bench.now + ms(100);
         bench.accept(id, 0, 1, None);
-        assert_eq!(bench.routes().len(), 1, "{id}: the pace is not cut");
+        assert_eq!(bench.start_attempts().len(), 1, "{id}: the pace is not cut");
         bench.finish(id, 7, AttemptOutcome::TooManyConnections, ms(20));
-        bench.tell(Event::MessageAbandoned(MessageId(id)));
+        bench.handle(Event::MessageAbandoned(MessageId(id)));
     }
     bench.accept(20, 0, 2, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(20, 8, AttemptOutcome::Delivered, ms(20));
     assert!(closes(&bench.decide(), 8), "at other endpoints neither");
     bench.now = bench.now + bench.settings.connection_idle_timeout * 4;
     bench.accept(21, 0, 2, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
     assert!(!closes(&bench.decide(), 8), "not for good");
 }
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -21,9 +21,9 @@
 
 /// Message 1 was sent to endpoint 7, and its attempt ended with this outcome.
 fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> Bench {
-    let mut bench = one(class);
+    let mut bench = single_destination(class);
     bench.accept(1, 0, 1, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, outcome, ms(50));
     bench
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_message_without_any_endpoint_is_rejected_by_its_deadline() {
-    let mut bench = Bench::new(settings(vec![keyed()]), vec![]);
+    let mut bench = Bench::new(settings(vec![idempotent_with_key()]), vec![]);
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
     let actions = bench.until_action(Duration::from_secs(30));
@@ -43,7 +43,7 @@
 #[test]
 fn a_non_idempotent_message_that_may_have_run_is_never_retried_and_fails() {
     for outcome in MAYBE_RAN {
-        let mut bench = after_one_attempt(unsafe_class(), outcome);
+        let mut bench = after_one_attempt(non_idempotent(), outcome);
         let end = bench.until_action(Duration::from_secs(30));
         assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }], "{outcome:?}");
     }
@@ -52,7 +52,7 @@
 #[test]
 fn a_non_idempotent_message_that_did_not_run_is_retried() {
     for outcome in NEVER_RAN {
-        let mut bench = after_one_attempt(unsafe_class(), outcome);
+        let mut bench = after_one_attempt(non_idempotent(), outcome);
         let next = bench.until_action(Duration::from_secs(15));
         assert!(matches!(next[0], Action::StartAttempt { message: MessageId(1), .. }), "{outcome:?}");
     }
@@ -60,10 +60,10 @@
 
 #[test]
 fn a_message_with_a_key_is_retried_inside_its_idempotency_window_only() {
-    let mut bench = one(keyed());
+    let mut bench = single_destination(idempotent_with_key());
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     let mut repeats = 0;
     loop {
         bench.now = bench.now + ms(30);
@@ -89,7 +89,7 @@
         [Action::StartAttempt { send_within, .. }, ..] => *send_within,
         other => panic!("{other:?}"),
     };
-    let mut bench = one(keyed());
+    let mut bench = single_destination(idempotent_with_key());
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
     assert_eq!(within(&bench.decide()), bench.settings.classes[0].deadline);
@@ -105,23 +105,24 @@
 fn a_message_with_a_key_stays_in_its_deduplication_zone() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
-    let class = Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() };
+    let class = Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() };
     let mut bench = Bench::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
     bench.accept(1, 0, 1, None);
-    let first = bench.routes()[0].1;
+    let first = bench.start_attempts()[0].endpoint;
     bench.now = bench.now + ms(50);
     bench.finish(1, first, AttemptOutcome::Reset, ms(50));
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
     let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
-    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
+    bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
     let end = bench.until_action(Duration::from_secs(30));
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
 /// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run
 /// at the first.
-fn one_that_may_have_run_in_a_zone(per_endpoint_limits: bool) -> (Bench, u32) {
-    let base = settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..keyed() }]);
+fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (Bench, u32) {
+    let base =
+        settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
     let other = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
     let mut bench = Bench::new(
@@ -129,7 +130,7 @@
         vec![endpoint(7, 1), other],
     );
     bench.accept(1, 0, 1, None);
-    let first = bench.routes()[0].1;
+    let first = bench.start_attempts()[0].endpoint;
     bench.now = bench.now + ms(50);
     bench.finish(1, first, AttemptOutcome::Reset, ms(50));
     (bench, first)
@@ -139,12 +140,12 @@
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
     for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
+        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
         let mut seen = [0, 0];
         for round in 0..40 {
             bench.now = bench.now + ms(100);
             bench.accept(100 + round, 0, 1, None);
-            for (message, to, _) in bench.routes() {
+            for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                 seen[usize::from(to == first)] += 1;
                 if message == 1 {
                     assert_eq!(to, first, "{per_endpoint_limits}");
@@ -161,10 +162,10 @@
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
     for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = one_that_may_have_run_in_a_zone(per_endpoint_limits);
+        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
         // It is worth more than the new messages.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
@@ -178,11 +179,11 @@
     let mean_gap = |failures: u32| {
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
-                let mut bench = one(safe());
+                let mut bench = single_destination(idempotent());
                 bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
-                bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
+                bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
                 bench.accept(1, 0, 1, None);
-                bench.routes();
+                bench.start_attempts();
                 for attempt in 0..failures {
                     bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(10));
                     let failed = bench.now;
@@ -202,9 +203,9 @@
 
 #[test]
 fn a_redelivered_message_counts_its_window_from_when_it_was_enqueued() {
-    let mut bench = one(keyed());
+    let mut bench = single_destination(idempotent_with_key());
     let class = bench.settings.classes[0].clone();
-    bench.tell(Event::MessageAccepted(AcceptedMessage {
+    bench.handle(Event::MessageAccepted(AcceptedMessage {
         id: MessageId(1),
         class: ClassId(0),
         destination: DestinationId(1),
@@ -219,20 +220,20 @@
 
 #[test]
 fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
-    let class = Class { ordered: true, ..unsafe_class() };
+    let class = Class { ordered: true, ..non_idempotent() };
     let base = settings(vec![class]);
     let rules = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
     let mut bench = Bench::new(Settings { limits: rules, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, Some(5));
     bench.accept(2, 0, 1, Some(5));
-    let sent = bench.routes();
+    let sent = bench.start_attempts();
     assert_eq!(sent.len(), 1);
-    assert_eq!(sent[0].0, 1);
+    assert_eq!(sent[0].message, 1);
     // The client goes, the attempt runs on: the key is taken until its outcome is known, and held back after
     // it.
-    bench.tell(Event::MessageAbandoned(MessageId(1)));
+    bench.handle(Event::MessageAbandoned(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
-    bench.finish(1, sent[0].1, AttemptOutcome::Reset, ms(100));
+    bench.finish(1, sent[0].endpoint, AttemptOutcome::Reset, ms(100));
     let settled = bench.now;
     let next = bench.until_action(Duration::from_secs(10));
     assert!(matches!(next[0], Action::StartAttempt { message: MessageId(2), .. }));
@@ -242,12 +243,12 @@
 /// A message that can never be sent again must not keep its ordering key from the messages behind it.
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
-    let classes = [unsafe_class(), keyed()].map(|class| Class { ordered: true, ..class });
+    let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { ordered: true, ..class });
     let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
     // The one behind can be retried: a non-idempotent one would wait after a loss.
     bench.accept(2, 1, 1, Some(5));
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
     let mut actions = bench.decide();
@@ -261,10 +262,10 @@
 
 #[test]
 fn a_message_whose_attempts_are_exhausted_is_rejected_at_once() {
-    let mut bench = one(unsafe_class());
+    let mut bench = single_destination(non_idempotent());
     bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
-    bench.routes();
+    bench.start_attempts();
     bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
     let refused = |action: &Action| matches!(action, Action::Reject { message: MessageId(1), .. });
     assert!(bench.decide().iter().any(refused));
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -7,34 +7,37 @@
 #[test]
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
-        let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(7, 1) }])));
+        let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
+            mode,
+            ..endpoint(7, 1)
+        }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
-        let routes = bench.routes();
-        assert!(!routes.is_empty() && routes.iter().all(|r| r.1 == 8));
+        let attempts = bench.start_attempts();
+        assert!(!attempts.is_empty() && attempts.iter().all(|attempt| attempt.endpoint == 8));
     }
-    let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
-    bench.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(8, 1)])));
+    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1)]);
+    bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(8, 1)])));
     bench.accept(1, 0, 1, None);
-    assert_eq!(bench.routes()[0].1, 8);
+    assert_eq!(bench.start_attempts()[0].endpoint, 8);
 }
 
 #[test]
 fn events_for_unknown_ids_are_ignored() {
-    let mut bench = one(safe());
+    let mut bench = single_destination(idempotent());
     bench.finish(99, 7, AttemptOutcome::Delivered, ms(5));
     bench.finish(99, 98, AttemptOutcome::Rejected(Some(ms(5))), ms(5));
-    bench.tell(Event::MessageAbandoned(MessageId(99)));
-    bench.tell(Event::TimerFired(12345));
+    bench.handle(Event::MessageAbandoned(MessageId(99)));
+    bench.handle(Event::TimerFired(12345));
     bench.accept(1, 0, 1, None);
-    assert_eq!(bench.routes().len(), 1);
+    assert_eq!(bench.start_attempts().len(), 1);
 }
 
 #[test]
 fn the_clock_may_jump_far_ahead() {
-    let mut bench = one(keyed());
+    let mut bench = single_destination(idempotent_with_key());
     (0..5).for_each(|id| bench.accept(id, 0, 1, None));
-    bench.routes();
+    bench.start_attempts();
     bench.now = bench.now + Duration::from_secs(100_000);
     let answers = bench.decide().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
     assert_eq!(answers, 5);
@@ -46,16 +49,17 @@
 #[test]
 fn a_rejected_watch_is_retried_with_growing_backoff() {
     let tries = |fleet_size: u32, why: EndpointUpdate, span: Duration| {
-        let mut bench = Bench::new(Settings { fleet_size, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
+        let mut bench =
+            Bench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)]);
         let end = bench.now + span;
         let (mut tries, mut last, mut longest) = (0, bench.now, Duration::ZERO);
-        bench.tell(Event::EndpointsUpdated(why.clone()));
+        bench.handle(Event::EndpointsUpdated(why.clone()));
         while bench.now < end {
             if bench.decide().contains(&Action::WatchEndpoints { active: true }) {
                 tries += 1;
                 longest = longest.max(bench.now - last);
                 last = bench.now;
-                bench.tell(Event::EndpointsUpdated(why.clone()));
+                bench.handle(Event::EndpointsUpdated(why.clone()));
             }
             bench.now = bench.now + ms(5);
         }
@@ -72,10 +76,14 @@
     assert!(tries(3, EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
     // Gateways that are rejected at one moment do not retry at one moment.
     let refused = |seed: u64| {
-        let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(11, 3)]);
-        bench.restart(Settings { fleet_size: 318, ..settings(vec![safe()]) }, seed, vec![endpoint(11, 3)]);
+        let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
+        bench.restart(
+            Settings { fleet_size: 318, ..settings(vec![idempotent()]) },
+            seed,
+            vec![endpoint(11, 3)],
+        );
         let begun = bench.now;
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
         assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { active: true }]);
         bench.now - begun
     };
@@ -90,7 +98,7 @@
     // announced: however many there are, all have asked well before they may send no more to draining
     // endpoints.
     let first = |fleet_size: u32, seed: u64| {
-        Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed).initial_watch_delay()
+        Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed).initial_watch_delay()
     };
     let drain = Settings::default().limits.drain_grace;
     for fleet_size in [48, 100, 318] {
@@ -102,12 +110,13 @@
     }
     assert!(first(3, 1) < ms(300));
     // A watch that succeeds resets the backoff.
-    let mut bench = Bench::new(Settings { fleet_size: 3, ..settings(vec![safe()]) }, vec![endpoint(11, 3)]);
+    let mut bench =
+        Bench::new(Settings { fleet_size: 3, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)]);
     for _ in 0..8 {
-        bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
     }
-    bench.tell(Event::WatchEstablished);
+    bench.handle(Event::WatchEstablished);
     assert_eq!(bench.until_action(Duration::from_secs(10)), []);
-    bench.tell(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
+    bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
     assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
 }
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -114,8 +114,11 @@
 }
 
 fn settings_of(scenario: &Scenario) -> Settings {
-    let class =
-        Class { latency_objective: Duration::from_secs(2), deadline: Duration::from_secs(12), ..safe() };
+    let class = Class {
+        latency_objective: Duration::from_secs(2),
+        deadline: Duration::from_secs(12),
+        ..idempotent()
+    };
     let limits = DeliveryLimits {
         cold_capacity_ratio: 0.18,
         warm_up: Duration::from_secs(10),
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -35,7 +35,7 @@
             deadline: self.first_sent_at + class.deadline,
             ..accepted(self.first_sent_at, MESSAGE.0, (ClassId(0), class), DESTINATION, None)
         };
-        self.bench.tell(Event::MessageRestored(RestoredMessage {
+        self.bench.handle(Event::MessageRestored(RestoredMessage {
             message,
             attempts: self.attempts,
             first_uncertain_attempt: Some(SentAttempt { sent_at: self.first_sent_at, zone: ZoneId(0) }),
@@ -68,7 +68,7 @@
         self.resent += 1;
         let outcome =
             if self.seed.is_multiple_of(2) { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
-        self.bench.tell(Event::AttemptFinished(FinishedAttempt {
+        self.bench.handle(Event::AttemptFinished(FinishedAttempt {
             message: MESSAGE,
             endpoint: ENDPOINT,
             attempt: (self.attempts - 1) as u16,
@@ -91,7 +91,7 @@
         idempotency_window: WINDOW,
         latency_objective: ms(700),
         deadline: Duration::from_secs(6),
-        ..keyed()
+        ..idempotent_with_key()
     };
     let settings = Settings { outcomes_need_acknowledgement: true, ..settings(vec![class]) };
     let mut bench = Bench::new(settings, vec![listed()]);
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -22,7 +22,7 @@
 /// Restores open circuits for a part of the destinations.
 fn restore_circuits(bench: &mut Bench) {
     for destination in (1..=u32::from(DESTINATIONS)).step_by(OPEN_CIRCUIT_EVERY) {
-        bench.tell(Event::CircuitRestored(CircuitRecord {
+        bench.handle(Event::CircuitRestored(CircuitRecord {
             destination: DestinationId(destination),
             endpoint: None,
             last_success_at: bench.now - Duration::from_secs(5),
@@ -45,7 +45,7 @@
             deadline: bench.now + time_left,
             ..accepted(bench.now, id, (class, rules), destination, None)
         };
-        bench.tell(Event::MessageRestored(RestoredMessage {
+        bench.handle(Event::MessageRestored(RestoredMessage {
             message,
             attempts: 0,
             first_uncertain_attempt: None,
@@ -82,7 +82,7 @@
 /// each class, with open circuits at many destinations, and as many messages as may be pending.
 #[test]
 fn unattempted_messages_are_attempted_after_a_restart() {
-    let classes = vec![keyed(), unsafe_class(), safe()];
+    let classes = vec![idempotent_with_key(), non_idempotent(), idempotent()];
     let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
     // Ten messages for each destination, and a small part of its rate for them all: 1.3 calls a second, for 10 s.
     let listed = |number: u16| Endpoint { weight: 400.0, ..endpoint(u32::from(number), number) };
--- a/tests/scheduler_guarantees/watch.rs
+++ b/tests/scheduler_guarantees/watch.rs
@@ -15,7 +15,7 @@
 /// Time from the last of so many failures in a row to the next watch request; one step more than
 /// [`ANNOUNCED_AFTER`] at most if there is none until then.
 fn delay_after(failures: u32, fleet_size: u32, seed: u64, failure: &EndpointUpdate) -> Duration {
-    let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+    let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed);
     let start = Time::ZERO + Duration::from_secs(100);
     (0..failures).for_each(|_| scheduler.handle(start, Event::EndpointsUpdated(failure.clone())));
     let mut actions = Vec::new();
@@ -74,7 +74,7 @@
     let drain_grace = Settings::default().limits.drain_grace;
     for fleet_size in FLEET_SIZES {
         for seed in 0..500 {
-            let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![safe()]) }, seed);
+            let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed);
             let first = scheduler.initial_watch_delay();
             assert!(first <= drain_grace / 2, "{fleet_size} gateways, seed {seed}: {first:?}");
         }
