--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -1,141 +1,154 @@
-//! Many gateways and one destination that has an outage and recovers: how much is sent to it, and by whom.
+//! A fleet of gateways, and one destination that has an outage and recovers: how much is sent to it, and by whom.
 
-use super::{accepted, endpoint, ms};
+use super::{accepted, endpoint};
 use delivery_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::time::Duration;
 
 /// What the destination does with calls during its outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
     /// Rejects, with a Retry-After until it recovers.
-    ShutAndTells,
+    RejectsWithRetryAfter,
     /// Rejects without a Retry-After.
-    Shut,
-    /// Accepts no connection.
+    Rejects,
+    /// Refuses connections.
     Down,
     /// Accepts calls and never responds.
-    Hung,
+    Unresponsive,
 }
 
 /// What a fleet is put through.
 #[derive(Clone, Copy)]
-pub struct Plan {
+pub struct Scenario {
     pub outage: OutageKind,
     pub fleet_size: u32,
     /// Calls a second that the destination serves when it is warm.
     pub capacity: f64,
-    /// Announced rate relative to that.
-    pub told: f64,
+    /// The rate that the endpoint list announces, relative to the capacity.
+    pub announced_ratio: f64,
     /// Messages a second, relative to the capacity.
     pub load: f64,
     /// Messages that a call may carry.
     pub batch: usize,
-    /// How long all is well before the outage.
-    pub quiet: Duration,
+    /// Time from the start to the outage.
+    pub outage_after: Duration,
     /// Rejected calls use up the destination's limit as well.
-    pub counted: bool,
+    pub rejections_count: bool,
     pub seed: u64,
 }
 
 /// What was seen in one run.
-pub struct Seen {
+pub struct Observed {
     /// The most that gateways which saw the outage sent in an overload window, relative to what the
     /// destination survives.
-    pub worst: f64,
+    pub worst_overload: f64,
     /// Ratio of the messages enqueued since the recovery that were delivered.
-    pub delivered: f64,
+    pub delivered_ratio: f64,
     /// Calls served before the outage, relative to what the destination could have served.
-    pub served: f64,
+    pub served_ratio: f64,
     /// Ratio of the calls before the outage that were rejected.
-    pub refused: f64,
+    pub rejected_ratio: f64,
+}
+
+impl fmt::Display for Observed {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:.2} served, {:.2} rejected", self.served_ratio, self.rejected_ratio)
+    }
 }
 
 /// How unevenly messages are spread over gateways: at 0 evenly, at 1 a few carry most.
 const SKEW: f64 = 0.9;
 /// Weight of a further message in a call, relative to the call itself.
-const ITEM: f64 = 0.15;
-const OUT_FOR: Duration = Duration::from_secs(14);
+const FURTHER_MESSAGE_WEIGHT: f64 = 0.15;
+const OUTAGE_DURATION: Duration = Duration::from_secs(14);
+/// Steps of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-const TO: EndpointId = EndpointId(7);
+/// How long a delivered call takes.
+const DELIVERY_TIME: Duration = Duration::from_millis(200);
+/// How long any other call takes, unless it times out.
+const FAILURE_TIME: Duration = Duration::from_millis(50);
+const ENDPOINT: EndpointId = EndpointId(7);
+const DESTINATION: u16 = 1;
 
-struct Member {
+struct Gateway {
     scheduler: Scheduler,
-    wake: Option<(Time, u64)>,
-    /// Its part of all messages.
-    part: f64,
-    /// Has events to act on.
-    touched: bool,
+    timer: Option<(Time, u64)>,
+    /// Its share of all messages.
+    traffic_ratio: f64,
+    /// Has handled events since its last decision.
+    has_events: bool,
     /// Saw a failure or a rejection during the outage.
-    aware: bool,
+    saw_outage: bool,
 }
 
 /// The outcome of an attempt, on its way to the gateway.
-struct Coming {
-    member: usize,
+struct Arriving {
+    gateway: usize,
     message: MessageId,
     attempt: u16,
     outcome: AttemptOutcome,
-    sent: Time,
+    sent_at: Time,
 }
 
 struct RecoveringFleet {
-    plan: Plan,
+    scenario: Scenario,
     settings: Settings,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Time,
-    out_from: Time,
-    back: Time,
-    members: Vec<Member>,
-    coming: BTreeMap<(Time, usize), Coming>,
-    /// Attempts of each message, and in all.
+    outage_at: Time,
+    recovery_at: Time,
+    gateways: Vec<Gateway>,
+    /// Ordered by time, and by the number of the attempt at the same time.
+    arriving: BTreeMap<(Time, usize), Arriving>,
+    /// Attempts of each message so far.
     attempts: BTreeMap<MessageId, u16>,
-    count: usize,
+    total_attempts: usize,
     /// Calls that the destination accepts before it rejects.
     room: f64,
     /// What gateways that saw the outage sent since the recovery, by weight.
-    weights: Vec<(Time, f64)>,
-    since_return: BTreeSet<MessageId>,
-    delivered: usize,
-    /// Calls before the outage: all, and those rejected.
-    early: (usize, usize),
+    sent_weights: Vec<(Time, f64)>,
+    /// Messages enqueued since the recovery.
+    enqueued_since_recovery: BTreeSet<MessageId>,
+    /// Those of them that were delivered.
+    delivered_since_recovery: usize,
+    /// Calls before the outage.
+    early_calls: usize,
+    /// Those of them that were rejected.
+    early_rejections: usize,
 }
 
 /// Runs a fleet through the outage and the recovery.
-pub fn live_through(plan: Plan) -> Seen {
-    let mut recovering_fleet = RecoveringFleet::new(plan);
-    let (cold, fall) =
-        (recovering_fleet.settings.limits.warm_up, recovering_fleet.settings.limits.overload_window);
-    let mut worst = 0.0_f64;
-    while recovering_fleet.now < recovering_fleet.back + cold {
-        recovering_fleet.now = recovering_fleet.now + STEP;
-        recovering_fleet.room = (recovering_fleet.room + recovering_fleet.capacity() * STEP.as_secs_f64())
-            .min(recovering_fleet.capacity() / 2.0 + 1.0);
-        recovering_fleet.hand_in();
-        recovering_fleet.wake();
-        recovering_fleet.tell_outcomes();
-        (0..recovering_fleet.members.len()).for_each(|member| recovering_fleet.act(member));
-        if recovering_fleet.now >= recovering_fleet.back {
-            let survives = recovering_fleet.settings.limits.overload_multiple
-                * recovering_fleet.capacity()
-                * fall.as_secs_f64();
-            let recent = recovering_fleet.weights.iter().filter(|(at, _)| recovering_fleet.now - *at < fall);
-            worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
+pub fn run(scenario: Scenario) -> Observed {
+    let mut fleet = RecoveringFleet::new(scenario);
+    let end = fleet.recovery_at + fleet.settings.limits.warm_up;
+    let mut worst_overload = 0.0_f64;
+    while fleet.now < end {
+        fleet.step();
+        if fleet.has_recovered() {
+            worst_overload = worst_overload.max(fleet.overload());
         }
     }
-    let (calls, refused) = recovering_fleet.early;
-    let could = plan.capacity * plan.quiet.as_secs_f64();
-    Seen {
-        worst,
-        delivered: recovering_fleet.delivered as f64 / recovering_fleet.since_return.len().max(1) as f64,
-        served: (calls - refused) as f64 / could,
-        refused: refused as f64 / calls.max(1) as f64,
+    let possible = scenario.capacity * scenario.outage_after.as_secs_f64();
+    let enqueued = fleet.enqueued_since_recovery.len().max(1);
+    Observed {
+        worst_overload,
+        delivered_ratio: fleet.delivered_since_recovery as f64 / enqueued as f64,
+        served_ratio: (fleet.early_calls - fleet.early_rejections) as f64 / possible,
+        rejected_ratio: fleet.early_rejections as f64 / fleet.early_calls.max(1) as f64,
     }
 }
 
-fn settings_of(plan: &Plan) -> Settings {
-    let (latency_objective, span) = (Duration::from_secs(4), Duration::from_secs(20));
-    let rules = DeliveryLimits {
+fn settings_of(scenario: &Scenario) -> Settings {
+    let deadline = Duration::from_secs(20);
+    let class = Class {
+        latency_objective: Duration::from_secs(4),
+        deadline,
+        idempotency_window: deadline,
+        ..Class::default()
+    };
+    let limits = DeliveryLimits {
         cold_capacity_ratio: 0.18,
         warm_up: Duration::from_secs(12),
         overload_multiple: 2.0,
@@ -143,170 +156,214 @@
         ..Settings::default().limits
     };
     Settings {
-        classes: vec![Class {
-            latency_objective,
-            deadline: span,
-            idempotency_window: span,
-            ..Class::default()
-        }],
-        fleet_size: plan.fleet_size,
-        destination_kinds: vec![DestinationKind { batch: plan.batch, per_endpoint_limits: false }],
+        classes: vec![class],
+        fleet_size: scenario.fleet_size,
+        destination_kinds: vec![DestinationKind { batch: scenario.batch, per_endpoint_limits: false }],
         max_in_flight_calls: 4,
         max_pending_messages: 48,
-        limits: rules,
+        limits,
         ..Settings::default()
     }
 }
 
+/// Gateways that know the endpoint list and have no messages yet.
+fn new_gateways(scenario: &Scenario, settings: &Settings, now: Time) -> Vec<Gateway> {
+    let weight = scenario.capacity * scenario.announced_ratio;
+    let listed = Endpoint { weight, ..endpoint(ENDPOINT.0, DESTINATION) };
+    let traffic: Vec<f64> = (0..scenario.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
+    let all: f64 = traffic.iter().sum();
+    let gateway = |(number, traffic): (usize, &f64)| {
+        let mut scheduler = Scheduler::new(settings.clone(), scenario.seed * 1000 + number as u64);
+        scheduler.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
+        Gateway { scheduler, timer: None, traffic_ratio: traffic / all, has_events: true, saw_outage: false }
+    };
+    traffic.iter().enumerate().map(gateway).collect()
+}
+
 impl RecoveringFleet {
-    fn new(plan: Plan) -> Self {
-        let settings = settings_of(&plan);
+    fn new(scenario: Scenario) -> Self {
+        let settings = settings_of(&scenario);
         let start = Time::ZERO + Duration::from_secs(100);
-        let listed = Endpoint { weight: plan.capacity * plan.told, ..endpoint(TO.0, 1) };
-        let shares: Vec<f64> = (0..plan.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
-        let all: f64 = shares.iter().sum();
-        let member = |(number, share): (usize, &f64)| {
-            let mut scheduler = Scheduler::new(settings.clone(), plan.seed * 1000 + number as u64);
-            scheduler.handle(start, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
-            Member { scheduler, wake: None, part: share / all, touched: true, aware: false }
-        };
-        let members = shares.iter().enumerate().map(member).collect();
         RecoveringFleet {
-            plan,
-            members,
+            gateways: new_gateways(&scenario, &settings, start),
+            scenario,
             settings,
-            chance: fastrand::Rng::with_seed(plan.seed),
+            rng: fastrand::Rng::with_seed(scenario.seed),
             now: start,
-            out_from: start + plan.quiet,
-            back: start + plan.quiet + OUT_FOR,
-            coming: BTreeMap::new(),
+            outage_at: start + scenario.outage_after,
+            recovery_at: start + scenario.outage_after + OUTAGE_DURATION,
+            arriving: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            count: 0,
+            total_attempts: 0,
             room: 1.0,
-            weights: Vec::new(),
-            since_return: BTreeSet::new(),
-            delivered: 0,
-            early: (0, 0),
+            sent_weights: Vec::new(),
+            enqueued_since_recovery: BTreeSet::new(),
+            delivered_since_recovery: 0,
+            early_calls: 0,
+            early_rejections: 0,
         }
     }
 
-    fn out(&self) -> bool {
-        self.now >= self.out_from && self.now < self.back
+    fn step(&mut self) {
+        self.now = self.now + STEP;
+        let capacity = self.capacity();
+        self.room = (self.room + capacity * STEP.as_secs_f64()).min(capacity / 2.0 + 1.0);
+        self.enqueue_messages();
+        self.fire_timers();
+        self.deliver_outcomes();
+        (0..self.gateways.len()).for_each(|gateway| self.decide(gateway));
+    }
+
+    fn is_out(&self) -> bool {
+        self.now >= self.outage_at && self.now < self.recovery_at
+    }
+
+    fn has_recovered(&self) -> bool {
+        self.now >= self.recovery_at
     }
 
     /// Calls a second that the destination can serve at this moment.
     fn capacity(&self) -> f64 {
-        let rules = &self.settings.limits;
-        let warmth = ((self.now - self.back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
-        let cold = self.now >= self.back;
-        self.plan.capacity
-            * if cold { rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * warmth } else { 1.0 }
+        let limits = &self.settings.limits;
+        let warmth = ((self.now - self.recovery_at).as_secs_f64() / limits.warm_up.as_secs_f64()).min(1.0);
+        let ratio = if self.has_recovered() {
+            limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warmth
+        } else {
+            1.0
+        };
+        self.scenario.capacity * ratio
+    }
+
+    /// What was sent in the last overload window, relative to what the destination survives.
+    fn overload(&self) -> f64 {
+        let limits = &self.settings.limits;
+        let survives = limits.overload_multiple * self.capacity() * limits.overload_window.as_secs_f64();
+        let recent = self.sent_weights.iter().filter(|(at, _)| self.now - *at < limits.overload_window);
+        recent.map(|(_, weight)| weight).sum::<f64>() / survives
     }
 
-    fn hand_in(&mut self) {
-        let back = self.now >= self.back;
-        let all = self.plan.capacity * self.plan.load * STEP.as_secs_f64();
-        for member in &mut self.members {
-            if self.chance.f64() >= all * member.part {
+    fn enqueue_messages(&mut self) {
+        let has_recovered = self.has_recovered();
+        let all = self.scenario.capacity * self.scenario.load * STEP.as_secs_f64();
+        let class = (ClassId(0), &self.settings.classes[0]);
+        for gateway in &mut self.gateways {
+            if self.rng.f64() >= all * gateway.traffic_ratio {
                 continue;
             }
             let id = MessageId(self.attempts.len() as u32);
             self.attempts.insert(id, 0);
-            if back {
-                self.since_return.insert(id);
+            if has_recovered {
+                self.enqueued_since_recovery.insert(id);
             }
-            let class = (ClassId(0), &self.settings.classes[0]);
-            let accepted = accepted(self.now, id.0, class, 1, None);
-            member.scheduler.handle(self.now, Event::MessageAccepted(accepted));
-            member.touched = true;
+            let message = accepted(self.now, id.0, class, DESTINATION, None);
+            gateway.scheduler.handle(self.now, Event::MessageAccepted(message));
+            gateway.has_events = true;
         }
     }
 
-    fn wake(&mut self) {
-        for member in &mut self.members {
-            if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= self.now) {
-                member.scheduler.handle(self.now, Event::TimerFired(token));
-                member.touched = true;
+    fn fire_timers(&mut self) {
+        for gateway in &mut self.gateways {
+            if let Some((_, token)) = gateway.timer.take_if(|(at, _)| *at <= self.now) {
+                gateway.scheduler.handle(self.now, Event::TimerFired(token));
+                gateway.has_events = true;
             }
         }
     }
 
-    fn tell_outcomes(&mut self) {
-        let out = self.out();
-        while let Some(entry) = self.coming.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            let Coming { member, message, attempt, outcome, sent } = entry.remove();
+    fn deliver_outcomes(&mut self) {
+        let is_out = self.is_out();
+        while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
             let complete = outcome == AttemptOutcome::Delivered;
-            self.delivered += usize::from(complete && self.since_return.contains(&message));
-            let latency = self.now - sent;
+            if complete && self.enqueued_since_recovery.contains(&message) {
+                self.delivered_since_recovery += 1;
+            }
             let finished = FinishedAttempt {
                 message,
-                endpoint: TO,
+                endpoint: ENDPOINT,
                 attempt,
                 outcome,
-                latency,
+                latency: self.now - sent_at,
                 complete,
                 load_report: None,
             };
-            let member = &mut self.members[member];
-            member.scheduler.handle(self.now, Event::AttemptFinished(finished));
-            member.aware |= out && !complete;
-            member.touched = true;
+            let gateway = &mut self.gateways[gateway];
+            gateway.scheduler.handle(self.now, Event::AttemptFinished(finished));
+            gateway.saw_outage |= is_out && !complete;
+            gateway.has_events = true;
         }
     }
 
-    fn act(&mut self, member: usize) {
-        if !std::mem::take(&mut self.members[member].touched) {
+    /// Lets a gateway decide, and sends what it starts. Attempts of one decision share one call: one outcome, and a
+    /// little weight for each further message.
+    fn decide(&mut self, number: usize) {
+        if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
         }
         let mut actions = Vec::new();
-        self.members[member].scheduler.decide(self.now, &mut actions);
-        // Attempts of one step share one call: one outcome, and a little weight for each further message.
-        let mut fate = None;
+        self.gateways[number].scheduler.decide(self.now, &mut actions);
+        let mut call = None;
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => {
-                    self.members[member].wake = Some((self.now + after, token));
+                    self.gateways[number].timer = Some((self.now + after, token));
                 }
                 Action::StartAttempt { message, attempt_timeout, .. } => {
-                    if self.members[member].aware && self.now >= self.back {
-                        self.weights.push((self.now, if fate.is_none() { 1.0 } else { ITEM }));
+                    if self.gateways[number].saw_outage && self.has_recovered() {
+                        let weight = if call.is_none() { 1.0 } else { FURTHER_MESSAGE_WEIGHT };
+                        self.sent_weights.push((self.now, weight));
                     }
-                    let (outcome, after) = *fate.get_or_insert_with(|| self.call(attempt_timeout));
-                    let attempts = self.attempts.entry(message).or_default();
-                    let coming = Coming { member, message, attempt: *attempts, outcome, sent: self.now };
-                    *attempts += 1;
-                    self.count += 1;
-                    self.coming.insert((self.now + after, self.count), coming);
+                    let (outcome, takes) = *call.get_or_insert_with(|| self.call(attempt_timeout));
+                    self.start_attempt(number, message, outcome, takes);
                 }
                 _ => {}
             }
         }
     }
 
-    /// The outcome of a call sent now, and when it is known.
+    fn start_attempt(
+        &mut self,
+        gateway: usize,
+        message: MessageId,
+        outcome: AttemptOutcome,
+        takes: Duration,
+    ) {
+        let attempts = self.attempts.entry(message).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        self.total_attempts += 1;
+        let arriving = Arriving { gateway, message, attempt, outcome, sent_at: self.now };
+        self.arriving.insert((self.now + takes, self.total_attempts), arriving);
+    }
+
+    /// The outcome of a call that is sent now, and how long it takes.
     fn call(&mut self, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
-        let soon = ms(50);
-        if !self.out() {
-            let early = usize::from(self.now < self.out_from);
-            self.early.0 += early;
-            if self.room < 1.0 {
-                self.early.1 += early;
-                if self.plan.counted {
-                    self.room = 0.0;
-                }
-                return (AttemptOutcome::Rejected(None), soon);
-            }
-            self.room -= 1.0;
-            return (AttemptOutcome::Delivered, ms(200));
+        if !self.is_out() {
+            return self.call_in_service();
         }
-        match self.plan.outage {
+        match self.scenario.outage {
             // A Retry-After counts from its response.
-            OutageKind::ShutAndTells => {
-                (AttemptOutcome::Rejected(Some((self.back - self.now).saturating_sub(soon))), soon)
+            OutageKind::RejectsWithRetryAfter => {
+                let retry_after = (self.recovery_at - self.now).saturating_sub(FAILURE_TIME);
+                (AttemptOutcome::Rejected(Some(retry_after)), FAILURE_TIME)
+            }
+            OutageKind::Rejects => (AttemptOutcome::Rejected(None), FAILURE_TIME),
+            OutageKind::Down => (AttemptOutcome::ConnectFailed, FAILURE_TIME),
+            OutageKind::Unresponsive => (AttemptOutcome::Timeout, attempt_timeout),
+        }
+    }
+
+    fn call_in_service(&mut self) -> (AttemptOutcome, Duration) {
+        let early = usize::from(self.now < self.outage_at);
+        self.early_calls += early;
+        if self.room < 1.0 {
+            self.early_rejections += early;
+            if self.scenario.rejections_count {
+                self.room = 0.0;
             }
-            OutageKind::Shut => (AttemptOutcome::Rejected(None), soon),
-            OutageKind::Down => (AttemptOutcome::ConnectFailed, soon),
-            OutageKind::Hung => (AttemptOutcome::Timeout, attempt_timeout),
+            return (AttemptOutcome::Rejected(None), FAILURE_TIME);
         }
+        self.room -= 1.0;
+        (AttemptOutcome::Delivered, DELIVERY_TIME)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,20 +3,22 @@
 
 mod common;
 
-use common::recovering_fleet::{live_through, OutageKind, Plan};
+use common::recovering_fleet::{run, OutageKind, Scenario};
 use common::{endpoint, idempotent, ms, settings, Bench, StartedAttempt};
 use delivery_gateway::*;
 use std::time::Duration;
 
-const FLEET: Plan = Plan {
+/// The step from which every response is an endless Retry-After, in the test of odd rates.
+const REJECTED_FROM: u32 = 20_000;
+const FLEET: Scenario = Scenario {
     outage: OutageKind::Down,
     fleet_size: 100,
     capacity: 20.0,
-    told: 1.0,
+    announced_ratio: 1.0,
     load: 2.0,
     batch: 1,
-    quiet: Duration::from_secs(6),
-    counted: true,
+    outage_after: Duration::from_secs(6),
+    rejections_count: true,
     seed: 1,
 };
 
@@ -25,9 +27,9 @@
 #[test]
 fn a_fleet_shares_the_announced_rate_from_the_first_call_on() {
     for seed in 1..=3 {
-        let seen = live_through(Plan { seed, ..FLEET });
-        assert!(seen.served > 0.5, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
-        assert!(seen.refused < 0.4, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
+        let observed = run(Scenario { seed, ..FLEET });
+        assert!(observed.served_ratio > 0.5, "seed {seed}: {observed}");
+        assert!(observed.rejected_ratio < 0.4, "seed {seed}: {observed}");
     }
 }
 
@@ -35,8 +37,8 @@
 #[test]
 fn the_first_calls_of_a_fleet_are_spread() {
     for seed in 1..=3 {
-        let seen = live_through(Plan { quiet: Duration::from_secs(2), seed, load: 4.0, ..FLEET });
-        assert!(seen.refused < 0.2, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
+        let observed = run(Scenario { outage_after: Duration::from_secs(2), seed, load: 4.0, ..FLEET });
+        assert!(observed.rejected_ratio < 0.2, "seed {seed}: {observed}");
     }
 }
 
@@ -45,9 +47,9 @@
 #[test]
 fn a_fleet_that_wants_more_than_the_limit_is_rarely_rejected() {
     for seed in 1..=3 {
-        let seen = live_through(Plan { quiet: Duration::from_secs(60), seed, ..FLEET });
-        assert!(seen.served > 0.8, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
-        assert!(seen.refused < 0.13, "seed {seed}: {:.2} served, {:.2} refused", seen.served, seen.refused);
+        let observed = run(Scenario { outage_after: Duration::from_secs(60), seed, ..FLEET });
+        assert!(observed.served_ratio > 0.8, "seed {seed}: {observed}");
+        assert!(observed.rejected_ratio < 0.13, "seed {seed}: {observed}");
     }
 }
 
@@ -59,29 +61,32 @@
         for weight in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
             for fleet_size in [0, 1, 100, u32::MAX] {
                 let case = format!("{weights:?} {weight} {fleet_size}");
-                let told = Endpoint { weight, ..endpoint(7, 1) };
+                let listed = Endpoint { weight, ..endpoint(7, 1) };
                 let base = settings(vec![idempotent()]);
-                let mut bench = Bench::new(Settings { fleet_size, weights, ..base }, vec![told]);
-                let (mut calls, mut waiting) = (0, 0);
+                let mut bench = Bench::new(Settings { fleet_size, weights, ..base }, vec![listed]);
+                let (mut calls, mut calls_after_rejection) = (0, 0);
                 for step in 0..24_000 {
                     bench.now = bench.now + ms(5);
                     if step % 200 == 0 {
                         bench.accept(step, 0, 1, None);
                     }
-                    for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
+                    for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                         calls += 1;
-                        waiting += usize::from(step >= 20_000);
-                        // From then on it is given an endless Retry-After.
-                        let outcome = if step < 20_000 {
+                        calls_after_rejection += usize::from(step >= REJECTED_FROM);
+                        // From then on every response is an endless Retry-After.
+                        let outcome = if step < REJECTED_FROM {
                             AttemptOutcome::Delivered
                         } else {
                             AttemptOutcome::Rejected(Some(Duration::MAX))
                         };
-                        bench.finish(id, to, outcome, ms(50));
+                        bench.finish(message, to, outcome, ms(50));
                     }
                 }
                 assert!((1..=120).contains(&calls), "{case}: {calls} calls for 120 messages");
-                assert!(waiting <= 1, "{case}: {waiting} calls inside an endless wait");
+                assert!(
+                    calls_after_rejection <= 1,
+                    "{case}: {calls_after_rejection} calls inside an endless Retry-After"
+                );
                 let mut scheduler = bench.scheduler;
                 assert!(
                     scheduler.suggested_retry_after(bench.now, DestinationId(1)) <= Duration::from_secs(3),
@@ -99,11 +104,11 @@
     let settings = Settings { fleet_size: 100, ..settings(vec![idempotent()]) };
     let mut bench = Bench::new(settings.clone(), Vec::new());
     bench.accept(1, 0, 1, None);
-    let span = settings.classes[0].deadline;
-    assert!(matches!(bench.until_action(span + ms(10))[..], [Action::Reject { .. }]));
+    let deadline = settings.classes[0].deadline;
+    assert!(matches!(bench.until_action(deadline + ms(10))[..], [Action::Reject { .. }]));
     bench.accept(2, 0, 1, None);
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
-    assert!(matches!(bench.until_action(span)[..], [Action::StartAttempt { .. }]));
+    assert!(matches!(bench.until_action(deadline)[..], [Action::StartAttempt { .. }]));
 }
 
 /// After a lowered limit a low-traffic gateway is back at its part within a few calls, not minutes.
@@ -111,20 +116,22 @@
 fn a_reduced_rate_limit_recovers_to_the_announced_part() {
     let mut bench =
         Bench::new(Settings { fleet_size: 100, ..settings(vec![idempotent()]) }, vec![endpoint(7, 1)]);
-    let (mut id, mut refused, mut served) = (0, 0, 0);
+    let mut last_message = 0;
+    let mut rejected = 0;
+    let mut served = 0;
     let mut end = bench.now + Duration::from_secs(600);
     while bench.now < end {
         bench.now = bench.now + ms(50);
-        id += 1;
-        bench.accept(id, 0, 1, None);
-        for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
-            if refused == 3 {
+        last_message += 1;
+        bench.accept(last_message, 0, 1, None);
+        for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
+            if rejected == 3 {
                 served += 1;
-                bench.finish(id, to, AttemptOutcome::Delivered, ms(20));
+                bench.finish(message, to, AttemptOutcome::Delivered, ms(20));
                 continue;
             }
-            refused += 1;
-            bench.finish(id, to, AttemptOutcome::Rejected(None), ms(20));
+            rejected += 1;
+            bench.finish(message, to, AttemptOutcome::Rejected(None), ms(20));
             end = bench.now + Duration::from_secs(20);
         }
     }
