--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -8,8 +8,8 @@
 
 fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> Bench {
     let settings = Settings { outcomes_need_acknowledgement, ..settings(classes) };
-    let settling = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
-    Bench::new(Settings { limits: settling, ..settings }, vec![endpoint(11, 3)])
+    let limits = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
+    Bench::new(Settings { limits, ..settings }, vec![endpoint(11, 3)])
 }
 
 fn restored(
@@ -20,9 +20,9 @@
     first_uncertain_attempt: Option<Time>,
 ) -> RestoredMessage {
     let class = (ClassId(0), &bench.settings.classes[0]);
-    let taken = accepted(bench.now, id, class, 3, key);
+    let message = accepted(bench.now, id, class, 3, key);
     RestoredMessage {
-        message: taken,
+        message,
         attempts,
         first_uncertain_attempt: first_uncertain_attempt
             .map(|at| SentAttempt { sent_at: at, zone: ZoneId(0) }),
@@ -52,15 +52,16 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
-/// The window runs from the first attempt, which the old process made, and not from the restart.
+/// The window begins with the first attempt, which the previous process made, and not with the restart.
 #[test]
 fn an_idempotency_window_continues_from_the_first_attempt() {
     let mut bench = bench(vec![idempotent_with_key()], true);
-    let (inside, outside) = (bench.now - Duration::from_secs(5), bench.now - Duration::from_secs(10));
-    let (first, second) =
-        (restored(&bench, 1, None, 1, Some(inside)), restored(&bench, 2, None, 1, Some(outside)));
-    bench.handle(Event::MessageRestored(first));
-    bench.handle(Event::MessageRestored(second));
+    let inside_window = bench.now - Duration::from_secs(5);
+    let outside_window = bench.now - Duration::from_secs(10);
+    let retriable = restored(&bench, 1, None, 1, Some(inside_window));
+    let expired = restored(&bench, 2, None, 1, Some(outside_window));
+    bench.handle(Event::MessageRestored(retriable));
+    bench.handle(Event::MessageRestored(expired));
     let actions = bench.decide();
     let sent =
         |id| actions.iter().any(|a| matches!(a, Action::StartAttempt { message, .. } if message.0 == id));
@@ -77,7 +78,7 @@
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// Any ordering key may have had a call in flight when the old process died: all are held back, those of new
+/// Any ordering key may have had a call in flight when the previous process was killed: all are held back, those of new
 /// messages too.
 #[test]
 fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
@@ -97,11 +98,11 @@
 #[test]
 fn an_ordering_key_is_free_once_the_outcome_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
-    let answered = RestoredMessage {
+    let completed = RestoredMessage {
         outcome_recorded: true,
         ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900)))
     };
-    bench.handle(Event::MessageRestored(answered));
+    bench.handle(Event::MessageRestored(completed));
     bench.accept(2, 0, 3, Some(5));
     bench.now = bench.now + Duration::from_secs(1);
     assert_eq!(bench.start_attempts(), []);
@@ -109,7 +110,7 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
-/// An open circuit of before a restart stays open after it.
+/// A circuit that was open before a restart stays open after it.
 #[test]
 fn an_open_circuit_is_remembered() {
     let mut bench = bench(vec![idempotent()], true);
@@ -122,17 +123,17 @@
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
     assert_eq!(bench.scheduler.circuit_records().count(), 0);
-    circuit_records.iter().for_each(|outage| bench.handle(Event::CircuitRestored(*outage)));
+    circuit_records.iter().for_each(|record| bench.handle(Event::CircuitRestored(*record)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
     // Without the record all ten would go at once.
     assert!(bench.start_attempts().len() <= 1);
     assert_eq!(
-        bench.scheduler.circuit_records().next().map(|outage| outage.last_success_at),
+        bench.scheduler.circuit_records().next().map(|record| record.last_success_at),
         Some(circuit_records[0].last_success_at)
     );
 }
 
-/// No call is started that would not be over at the shutdown.
+/// No call is started that would not be completed at the shutdown.
 #[test]
 fn nothing_is_started_shortly_before_shutdown() {
     let mut bench = bench(vec![idempotent_with_key()], true);
@@ -144,7 +145,7 @@
     assert_eq!(bench.start_attempts(), []);
 }
 
-/// Exhausted attempts complete a message at once, and as rejected where none of them ran.
+/// Exhausted attempts complete a message at once; it is rejected where none of them ran.
 #[test]
 fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
     let mut bench = bench(vec![non_idempotent()], true);
@@ -152,9 +153,9 @@
     let StartedAttempt { message, endpoint, .. } = bench.start_attempts()[0];
     bench.finish(message, endpoint, AttemptOutcome::AttemptsExhausted, ms(1));
     let actions = bench.decide();
-    let told = actions.iter().find_map(|action| match action {
+    let retry_after = actions.iter().find_map(|action| match action {
         Action::Reject { message: MessageId(1), retry_after } => Some(*retry_after),
         _ => None,
     });
-    assert!(told.is_some_and(|after| after > Duration::ZERO), "{actions:?}");
+    assert!(retry_after.is_some_and(|delay| delay > Duration::ZERO), "{actions:?}");
 }
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn when_nearly_full_the_least_valuable_messages_are_rejected() {
-    let rich = Class { priority_weight: 5.0, ..idempotent() };
-    let base = settings(vec![idempotent(), rich]);
+    let high_value = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), high_value]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     (0..10).for_each(|id| bench.accept(id, 0, 1, None));
     (10..20).for_each(|id| bench.accept(id, 1, 1, None));
@@ -41,12 +41,12 @@
     assert_eq!(bench.start_attempts().len(), 5);
 }
 
-/// A message that is not admitted has not waited in vain: rejecting an accepted one for it costs more than it
-/// is worth, unless it is worth much more; then the least valuable one goes.
+/// A message that is not admitted has not waited in vain: rejecting an accepted one for it pays only if it has much
+/// more value; then the least valuable one is rejected.
 #[test]
 fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
-    let rich = Class { priority_weight: 5.0, ..idempotent() };
-    let base = settings(vec![idempotent(), rich]);
+    let high_value = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), high_value]);
     let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     let classes = bench.settings.classes.clone();
     let admits = |bench: &mut Bench, class: u8| {
@@ -60,7 +60,7 @@
     assert!(bench.until_action(ms(5)).is_empty());
     assert!(!admits(&mut bench, 0));
     assert!(admits(&mut bench, 1));
-    // Late and near its deadline, the least valuable one costs nothing any more.
+    // Late and near its deadline, the least valuable one has no value left.
     bench.now = bench.now + classes[0].deadline.mul_f64(0.8);
     assert!(admits(&mut bench, 0));
 }
@@ -79,8 +79,8 @@
         let (class, destination) = (ClassId(0), DestinationId(1));
         let id = MessageId(id);
         let redelivered = false;
-        let taken = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
-        bench.handle(Event::MessageAccepted(taken));
+        let message = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
+        bench.handle(Event::MessageAccepted(message));
     }
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
@@ -91,7 +91,7 @@
 }
 
 /// Where the value halves down to a floor, a message at the floor loses nothing by waiting, and one still on
-/// time goes first; where it falls evenly, the late one goes on losing.
+/// time is sent first; where it falls evenly, the late one keeps losing value.
 #[test]
 fn the_cost_of_waiting_follows_the_configured_decay() {
     for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
@@ -112,8 +112,8 @@
     }
 }
 
-/// The cheapest route is taken, and waited for while all that waits can still go that way on time; a burst
-/// that is too much for it uses the costly one as well.
+/// The cheapest route is used, and waited for while it can still send all pending messages on time; a burst that is
+/// too much for it uses the costly one as well.
 #[test]
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
     let base = settings(vec![idempotent()]);
@@ -153,11 +153,11 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// A slot goes where a message of more value waits, not where the list starts.
+/// A slot is given to the message of more value, not to the first destination of the list.
 #[test]
 fn ties_between_destinations_go_by_value() {
-    let rich = Class { priority_weight: 5.0, ..idempotent() };
-    let base = settings(vec![idempotent(), rich]);
+    let high_value = Class { priority_weight: 5.0, ..idempotent() };
+    let base = settings(vec![idempotent(), high_value]);
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     bench.accept(1, 0, 1, None);
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -12,32 +12,33 @@
         bench.finish(id, to, AttemptOutcome::ConnectFailed, ms(10));
     }
     let began = bench.now;
-    let mut trials = 0;
+    let mut probes = 0;
     while bench.now - began < Duration::from_secs(6) {
-        let routed = bench.until_action(Duration::from_secs(6));
-        assert_eq!(routed.len(), 1, "one trial at a time");
-        let Action::StartAttempt { message, .. } = routed[0] else { panic!("{routed:?}") };
-        trials += 1;
+        let actions = bench.until_action(Duration::from_secs(6));
+        assert_eq!(actions.len(), 1, "one probe at a time");
+        let Action::StartAttempt { message, .. } = actions[0] else { panic!("{actions:?}") };
+        probes += 1;
         bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
     }
-    assert!((3..20).contains(&trials), "{trials}");
-    // The destination is back: what is sent in the overload window stays inside the budget of a cold
+    assert!((3..20).contains(&probes), "{probes}");
+    // The destination has recovered: what is sent in the overload window stays inside the budget of a cold
     // destination.
-    let (mut sent, mut back) = (0.0, bench.now);
-    let rules = bench.settings.limits.clone();
-    while bench.now - back < rules.overload_window {
+    let mut sent = 0.0;
+    let mut recovered_at = bench.now;
+    let limits = bench.settings.limits.clone();
+    while bench.now - recovered_at < limits.overload_window {
         bench.now = bench.now + ms(5);
         for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
             if sent == 0.0 {
-                back = bench.now;
+                recovered_at = bench.now;
             }
             sent += 1.0;
             bench.finish(id, to, AttemptOutcome::Delivered, ms(5));
         }
     }
-    let capacity = 100.0 * (rules.cold_capacity_ratio + (1.0 - rules.cold_capacity_ratio) * 0.2);
+    let capacity = 100.0 * (limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * 0.2);
     assert!(
-        sent > 0.0 && sent <= rules.overload_multiple * capacity * rules.overload_window.as_secs_f64(),
+        sent > 0.0 && sent <= limits.overload_multiple * capacity * limits.overload_window.as_secs_f64(),
         "{sent}"
     );
 }
@@ -52,13 +53,13 @@
         bench.now = bench.now + ms(200);
     }
     bench.now = bench.now + ms(1000);
-    let mut late = 0;
+    let mut sent_late = 0;
     for id in 20..60 {
         bench.accept(id, 0, 1, None);
-        late += bench.start_attempts().len();
+        sent_late += bench.start_attempts().len();
         bench.now = bench.now + ms(100);
     }
-    assert!(late <= 6, "{late} unsafe messages risked");
+    assert!(sent_late <= 6, "{sent_late} non-idempotent messages risked");
 }
 
 /// Calls to unresponsive destinations must not occupy all slots.
@@ -112,16 +113,18 @@
     for recovers in [true, false] {
         let mut bench = Bench::new(settings(vec![idempotent(), non_idempotent()]), vec![endpoint(7, 1)]);
         let deadline = bench.settings.classes[1].deadline;
-        let (mut taken, mut waited, mut others) = (None, None, 0);
+        let mut accepted_at = None;
+        let mut waited = None;
+        let mut others = 0;
         for step in 0..400 {
             if step == 20 {
                 bench.accept(1, 1, 1, None);
-                taken = Some(bench.now);
+                accepted_at = Some(bench.now);
             }
             bench.accept(step + 2, 0, 1, None);
             for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                 if id == 1 {
-                    waited = waited.or(taken.map(|taken| bench.now - taken));
+                    waited = waited.or(accepted_at.map(|accepted_at| bench.now - accepted_at));
                     continue;
                 }
                 others += u32::from(waited.is_none());
@@ -137,7 +140,7 @@
             bench.now = bench.now + ms(100);
         }
         let waited = waited.expect("it is sent in the end");
-        assert!(others > 25, "{others} others went first");
+        assert!(others > 25, "{others} others were sent first");
         assert!(waited > ms(300) && waited < deadline, "{waited:?}");
         assert_eq!(waited < deadline / 2, recovers, "{waited:?}");
     }
@@ -146,7 +149,7 @@
 /// Sends a message to each of `count` destinations in turn, each with a connection that was idle for this
 /// time. Calls on these end with this outcome, those on new ones are delivered. Returns how often idle
 /// connections were closed before use.
-fn closes_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
+fn connections_closed_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
     let mut bench = Bench::new(settings(vec![idempotent()]), all);
     let mut id = 0;
@@ -169,8 +172,8 @@
 #[test]
 fn idle_connections_are_closed_before_reuse_once_calls_on_them_are_lost() {
     for idle in [Duration::from_secs(2), ms(20)] {
-        assert_eq!(closes_after(AttemptOutcome::Delivered, 12, idle), 0);
-        assert!(closes_after(AttemptOutcome::Reset, 12, idle) >= 6, "after {idle:?}");
+        assert_eq!(connections_closed_after(AttemptOutcome::Delivered, 12, idle), 0);
+        assert!(connections_closed_after(AttemptOutcome::Reset, 12, idle) >= 6, "after {idle:?}");
     }
 }
 
@@ -179,8 +182,8 @@
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
         let mut bench = single_destination(idempotent());
-        let told = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
-        bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![told]);
+        let listed = Endpoint { weight: 10_000.0, ..endpoint(7, 1) };
+        bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![listed]);
         bench.now = bench.now + ms(20);
         bench.accept(1, 0, 1, None);
         bench.start_attempts();
@@ -202,14 +205,14 @@
     (0..2).for_each(|id| bench.accept(id, 0, 1 + id as u16, None));
     assert_eq!(bench.start_attempts().len(), 2);
     bench.accept(5, 0, 2, None);
-    let off = bench.until_action(Duration::from_secs(3));
-    assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
+    let actions = bench.until_action(Duration::from_secs(3));
+    assert_eq!(actions, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
 /// Low-traffic gateways that all failed to connect must not probe together every few seconds.
 #[test]
 fn low_traffic_gateways_probe_a_failed_destination_rarely() {
-    let mut trials = 0;
+    let mut probes = 0;
     for seed in 0..100 {
         let mut bench = single_destination(idempotent());
         bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
@@ -221,20 +224,20 @@
         while bench.now - began < Duration::from_secs(12) {
             for action in bench.until_action(Duration::from_secs(1)) {
                 if let Action::StartAttempt { message, .. } = action {
-                    trials += 1;
+                    probes += 1;
                     bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(20));
                 }
             }
         }
     }
-    assert!((1..=160).contains(&trials), "{trials} trials of 100 couriers in 12 s");
+    assert!((1..=160).contains(&probes), "{probes} probes of 100 gateways in 12 s");
 }
 
-/// An endpoint that responds is up, also where the response cannot be read: a few such responses open no
+/// An endpoint that responds is healthy, also where the response cannot be read: a few such responses open no
 /// circuit, as lost calls do.
 #[test]
 fn malformed_responses_open_no_circuit() {
-    let outages_after = |outcome| {
+    let open_circuits_after = |outcome| {
         let mut bench = single_destination(idempotent());
         for id in 1..=4 {
             bench.accept(id, 0, 1, None);
@@ -244,24 +247,24 @@
             }
             bench.now = bench.now + ms(100);
         }
-        bench.scheduler.circuit_records().filter(|outage| outage.calls_lost.is_some()).count()
+        bench.scheduler.circuit_records().filter(|record| record.calls_lost.is_some()).count()
     };
-    assert_eq!(outages_after(AttemptOutcome::MalformedResponse), 0);
-    assert_eq!(outages_after(AttemptOutcome::Reset), 1);
+    assert_eq!(open_circuits_after(AttemptOutcome::MalformedResponse), 0);
+    assert_eq!(open_circuits_after(AttemptOutcome::Reset), 1);
 }
 
-/// A low-traffic gateway has no later event that would show the silence: the timer of its due moment has to.
+/// A low-traffic gateway has no later event that would show the silence: the timer has to.
 #[test]
 fn silence_opens_the_circuit_at_the_moment_it_is_due() {
     let mut bench = single_destination(idempotent());
     bench.accept(1, 0, 1, None);
-    let due = |action: &Action| match action {
+    let timer = |action: &Action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     };
     // From one timer to the next, up to the last one before the deadline's.
     let began = bench.now;
-    while let Some((after, token)) = bench.decide().iter().find_map(due) {
+    while let Some((after, token)) = bench.decide().iter().find_map(timer) {
         if bench.now + after - began > bench.settings.classes[0].latency_objective {
             break;
         }
@@ -289,15 +292,15 @@
     }));
     bench.accept(1, 0, 3, None);
     loop {
-        let mut wake = None;
+        let mut timer = None;
         for action in bench.decide() {
             match action {
                 Action::StartAttempt { .. } => return,
-                Action::SetTimer { after, token } => wake = Some((after, token)),
+                Action::SetTimer { after, token } => timer = Some((after, token)),
                 other => panic!("{other:?} after {:?}", bench.now - begun),
             }
         }
-        let (after, token) = wake.expect("asked for a timer");
+        let (after, token) = timer.expect("asked for a timer");
         bench.now = bench.now + after;
         bench.handle(Event::TimerFired(token));
     }
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -10,11 +10,11 @@
     bench.accept(1, 0, 1, None);
     let first = bench.start_attempts()[0].endpoint;
     bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
-    let told = bench.now;
+    let rejected_at = bench.now;
     bench.accept(2, 0, 1, None);
     assert!(bench.start_attempts().is_empty());
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
-    assert!(bench.now - told >= ms(800));
+    assert!(bench.now - rejected_at >= ms(800));
 }
 
 /// A Retry-After that comes with the first outcome of a batched call binds, too.
@@ -33,9 +33,9 @@
     bench.finish(1, 7, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
     bench.finish(2, 7, AttemptOutcome::Rejected(None), ms(20));
     bench.finish(3, 7, AttemptOutcome::Rejected(None), ms(20));
-    let told = bench.now;
+    let rejected_at = bench.now;
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
-    assert!(bench.now - told >= ms(900));
+    assert!(bench.now - rejected_at >= ms(900));
 }
 
 #[test]
@@ -55,7 +55,7 @@
 /// An unresponsive destination with a full queue rejects although its limit has headroom.
 #[test]
 fn rejections_with_headroom_left_count_as_failures() {
-    let sends_after = |left: f64| {
+    let sends_after = |headroom: f64| {
         let mut bench = single_destination(idempotent());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
         let mut sends = 0;
@@ -63,7 +63,7 @@
         while bench.now - began < Duration::from_secs(4) {
             for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                 sends += 1;
-                bench.reject_with_report(id, to, left, 100.0);
+                bench.reject_with_report(id, to, headroom, 100.0);
             }
             bench.now = bench.now + ms(50);
         }
@@ -72,7 +72,7 @@
     assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
 }
 
-/// What stays inside a gateway's even part of the announced rate is not held back.
+/// What stays inside a gateway's even share of the announced rate is sent without delay.
 #[test]
 fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
     let mut bench = single_destination(idempotent());
@@ -89,12 +89,12 @@
 /// Rejected calls use up the limit, and the first two attempts of messages alone can keep it used up.
 #[test]
 fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
-    let sends_after_a_refusal = |batch: usize, seconds: u64| {
+    let calls_after_a_rejection = |batch: usize, seconds: u64| {
         let base = settings(vec![idempotent()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
-        let told = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
-        let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![told]);
-        // Its rate is far above its part of what is announced now.
+        let listed = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
+        let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
+        // Its rate is far above its share of what is announced now.
         bench
             .scheduler
             .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
@@ -112,32 +112,32 @@
         }
         calls
     };
-    assert!(sends_after_a_refusal(20, 12) < sends_after_a_refusal(1, 12));
-    assert_eq!(sends_after_a_refusal(20, 3), 1);
+    assert!(calls_after_a_rejection(20, 12) < calls_after_a_rejection(1, 12));
+    assert_eq!(calls_after_a_rejection(20, 3), 1);
 }
 
 /// A burst that meets rejections at many low-traffic gateways at once must not be retried at one moment.
 #[test]
 fn low_traffic_gateways_rejected_together_retry_apart() {
-    let back_after = |seed: u64| {
+    let backoff = |seed: u64| {
         let mut bench = single_destination(idempotent());
         bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(1, 0, 1, None);
         bench.start_attempts();
         bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
-        let refused = bench.now;
+        let rejected_at = bench.now;
         assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::StartAttempt { .. }]));
-        bench.now - refused
+        bench.now - rejected_at
     };
-    let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
-    gaps.sort_unstable();
+    let mut backoffs: Vec<Duration> = (0..40).map(backoff).collect();
+    backoffs.sort_unstable();
     let latency_objective = idempotent().latency_objective;
     assert!(
-        gaps[39] - gaps[0] > latency_objective,
-        "from {:?} to {:?}, aim {latency_objective:?}",
-        gaps[0],
-        gaps[39]
+        backoffs[39] - backoffs[0] > latency_objective,
+        "from {:?} to {:?}, objective {latency_objective:?}",
+        backoffs[0],
+        backoffs[39]
     );
 }
 
@@ -155,7 +155,7 @@
     for id in 2..12 {
         bench.now = bench.now + ms(100);
         bench.accept(id, 0, 1, None);
-        assert_eq!(bench.start_attempts().len(), 1, "{id}: the pace is not cut");
+        assert_eq!(bench.start_attempts().len(), 1, "{id}: the rate is not reduced");
         bench.finish(id, 7, AttemptOutcome::TooManyConnections, ms(20));
         bench.handle(Event::MessageAbandoned(MessageId(id)));
     }
@@ -167,5 +167,5 @@
     bench.accept(21, 0, 2, None);
     assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
-    assert!(!closes(&bench.decide(), 8), "not for good");
+    assert!(!closes(&bench.decide(), 8), "not for ever");
 }
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -4,7 +4,8 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-const MAYBE_RAN: [AttemptOutcome; 5] = [
+/// Outcomes of attempts that may have run.
+const MAY_HAVE_RUN: [AttemptOutcome; 5] = [
     AttemptOutcome::ErrorResponse,
     AttemptOutcome::Timeout,
     AttemptOutcome::Reset,
@@ -12,7 +13,8 @@
     AttemptOutcome::Cancelled,
 ];
 
-const NEVER_RAN: [AttemptOutcome; 4] = [
+/// Outcomes of attempts that certainly had no effect.
+const DID_NOT_RUN: [AttemptOutcome; 4] = [
     AttemptOutcome::Rejected(None),
     AttemptOutcome::ConnectFailed,
     AttemptOutcome::NotSent,
@@ -42,16 +44,16 @@
 
 #[test]
 fn a_non_idempotent_message_that_may_have_run_is_never_retried_and_fails() {
-    for outcome in MAYBE_RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut bench = after_one_attempt(non_idempotent(), outcome);
-        let end = bench.until_action(Duration::from_secs(30));
-        assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }], "{outcome:?}");
+        let actions = bench.until_action(Duration::from_secs(30));
+        assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }], "{outcome:?}");
     }
 }
 
 #[test]
 fn a_non_idempotent_message_that_did_not_run_is_retried() {
-    for outcome in NEVER_RAN {
+    for outcome in DID_NOT_RUN {
         let mut bench = after_one_attempt(non_idempotent(), outcome);
         let next = bench.until_action(Duration::from_secs(15));
         assert!(matches!(next[0], Action::StartAttempt { message: MessageId(1), .. }), "{outcome:?}");
@@ -64,24 +66,24 @@
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
     assert_eq!(bench.start_attempts().len(), 1);
-    let mut repeats = 0;
+    let mut retries = 0;
     loop {
         bench.now = bench.now + ms(30);
         bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(30));
         match bench.until_action(Duration::from_secs(30)).first() {
             Some(Action::StartAttempt { .. }) => {
                 assert!(bench.now < sent + bench.settings.classes[0].idempotency_window);
-                repeats += 1;
+                retries += 1;
             }
             Some(Action::ReportFailure { .. }) => break,
             other => panic!("{other:?}"),
         }
     }
-    assert!(repeats > 0);
-    assert!(repeats < bench.settings.max_attempts);
+    assert!(retries > 0);
+    assert!(retries < bench.settings.max_attempts);
 }
 
-/// A connection may take long to come up: each attempt says how long its message may wait for that, which is
+/// Establishing a connection may take long: each attempt says how long its message may wait for that, which is
 /// until its deadline and, for a retry, until its idempotency window ends.
 #[test]
 fn an_attempt_says_until_when_its_message_may_be_sent() {
@@ -95,8 +97,8 @@
     assert_eq!(within(&bench.decide()), bench.settings.classes[0].deadline);
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
-    let repeat = bench.until_action(Duration::from_secs(10));
-    let last = bench.now + within(&repeat);
+    let retry = bench.until_action(Duration::from_secs(10));
+    let last = bench.now + within(&retry);
     let window = bench.settings.classes[0].idempotency_window;
     assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
 }
@@ -114,12 +116,12 @@
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
     let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
-    let end = bench.until_action(Duration::from_secs(30));
-    assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
+    let actions = bench.until_action(Duration::from_secs(30));
+    assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
-/// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run
-/// at the first.
+/// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run at
+/// the endpoint that is returned.
 fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (Bench, u32) {
     let base =
         settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
@@ -136,17 +138,17 @@
     (bench, first)
 }
 
-/// A call goes where its first message goes; a message that may not go there must not share it.
+/// A call is sent to the endpoint of its first message; a message that must not be sent there must not share it.
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
     for per_endpoint_limits in [false, true] {
         let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
-        let mut seen = [0, 0];
+        let mut calls = [0, 0];
         for round in 0..40 {
             bench.now = bench.now + ms(100);
             bench.accept(100 + round, 0, 1, None);
             for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
-                seen[usize::from(to == first)] += 1;
+                calls[usize::from(to == first)] += 1;
                 if message == 1 {
                     assert_eq!(to, first, "{per_endpoint_limits}");
                 }
@@ -154,11 +156,12 @@
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
             }
         }
-        assert!(seen[0] > 0 && seen[1] > 0, "{seen:?}");
+        assert!(calls[0] > 0 && calls[1] > 0, "{calls:?}");
     }
 }
 
-/// A retry whose zone accepts nothing just now does not keep others of its destination from going elsewhere.
+/// A retry whose zone accepts nothing at the moment does not keep others of its destination from being sent
+/// elsewhere.
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
     for per_endpoint_limits in [false, true] {
@@ -166,7 +169,7 @@
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { mode: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
-        // It is worth more than the new messages.
+        // It has more value than the new messages.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
         assert!(matches!(bench.until_action(Duration::from_secs(2)).as_slice(),
@@ -176,8 +179,8 @@
 
 #[test]
 fn backoff_grows_and_has_jitter() {
-    let mean_gap = |failures: u32| {
-        let gaps: Vec<u64> = (0..40)
+    let mean_backoff = |failures: u32| {
+        let backoffs_ms: Vec<u64> = (0..40)
             .map(|seed| {
                 let mut bench = single_destination(idempotent());
                 bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
@@ -186,19 +189,19 @@
                 bench.start_attempts();
                 for attempt in 0..failures {
                     bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(10));
-                    let failed = bench.now;
+                    let failed_at = bench.now;
                     assert!(!bench.until_action(Duration::from_secs(10)).is_empty());
                     if attempt + 1 == failures {
-                        return (bench.now - failed).as_millis() as u64;
+                        return (bench.now - failed_at).as_millis() as u64;
                     }
                 }
                 0
             })
             .collect();
-        assert!(gaps.iter().min() < gaps.iter().max());
-        gaps.iter().sum::<u64>() / 40
+        assert!(backoffs_ms.iter().min() < backoffs_ms.iter().max());
+        backoffs_ms.iter().sum::<u64>() / 40
     };
-    assert!(mean_gap(3) > mean_gap(1));
+    assert!(mean_backoff(3) > mean_backoff(1));
 }
 
 #[test]
@@ -214,30 +217,30 @@
         redelivered: true,
         tenant: TenantId(0),
     }));
-    let end = bench.until_action(Duration::from_secs(30));
-    assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
+    let actions = bench.until_action(Duration::from_secs(30));
+    assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
 #[test]
 fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
     let class = Class { ordered: true, ..non_idempotent() };
     let base = settings(vec![class]);
-    let rules = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
-    let mut bench = Bench::new(Settings { limits: rules, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    let limits = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
+    let mut bench = Bench::new(Settings { limits, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, Some(5));
     bench.accept(2, 0, 1, Some(5));
     let sent = bench.start_attempts();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].message, 1);
-    // The client goes, the attempt runs on: the key is taken until its outcome is known, and held back after
-    // it.
+    // The client abandons the message, the attempt goes on: the key is in use until its outcome is known, and held
+    // back after it.
     bench.handle(Event::MessageAbandoned(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].endpoint, AttemptOutcome::Reset, ms(100));
-    let settled = bench.now;
+    let finished_at = bench.now;
     let next = bench.until_action(Duration::from_secs(10));
     assert!(matches!(next[0], Action::StartAttempt { message: MessageId(2), .. }));
-    assert!(bench.now - settled >= ms(300));
+    assert!(bench.now - finished_at >= ms(300));
 }
 
 /// A message that can never be sent again must not keep its ordering key from the messages behind it.
@@ -267,6 +270,6 @@
     bench.accept(1, 0, 1, None);
     bench.start_attempts();
     bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
-    let refused = |action: &Action| matches!(action, Action::Reject { message: MessageId(1), .. });
-    assert!(bench.decide().iter().any(refused));
+    let is_rejection = |action: &Action| matches!(action, Action::Reject { message: MessageId(1), .. });
+    assert!(bench.decide().iter().any(is_rejection));
 }
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -39,8 +39,33 @@
     (0..5).for_each(|id| bench.accept(id, 0, 1, None));
     bench.start_attempts();
     bench.now = bench.now + Duration::from_secs(100_000);
-    let answers = bench.decide().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
-    assert_eq!(answers, 5);
+    let outcomes = bench.decide().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
+    assert_eq!(outcomes, 5);
+}
+
+/// How often a watch that fails in this way each time is requested again in a span, and the longest backoff.
+fn retries_in(fleet_size: u32, failure: &EndpointUpdate, span: Duration) -> (usize, Duration) {
+    let mut bench = fleet_member(fleet_size);
+    let end = bench.now + span;
+    let mut retries = 0;
+    let mut last = bench.now;
+    let mut longest = Duration::ZERO;
+    bench.handle(Event::EndpointsUpdated(failure.clone()));
+    while bench.now < end {
+        if bench.decide().contains(&Action::WatchEndpoints { active: true }) {
+            retries += 1;
+            longest = longest.max(bench.now - last);
+            last = bench.now;
+            bench.handle(Event::EndpointsUpdated(failure.clone()));
+        }
+        bench.now = bench.now + ms(5);
+    }
+    (retries, longest)
+}
+
+/// One gateway of a fleet, which knows one endpoint.
+fn fleet_member(fleet_size: u32) -> Bench {
+    Bench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)])
 }
 
 /// A watch that discovery rejects is retried with growing backoff, the longer the more gateways there are:
@@ -48,70 +73,64 @@
 /// counts as announced 6 s later. A watch that broke in silence is retried soon.
 #[test]
 fn a_rejected_watch_is_retried_with_growing_backoff() {
-    let tries = |fleet_size: u32, why: EndpointUpdate, span: Duration| {
-        let mut bench =
-            Bench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)]);
-        let end = bench.now + span;
-        let (mut tries, mut last, mut longest) = (0, bench.now, Duration::ZERO);
-        bench.handle(Event::EndpointsUpdated(why.clone()));
-        while bench.now < end {
-            if bench.decide().contains(&Action::WatchEndpoints { active: true }) {
-                tries += 1;
-                longest = longest.max(bench.now - last);
-                last = bench.now;
-                bench.handle(Event::EndpointsUpdated(why.clone()));
-            }
-            bench.now = bench.now + ms(5);
-        }
-        (tries, longest)
-    };
     // Backoff of 1.5 s in the mean once it has grown, and of 3.75 s where its cap binds.
     let span = Duration::from_secs(240);
-    let (few, _) = tries(3, EndpointUpdate::WatchRejected, span);
+    let (few, _) = retries_in(3, &EndpointUpdate::WatchRejected, span);
     assert!((100..=300).contains(&few), "{few}");
     for fleet_size in [48, 318, 6900] {
-        let (many, longest) = tries(fleet_size, EndpointUpdate::WatchRejected, span);
+        let (many, longest) = retries_in(fleet_size, &EndpointUpdate::WatchRejected, span);
         assert!((58..=72).contains(&many) && longest <= ms(5005), "{fleet_size}: {many}, {longest:?}");
     }
-    assert!(tries(3, EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
-    // Gateways that are rejected at one moment do not retry at one moment.
-    let refused = |seed: u64| {
-        let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
+    assert!(retries_in(3, &EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
+}
+
+/// Gateways whose watches are rejected at one moment do not retry at one moment.
+#[test]
+fn watches_rejected_together_are_retried_apart() {
+    let backoff = |seed: u64| {
+        let mut bench = fleet_member(1);
         bench.restart(
             Settings { fleet_size: 318, ..settings(vec![idempotent()]) },
             seed,
             vec![endpoint(11, 3)],
         );
-        let begun = bench.now;
+        let rejected_at = bench.now;
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
         assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { active: true }]);
-        bench.now - begun
+        bench.now - rejected_at
     };
-    let mut herd: Vec<Duration> = (0..318).map(refused).collect();
-    herd.sort();
-    assert!(herd[0] >= ms(2500), "{herd:?}");
+    let mut backoffs: Vec<Duration> = (0..318).map(backoff).collect();
+    backoffs.sort();
+    assert!(backoffs[0] >= ms(2500), "{backoffs:?}");
     assert!(
-        herd.windows(32).all(|some| some[31] - some[0] >= ms(125)),
-        "a tenth within a twentieth: {herd:?}"
+        backoffs.windows(32).all(|some| some[31] - some[0] >= ms(125)),
+        "a tenth within a twentieth: {backoffs:?}"
     );
-    // The first watches of a herd are spread too, but what changed while a gateway was away counts as
-    // announced: however many there are, all have asked well before they may send no more to draining
-    // endpoints.
+}
+
+/// The first watches of a fleet that starts at one moment are spread. But what changed while a gateway was
+/// away counts as announced: however many there are, all have asked well before they may send no more to
+/// draining endpoints.
+#[test]
+fn first_watches_are_spread_inside_the_drain_grace() {
     let first = |fleet_size: u32, seed: u64| {
         Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed).initial_watch_delay()
     };
-    let drain = Settings::default().limits.drain_grace;
+    let drain_grace = Settings::default().limits.drain_grace;
     for fleet_size in [48, 100, 318] {
-        let mut herd: Vec<Duration> = (0..fleet_size.into()).map(|seed| first(fleet_size, seed)).collect();
-        herd.sort();
-        let last = herd[herd.len() - 1];
-        assert!(last > drain / 3 && last <= drain / 2, "{fleet_size}: {last:?}");
-        assert!(herd[herd.len() / 2] - herd[herd.len() / 4] > drain / 16, "{fleet_size}: {herd:?}");
+        let mut delays: Vec<Duration> = (0..fleet_size.into()).map(|seed| first(fleet_size, seed)).collect();
+        delays.sort();
+        let last = delays[delays.len() - 1];
+        assert!(last > drain_grace / 3 && last <= drain_grace / 2, "{fleet_size}: {last:?}");
+        let second_quarter = delays[delays.len() / 2] - delays[delays.len() / 4];
+        assert!(second_quarter > drain_grace / 16, "{fleet_size}: {delays:?}");
     }
     assert!(first(3, 1) < ms(300));
-    // A watch that succeeds resets the backoff.
-    let mut bench =
-        Bench::new(Settings { fleet_size: 3, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)]);
+}
+
+#[test]
+fn an_established_watch_resets_the_backoff() {
+    let mut bench = fleet_member(3);
     for _ in 0..8 {
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
     }
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -1,25 +1,32 @@
-//! A step costs in proportion to what has changed, not to what exists: what it looks at is counted, no clock is read.
+//! A decision costs in proportion to what has changed, not to what exists. The test counts what the scheduler visits; it
+//! measures no time.
 
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// Endpoints of a large list.
 const LARGE: usize = 65_536;
+/// Endpoints of a small list.
 const SMALL: usize = 64;
 /// Destinations with endpoints; the endpoints are spread over them evenly.
 const DESTINATIONS: usize = 16_384;
+/// Destinations that wait for the end of a Retry-After.
 const WAITING: usize = 2_000;
-const HELD: usize = 10_000;
-/// Messages that are passed on while looks are counted.
+/// Messages that wait with them.
+const PENDING: usize = 10_000;
+/// Messages that are delivered while visits are counted.
 const ROUNDS: usize = 50;
-/// Far longer than all that is played here: nothing runs out, stalls or comes back meanwhile.
+/// The first destination of those that get calls which stay in flight.
+const BUSY_DESTINATION: usize = 40;
+/// Far longer than all that happens here: nothing expires, stalls or becomes due meanwhile.
 const LONG: Duration = Duration::from_secs(24 * 3600);
 
-/// A courier, its clock, and the number of the last message.
-struct Site {
+/// A scheduler, its clock, and the number of the last message.
+struct Bench {
     scheduler: Scheduler,
     settings: Settings,
     now: Time,
-    last: u32,
+    last_message: u32,
 }
 
 fn settings() -> Settings {
@@ -29,7 +36,7 @@
         classes: vec![class],
         fleet_size: 1,
         max_in_flight_calls: 1_000,
-        max_pending_messages: 4 * HELD,
+        max_pending_messages: 4 * PENDING,
         ..Settings::default()
     }
 }
@@ -49,31 +56,34 @@
     }
 }
 
-impl Site {
-    fn new(endpoints: usize) -> Site {
-        Site::with(settings(), endpoints)
+impl Bench {
+    fn new(endpoints: usize) -> Bench {
+        Bench::with(settings(), endpoints)
     }
 
-    fn with(settings: Settings, endpoints: usize) -> Site {
+    fn with(settings: Settings, endpoints: usize) -> Bench {
         let now = Time::ZERO + Duration::from_secs(100);
-        let mut site = Site { scheduler: Scheduler::new(settings.clone(), 7), settings, now, last: 0 };
-        site.tell(Event::EndpointsUpdated(EndpointUpdate::Snapshot((0..endpoints).map(endpoint).collect())));
-        site.step();
-        site.scheduler.take_circuit_changes();
-        site
+        let mut bench =
+            Bench { scheduler: Scheduler::new(settings.clone(), 7), settings, now, last_message: 0 };
+        bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(
+            (0..endpoints).map(endpoint).collect(),
+        )));
+        bench.step();
+        bench.scheduler.take_circuit_changes();
+        bench
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event);
     }
 
-    fn accept(&mut self, to: usize) {
-        self.last += 1;
+    fn accept(&mut self, destination_number: usize) {
+        self.last_message += 1;
         let deadline = self.now + self.settings.classes[0].deadline;
-        self.tell(Event::MessageAccepted(AcceptedMessage {
-            id: MessageId(self.last),
+        self.handle(Event::MessageAccepted(AcceptedMessage {
+            id: MessageId(self.last_message),
             class: ClassId(0),
-            destination: destination(to),
+            destination: destination(destination_number),
             key: None,
             deadline,
             redelivered: false,
@@ -81,20 +91,20 @@
         }));
     }
 
-    /// A moment later the courier decides; what it sends is returned.
+    /// Lets the scheduler decide a moment later; returns the attempts that it starts.
     fn step(&mut self) -> Vec<(MessageId, EndpointId)> {
         self.now = self.now + Duration::from_millis(1);
         let mut actions = Vec::new();
         self.scheduler.decide(self.now, &mut actions);
-        let routed = |action: &Action| match action {
+        let started = |action: &Action| match action {
             Action::StartAttempt { message, endpoint, .. } => Some((*message, *endpoint)),
             _ => None,
         };
-        actions.iter().filter_map(routed).collect()
+        actions.iter().filter_map(started).collect()
     }
 
     fn finish(&mut self, (message, endpoint): (MessageId, EndpointId), outcome: AttemptOutcome) {
-        self.tell(Event::AttemptFinished(FinishedAttempt {
+        self.handle(Event::AttemptFinished(FinishedAttempt {
             message,
             endpoint,
             attempt: 0,
@@ -105,29 +115,29 @@
         }));
     }
 
-    /// The last destinations of the list wait on told waits, with messages held for them.
+    /// Lets the last destinations of the list wait for the end of a Retry-After, with messages pending for them.
     fn keep_waiting(&mut self, destinations: usize, messages: usize) {
-        let told = DESTINATIONS - destinations..DESTINATIONS;
-        for to in told.clone() {
-            self.tell(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: LONG });
+        let waiting = DESTINATIONS - destinations..DESTINATIONS;
+        for to in waiting.clone() {
+            self.handle(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: LONG });
         }
-        told.cycle().take(messages).for_each(|to| self.accept(to));
-        assert_eq!(self.step(), [], "told to wait");
+        waiting.cycle().take(messages).for_each(|to| self.accept(to));
+        assert_eq!(self.step(), [], "a Retry-After is kept");
     }
 
-    /// Leaves so many calls out, spread over so many destinations from the fortieth on.
-    fn leave_out(&mut self, calls: usize, destinations: usize) {
-        (0..calls).for_each(|call| self.accept(40 + call % destinations));
+    /// Leaves so many calls in flight, spread over so many destinations.
+    fn leave_in_flight(&mut self, calls: usize, destinations: usize) {
+        (0..calls).for_each(|call| self.accept(BUSY_DESTINATION + call % destinations));
         assert_eq!(self.step().len(), calls);
     }
 
-    /// What is looked at while messages for a few destinations are taken, sent and ended, one after the other.
-    fn looks(&mut self) -> WorkCounters {
+    /// What is visited while messages for a few destinations are accepted, sent and delivered, one after the other.
+    fn count_visits(&mut self) -> WorkCounters {
         let before = self.scheduler.work();
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
-            assert_eq!(sent.len(), 1, "what can go goes, and it alone");
+            assert_eq!(sent.len(), 1, "what may be sent is sent, and it alone");
             self.finish(sent[0], AttemptOutcome::Delivered);
             assert_eq!(self.step(), []);
             self.scheduler.take_circuit_changes();
@@ -136,6 +146,7 @@
     }
 }
 
+/// What was visited between two readings of the counters.
 fn since(before: WorkCounters, after: WorkCounters) -> WorkCounters {
     WorkCounters {
         destinations: after.destinations - before.destinations,
@@ -146,143 +157,147 @@
     }
 }
 
+/// Visits of all kinds together.
 fn all(work: WorkCounters) -> u64 {
     work.destinations + work.messages + work.calls + work.routes + work.endpoints
 }
 
-/// Not only the sum: nor may one kind of looks grow behind the others.
-fn assert_at_most(times: u64, of: WorkCounters, seen: WorkCounters) {
-    assert!(all(of) > 0, "it counts");
-    let destination_kinds =
-        |w: WorkCounters| [all(w), w.destinations, w.messages, w.calls, w.routes, w.endpoints];
-    let in_bounds =
-        destination_kinds(of).into_iter().zip(destination_kinds(seen)).all(|(of, seen)| seen <= times * of);
-    assert!(in_bounds, "at most {times} times {of:?}, not {seen:?}");
+/// Requires at most so many times the visits of a base, in all and of each kind.
+fn assert_at_most(times: u64, base: WorkCounters, seen: WorkCounters) {
+    assert!(all(base) > 0, "it counts");
+    let figures = |work: WorkCounters| {
+        [all(work), work.destinations, work.messages, work.calls, work.routes, work.endpoints]
+    };
+    let in_bounds = figures(base).into_iter().zip(figures(seen)).all(|(base, seen)| seen <= times * base);
+    assert!(in_bounds, "at most {times} times {base:?}, not {seen:?}");
 }
 
 #[test]
 fn a_step_visits_neither_waiting_destinations_nor_the_endpoint_list() {
-    let few = Site::new(SMALL).looks();
-    let mut large = Site::new(LARGE);
-    large.keep_waiting(WAITING, HELD);
-    assert_at_most(3, few, large.looks());
+    let few = Bench::new(SMALL).count_visits();
+    let mut large = Bench::new(LARGE);
+    large.keep_waiting(WAITING, PENDING);
+    assert_at_most(3, few, large.count_visits());
 }
 
-/// Each destination that waits has its own time, and some are due at each step: only these are looked at.
+/// Each waiting destination has a Retry-After of its own, and some end at each step: only these are visited.
 #[test]
-fn only_retry_afters_that_end_are_visited() {
-    let mut site = Site::new(LARGE);
-    let told = DESTINATIONS - WAITING..DESTINATIONS;
-    for (place, to) in told.clone().enumerate() {
-        let wait = Duration::from_millis(10 * (place as u64 + 1));
-        site.tell(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: wait });
-        site.accept(to);
+fn only_retry_afters_that_end_are_vibenchd() {
+    let mut bench = Bench::new(LARGE);
+    let waiting = DESTINATIONS - WAITING..DESTINATIONS;
+    for (number, to) in waiting.enumerate() {
+        let delay = Duration::from_millis(10 * (number as u64 + 1));
+        bench.handle(Event::RetryAfter { endpoint: EndpointId(to as u32), delay });
+        bench.accept(to);
     }
-    assert_eq!(site.step(), []);
-    let before = site.scheduler.work();
+    assert_eq!(bench.step(), []);
+    let before = bench.scheduler.work();
     let mut sent = Vec::new();
     for _ in 0..ROUNDS {
         for _ in 0..10 {
-            sent.extend(site.step());
+            sent.extend(bench.step());
         }
     }
-    assert_eq!(sent.len(), ROUNDS, "all that came due went");
-    let looks = since(before, site.scheduler.work());
-    assert!(looks.destinations <= 4 * ROUNDS as u64 && looks.messages <= 4 * ROUNDS as u64, "{looks:?}");
+    assert_eq!(sent.len(), ROUNDS, "all that became due was sent");
+    let visits = since(before, bench.scheduler.work());
+    assert!(visits.destinations <= 4 * ROUNDS as u64 && visits.messages <= 4 * ROUNDS as u64, "{visits:?}");
 }
 
 #[test]
 fn calls_in_flight_are_not_scanned() {
     for (few, many) in [((20, 20), (90, 90)), ((20, 2), (90, 9)), ((20, 2), (90, 2))] {
-        let mut small = Site::new(SMALL);
-        small.leave_out(few.0, few.1);
-        let mut large = Site::new(LARGE);
-        large.leave_out(many.0, many.1);
-        assert_at_most(2, small.looks(), large.looks());
+        let mut small = Bench::new(SMALL);
+        small.leave_in_flight(few.0, few.1);
+        let mut large = Bench::new(LARGE);
+        large.leave_in_flight(many.0, many.1);
+        assert_at_most(2, small.count_visits(), large.count_visits());
     }
 }
 
-/// Calls to a destination end in another order than they were sent; those that are left are not gone through anew.
+/// Calls to a destination finish in another order than they were sent; those that are left are not visited.
 #[test]
 fn finished_calls_are_found_without_a_scan() {
-    let looks = |calls: usize| {
-        let mut site = Site::new(SMALL);
-        (0..calls).for_each(|_| site.accept(40));
-        let sent = site.step();
+    let visits = |calls: usize| {
+        let mut bench = Bench::new(SMALL);
+        (0..calls).for_each(|_| bench.accept(BUSY_DESTINATION));
+        let sent = bench.step();
         assert_eq!(sent.len(), calls);
-        let before = site.scheduler.work();
+        let before = bench.scheduler.work();
         for call in sent.into_iter().rev().take(10) {
-            site.finish(call, AttemptOutcome::Delivered);
-            assert_eq!(site.step(), []);
+            bench.finish(call, AttemptOutcome::Delivered);
+            assert_eq!(bench.step(), []);
         }
-        since(before, site.scheduler.work())
+        since(before, bench.scheduler.work())
     };
-    assert_at_most(2, looks(20), looks(90));
-    assert_at_most(2, looks(100), looks(450));
+    assert_at_most(2, visits(20), visits(90));
+    assert_at_most(2, visits(100), visits(450));
 }
 
-/// Each call that ends lets one more message of a long queue go.
+/// Each call that finishes lets one more message of a long queue be sent.
 #[test]
 fn a_long_queue_is_not_scanned_for_each_message() {
-    let looks = |messages: usize| {
-        let mut site = Site::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
-        (0..messages).for_each(|_| site.accept(40));
-        let mut sent = site.step();
-        let before = site.scheduler.work();
+    let visits = |messages: usize| {
+        let mut bench = Bench::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
+        (0..messages).for_each(|_| bench.accept(BUSY_DESTINATION));
+        let mut sent = bench.step();
+        let before = bench.scheduler.work();
         for _ in 0..ROUNDS {
             assert_eq!(sent.len(), 1);
-            site.finish(sent[0], AttemptOutcome::Delivered);
-            sent = site.step();
+            bench.finish(sent[0], AttemptOutcome::Delivered);
+            sent = bench.step();
         }
-        since(before, site.scheduler.work())
+        since(before, bench.scheduler.work())
     };
-    assert_at_most(2, looks(HELD / 100), looks(HELD));
+    assert_at_most(2, visits(PENDING / 100), visits(PENDING));
 }
 
 #[test]
-fn no_circuit_is_visited_where_none_changed() {
-    let mut site = Site::new(LARGE);
+fn no_circuit_is_vibenchd_where_none_changed() {
+    let mut bench = Bench::new(LARGE);
     for to in DESTINATIONS - WAITING..DESTINATIONS {
-        site.tell(Event::CircuitRestored(CircuitRecord {
+        bench.handle(Event::CircuitRestored(CircuitRecord {
             destination: destination(to),
             endpoint: None,
-            last_success_at: site.now,
+            last_success_at: bench.now,
             failure_score: 6,
             calls_lost: Some(true),
             slow_start_since: None,
             baseline_rate: 0.0,
         }));
     }
-    assert_eq!(site.step(), []);
-    assert_eq!(site.scheduler.take_circuit_changes().len(), WAITING, "all are told once");
-    assert_eq!(site.looks().routes, 0);
-    assert_eq!(site.scheduler.take_circuit_changes(), []);
-    // One that comes is told alone.
-    site.accept(5);
-    let sent = site.step();
-    site.finish(sent[0], AttemptOutcome::ConnectFailed);
-    site.step();
-    let before = site.scheduler.work();
-    let changed = site.scheduler.take_circuit_changes();
+    assert_eq!(bench.step(), []);
+    assert_eq!(bench.scheduler.take_circuit_changes().len(), WAITING, "all are reported once");
+    assert_eq!(bench.count_visits().routes, 0);
+    assert_eq!(bench.scheduler.take_circuit_changes(), []);
+    // A new one is reported alone.
+    bench.accept(5);
+    let sent = bench.step();
+    bench.finish(sent[0], AttemptOutcome::ConnectFailed);
+    bench.step();
+    let before = bench.scheduler.work();
+    let changed = bench.scheduler.take_circuit_changes();
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
-    assert!(changed[0].record.is_some_and(|outage| outage.calls_lost == Some(true)));
-    assert_eq!(since(before, site.scheduler.work()).routes, 1);
+    assert!(changed[0].record.is_some_and(|record| record.calls_lost == Some(true)));
+    assert_eq!(since(before, bench.scheduler.work()).routes, 1);
 }
 
 #[test]
 fn a_delta_of_one_endpoint_does_not_scan_the_list() {
-    let looks = |endpoints: usize| {
-        let mut site = Site::new(endpoints);
-        let before = site.scheduler.work();
+    let visits = |endpoints: usize| {
+        let mut bench = Bench::new(endpoints);
+        let before = bench.scheduler.work();
         for mode in [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
         {
-            site.tell(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint { mode, ..endpoint(3) }])));
-            assert_eq!(site.step(), []);
+            bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
+                mode,
+                ..endpoint(3)
+            }])));
+            assert_eq!(bench.step(), []);
         }
-        since(before, site.scheduler.work()).endpoints
+        since(before, bench.scheduler.work()).endpoints
     };
-    let few = looks(SMALL);
+    let few = visits(SMALL);
     assert!((4..=16).contains(&few), "each entry once or a few times: {few}");
-    assert_eq!(looks(LARGE), few);
+    assert_eq!(visits(LARGE), few);
 }
