--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::values::{Setting, SettingValue};
-use crate::{Decay, DeduplicationScope, Idempotency, WeightSource};
+use crate::{CapacityHints, Decay, DeduplicationScope, Idempotency};
 
 const fn setting<T>(path: &'static str, default: T) -> Setting<T> {
     Setting { path, default }
@@ -48,7 +48,7 @@
 // ---- Destinations ----
 
 /// What the weight of an endpoint means: `silent`, `nominal`, `rough`, or `live` (the same as `silent`).
-pub const WEIGHT_SOURCE: Setting<WeightSource> = setting("WeightSource", WeightSource::Silent);
+pub const WEIGHT_SOURCE: Setting<CapacityHints> = setting("WeightSource", CapacityHints::Ignored);
 /// Messages that one call may carry, as a list by kind of destination; 1 where absent.
 pub const BATCH_BY_KIND: &str = "FamilyInfo.KindBatch";
 /// Whether each endpoint of a destination has its own limits, as a list by kind of destination; `false` where absent.
@@ -125,14 +125,14 @@
 
 // ---- The words that stand for a choice ----
 
-impl SettingValue for WeightSource {
+impl SettingValue for CapacityHints {
     const EXPECTED: &'static str = "silent, nominal, rough or live";
 
     fn from_text(text: &str) -> Option<Self> {
         match text {
-            "silent" | "live" => Some(WeightSource::Silent),
-            "nominal" => Some(WeightSource::Nominal),
-            "rough" => Some(WeightSource::Rough),
+            "silent" | "live" => Some(CapacityHints::Ignored),
+            "nominal" => Some(CapacityHints::Exact),
+            "rough" => Some(CapacityHints::Approximate),
             _ => None,
         }
     }
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -22,15 +22,15 @@
     pub per_endpoint_limits: bool,
 }
 
-/// What the weight of an endpoint in the endpoint list means.
+/// What the capacity hint of an endpoint in the endpoint list means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WeightSource {
+pub enum CapacityHints {
     /// Nothing.
-    Silent,
+    Ignored,
     /// Calls a second that its destination serves for the whole fleet.
-    Nominal,
+    Exact,
     /// The same, but up to half too high or too low.
-    Rough,
+    Approximate,
 }
 
 /// The limits that the delivery protocol sets.
@@ -63,8 +63,8 @@
     pub tenants: Vec<Tenant>,
     /// Kinds of destination. Default: one, without batches.
     pub destination_kinds: Vec<DestinationKind>,
-    /// What weights in the endpoint list mean. Default: [`WeightSource::Nominal`].
-    pub weights: WeightSource,
+    /// What capacity hints in the endpoint list mean. Default: [`CapacityHints::Exact`].
+    pub capacity_hints: CapacityHints,
     /// How the value of a message falls after its latency objective. Default: [`Decay::Linear`].
     pub decay: Decay,
     /// Cost of a message that goes to an endpoint with limits of its own in a zone, by
@@ -101,7 +101,7 @@
             classes: vec![Class::default()],
             tenants: Vec::new(),
             destination_kinds: vec![DestinationKind { batch: 1, per_endpoint_limits: false }],
-            weights: WeightSource::Nominal,
+            capacity_hints: CapacityHints::Exact,
             decay: Decay::Linear,
             zone_costs: Vec::new(),
             max_in_flight_calls: 16,
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -111,8 +111,8 @@
 }
 
 /// An endpoint, four of which share a destination; every other one belongs to a kind with limits per endpoint.
-fn listed(id: u32, mode: Availability) -> Endpoint {
-    Endpoint { kind: DestinationKindId((id % 2) as u16), mode, ..endpoint(id, 1 + (id / 4) as u16) }
+fn listed(id: u32, availability: Availability) -> Endpoint {
+    Endpoint { kind: DestinationKindId((id % 2) as u16), availability, ..endpoint(id, 1 + (id / 4) as u16) }
 }
 
 fn all_ready() -> Vec<Endpoint> {
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -169,7 +169,7 @@
 /// Gateways that know the endpoint list and have no messages yet.
 fn new_gateways(scenario: &Scenario, settings: &Settings, now: Time) -> Vec<Gateway> {
     let weight = scenario.capacity * scenario.announced_ratio;
-    let listed = Endpoint { weight, ..endpoint(ENDPOINT.0, DESTINATION) };
+    let listed = Endpoint { capacity_hint: weight, ..endpoint(ENDPOINT.0, DESTINATION) };
     let traffic: Vec<f64> = (0..scenario.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
     let all: f64 = traffic.iter().sum();
     let gateway = |(number, traffic): (usize, &f64)| {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -57,13 +57,13 @@
 /// gateway neither panics, nor floods the destination, nor holds its messages back for good.
 #[test]
 fn odd_rates_fleet_sizes_and_retry_afters_do_no_harm() {
-    for weights in [WeightSource::Silent, WeightSource::Rough, WeightSource::Nominal] {
-        for weight in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
+    for capacity_hints in [CapacityHints::Ignored, CapacityHints::Approximate, CapacityHints::Exact] {
+        for capacity_hint in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
             for fleet_size in [0, 1, 100, u32::MAX] {
-                let case = format!("{weights:?} {weight} {fleet_size}");
-                let listed = Endpoint { weight, ..endpoint(7, 1) };
+                let case = format!("{capacity_hints:?} {capacity_hint} {fleet_size}");
+                let listed = Endpoint { capacity_hint, ..endpoint(7, 1) };
                 let base = settings(vec![idempotent()]);
-                let mut bench = Bench::new(Settings { fleet_size, weights, ..base }, vec![listed]);
+                let mut bench = Bench::new(Settings { fleet_size, capacity_hints, ..base }, vec![listed]);
                 let (mut calls, mut calls_after_rejection) = (0, 0);
                 for step in 0..24_000 {
                     bench.now = bench.now + ms(5);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -99,7 +99,7 @@
     (0..6)
         .map(|id| Endpoint {
             kind: DestinationKindId((id % 2) as u16),
-            weight: 20.0,
+            capacity_hint: 20.0,
             zone: zone_of(id),
             ..endpoint(id, 1 + (id / 2) as u16)
         })
@@ -286,7 +286,10 @@
             messages: BTreeMap::new(),
             retry_after_ends: BTreeMap::new(),
             key_holds: BTreeMap::new(),
-            availabilities: test_endpoints().iter().map(|endpoint| (endpoint.id.0, endpoint.mode)).collect(),
+            availabilities: test_endpoints()
+                .iter()
+                .map(|endpoint| (endpoint.id.0, endpoint.availability))
+                .collect(),
         };
         Run { bench, judge, last_message: 0, actions: Vec::new() }
     }
@@ -359,10 +362,10 @@
         self.bench.finish(id, attempt.endpoint, outcome, now - attempt.at);
     }
 
-    fn set_availability(&mut self, endpoint: u32, mode: Availability) {
-        let changed = Endpoint { mode, ..test_endpoints()[endpoint as usize].clone() };
+    fn set_availability(&mut self, endpoint: u32, availability: Availability) {
+        let changed = Endpoint { availability, ..test_endpoints()[endpoint as usize].clone() };
         self.bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])));
-        self.judge.availabilities.insert(endpoint, mode);
+        self.judge.availabilities.insert(endpoint, availability);
     }
 }
 
@@ -436,7 +439,7 @@
         bench.accept(id, (id % 4) as u8, 1 + (id % 3) as u16, Some(u64::from(id)));
         // Endpoints are listed and removed as well.
         let added = Endpoint { id: EndpointId(1000 + id), ..test_endpoints()[0].clone() };
-        let removed = Endpoint { mode: Availability::Removed, ..added.clone() };
+        let removed = Endpoint { availability: Availability::Removed, ..added.clone() };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![added])));
         for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
             bench.finish(message, endpoint, outcome((id % 9) as usize), ms(7));
--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -17,10 +17,10 @@
 /// The types that both schedulers share, under the name that the copies import.
 mod interface {
     pub use delivery_gateway::{
-        AcceptedMessage, Action, AttemptOutcome, Availability, CircuitRecord, Class, Decay,
+        AcceptedMessage, Action, AttemptOutcome, Availability, CapacityHints, CircuitRecord, Class, Decay,
         DeduplicationScope, DestinationId, Endpoint, EndpointId, EndpointUpdate, Event, FinishedAttempt,
         Idempotency, MessageId, OrderingKey, RestoredMessage, RouteStatus, SentAttempt, Settings, TenantId,
-        Time, WeightSource, ZoneId,
+        Time, ZoneId,
     };
 }
 
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -353,13 +353,13 @@
             EndpointUpdate::Snapshot(entries) => {
                 // What a whole list does not name is gone: it gets nothing new from now on.
                 for address in self.addresses.values_mut() {
-                    address.entry.mode = Availability::Removed;
+                    address.entry.availability = Availability::Removed;
                 }
                 entries
             }
         };
         for entry in entries {
-            if entry.mode == Availability::Removed && !self.addresses.contains_key(&entry.id) {
+            if entry.availability == Availability::Removed && !self.addresses.contains_key(&entry.id) {
                 continue;
             }
             let weight = self.weight_of(&entry);
@@ -378,7 +378,9 @@
             });
             (route.weight, route.batch) = (weight, batch);
             if let Some(known) = self.addresses.get_mut(&entry.id) {
-                if (known.entry.mode, entry.mode) == (Availability::Draining, Availability::Ready) {
+                if (known.entry.availability, entry.availability)
+                    == (Availability::Draining, Availability::Ready)
+                {
                     reached("endpoint reopened");
                 }
                 known.entry = entry;
@@ -389,8 +391,10 @@
             let address = Address { entry, calls_out: 0, preference, failures: 0, avoid_until, used: None };
             self.addresses.insert(id, address);
         }
-        let over =
-            self.addresses.values().filter(|a| a.entry.mode == Availability::Removed && a.calls_out == 0);
+        let over = self
+            .addresses
+            .values()
+            .filter(|a| a.entry.availability == Availability::Removed && a.calls_out == 0);
         for id in over.map(|a| a.entry.id).collect::<Vec<_>>() {
             reached("endpoint forgotten");
             self.forget_address(id);
@@ -539,7 +543,7 @@
 
     /// Whether an endpoint may be given new work.
     fn is_open(&self, address: &Address) -> bool {
-        address.entry.mode == Availability::Ready && !self.detached.contains(&address.entry.id)
+        address.entry.availability == Availability::Ready && !self.detached.contains(&address.entry.id)
     }
 
     fn on_finished(&mut self, now: Time, finished: FinishedAttempt) {
@@ -648,7 +652,7 @@
                 address.used = None;
                 self.actions.push(Action::CloseIdleConnections { endpoint: call.to });
             }
-            if address.calls_out == 0 && address.entry.mode == Availability::Removed {
+            if address.calls_out == 0 && address.entry.availability == Availability::Removed {
                 self.forget_address(call.to);
             }
         }
@@ -704,7 +708,7 @@
         // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
         let detached = &self.detached;
         let sound = |a: &Address| {
-            a.entry.mode == Availability::Ready && a.failures == 0 && !detached.contains(&a.entry.id)
+            a.entry.availability == Availability::Ready && a.failures == 0 && !detached.contains(&a.entry.id)
         };
         let alone = call.sent >= route.last_answer;
         let all_sick = alone && !route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(sound);
@@ -1310,8 +1314,8 @@
 
     /// What the list tells of the calls a second that all couriers may make, if it does.
     fn told_rate(&self, entry: &Endpoint) -> Option<f64> {
-        let told = self.settings.weights != WeightSource::Silent && entry.weight > 0.0;
-        told.then(|| entry.weight.clamp(TOLD_RATES.0, TOLD_RATES.1))
+        let told = self.settings.capacity_hints != CapacityHints::Ignored && entry.capacity_hint > 0.0;
+        told.then(|| entry.capacity_hint.clamp(TOLD_RATES.0, TOLD_RATES.1))
     }
 
     fn slots_free(&self) -> usize {
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -92,7 +92,7 @@
     let calls_after_a_rejection = |batch: usize, seconds: u64| {
         let base = settings(vec![idempotent()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
-        let listed = Endpoint { weight: 40_000.0, ..endpoint(7, 1) };
+        let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
         // Its rate is far above its share of what is announced now.
         bench
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -9,7 +9,7 @@
     for mode in [Availability::Draining, Availability::Removed] {
         let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
-            mode,
+            availability: mode,
             ..endpoint(7, 1)
         }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
--- a/tests/same_decisions/history.rs
+++ b/tests/same_decisions/history.rs
@@ -22,7 +22,7 @@
 /// A setting that a scenario switches: the number of its bit.
 #[derive(Clone, Copy)]
 enum Switch {
-    SilentWeights = 0,
+    IgnoredCapacityHints = 0,
     HalvingDecay = 1,
     NoCancel = 2,
     OutcomesNeedAcknowledgement = 3,
@@ -107,7 +107,7 @@
     SetAvailability(usize, Availability),
     /// A draining endpoint is ready again.
     Reopen(usize),
-    SetWeight(usize, f64),
+    SetCapacityHint(usize, f64),
     /// A removed endpoint comes back under a new id, or one more is added.
     NewEndpoint(usize),
     /// The whole endpoint list, without every so-manieth endpoint.
@@ -237,7 +237,7 @@
         4 => which.clone().prop_map(Step::Abandon),
         6 => availability.prop_map(|(which, availability)| Step::SetAvailability(which, availability)),
         3 => which.clone().prop_map(Step::Reopen),
-        2 => (which.clone(), 0.0f64..200.0).prop_map(|(which, weight)| Step::SetWeight(which, weight)),
+        2 => (which.clone(), 0.0f64..200.0).prop_map(|(which, hint)| Step::SetCapacityHint(which, hint)),
         3 => which.clone().prop_map(Step::NewEndpoint),
         2 => prop::option::of(2usize..9).prop_map(Step::Snapshot),
         2 => any::<bool>().prop_map(|rejected| Step::WatchFails { rejected }),
@@ -297,10 +297,10 @@
             destination_kinds: [(1, false), (1, true), (3, false), (4, true)]
                 .map(|(batch, per_endpoint_limits)| DestinationKind { batch, per_endpoint_limits })
                 .into(),
-            weights: if self.is_on(Switch::SilentWeights) {
-                WeightSource::Silent
+            capacity_hints: if self.is_on(Switch::IgnoredCapacityHints) {
+                CapacityHints::Ignored
             } else {
-                WeightSource::Nominal
+                CapacityHints::Exact
             },
             decay: if self.is_on(Switch::HalvingDecay) { Decay::Halving } else { Decay::Linear },
             zone_costs: vec![0.0, 0.2, 0.5],
@@ -324,17 +324,17 @@
         }
     }
 
-    /// Endpoint number `index` of a destination: alike in kind, apart in zone and weight.
+    /// Endpoint number `index` of a destination: alike in kind, apart in zone and capacity hint.
     pub fn endpoint(&self, id: u32, destination: u8, index: u32) -> Endpoint {
-        const WEIGHTS: [f64; 5] = [100.0, 5.0, 0.0, 20.0, 40.0];
+        const CAPACITY_HINTS: [f64; 5] = [100.0, 5.0, 0.0, 20.0, 40.0];
         let number = u32::from(destination);
         Endpoint {
             id: EndpointId(id),
             zone: ZoneId(((number + index) % 3) as u8),
             kind: DestinationKindId((number % 4) as u16),
             destination: DestinationId(destination.into()),
-            mode: Availability::Ready,
-            weight: WEIGHTS[((number * 2 + index + self.seed as u32 % 5) % 5) as usize],
+            availability: Availability::Ready,
+            capacity_hint: CAPACITY_HINTS[((number * 2 + index + self.seed as u32 % 5) % 5) as usize],
         }
     }
 }
--- a/tests/same_decisions/messages.rs
+++ b/tests/same_decisions/messages.rs
@@ -105,7 +105,7 @@
         endpoint: EndpointId,
         attempt_timeout: Duration,
     ) -> Response {
-        let weight = self.endpoints.get(&endpoint.0).map_or(0.0, |endpoint| endpoint.weight);
+        let weight = self.endpoints.get(&endpoint.0).map_or(0.0, |endpoint| endpoint.capacity_hint);
         respond(behavior, self.draw(message), weight, attempt_timeout)
     }
 
--- a/tests/same_decisions/simulation.rs
+++ b/tests/same_decisions/simulation.rs
@@ -123,8 +123,11 @@
     }
 
     pub fn send_snapshot(&mut self) {
-        let listed =
-            self.endpoints.values().filter(|endpoint| endpoint.mode != Availability::Removed).cloned();
+        let listed = self
+            .endpoints
+            .values()
+            .filter(|endpoint| endpoint.availability != Availability::Removed)
+            .cloned();
         let listed = listed.collect();
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(listed)));
     }
--- a/tests/same_decisions/steps.rs
+++ b/tests/same_decisions/steps.rs
@@ -27,9 +27,9 @@
             Step::Abandon(which) => self.abandon(which),
             Step::SetAvailability(which, availability) => self.set_availability(which, availability),
             Step::Reopen(which) => self.reopen(which),
-            Step::SetWeight(which, weight) => {
+            Step::SetCapacityHint(which, hint) => {
                 if let Some(id) = self.pick_endpoint(which) {
-                    self.change_endpoint(id, |endpoint| endpoint.weight = weight);
+                    self.change_endpoint(id, |endpoint| endpoint.capacity_hint = hint);
                 }
             }
             Step::NewEndpoint(which) => self.add_endpoint(which),
@@ -135,31 +135,32 @@
             Availability::Draining => reached("endpoint drained"),
             Availability::Removed => reached("endpoint removed"),
         }
-        self.change_endpoint(id, |endpoint| endpoint.mode = availability);
+        self.change_endpoint(id, |endpoint| endpoint.availability = availability);
     }
 
     fn reopen(&mut self, which: usize) {
-        let draining = self.endpoints.values().filter(|endpoint| endpoint.mode == Availability::Draining);
+        let draining =
+            self.endpoints.values().filter(|endpoint| endpoint.availability == Availability::Draining);
         let ids: Vec<u32> = draining.map(|endpoint| endpoint.id.0).collect();
         if let Some(&id) = pick(&ids, which) {
-            self.change_endpoint(id, |endpoint| endpoint.mode = Availability::Ready);
+            self.change_endpoint(id, |endpoint| endpoint.availability = Availability::Ready);
         }
     }
 
     /// Lists a copy of an endpoint under a new id: every other time of a removed one, if there is any, in its place.
     fn add_endpoint(&mut self, which: usize) {
         let all: Vec<u32> = self.endpoints.keys().copied().collect();
-        let is_removed = |id: &u32| self.endpoints[id].mode == Availability::Removed;
+        let is_removed = |id: &u32| self.endpoints[id].availability == Availability::Removed;
         let removed: Vec<u32> = all.iter().copied().filter(is_removed).collect();
         let ids = if which.is_multiple_of(2) && !removed.is_empty() { removed } else { all };
         let Some(original) = pick(&ids, which).map(|id| self.endpoints[id].clone()) else { return };
-        if original.mode == Availability::Removed {
+        if original.availability == Availability::Removed {
             reached("endpoint back under a new id");
             self.endpoints.remove(&original.id.0);
         }
         self.last_endpoint += 1;
         let id = self.last_endpoint;
-        let endpoint = Endpoint { id: EndpointId(id), mode: Availability::Ready, ..original };
+        let endpoint = Endpoint { id: EndpointId(id), availability: Availability::Ready, ..original };
         self.endpoints.insert(id, endpoint);
         self.change_endpoint(id, |_| ());
     }
@@ -168,7 +169,7 @@
         reached("snapshot");
         for (index, endpoint) in self.endpoints.values_mut().enumerate() {
             if without_every.is_some_and(|every| index % every == 1) {
-                endpoint.mode = Availability::Removed;
+                endpoint.availability = Availability::Removed;
             }
         }
         self.send_snapshot();
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -51,8 +51,8 @@
         zone: ZoneId(0),
         kind: DestinationKindId(0),
         destination: destination(number % DESTINATIONS),
-        mode: Availability::Ready,
-        weight: 1e6,
+        availability: Availability::Ready,
+        capacity_hint: 1e6,
     }
 }
 
@@ -182,7 +182,7 @@
 
 /// Each waiting destination has a Retry-After of its own, and some end at each step: only these are visited.
 #[test]
-fn only_retry_afters_that_end_are_vibenchd() {
+fn only_retry_afters_that_end_are_visited() {
     let mut bench = Bench::new(LARGE);
     let waiting = DESTINATIONS - WAITING..DESTINATIONS;
     for (number, to) in waiting.enumerate() {
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn no_circuit_is_vibenchd_where_none_changed() {
+fn no_circuit_is_visited_where_none_changed() {
     let mut bench = Bench::new(LARGE);
     for to in DESTINATIONS - WAITING..DESTINATIONS {
         bench.handle(Event::CircuitRestored(CircuitRecord {
@@ -287,10 +287,11 @@
     let visits = |endpoints: usize| {
         let mut bench = Bench::new(endpoints);
         let before = bench.scheduler.work();
-        for mode in [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
+        for availability in
+            [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
         {
             bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
-                mode,
+                availability,
                 ..endpoint(3)
             }])));
             assert_eq!(bench.step(), []);
