--- a/fault-shim/hooks/transfers.rs
+++ b/fault-shim/hooks/transfers.rs
@@ -19,6 +19,10 @@
     real!(write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t)
 }
 
+fn pwrite_real(fd: c_int, bytes: *const c_void, length: size_t, offset: off64_t) -> ssize_t {
+    real!(pwrite64(fd: c_int, bytes: *const c_void, length: size_t, offset: off64_t) -> ssize_t)
+}
+
 #[no_mangle]
 pub extern "C" fn read(fd: c_int, bytes: *mut c_void, length: size_t) -> ssize_t {
     match Transfer::of(read_call(fd), length) {
@@ -127,7 +131,7 @@
 
 #[no_mangle]
 pub extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, length: size_t, offset: off64_t) -> ssize_t {
-    let write_at = |length: size_t| real!(pwrite64(fd: c_int, bytes: *const c_void, length: size_t, offset: off64_t) -> ssize_t);
+    let write_at = |length: size_t| pwrite_real(fd, bytes, length, offset);
     match Transfer::of(write_call(fd), length) {
         Transfer::Bytes(length) => write_at(length),
         Transfer::BytesThenError(length, error) => {
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -5,8 +5,8 @@
 //! that writes it; the shim includes it for the layout alone.
 //!
 //! Layout, in little-endian words of 4 bytes: the seed (two words), the offset of the wall clock in milliseconds (two
-//! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, failures, and
-//! the errors.
+//! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, failures,
+//! and the errors.
 
 use std::fs::{File, OpenOptions};
 use std::io;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -19,7 +19,8 @@
 /// Messages that a call may carry at most, in the settings below.
 const LARGEST_BATCH: usize = 3;
 
-/// One step of a sequence. Where it names one of several messages, that is the number `which`, modulo how many there are.
+/// One step of a sequence. Where it names one of several messages, that is the number `which`, modulo how many there
+/// are.
 #[derive(Clone, Debug)]
 enum Step {
     /// So many milliseconds pass.
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -377,8 +377,8 @@
     }
 }
 
-/// Cold destinations can be overloaded by the sum of what all gateways send. In fleets of twenty and thirty, no overload
-/// may come by more than two thirds from gateways that saw the outage.
+/// Cold destinations can be overloaded by the sum of what all gateways send. In fleets of twenty and thirty, no
+/// overload may come by more than two thirds from gateways that saw the outage.
 fn assert_slow_start_budget_holds(killed_at_recovery: bool) {
     let mut broken = Vec::new();
     for outage in [
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -84,8 +84,8 @@
     endpoint(ENDPOINT.0, DESTINATION)
 }
 
-/// Restores a message so long after its first attempt, kills the process with the call in flight, and so on. Returns how
-/// often it was sent again.
+/// Restores a message so long after its first attempt, kills the process with the call in flight, and so on. Returns
+/// how often it was sent again.
 fn resends_after(passed: Duration, seed: u64) -> u32 {
     let class = Class {
         idempotency_window: WINDOW,
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -1,5 +1,5 @@
-//! A decision costs in proportion to what has changed, not to what exists. The test counts what the scheduler visits; it
-//! measures no time.
+//! A decision costs in proportion to what has changed, not to what exists. The test counts what the scheduler visits;
+//! it measures no time.
 
 use delivery_gateway::*;
 use std::time::Duration;
