--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,20 +1,20 @@
 //! The admin endpoint: disabling endpoints and lame duck, over loopback sockets and in the scheduler alone.
 
 mod common;
-mod world;
+mod environment;
 
 use common::{accepted, endpoint, idempotent, ms, settings, Bench, StartedAttempt};
 use delivery_gateway::{Action, AttemptOutcome, ClassId, DestinationKind, Event, Settings};
+use environment::*;
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
-use world::*;
 
 #[test]
 fn malformed_admin_requests_get_a_plain_error() {
-    let world = World::new(1, 3.0);
-    let courier = world.start();
-    assert_eq!(courier.operate("GET /_ready"), 200);
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
+    assert_eq!(gateway.admin_request("GET /_ready"), 200);
     for (call, no) in [
         ("GET /", 404),
         ("GET /_readyx", 404),
@@ -28,13 +28,13 @@
         ("POST /_endpoints/attach?id=", 404),
         ("nonsense", 400),
     ] {
-        assert_eq!(courier.operate(call), no, "{call}");
+        assert_eq!(gateway.admin_request(call), no, "{call}");
     }
-    let mut half = courier.operator();
+    let mut half = gateway.admin_connection();
     half.write_all(b"GET /_ready HTTP/1.1\r\nHo").unwrap();
     half.shutdown(Shutdown::Write).unwrap();
     assert_eq!(status(half), 400);
-    let mut long = courier.operator();
+    let mut long = gateway.admin_connection();
     let _ = long.write_all(format!("GET /_ready HTTP/1.1\r\nX: {}", "x".repeat(20_000)).as_bytes());
     assert_eq!(status(long), 431);
 }
@@ -42,19 +42,19 @@
 /// Callers that keep their connections without a whole request delay nobody, however many they are.
 #[test]
 fn slow_admin_callers_are_evicted() {
-    let world = World::new(1, 3.0);
-    let courier = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     // As many as the admin endpoint serves at a time.
     let slow: Vec<_> = (0..16)
         .map(|_| {
-            let mut stream = courier.operator();
+            let mut stream = gateway.admin_connection();
             stream.write_all(b"POST /_lameduck/on HTTP/1.1\r\n").unwrap();
             stream
         })
         .collect();
     // Without evictions it would respond only once it had given up all of them, the last one too.
-    assert_eq!(courier.operate("GET /_ready"), 200);
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.admin_request("GET /_ready"), 200);
+    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
     assert_eq!(slow.next().map(status), Some(408));
     // The last ones are still connected.
@@ -67,40 +67,40 @@
 /// undone.
 #[test]
 fn a_disabled_endpoint_gets_nothing_until_it_is_enabled() {
-    let world = World::patient(2, 3.0);
-    let mut courier = world.start();
-    assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
-    assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
-    world.remove(0);
-    courier.log_until("endpoint list updated");
-    world.serve_again(0, 3);
-    courier.log_times("endpoint list updated", 2);
+    let environment = TestEnvironment::with_long_deadlines(2, 3.0);
+    let mut gateway = environment.start();
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
+    environment.remove(0);
+    gateway.log_until("endpoint list updated");
+    environment.announce_serving(0, 3);
+    gateway.log_times("endpoint list updated", 2);
     for round in 0..2 {
         // Both are free: without the change some of these would go to the first one.
-        let mut client = courier.client();
+        let mut client = gateway.client();
         for number in 0..4 {
             let id = format!("d{round}{number}");
             assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         }
         // After a kill there may be notifications too: for calls whose responses had not been read.
-        let calls: Vec<Call> = (0..4).map(|_| world.call_among_notices()).collect();
+        let calls: Vec<Call> = (0..4).map(|_| environment.call_among_notifications()).collect();
         assert!(calls.iter().all(|call| call.endpoint == 1));
         calls.into_iter().for_each(|call| call.answer("200 OK", ""));
-        assert_eq!(courier.operate("POST /_endpoints/detach?id=s-1"), 200);
-        assert_eq!(courier.client().enqueue(&format!("w{round}"), "0", "salary", 1, b"x"), "+OK");
-        world.no_call();
+        assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-1"), 200);
+        assert_eq!(gateway.client().enqueue(&format!("w{round}"), "0", "salary", 1, b"x"), "+OK");
+        environment.expect_no_call();
         if round == 0 {
-            courier = courier.kill_and_restart();
-            world.no_call();
+            gateway = gateway.kill_and_restart();
+            environment.expect_no_call();
         }
-        assert_eq!(courier.operate("POST /_endpoints/attach?id=s-1"), 200);
-        world.call_among_notices().answer("200 OK", "");
+        assert_eq!(gateway.admin_request("POST /_endpoints/attach?id=s-1"), 200);
+        environment.call_among_notifications().answer("200 OK", "");
     }
-    assert_eq!(courier.operate("POST /_endpoints/detach?id=s-1"), 200);
-    assert_eq!(courier.operate("POST /_endpoints/attach?id=s-0"), 200);
-    assert_eq!(courier.operate("POST /_endpoints/attach?id=s-0"), 200);
-    assert_eq!(courier.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call_among_notices();
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-1"), 200);
+    assert_eq!(gateway.admin_request("POST /_endpoints/attach?id=s-0"), 200);
+    assert_eq!(gateway.admin_request("POST /_endpoints/attach?id=s-0"), 200);
+    assert_eq!(gateway.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
+    let call = environment.call_among_notifications();
     assert_eq!(call.endpoint, 0);
     call.answer("200 OK", "");
 }
@@ -109,19 +109,19 @@
 /// is up.
 #[test]
 fn disabling_an_endpoint_withdraws_calls_that_are_connecting() {
-    let mut world = World::new(2, 3.0);
-    let hanging = world.hang_connections(0);
-    let courier = world.start();
-    let mut client = courier.client();
+    let mut environment = TestEnvironment::new(2, 3.0);
+    let hanging = environment.hang_connections(0);
+    let gateway = environment.start();
+    let mut client = gateway.client();
     // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["c1", "c2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
-    let first = world.call();
+    let first = environment.call();
     assert_eq!(first.endpoint, 1);
-    assert_eq!(courier.operate("POST /_endpoints/detach?id=s-0"), 200);
-    world.release(hanging);
-    let second = world.call();
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
+    environment.release(hanging);
+    let second = environment.call();
     assert_eq!(second.endpoint, 1);
     assert_ne!(first.id, second.id);
     first.answer("200 OK", "");
@@ -131,33 +131,33 @@
 /// A lame duck fails its health check, releases its clients, delivers what it has, and returns to service.
 #[test]
 fn a_lame_duck_releases_its_clients_and_returns_to_service() {
-    let world = World::patient(1, 3.0);
-    let courier = world.start();
-    let (mut idle, mut half) = (courier.client(), courier.client());
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let gateway = environment.start();
+    let (mut idle, mut half) = (gateway.client(), gateway.client());
     assert_eq!(idle.enqueue("l1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
+    let out = environment.call();
     assert_eq!(half.ask(&["PING"]), "+PONG");
     half.send(b"*1\r\n$4\r\nPI");
-    assert_eq!(courier.operate("POST /_lameduck/on"), 200);
-    assert_eq!(courier.operate("POST /_lameduck/on"), 200);
+    assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
+    assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     assert!(idle.is_closed());
     // A request that has begun is answered on the way out.
     half.send(b"NG\r\n");
     assert!(half.line().starts_with("-ERR"));
     assert!(half.is_closed());
     // So is the first one of a connection that was on its way.
-    let mut late = courier.client();
+    let mut late = gateway.client();
     assert_eq!(late.enqueue("l2", "0", "salary", 1, b"x"), "+OK");
     assert!(late.is_closed());
-    assert_eq!(courier.operate("GET /_ready"), 503);
+    assert_eq!(gateway.admin_request("GET /_ready"), 503);
     out.answer("200 OK", "");
-    world.call().answer("200 OK", "");
-    assert_eq!(courier.operate("POST /_lameduck/off"), 200);
-    let mut client = courier.client();
+    environment.call().answer("200 OK", "");
+    assert_eq!(gateway.admin_request("POST /_lameduck/off"), 200);
+    let mut client = gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    assert_eq!(courier.operate("GET /_ready"), 200);
-    world.nothing();
+    assert_eq!(gateway.admin_request("GET /_ready"), 200);
+    environment.expect_nothing();
 }
 
 /// Once clients have had time to notice, a lame duck accepts nothing.
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,19 +1,19 @@
 //! Responses that are malformed or longer than announced, and endpoints that are added and removed, over loopback
 //! sockets.
 
-mod world;
+mod environment;
 
+use environment::*;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
-use world::*;
 
 const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// A status line with 200 means delivered, whatever is wrong behind it; the connection is not reused.
 #[test]
 fn a_status_line_with_200_delivers() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let mut used = Vec::new();
     for (number, answer) in [
@@ -28,20 +28,20 @@
     .enumerate()
     {
         assert_eq!(client.enqueue(&format!("d{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert!(!used.contains(&call.connection()), "after {answer}");
         used.push(call.connection());
         call.raw(answer.as_bytes());
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A malformed response may have been processed: a non-idempotent message fails soon, and is not sent again. Only a
 /// complete response proves that a call was not processed.
 #[test]
 fn a_malformed_response_may_have_been_processed() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let endless = format!("HTTP/1.1 503 Busy\r\nX-Endless: {}", "x".repeat(100_000));
     for (number, answer) in [
         "\u{0}\u{7}noise\u{1}",
@@ -56,63 +56,63 @@
         let id = format!("s{number}");
         assert_eq!(gateway.client().enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         // After the first ones the gateway waits before it sends the next.
-        let call = world.call();
+        let call = environment.call();
         let begun = Instant::now();
         call.raw(answer.as_bytes());
-        assert_eq!(world.notice(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
+        assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
         assert!(begun.elapsed() < Duration::from_secs(1), "{:?} for {answer:.20}", begun.elapsed());
     }
-    world.no_call();
+    environment.expect_no_call();
 }
 
 /// A new connection is rejected as one too many: its message is retried, and from then on each call closes the
 /// connection that it opened, as the endpoint could not accept others.
 #[test]
 fn no_connection_is_kept_where_there_are_too_many() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("c1", "0", "salary", 1, b"x"), "+OK");
-    world.call().raw(b"HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    environment.call().raw(b"HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     for (number, id) in ["c1", "c2", "c3"].iter().enumerate() {
         if number > 0 {
             assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         }
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, *id);
         let mut stream = call.stream();
         call.raw(WHOLE);
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         assert_eq!(stream.read(&mut [0]).unwrap(), 0, "the connection of {id} is closed");
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A second response right behind one does not answer the next call, whether it arrives with the first one, ...
 #[test]
 fn bytes_after_a_response_answer_no_call() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let twice = [WHOLE, WHOLE].concat();
     for number in 0..30 {
         assert_eq!(client.enqueue(&format!("b{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, format!("b{number}"));
         call.raw(&twice);
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// ... or while the next call is on its way: the gateway finds both at once.
 #[test]
 fn bytes_that_race_with_the_next_call_answer_no_call() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     for number in 0..10 {
         assert_eq!(client.enqueue(&format!("r{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, format!("r{number}"));
         let mut stream = call.stream();
         call.answer("200 OK", "");
@@ -123,77 +123,77 @@
             let _ = stream.write_all(WHOLE);
         });
         assert_eq!(client.line(), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, format!("q{number}"));
         call.answer("200 OK", "");
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Bytes that arrive a moment after a response could not be told from the next response if the next call had been sent
 /// by then: a connection pauses for 5 ms before it is reused.
 #[test]
 fn a_connection_pauses_between_two_calls() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("m0", "0", "salary", 1, b"x"), "+OK");
-    let mut call = world.call();
+    let mut call = environment.call();
     for number in 1..10 {
         let (connection, answered) = (call.connection(), Instant::now());
         call.answer("200 OK", "");
         // The connection is idle, or will be in a moment; only one that is reused has to pause.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
-        call = world.call();
+        call = environment.call();
         let rested = answered.elapsed();
         assert!(call.connection() != connection || rested >= Duration::from_millis(5), "{rested:?}");
     }
     call.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Interim responses are skipped, and the connection is kept; an endless series of them is no response.
 #[test]
 fn interim_responses_are_skipped() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let hint = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     assert_eq!(client.enqueue("e1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     let connection = call.connection();
     call.raw(&[hint.repeat(3).as_bytes(), WHOLE].concat());
-    world.nothing();
+    environment.expect_nothing();
     assert_eq!(client.enqueue("e2", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.connection(), connection);
     call.raw(hint.repeat(200).as_bytes());
-    assert_eq!(world.notice(), r#"{"id":"e2","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"e2","state":"failed"}"#);
 }
 
 /// Connections belong to an endpoint, not to its address: a new endpoint at the address of a removed one gets its own,
 /// and keeps them when the endpoint list changes again.
 #[test]
 fn a_reused_address_gets_connections_of_its_own() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
-    world.remove(1);
+    environment.remove(1);
     gateway.log_until("endpoint list updated");
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         let connection = call.connection();
         call.answer("200 OK", "");
-        world.nothing();
+        environment.expect_nothing();
         connection
     };
     let old = deliver("a1");
-    world.replace(0, 0, 1);
+    environment.replace(0, 0, 1);
     gateway.log_times("endpoint list updated", 2);
     let new = deliver("a2");
     assert_ne!(new, old);
-    world.remove(1);
+    environment.remove(1);
     gateway.log_times("endpoint list updated", 3);
     assert_eq!(deliver("a3"), new);
 }
@@ -202,11 +202,11 @@
 #[test]
 fn removed_endpoints_are_forgotten() {
     const TIMES: u32 = 1000;
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
-            world.replace(0, round, TIMES);
+            environment.replace(0, round, TIMES);
             gateway.log_times("endpoint list updated", round as usize + 1);
         }
         gateway.memory()
@@ -220,13 +220,13 @@
 /// Many endpoints, few descriptors: idle connections are evicted, and the limit holds.
 #[test]
 fn descriptors_stay_within_their_limit() {
-    let mut world = World::patient(40, 3.0);
-    (world.apart, world.sockets) = (true, 44);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(40, 3.0);
+    (environment.destination_per_endpoint, environment.sockets) = (true, 44);
+    let gateway = environment.start();
     let mut client = gateway.client();
     for destination in 1..=40 {
         assert_eq!(client.enqueue(&format!("n{destination}"), "0", "salary", destination, b"x"), "+OK");
-        world.call().answer("200 OK", "");
+        environment.call().answer("200 OK", "");
         assert!(gateway.descriptors() <= 44, "{} descriptors", gateway.descriptors());
     }
 }
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -1,22 +1,22 @@
 //! Calls that carry several messages to one endpoint, over loopback sockets.
 
-mod world;
+mod environment;
 
+use environment::*;
 use std::time::{Duration, Instant};
-use world::*;
 
 /// An environment with one call slot, so that messages enqueued behind one that occupies it wait together.
-fn one_slot() -> World {
-    let mut world = World::new(1, 3.0);
-    (world.batch, world.slots) = (4, 1);
-    world
+fn one_slot() -> TestEnvironment {
+    let mut environment = TestEnvironment::new(1, 3.0);
+    (environment.batch, environment.slots) = (4, 1);
+    environment
 }
 
 /// Enqueues messages behind one that occupies the slot, and then completes that one.
-fn enqueue_behind_one(world: &World, gateway: &Scheduler, messages: &[(&str, &str)]) {
+fn enqueue_behind_one(environment: &TestEnvironment, gateway: &RunningGateway, messages: &[(&str, &str)]) {
     let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
-    let first = world.call();
+    let first = environment.call();
     assert_eq!((first.path.as_str(), first.id.as_str()), ("/hook", "first"));
     for (id, class) in messages {
         assert_eq!(client.enqueue(id, "0", class, 1, id.as_bytes()), "+OK");
@@ -27,14 +27,14 @@
 /// Messages that wait for an endpoint that takes several at once go in one call, and each has an outcome of its own.
 #[test]
 fn messages_queued_together_share_a_batch() {
-    let world = one_slot();
-    let gateway = world.start();
+    let environment = one_slot();
+    let gateway = environment.start();
     enqueue_behind_one(
-        &world,
+        &environment,
         &gateway,
         &[("b1", "salary"), ("b2", "notice,k=k2"), ("b3", "salary"), ("b4", "salary")],
     );
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.header("x-budget").map(|budget| budget.parse::<f64>().is_ok()), Some(true));
     let mut carried = call.batched();
     carried.sort();
@@ -52,7 +52,7 @@
     let mut failed = false;
     let mut retried = false;
     while !(failed && retried) {
-        match world.call_or_notice() {
+        match environment.next_seen() {
             Seen::Notification(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
                 failed = true;
@@ -64,24 +64,24 @@
             }
         }
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Retry-After beside the states of the messages is observed like any other.
 #[test]
 fn retry_after_of_a_batch_response_is_observed() {
-    let world = one_slot();
-    let gateway = world.start();
-    enqueue_behind_one(&world, &gateway, &[("w1", "salary"), ("w2", "salary")]);
-    let call = world.call();
+    let environment = one_slot();
+    let gateway = environment.start();
+    enqueue_behind_one(&environment, &gateway, &[("w1", "salary"), ("w2", "salary")]);
+    let call = environment.call();
     let responded_at = Instant::now();
     call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
     gateway.log_until("Retry-After received");
     assert_eq!(gateway.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
     call.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// The status line of a batch response says nothing of each message: where the body cannot be read they may have run.
@@ -95,82 +95,82 @@
     .iter()
     .enumerate()
     {
-        let world = one_slot();
-        let gateway = world.start();
-        enqueue_behind_one(&world, &gateway, &[("s1", "salary"), ("s2", "salary")]);
-        let call = world.call();
+        let environment = one_slot();
+        let gateway = environment.start();
+        enqueue_behind_one(&environment, &gateway, &[("s1", "salary"), ("s2", "salary")]);
+        let call = environment.call();
         assert_eq!(call.batched().len(), 2);
         let stream = call.stream();
         call.raw(answer.as_bytes());
         if number == 1 {
             let _ = stream.shutdown(std::net::Shutdown::Write);
         }
-        let mut notifications = [world.notice(), world.notice()];
+        let mut notifications = [environment.notification(), environment.notification()];
         notifications.sort();
         assert_eq!(notifications, [r#"{"id":"s1","state":"failed"}"#, r#"{"id":"s2","state":"failed"}"#]);
-        world.no_call();
+        environment.expect_no_call();
     }
 }
 
 /// Nor is a message believed that has two states; those beside it are.
 #[test]
 fn a_message_with_two_states_may_have_run() {
-    let world = one_slot();
-    let gateway = world.start();
-    enqueue_behind_one(&world, &gateway, &[("t1", "salary"), ("t2", "salary")]);
-    let call = world.call();
+    let environment = one_slot();
+    let gateway = environment.start();
+    enqueue_behind_one(&environment, &gateway, &[("t1", "salary"), ("t2", "salary")]);
+    let call = environment.call();
     assert_eq!(call.batched().len(), 2);
     call.answer_each("", &[("t1", "ok"), ("t2", "ok"), ("t1", "later")]);
-    assert_eq!(world.notice(), r#"{"id":"t1","state":"failed"}"#);
-    world.nothing();
+    assert_eq!(environment.notification(), r#"{"id":"t1","state":"failed"}"#);
+    environment.expect_nothing();
 }
 
 /// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and
 /// what it still responds delivers nothing. The others are retried under their keys.
 #[test]
 fn a_batch_times_out_with_its_first_message_to_expire() {
-    let world = one_slot();
-    let gateway = world.start();
+    let environment = one_slot();
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
-    let first = world.call();
+    let first = environment.call();
     for (id, left) in [("short", 1000), ("long", 20_000)] {
         let fields = format!("c=notice,d={left},dest=1,k=k-{id}");
         assert_eq!(client.ask(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
     first.answer("200 OK", "");
-    let shared = world.call();
+    let shared = environment.call();
     let mut carried: Vec<_> = shared.batched().into_iter().map(|(id, ..)| id).collect();
     carried.sort();
     assert_eq!(carried, ["long", "short"]);
     let budget: f64 = shared.header("x-budget").unwrap().parse().unwrap();
     assert!(budget <= 1.0, "{budget}");
-    assert_eq!(world.notice(), r#"{"id":"short","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"short","state":"failed"}"#);
     // The response comes all the same.
     shared.answer_each("", &[("short", "ok"), ("long", "ok")]);
-    let retried = world.call();
+    let retried = environment.call();
     assert_eq!((retried.id.as_str(), retried.header("idempotency-key")), ("long", Some("k-long")));
     retried.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Bodies too long for one batch go in separate calls.
 #[test]
 fn messages_too_long_for_one_batch_go_in_separate_calls() {
-    let world = one_slot();
-    let gateway = world.start();
+    let environment = one_slot();
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
-    let first = world.call();
+    let first = environment.call();
     let body = vec![b'x'; 40 << 10];
     for id in ["l1", "l2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, &body), "+OK");
     }
     first.answer("200 OK", "");
     for _ in 0..2 {
-        let call = world.call();
+        let call = environment.call();
         assert_eq!((call.path.as_str(), call.body.len()), ("/hook", body.len()));
         call.answer("200 OK", "");
     }
-    world.nothing();
+    environment.expect_nothing();
 }
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -1,9 +1,9 @@
 //! Guarantees of a gateway that involve its sockets, journal and watch together. Where a guarantee names a time, the
 //! test lets a message with just that deadline time out, and checks what has happened by then.
 
-mod world;
+mod environment;
 
-use world::*;
+use environment::*;
 
 /// Deadline of the message that measures the time in which a change of the endpoint list has to be learned, in
 /// milliseconds: a change counts as announced this long after it.
@@ -16,28 +16,32 @@
 const FULL_JOURNAL_MESSAGES: usize = 5_000;
 
 /// A test environment in which each endpoint has a destination of its own and the settings are patient.
-fn one_destination_each(endpoints: usize) -> World {
-    let mut world = World::patient(endpoints, 3.0);
-    world.apart = true;
-    world
+fn one_destination_each(endpoints: usize) -> TestEnvironment {
+    let mut environment = TestEnvironment::with_long_deadlines(endpoints, 3.0);
+    environment.destination_per_endpoint = true;
+    environment
 }
 
 /// Enqueues a message whose deadline is the time in which a change counts as announced; its call gets no response.
-fn start_announcement_timer(world: &World, gateway: &Scheduler, destination: u16) -> Call {
+fn start_announcement_timer(
+    environment: &TestEnvironment,
+    gateway: &RunningGateway,
+    destination: u16,
+) -> Call {
     let fields = format!("c=salary,d={ANNOUNCED_AFTER_MS},dest={destination}");
     assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.id, "six");
     call
 }
 
 /// Waits until the timer's message has failed, and checks that a message for the drained destination is returned: it
 /// would be sent if the gateway had not learned of the drain.
-fn assert_drain_is_known(world: &World, gateway: &Scheduler, drained: u16) {
-    assert_eq!(world.notice(), r#"{"id":"six","state":"failed"}"#);
+fn assert_drain_is_known(environment: &TestEnvironment, gateway: &RunningGateway, drained: u16) {
+    assert_eq!(environment.notification(), r#"{"id":"six","state":"failed"}"#);
     let fields = format!("c=salary,d=500,dest={drained}");
     assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
-    let notification = world.notice();
+    let notification = environment.notification();
     assert!(notification.contains(r#""id":"after","state":"returned""#), "{notification}");
 }
 
@@ -45,31 +49,31 @@
 /// are silent after their first line.
 #[test]
 fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_announced() {
-    let world = one_destination_each(2);
-    let gateway = world.start();
-    let _in_flight = start_announcement_timer(&world, &gateway, 2);
+    let environment = one_destination_each(2);
+    let gateway = environment.start();
+    let _in_flight = start_announcement_timer(&environment, &gateway, 2);
     gateway.log_until("endpoint watch failed");
-    world.drain(0);
-    assert_drain_is_known(&world, &gateway, 1);
+    environment.drain(0);
+    assert_drain_is_known(&environment, &gateway, 1);
 }
 
 /// A watch request that discovery accepted and never answered is given up, and the next one is made in time too.
 #[test]
 fn a_watch_is_reestablished_in_time_after_an_outage_of_discovery() {
-    let world = one_destination_each(2);
-    world.silence_discovery(true);
-    let gateway = world.start();
+    let environment = one_destination_each(2);
+    environment.set_discovery_silent(true);
+    let gateway = environment.start();
     gateway.log_until("endpoint watch failed");
     // The next request is made meanwhile and gets no response either: none made before the recovery is answered.
-    world.no_call();
-    world.drain(0);
-    let _in_flight = start_announcement_timer(&world, &gateway, 2);
-    world.silence_discovery(false);
-    assert_drain_is_known(&world, &gateway, 1);
+    environment.expect_no_call();
+    environment.drain(0);
+    let _in_flight = start_announcement_timer(&environment, &gateway, 2);
+    environment.set_discovery_silent(false);
+    assert_drain_is_known(&environment, &gateway, 1);
 }
 
 /// Connects clients that stay idle, every other one after a request.
-fn connect_idle_clients(gateway: &Scheduler, idle: &mut Vec<Client>) {
+fn connect_idle_clients(gateway: &RunningGateway, idle: &mut Vec<Client>) {
     for number in 0..IDLE_CLIENTS {
         let mut client = gateway.client();
         if number % 2 == 0 {
@@ -82,9 +86,9 @@
 }
 
 /// Enqueues a message from a new client, and has its call answered.
-fn deliver_from_new_client(world: &World, gateway: &Scheduler, id: &str) {
+fn deliver_from_new_client(environment: &TestEnvironment, gateway: &RunningGateway, id: &str) {
     assert_eq!(gateway.client().enqueue(id, "0", "salary", 2, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.id, id);
     call.answer("200 OK", "");
 }
@@ -93,37 +97,37 @@
 /// notified, and the endpoint list is read once discovery is back.
 #[test]
 fn descriptors_used_up_by_idle_clients_block_nothing_while_discovery_is_down() {
-    let mut world = one_destination_each(2);
-    world.sockets = DESCRIPTOR_LIMIT as u32;
-    world.silence_discovery(true);
-    let gateway = world.start();
+    let mut environment = one_destination_each(2);
+    environment.sockets = DESCRIPTOR_LIMIT as u32;
+    environment.set_discovery_silent(true);
+    let gateway = environment.start();
     let mut idle: Vec<Client> = Vec::new();
     connect_idle_clients(&gateway, &mut idle);
     for number in 0..10 {
-        deliver_from_new_client(&world, &gateway, &format!("f{number}"));
+        deliver_from_new_client(&environment, &gateway, &format!("f{number}"));
     }
     gateway.log_until("endpoint watch failed");
     connect_idle_clients(&gateway, &mut idle);
     // A failure is notified with the descriptors that are left.
     assert_eq!(gateway.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
-    world.call().reset();
-    assert_eq!(world.notice(), r#"{"id":"lost","state":"failed"}"#);
-    world.drain(0);
-    world.silence_discovery(false);
+    environment.call().reset();
+    assert_eq!(environment.notification(), r#"{"id":"lost","state":"failed"}"#);
+    environment.drain(0);
+    environment.set_discovery_silent(false);
     connect_idle_clients(&gateway, &mut idle);
     gateway.log_until("endpoint list updated");
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
     // The descriptors may be used up at a restart too.
     let gateway = gateway.kill_and_restart();
     let _idle: Vec<Client> = (0..IDLE_CLIENTS).map(|_| gateway.client()).collect();
-    deliver_from_new_client(&world, &gateway, "again");
+    deliver_from_new_client(&environment, &gateway, "again");
 }
 
 /// Makes the destinations wait: each gets a long Retry-After, which a restart ends.
-fn send_long_retry_after(world: &World, gateway: &Scheduler, client: &mut Client) {
+fn send_long_retry_after(environment: &TestEnvironment, gateway: &RunningGateway, client: &mut Client) {
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
-        world.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
+        environment.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
         gateway.log_until("Retry-After received");
     }
 }
@@ -143,10 +147,10 @@
 }
 
 /// Waits until all these messages have been sent; none of them may get a final outcome before.
-fn assert_all_are_sent(world: &World, ids: &[&str]) {
+fn assert_all_are_sent(environment: &TestEnvironment, ids: &[&str]) {
     let mut unsent = ids.to_vec();
     while !unsent.is_empty() {
-        match world.call_or_notice() {
+        match environment.next_seen() {
             Seen::Call(call) => {
                 unsent.retain(|id| *id != call.id);
                 call.answer("200 OK", "");
@@ -160,19 +164,19 @@
 /// attempted: messages that have 10 s left at the kill, idempotent or not, still get their calls.
 #[test]
 fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
-    let mut world = one_destination_each(4);
-    world.max_pending_messages = 100_000;
-    let gateway = world.start();
+    let mut environment = one_destination_each(4);
+    environment.max_pending_messages = 100_000;
+    let gateway = environment.start();
     let mut client = gateway.client();
     // Two calls whose completion frees room, as a full journal accepts nothing.
     let in_flight: Vec<Call> = ["room1", "room2"]
         .iter()
         .map(|id| {
             assert_eq!(client.enqueue(id, "0", "salary", 3, &[b'x'; 2_000]), "+OK");
-            world.call()
+            environment.call()
         })
         .collect();
-    send_long_retry_after(&world, &gateway, &mut client);
+    send_long_retry_after(&environment, &gateway, &mut client);
     fill_journal(&mut client);
     in_flight.into_iter().for_each(|call| call.answer("200 OK", ""));
     for (id, class, destination) in [("untried2", "salary", 2), ("untried4", "notice,k=k4", 4)] {
@@ -180,35 +184,35 @@
         // The responses that free the room may still be on their way.
         while client.ask(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
     }
-    world.no_call();
+    environment.expect_no_call();
     let gateway = gateway.kill_and_restart();
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
-    assert_all_are_sent(&world, &["untried2", "untried4"]);
+    assert_all_are_sent(&environment, &["untried2", "untried4"]);
 }
 
 /// An idempotency window may be shorter than a restart takes: a call that was in flight at the kill and may have run is
 /// not sent again by the next process once the window has ended, and its message fails at once.
 #[test]
 fn no_message_is_resent_after_an_idempotency_window_that_ended_before_the_restart() {
-    let world = one_destination_each(2);
-    let gateway = world.start();
+    let environment = one_destination_each(2);
+    let gateway = environment.start();
     let mut client = gateway.client();
     // Its idempotency window of 0.4 s begins here.
     assert_eq!(client.enqueue("w1", "0", "brief,k=w1", 1, b"x"), "+OK");
-    let _in_flight = world.call();
+    let _in_flight = environment.call();
     // Half a second has passed when this one fails.
     assert_eq!(client.ask(&["ENQUEUE", "0", "t1", "c=salary,d=500,dest=2", "x"]), "+OK");
-    let _unresponsive = world.call();
-    assert_eq!(world.notice(), r#"{"id":"t1","state":"failed"}"#);
+    let _unresponsive = environment.call();
+    assert_eq!(environment.notification(), r#"{"id":"t1","state":"failed"}"#);
     let gateway = gateway.kill_and_restart();
     // The other message may be notified once more, if the kill came before the acknowledgement was recorded.
-    let mut notification = world.notice();
+    let mut notification = environment.notification();
     while notification.contains(r#""id":"t1""#) {
-        notification = world.notice();
+        notification = environment.notification();
     }
     assert_eq!(notification, r#"{"id":"w1","state":"failed"}"#);
-    world.no_call();
+    environment.expect_no_call();
     // The same holds when the next process is killed as well.
     let _gateway = gateway.kill_and_restart();
-    world.no_call();
+    environment.expect_no_call();
 }
--- a/tests/world/mod.rs
+++ b/tests/environment/mod.rs
@@ -1,8 +1,10 @@
-//! What stands around a courier under test, on loopback sockets: endpoints whose every answer the test decides,
-//! discovery, and clients. All ports are chosen by the system, and tests wait on what arrives.
-#![allow(dead_code)]
+//! The environment of a gateway under test, on loopback sockets: endpoints whose every response the test chooses,
+//! discovery's agent with the endpoint list and the notifications, clients, and the gateway's own process.
+//!
+//! What the gateway does is observed in order: [`TestEnvironment::call`] and [`TestEnvironment::notification`] return the
+//! next thing and fail where it is another one.
 
-pub mod life;
+pub mod audit;
 
 #[path = "../../src/bin/testbed/fault_page.rs"]
 mod fault_page;
@@ -25,7 +27,7 @@
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
 pub use stubs::{Agent, Call, Client, Seen};
 
-/// Where this names a seed, all couriers of all tests run with the faults below.
+/// Where this names a seed, all gateways of all tests run with the faults below.
 const EVERYWHERE_VARIABLE: &str = "FAULTS_EVERYWHERE";
 /// Faults that change nothing of what a test may expect.
 const EVERYWHERE: [(SystemCall, &[i32]); 9] = [
@@ -41,12 +43,12 @@
 ];
 const EVERYWHERE_PART: f64 = 0.1;
 
-/// The window for repeats of the class `brief`.
+/// The idempotency window of the class `brief`.
 pub const BRIEF_WINDOW: Duration = Duration::from_millis(400);
 
 /// Far longer than anything here takes; only a failing test waits for so long.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// How long nothing may happen where nothing should.
+/// How long to watch that nothing happens.
 const QUIET: Duration = Duration::from_millis(300);
 
 impl Call {
@@ -54,7 +56,7 @@
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The messages that a call for several carries: id, key, body in Base64.
+    /// The messages of a batch: id, key, body in Base64.
     pub fn batched(&self) -> Vec<(String, Option<String>, String)> {
         assert_eq!(self.path, "/hook/batch");
         let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
@@ -63,7 +65,7 @@
         items.iter().map(each).collect()
     }
 
-    /// Answers a call for several with the end of each.
+    /// Answers a batch with the state of each message.
     pub fn answer_each(self, headers: &str, states: &[(&str, &str)]) {
         let states = states.iter().map(|(id, state)| json!({"id": id, "state": state}));
         let body = Value::from_iter(states).to_string();
@@ -71,17 +73,17 @@
         self.raw((head + &body).as_bytes());
     }
 
-    /// The endpoint's side of the connection, for what comes on it beside the answer.
+    /// The endpoint's side of the connection, for what arrives on it beside the response.
     pub fn stream(&self) -> TcpStream {
         self.connection.try_clone().unwrap()
     }
 
-    /// The courier's side of the connection that this call came on.
+    /// The gateway's side of the connection that this call came on.
     pub fn connection(&self) -> SocketAddr {
         self.connection.peer_addr().unwrap()
     }
 
-    /// Whether the courier has ended its sending on this call's connection.
+    /// Whether the gateway has shut down its sending side of this call's connection.
     pub fn is_closed(&self) -> bool {
         let mut connection = &self.connection;
         connection.set_nonblocking(true).unwrap();
@@ -97,22 +99,23 @@
     (socket, address)
 }
 
-/// A listener whose queue is full.
-pub struct Hanging {
+/// A listener whose accept queue is full.
+pub struct HangingListener {
     listener: TcpListener,
     endpoint: usize,
     _fillers: Vec<TcpStream>,
 }
 
-pub struct World {
+pub struct TestEnvironment {
     folder: PathBuf,
     endpoints: Vec<SocketAddr>,
-    /// Sockets that are bound and do not listen: connecting to one is refused, and nobody else gets its port.
+    /// Sockets that are bound and do not listen: connecting to one is rejected, and nobody else gets its
+    /// port.
     refusing: Vec<Socket>,
     discovery: Agent,
     seen: Receiver<Seen>,
     send: Sender<Seen>,
-    /// Seconds in which a message is worth all; it may be delivered for eight times as long.
+    /// Latency objective of the classes in seconds; their deadline is eight times as long.
     pub latency_objective: u64,
     pub max_pending_messages: u32,
     pub slots: u32,
@@ -120,21 +123,21 @@
     pub batch: u32,
     pub sockets: u32,
     pub memory_mb: u32,
-    /// Couriers that the settings tell of, and calls a second that all may make to an endpoint.
+    /// Size of the fleet in the settings, and the capacity hint of each endpoint in calls a second.
     pub fleet_size: u32,
     pub rate: f64,
     /// Each endpoint has a destination of its own, from 1 on.
-    pub apart: bool,
-    /// The destination of each endpoint; those that are not named here keep to what else is told.
+    pub destination_per_endpoint: bool,
+    /// The destination of each endpoint; for those not named here the fields above decide.
     pub destinations: Vec<u32>,
-    /// Names of the settings: a process with others does not understand one's memory.
+    /// Name of the zone in the settings: processes with different names do not share state.
     pub zone: Cell<&'static str>,
-    /// Endpoints of the list that comes with the start; all if there are fewer.
+    /// Endpoints in the list of the configuration; all if there are fewer.
     pub known: Cell<usize>,
-    /// Where clients connect; the system chooses if nothing is told.
+    /// Where clients connect; the system chooses the port unless it is set.
     pub listen: Cell<SocketAddr>,
     pub disk_mb: f64,
-    /// Which system calls of its couriers fail; none where they are not started with the shim.
+    /// System calls of the gateways that fail; none where they are started without the shim.
     faults: Option<FaultPage>,
     fault_seed: Cell<u64>,
     _cleanup: Cleanup,
@@ -144,7 +147,7 @@
     folder.join(format!("faults-{seed}"))
 }
 
-/// Removes the folder of a world at its end.
+/// Removes the folder of an environment at its end.
 struct Cleanup(PathBuf);
 
 impl Drop for Cleanup {
@@ -153,7 +156,7 @@
     }
 }
 
-impl World {
+impl TestEnvironment {
     /// Endpoints of destination 1, all serving, and a disk of some size.
     pub fn new(endpoints: usize, disk_mb: f64) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -172,7 +175,7 @@
             serve(listener, move |stream| serve_calls(number, stream, &send));
         }
         let discovery = Agent::start(&send).unwrap();
-        let mut world = World {
+        let mut environment = TestEnvironment {
             _cleanup: Cleanup(folder.clone()),
             folder,
             endpoints: addresses,
@@ -188,7 +191,7 @@
             memory_mb: 192,
             fleet_size: 1,
             rate: 1000.0,
-            apart: false,
+            destination_per_endpoint: false,
             destinations: Vec::new(),
             zone: Cell::new("kingston"),
             known: Cell::new(usize::MAX),
@@ -198,38 +201,37 @@
             fault_seed: Cell::new(0),
         };
         if let Some(seed) = std::env::var(EVERYWHERE_VARIABLE).ok().and_then(|seed| seed.parse().ok()) {
-            world.faults = Some(world.new_faults(seed));
+            environment.faults = Some(environment.replace_faults(seed));
             for (call, errors) in EVERYWHERE {
-                world.fail(call, Fault::always(errors).with_ratio(EVERYWHERE_PART));
+                environment.fail(call, Fault::always(errors).with_ratio(EVERYWHERE_PART));
             }
         }
-        world
+        environment
     }
 
-    /// A world whose couriers' system calls can be let fail, and in which the module waits long before it gives
-    /// anything up.
-    pub fn faulty(endpoints: usize, seed: u64) -> Self {
-        let mut world = World::patient(endpoints, 3.0);
-        world.faults = Some(world.new_faults(seed));
-        world
+    /// An environment in which system calls of the gateways can be made to fail, with long deadlines.
+    pub fn with_faults(endpoints: usize, seed: u64) -> Self {
+        let mut environment = TestEnvironment::with_long_deadlines(endpoints, 3.0);
+        environment.faults = Some(environment.replace_faults(seed));
+        environment
     }
 
     /// Processes that start from now on have faults of their own; those that run keep theirs.
-    pub fn new_faults(&self, seed: u64) -> FaultPage {
+    pub fn replace_faults(&self, seed: u64) -> FaultPage {
         self.fault_seed.set(seed);
         FaultPage::create(&fault_page_path(&self.folder, seed), seed).unwrap()
     }
 
     pub fn faults(&self) -> &FaultPage {
-        self.faults.as_ref().expect("a world with faults")
+        self.faults.as_ref().expect("an environment with faults")
     }
 
-    /// Lets a system call of its couriers fail from now on.
+    /// Makes a system call of the gateways fail from now on.
     pub fn fail(&self, call: SystemCall, fault: Fault) {
         self.faults().set(call, fault).unwrap();
     }
 
-    /// What loads the shim into a process.
+    /// Environment variables that load the shim into a process.
     fn fault_variables(&self) -> Vec<(&'static str, PathBuf)> {
         if self.faults.is_none() {
             return Vec::new();
@@ -241,17 +243,17 @@
         vec![("LD_PRELOAD", shim), (fault_page::PAGE_VARIABLE, page)]
     }
 
-    /// A compacted copy that did not come into the journal's place before its process died.
+    /// A compacted copy that was not renamed to the journal before its process died.
     pub fn leave_copy_of_journal(&self) {
         std::fs::write(self.folder.join("state/journal.new"), b"half a copy").unwrap();
     }
 
-    /// A world in which the module waits long before it gives anything up.
-    pub fn patient(endpoints: usize, disk_mb: f64) -> Self {
-        World { latency_objective: 100, ..World::new(endpoints, disk_mb) }
+    /// An environment with long deadlines.
+    pub fn with_long_deadlines(endpoints: usize, disk_mb: f64) -> Self {
+        TestEnvironment { latency_objective: 100, ..TestEnvironment::new(endpoints, disk_mb) }
     }
 
-    /// As many endpoints in all, with one address for those that are new.
+    /// Grows to so many endpoints; the new ones share one address.
     pub fn enlarge(&mut self, endpoints: usize) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.endpoints.resize(endpoints, listener.local_addr().unwrap());
@@ -259,16 +261,16 @@
         serve(listener, move |stream| serve_calls(endpoints, stream, &send));
     }
 
-    /// Puts an address that refuses connections in an endpoint's place.
-    pub fn refuse_connections(&mut self, endpoint: usize) {
+    /// Gives an endpoint an address that rejects connections.
+    pub fn reject_connections(&mut self, endpoint: usize) {
         let (socket, address) = bound();
         self.endpoints[endpoint] = address;
         self.refusing.push(socket);
     }
 
-    /// Puts an address in an endpoint's place where connections do not come up: the queue of those that wait to
-    /// be accepted is full. They do once the returned listener is served.
-    pub fn hang_connections(&mut self, endpoint: usize) -> Hanging {
+    /// Gives an endpoint an address whose connections are not established, as the accept queue is full, until
+    /// the returned listener is released.
+    pub fn hang_connections(&mut self, endpoint: usize) -> HangingListener {
         let (socket, address) = bound();
         socket.listen(0).unwrap();
         let mut fillers = Vec::new();
@@ -276,17 +278,17 @@
             fillers.push(filler);
         }
         self.endpoints[endpoint] = address;
-        Hanging { listener: socket.into(), endpoint, _fillers: fillers }
+        HangingListener { listener: socket.into(), endpoint, _fillers: fillers }
     }
 
-    /// Lets the connections come up that hang.
-    pub fn release(&self, hanging: Hanging) {
+    /// Lets pending connections be established.
+    pub fn release(&self, hanging: HangingListener) {
         let (send, endpoint) = (self.send.clone(), hanging.endpoint);
         serve(hanging.listener, move |stream| serve_calls(endpoint, stream, &send));
     }
 
-    /// Tells the watch that other endpoints, at the same address, have come in the place of one: so many, one
-    /// after the other, under ids with this number in them.
+    /// Announces that other endpoints at the same address have replaced one: `times` of them, one after the
+    /// other, with ids that contain `number`.
     pub fn replace(&self, endpoint: usize, number: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
@@ -308,16 +310,16 @@
     }
 
     fn target(&self, endpoint: usize, state: &str) -> Value {
-        let otherwise = if self.apart { endpoint as u32 + 1 } else { 1 };
+        let otherwise = if self.destination_per_endpoint { endpoint as u32 + 1 } else { 1 };
         let destination = self.destinations.get(endpoint).copied().unwrap_or(otherwise);
         target(&format!("s-{endpoint}"), self.endpoints[endpoint], destination, state, self.rate)
     }
 
-    pub fn start(&self) -> Scheduler<'_> {
+    pub fn start(&self) -> RunningGateway<'_> {
         self.start_beside().listening()
     }
 
-    /// Puts a folder where a courier that has gone had bound its Unix socket, so that the next one cannot.
+    /// Puts a folder where an earlier gateway had bound its Unix socket, so that the next one cannot bind it.
     pub fn refuse_unix_sockets(&self) {
         for entry in std::fs::read_dir(self.folder.join("tmp")).unwrap() {
             let path = entry.unwrap().path();
@@ -339,34 +341,34 @@
     }
 
     /// Starts a process that may have to wait for another one.
-    pub fn start_beside(&self) -> Scheduler<'_> {
+    pub fn start_beside(&self) -> RunningGateway<'_> {
         self.start_process().with_door()
     }
 
     /// Starts a process that may end at any time.
-    pub fn start_process(&self) -> Scheduler<'_> {
+    pub fn start_process(&self) -> RunningGateway<'_> {
         self.configure(&self.discovery);
-        Scheduler::start(self)
+        RunningGateway::start(self)
     }
 
-    /// Starts a courier whose log goes elsewhere, at an address that the world has told.
-    pub fn start_logging_to(&self, log: Stdio) -> Scheduler<'_> {
+    /// Starts a gateway whose log goes elsewhere, at an address that the environment chooses.
+    pub fn start_logging_to(&self, log: Stdio) -> RunningGateway<'_> {
         let (_socket, address) = bound();
         drop(_socket);
         self.listen.set(address);
         self.configure(&self.discovery);
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_logging_to(binary, &self.folder, &self.fault_variables(), log).unwrap();
-        let courier = Scheduler { world: self, process, address, admin: address };
+        let gateway = RunningGateway { environment: self, process, address, admin: address };
         let end = Instant::now() + PATIENCE;
-        while courier.try_client(PATIENCE).is_err() {
-            assert!(Instant::now() < end, "the courier never listens");
+        while gateway.try_client(PATIENCE).is_err() {
+            assert!(Instant::now() < end, "the gateway never listens");
             thread::sleep(Duration::from_millis(5));
         }
-        courier
+        gateway
     }
 
-    /// Another agent, which knows that an endpoint drains.
+    /// Another agent of discovery, which has an endpoint as draining.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
         let agent = Agent::start(&self.send).unwrap();
         let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
@@ -375,8 +377,8 @@
         agent
     }
 
-    /// Puts other words in the place of the configuration.
-    pub fn spoil_configuration(&self) {
+    /// Replaces the configuration with invalid text.
+    pub fn write_invalid_configuration(&self) {
         std::fs::write(self.folder.join("config.json"), "{\"name\":").unwrap();
     }
 
@@ -406,78 +408,78 @@
         configuration.write(&self.folder).unwrap();
     }
 
-    /// The next thing that the courier does.
-    pub fn call_or_notice(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("the courier does something")
+    /// The next call or notification of the gateway.
+    pub fn next_seen(&self) -> Seen {
+        self.seen.recv_timeout(PATIENCE).expect("the gateway does something")
     }
 
-    /// The next thing that the courier does, if it does one in time.
+    /// The next call or notification, if one arrives in time.
     pub fn seen_within(&self, limit: Duration) -> Option<Seen> {
         self.seen.recv_timeout(limit).ok()
     }
 
     pub fn call(&self) -> Call {
-        match self.call_or_notice() {
+        match self.next_seen() {
             Seen::Call(call) => call,
-            Seen::Notification(line) => panic!("a call was due, not the notice {line}"),
+            Seen::Notification(line) => panic!("a call was due, not the notification {line}"),
         }
     }
 
-    /// The next call; notices may be repeated meanwhile.
-    pub fn call_among_notices(&self) -> Call {
+    /// The next call; notifications may be repeated meanwhile.
+    pub fn call_among_notifications(&self) -> Call {
         loop {
-            if let Seen::Call(call) = self.call_or_notice() {
+            if let Seen::Call(call) = self.next_seen() {
                 return call;
             }
         }
     }
 
-    pub fn notice(&self) -> String {
-        match self.call_or_notice() {
+    pub fn notification(&self) -> String {
+        match self.next_seen() {
             Seen::Notification(line) => line,
-            Seen::Call(call) => panic!("a notice was due, not a call for {}", call.id),
+            Seen::Call(call) => panic!("a notification was due, not a call for {}", call.id),
         }
     }
 
-    /// No call for a while; notices may be repeated.
-    pub fn no_call(&self) {
+    /// Checks that there is no call for a while; notifications may be repeated.
+    pub fn expect_no_call(&self) {
         let end = Instant::now() + QUIET;
         while let Ok(seen) = self.seen.recv_timeout(end.saturating_duration_since(Instant::now())) {
             if let Seen::Call(call) = seen {
-                panic!("nothing was to be sent, but {} was", call.id);
+                panic!("no call was due, but {} was", call.id);
             }
         }
     }
 
-    pub fn nothing(&self) {
+    pub fn expect_nothing(&self) {
         match self.seen.recv_timeout(QUIET) {
-            Ok(Seen::Call(call)) => panic!("nothing was to be sent, but {} was", call.id),
-            Ok(Seen::Notification(line)) => panic!("nothing was to be told, but {line} was"),
+            Ok(Seen::Call(call)) => panic!("no call was due, but {} was", call.id),
+            Ok(Seen::Notification(line)) => panic!("no notification was due, but {line} was"),
             Err(_) => {}
         }
     }
 
-    /// How many requests with notices an agent has had.
-    pub fn notices_at(&self, agent: &Agent) -> u32 {
+    /// How many requests with notifications an agent has had.
+    pub fn notification_requests_at(&self, agent: &Agent) -> u32 {
         agent.state.notification_requests.load(Ordering::SeqCst)
     }
 
-    pub fn hold_notices(&self, hold: bool) {
+    pub fn hold_notifications(&self, hold: bool) {
         self.discovery.state.hold_notifications.store(hold, Ordering::SeqCst);
     }
 
-    /// So many connections fall silent, each with the next notices on it.
-    pub fn lose_notices(&self, connections: u32) {
+    /// Makes so many connections fall silent, each with the next notifications on it.
+    pub fn lose_notifications(&self, connections: u32) {
         self.discovery.state.lost_notifications.store(connections, Ordering::SeqCst);
     }
 
-    /// Tells the watch that an endpoint drains.
+    /// Announces that an endpoint drains.
     pub fn drain(&self, endpoint: usize) {
         self.tell(2, &[self.target(endpoint, "DRAINING")]);
     }
 
-    /// Tells the watch of all endpoints, in one line.
-    pub fn tell_all(&self, rev: u32) {
+    /// Announces all endpoints, in one line.
+    pub fn announce_all(&self, rev: u32) {
         self.tell(rev, &(0..self.endpoints.len()).map(|at| self.target(at, "SERVING")).collect::<Vec<_>>());
     }
 
@@ -487,40 +489,40 @@
         format!("{update:#}\n")
     }
 
-    /// Tells the watch that an endpoint serves, as a later version of the list.
-    pub fn serve_again(&self, endpoint: usize, rev: u32) {
+    /// Announces that an endpoint serves, as a later revision of the list.
+    pub fn announce_serving(&self, endpoint: usize, rev: u32) {
         self.tell(rev, &[self.target(endpoint, "SERVING")]);
     }
 
-    /// Tells the watch that an endpoint is gone.
+    /// Announces that an endpoint is removed.
     pub fn remove(&self, endpoint: usize) {
         self.tell(2, &[self.target(endpoint, "DELETED")]);
     }
 
     fn tell(&self, rev: u32, targets: &[Value]) {
-        self.tell_text(&format!("{}\n", json!({"rev": rev, "all": false, "targets": targets})));
+        self.announce_text(&format!("{}\n", json!({"rev": rev, "all": false, "targets": targets})));
     }
 
-    /// Tells the watch some text, whatever it says.
-    pub fn tell_text(&self, text: &str) {
+    /// Sends some text on the watch, whatever it says.
+    pub fn announce_text(&self, text: &str) {
         self.discovery.announce(text);
     }
 
-    /// Discovery takes connections and says nothing.
-    pub fn silence_discovery(&self, silent: bool) {
+    /// Makes discovery accept connections and never answer.
+    pub fn set_discovery_silent(&self, silent: bool) {
         self.discovery.state.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Discovery has so much to do that a watch is answered late.
-    pub fn slow_discovery(&self, by: Duration) {
+    /// Makes discovery answer watches late.
+    pub fn delay_discovery(&self, by: Duration) {
         self.discovery.state.watch_delay_ms.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Waits until discovery has answered a watch.
-    pub fn until_watched(&self) {
+    pub fn wait_until_watched(&self) {
         let end = Instant::now() + PATIENCE;
         while self.watches() == 0 {
-            assert!(Instant::now() < end, "the courier never watches the list");
+            assert!(Instant::now() < end, "the gateway never watches the endpoint list");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -545,29 +547,30 @@
     }
 }
 
-/// A running courier; it is killed when dropped.
-pub struct Scheduler<'a> {
-    world: &'a World,
+/// A running gateway; it is killed when dropped.
+pub struct RunningGateway<'a> {
+    environment: &'a TestEnvironment,
     process: Process,
     address: SocketAddr,
     admin: SocketAddr,
 }
 
-impl<'a> Scheduler<'a> {
-    fn start(world: &'a World) -> Self {
+impl<'a> RunningGateway<'a> {
+    fn start(environment: &'a TestEnvironment) -> Self {
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
-        let process = Process::start_with(binary, &world.folder, &world.fault_variables()).unwrap();
+        let process =
+            Process::start_with(binary, &environment.folder, &environment.fault_variables()).unwrap();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Scheduler { world, process, address: nowhere, admin: nowhere }
+        RunningGateway { environment, process, address: nowhere, admin: nowhere }
     }
 
-    /// Waits until operators may call it.
+    /// Waits until its admin endpoint is open.
     fn with_door(mut self) -> Self {
         self.admin = address_in(&self.log_until("admin endpoint open")).unwrap();
         self
     }
 
-    /// Waits until it serves or has ended, and tells whether it has served.
+    /// Waits until it serves or has ended; returns whether it serves.
     pub fn listens_or_ends(&mut self) -> bool {
         let end = Instant::now() + PATIENCE;
         while !self.has_logged(" listening ") && !self.has_ended() && Instant::now() < end {
@@ -582,21 +585,21 @@
         self
     }
 
-    /// A connection to the operators' door.
-    pub fn operator(&self) -> TcpStream {
+    /// A connection to the admin endpoint.
+    pub fn admin_connection(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream
     }
 
-    /// Makes a call of the operators, and gives its status.
-    pub fn operate(&self, call: &str) -> u16 {
-        let mut stream = self.operator();
-        let _ = stream.write_all(format!("{call} HTTP/1.1\r\nHost: door\r\n\r\n").as_bytes());
+    /// Sends a request to the admin endpoint, and returns the status of its response.
+    pub fn admin_request(&self, call: &str) -> u16 {
+        let mut stream = self.admin_connection();
+        let _ = stream.write_all(format!("{call} HTTP/1.1\r\nHost: admin\r\n\r\n").as_bytes());
         status(stream)
     }
 
-    /// Waits for a line of the log that holds some words, and returns it.
+    /// Waits for a line of the log that contains some words, and returns it.
     pub fn log_until(&self, words: &str) -> String {
         self.log_times(words, 1)
     }
@@ -608,7 +611,7 @@
             .unwrap_or_else(|lines| panic!("the log never says '{words}': {lines:#?}"))
     }
 
-    /// Whether a line of the log so far holds some words.
+    /// Whether a line of the log so far contains some words.
     pub fn has_logged(&self, words: &str) -> bool {
         self.process.has_logged(words)
     }
@@ -617,7 +620,7 @@
         Client::connect(self.address, PATIENCE).unwrap()
     }
 
-    /// A client whose answers have to come in some time.
+    /// A client whose replies have to arrive in some time.
     pub fn try_client(&self, limit: Duration) -> std::io::Result<Client> {
         Client::connect(self.address, limit)
     }
@@ -627,43 +630,43 @@
         self.process.child.try_wait().unwrap().is_some()
     }
 
-    pub fn kill(mut self) -> Stopped<'a> {
+    pub fn kill(mut self) -> StoppedGateway<'a> {
         self.process.child.kill().unwrap();
         self.process.child.wait().unwrap();
-        Stopped { world: self.world }
+        StoppedGateway { environment: self.environment }
     }
 
-    pub fn kill_and_restart(self) -> Scheduler<'a> {
+    pub fn kill_and_restart(self) -> RunningGateway<'a> {
         self.kill().restart()
     }
 
-    /// Stops the process for as long as something is done.
+    /// Stops the process (SIGSTOP) while something is done.
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("STOP");
         act();
         self.signal("CONT");
     }
 
-    /// Descriptors that the process holds.
+    /// Descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.child.id())).unwrap().count()
     }
 
-    /// Memory of the process that is in use, in KiB.
+    /// Resident memory of the process, in KiB.
     pub fn memory(&self) -> u64 {
         self.process.status_value("VmRSS").unwrap()
     }
 
-    /// The most that it ever had in use.
+    /// The most that it ever had, in KiB.
     pub fn peak_memory(&self) -> u64 {
         self.process.status_value("VmHWM").unwrap()
     }
 
-    pub fn terminate(&self) {
+    pub fn send_sigterm(&self) {
         self.signal("TERM");
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("HUP");
     }
 
@@ -685,7 +688,7 @@
     }
 }
 
-/// The status of the answer that comes on a connection to the door.
+/// The status of the response on a connection to the admin endpoint.
 pub fn status(mut stream: TcpStream) -> u16 {
     let mut answer = Vec::new();
     // A reset may follow an answer to what was not read to its end.
@@ -695,23 +698,23 @@
     status.unwrap_or_else(|| panic!("no answer: {answer:?}"))
 }
 
-pub struct Stopped<'a> {
-    world: &'a World,
+pub struct StoppedGateway<'a> {
+    environment: &'a TestEnvironment,
 }
 
-impl<'a> Stopped<'a> {
-    pub fn restart(self) -> Scheduler<'a> {
-        Scheduler::start(self.world).with_door().listening()
+impl<'a> StoppedGateway<'a> {
+    pub fn restart(self) -> RunningGateway<'a> {
+        RunningGateway::start(self.environment).with_door().listening()
     }
 }
 
 impl Client {
     pub fn send(&mut self, bytes: &[u8]) {
-        // A courier that has had enough of bad input may close before all of it is written.
+        // A gateway that rejects bad input may close before all of it is written.
         let _ = self.try_send(bytes);
     }
 
-    /// Ends the sending side.
+    /// Shuts down the sending side.
     pub fn end(&mut self) {
         self.stream.get_mut().shutdown(Shutdown::Write).unwrap();
     }
@@ -731,24 +734,24 @@
         self.line()
     }
 
-    /// Sends a command without waiting for its answer.
+    /// Sends a command without waiting for its reply.
     pub fn command<W: AsRef<[u8]>>(&mut self, words: &[W]) {
         self.send(&command(words));
     }
 
-    /// Hands a message in; `class` may carry further fields.
+    /// Enqueues a message; `class` may carry further fields.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.begin_enqueue(id, key, class, destination, body);
         self.line()
     }
 
-    /// Sends a hand-in without waiting for its answer.
+    /// Sends a request to enqueue without waiting for its reply.
     pub fn begin_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
         let fields = format!("d=20000,c={class},dest={destination}");
         self.command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
-    /// Whether the courier closes the connection without a word.
+    /// Whether the gateway closes the connection without a reply.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,39 +1,39 @@
 //! The gateway over loopback sockets: each test guards against one way of breaking a promise.
 
-mod world;
+mod environment;
 
+use environment::*;
 use std::time::{Duration, Instant};
-use world::*;
 
 /// A message reaches its endpoint as it was enqueued, and no notification follows.
 #[test]
 fn delivers_an_enqueued_message() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"\x00pay\r\n"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!((call.id.as_str(), &call.body[..]), ("a1", &b"\x00pay\r\n"[..]));
     assert_eq!(call.header("x-budget").map(|budget| budget.parse::<f64>().is_ok()), Some(true));
     call.answer("200 OK", "");
     assert_eq!(client.enqueue("a2", "5c", "notice,k=77", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.header("idempotency-key"), Some("77"));
     call.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A tenant within its quota is served before one beyond its own, also after a restart.
 #[test]
 fn a_tenant_beyond_its_quota_is_served_last() {
     for restart in [false, true] {
-        let mut world = World::new(1, 3.0);
-        world.slots = 1;
-        let mut gateway = world.start();
+        let mut environment = TestEnvironment::new(1, 3.0);
+        environment.slots = 1;
+        let mut gateway = environment.start();
         let mut client = gateway.client();
         assert_eq!(client.enqueue("first", "0", "salary,t=south", 1, b"x"), "+OK");
-        let first = world.call();
+        let first = environment.call();
         // North has a quota of zero, so that the order does not depend on time.
         for (id, tenant) in [
             ("n1", "north"),
@@ -50,18 +50,21 @@
         } else {
             first.answer("200 OK", "");
         }
-        let (mut order, mut notices) = (Vec::new(), Vec::new());
+        let (mut order, mut notifications) = (Vec::new(), Vec::new());
         // After a restart the notification for the first one and the next call are sent concurrently.
-        while order.len() + notices.len() < 6 + usize::from(restart) {
-            match world.call_or_notice() {
+        while order.len() + notifications.len() < 6 + usize::from(restart) {
+            match environment.next_seen() {
                 Seen::Call(call) => {
                     order.push(call.id.clone());
                     call.answer("200 OK", "");
                 }
-                Seen::Notification(line) => notices.push(line),
+                Seen::Notification(line) => notifications.push(line),
             }
         }
-        assert!(notices.iter().all(|line| line == r#"{"id":"first","state":"failed"}"#), "{notices:?}");
+        assert!(
+            notifications.iter().all(|line| line == r#"{"id":"first","state":"failed"}"#),
+            "{notifications:?}"
+        );
         let inside = order.iter().take(3).all(|id| id.starts_with('s'));
         assert!(inside, "after a restart: {restart}: {order:?}");
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
@@ -72,8 +75,8 @@
 /// length.
 #[test]
 fn malformed_requests_get_an_error_and_do_no_harm() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let nested = "*1\r\n".repeat(15_000);
     for bad in [
         "hello\r\n",
@@ -100,34 +103,34 @@
 /// once, without another call.
 #[test]
 fn a_non_idempotent_message_in_flight_at_a_kill_fails() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    let _open = world.call();
+    let _open = environment.call();
     let gateway = gateway.kill_and_restart();
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
-    assert_eq!(world.notice(), r#"{"id":"u1","state":"failed"}"#);
-    world.no_call();
+    assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
+    environment.expect_no_call();
 }
 
 /// An idempotent message is retried under its key, before the message behind it; a delivered one is not sent again.
 #[test]
 fn idempotent_messages_continue_in_order_after_a_kill() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("k0", "9", "notice,k=k0", 1, b"0"), "+OK");
-    world.call().answer("200 OK", "");
+    environment.call().answer("200 OK", "");
     assert_eq!(client.enqueue("k1", "9", "notice,k=k1", 1, b"1"), "+OK");
-    let open = world.call();
+    let open = environment.call();
     assert_eq!(open.id, "k1");
     assert_eq!(client.enqueue("k2", "9", "notice,k=k2", 1, b"2"), "+OK");
     let _gateway = gateway.kill_and_restart();
-    let again = world.call();
+    let again = environment.call();
     assert_eq!((again.id.as_str(), again.header("idempotency-key")), ("k1", Some("k1")));
-    world.no_call();
+    environment.expect_no_call();
     again.answer("200 OK", "");
-    let behind = world.call();
+    let behind = environment.call();
     assert_eq!(behind.id, "k2");
     behind.answer("200 OK", "");
 }
@@ -136,18 +139,18 @@
 /// the next one with its ordering key, and after a kill the notification is sent again instead of another call.
 #[test]
 fn an_ordering_key_waits_until_a_notification_is_acknowledged() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
-    world.hold_notices(true);
+    environment.hold_notifications(true);
     assert_eq!(client.enqueue("n1", "9", "brief,k=n1", 1, b"1"), "+OK");
-    let first = world.call();
+    let first = environment.call();
     assert_eq!(client.enqueue("n2", "9", "notice,k=n2", 1, b"2"), "+OK");
     first.answer("500 Oops", "");
     // Its idempotency window is short: it fails as soon as it may not be sent again.
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
-        match world.call_or_notice() {
+        match environment.next_seen() {
             Seen::Notification(line) => break assert_eq!(line, failed),
             Seen::Call(call) => {
                 assert_eq!(call.id, "n1");
@@ -155,12 +158,12 @@
             }
         }
     }
-    world.no_call();
+    environment.expect_no_call();
     let _gateway = gateway.kill_and_restart();
-    assert_eq!(world.notice(), failed);
-    world.no_call();
-    world.hold_notices(false);
-    let next = world.call_among_notices();
+    assert_eq!(environment.notification(), failed);
+    environment.expect_no_call();
+    environment.hold_notifications(false);
+    let next = environment.call_among_notifications();
     assert_eq!(next.id, "n2");
     next.answer("200 OK", "");
 }
@@ -168,80 +171,80 @@
 /// A refused connection proves that the call was not processed: the non-idempotent message goes to another endpoint.
 #[test]
 fn a_non_idempotent_message_is_retried_when_a_connection_is_refused() {
-    let mut world = World::new(2, 3.0);
-    world.refuse_connections(0);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::new(2, 3.0);
+    environment.reject_connections(0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     // While calls stay in flight at the one endpoint, the other has the fewest and is tried.
     let ids = ["r1", "r2", "r3"];
     ids.iter().for_each(|id| assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK"));
-    let calls: Vec<Call> = ids.iter().map(|_| world.call()).collect();
+    let calls: Vec<Call> = ids.iter().map(|_| environment.call()).collect();
     assert!(calls.iter().all(|call| call.endpoint == 1));
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A call whose connection breaks after it was sent may have been processed.
 #[test]
 fn a_non_idempotent_message_fails_at_once_when_its_connection_is_reset() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("x1", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
-    assert_eq!(world.notice(), r#"{"id":"x1","state":"failed"}"#);
-    world.no_call();
+    environment.call().reset();
+    assert_eq!(environment.notification(), r#"{"id":"x1","state":"failed"}"#);
+    environment.expect_no_call();
 }
 
 /// 504 says that the attempts are exhausted: the message is returned at once, since nothing was processed. Once
 /// notified, the client may enqueue it again, so that nothing may be sent for it after a restart either.
 #[test]
 fn a_message_without_attempts_left_is_returned_at_once_and_for_good() {
-    let world = World::new(1, 3.0);
-    world.hold_notices(true);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    environment.hold_notifications(true);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("504 Spent", "");
-    let notification = world.notice();
+    environment.call().answer("504 Spent", "");
+    let notification = environment.notification();
     assert!(
         notification.starts_with(r#"{"after_ms":"#) && notification.contains(r#""state":"returned""#),
         "{notification}"
     );
     let _gateway = gateway.kill_and_restart();
-    assert_eq!(world.notice(), notification);
-    world.no_call();
+    assert_eq!(environment.notification(), notification);
+    environment.expect_no_call();
 }
 
 /// A Retry-After holds for all messages to the destination.
 #[test]
 fn a_retry_after_holds_for_all_messages_to_the_destination() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     let responded_at = Instant::now();
-    world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
+    environment.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
     gateway.log_until("Retry-After received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
     call.answer("200 OK", "");
-    world.call().answer("200 OK", "");
+    environment.call().answer("200 OK", "");
 }
 
 /// A draining endpoint stays so after a restart, though the configured endpoint list is older and discovery is silent.
 #[test]
 fn a_draining_endpoint_stays_draining_over_a_restart() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
-    world.drain(0);
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
+    environment.drain(0);
     gateway.log_until("endpoint list updated");
-    world.silence_discovery(true);
+    environment.set_discovery_silent(true);
     let gateway = gateway.kill_and_restart();
     let mut client = gateway.client();
     let mut open = Vec::new();
     for id in ["e1", "e2", "e3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.endpoint, 1);
         open.push(call);
     }
@@ -252,41 +255,41 @@
 /// in time.
 #[test]
 fn sigterm_finishes_calls_in_flight_and_accepts_until_the_end() {
-    let world = World::new(1, 3.0);
-    let mut gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let mut gateway = environment.start();
     let mut idle = gateway.client();
     assert_eq!(idle.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
-    gateway.terminate();
+    let out = environment.call();
+    gateway.send_sigterm();
     assert!(idle.is_closed());
     assert_eq!(gateway.client().enqueue("t2", "0", "salary", 1, b"x"), "+OK");
     out.answer("200 OK", "");
-    let second = world.call();
+    let second = environment.call();
     assert_eq!(second.id, "t2");
     second.answer("200 OK", "");
     assert!(gateway.wait(Duration::from_millis(3700)).success());
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// An unresponsive call does not keep the process until SIGKILL, and its message fails at the next start.
 #[test]
 fn sigterm_does_not_wait_for_an_unresponsive_call() {
-    let world = World::new(1, 3.0);
-    let mut gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let mut gateway = environment.start();
     assert_eq!(gateway.client().enqueue("h1", "0", "salary", 1, b"x"), "+OK");
-    let _hung = world.call();
-    gateway.terminate();
+    let _hung = environment.call();
+    gateway.send_sigterm();
     assert!(gateway.wait(Duration::from_millis(3700)).success());
     let _gateway = gateway.kill_and_restart();
-    assert_eq!(world.notice(), r#"{"id":"h1","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"h1","state":"failed"}"#);
 }
 
 /// Messages are accepted only while the journal has room, the old and the new file together stay within the limit, and
 /// all accepted messages are there after a kill.
 #[test]
 fn a_full_journal_rejects_messages_and_keeps_accepted_ones() {
-    let world = World::patient(1, 0.3);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 0.3);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let body = vec![b'x'; 4000];
     let mut accepted = 0;
@@ -295,7 +298,7 @@
             "+OK" => accepted += 1,
             answer => assert!(answer.starts_with("-BUSY "), "{answer}"),
         }
-        assert!(world.disk_used() <= 300_000);
+        assert!(environment.disk_used() <= 300_000);
     }
     assert!((5..60).contains(&accepted), "{accepted}");
     let gateway = gateway.kill_and_restart();
@@ -305,24 +308,24 @@
 /// A torn or damaged tail of the journal is truncated; what stands before it is kept, and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("j1", "0", "salary", 1, b"x"), "+OK");
-    let _out = world.call();
+    let _out = environment.call();
     drop(client);
     let gateway = gateway.kill();
-    world.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
+    environment.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
     let gateway = gateway.restart();
     assert!(gateway.log_until("journal replayed").contains("pending=1"));
-    assert_eq!(world.notice(), r#"{"id":"j1","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"j1","state":"failed"}"#);
 }
 
 /// An unwritable disk leads to rejections, not to a crash.
 #[test]
 fn an_unwritable_journal_rejects_messages() {
-    let world = World::new(1, 0.0001);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 0.0001);
+    let gateway = environment.start();
     assert!(gateway.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
 }
@@ -331,56 +334,56 @@
 /// rejected with a Retry-After.
 #[test]
 fn no_more_messages_are_pending_than_the_settings_allow() {
-    let mut world = World::patient(1, 3.0);
-    world.max_pending_messages = 3;
-    world.hold_notices(true);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    environment.max_pending_messages = 3;
+    environment.hold_notifications(true);
+    let gateway = environment.start();
     let mut client = gateway.client();
     for id in ["m1", "m2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
-    let calls = [world.call(), world.call()];
+    let calls = [environment.call(), environment.call()];
     // Nearly full, the scheduler returns the next one at once; it stays pending until its notification is acknowledged.
     assert_eq!(client.enqueue("m3", "0", "salary", 1, b"x"), "+OK");
-    assert!(world.notice().contains(r#""id":"m3","state":"returned""#));
+    assert!(environment.notification().contains(r#""id":"m3","state":"returned""#));
     let answer = client.enqueue("m4", "0", "salary", 1, b"x");
     let after = answer.strip_prefix("-BUSY ").and_then(|ms| ms.parse::<u64>().ok());
     assert!(after.is_some_and(|ms| ms > 0), "{answer}");
     // The same id once more is the same message, which is pending already.
     assert_eq!(client.enqueue("m1", "0", "salary", 1, b"x"), "+OK");
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
-    world.no_call();
+    environment.expect_no_call();
 }
 
 /// A timed-out call closes its connection before the next attempt is sent: with the earlier one still on an open
 /// connection there would be two at once.
 #[test]
 fn a_timed_out_call_is_closed_before_the_next_attempt() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("c1", "9", "notice,k=c1", 1, b"x"), "+OK");
-    let first = world.call();
-    let second = world.call();
+    let first = environment.call();
+    let second = environment.call();
     assert_eq!(second.id, "c1");
     assert!(first.is_closed());
     second.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Silence of discovery is no empty list: delivery continues, and the watch is established again when it is back.
 #[test]
 fn delivery_continues_while_discovery_is_silent() {
-    let world = World::new(2, 3.0);
-    world.silence_discovery(true);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    environment.set_discovery_silent(true);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("q1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    environment.call().answer("200 OK", "");
     gateway.log_until("endpoint watch failed");
     assert_eq!(gateway.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
-    world.drain(0);
-    world.silence_discovery(false);
+    environment.call().answer("200 OK", "");
+    environment.drain(0);
+    environment.set_discovery_silent(false);
     gateway.log_until("endpoint list updated");
 }
 
@@ -388,52 +391,52 @@
 /// watch is established anew with the next line instead of waiting for the rest.
 #[test]
 fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
-    let text = world.indented_drain(0);
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
+    let text = environment.indented_drain(0);
     let (first, rest) = text.split_at(text.len() / 2);
-    world.tell_text(first);
-    world.tell_text(rest);
+    environment.announce_text(first);
+    environment.announce_text(rest);
     gateway.log_until("endpoint list updated revision=2 changed=1");
     for id in ["i1", "i2"] {
         assert_eq!(gateway.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
-    world.tell_text("{\n  \"rev\": 3,\n");
-    world.tell_text("\n");
+    environment.announce_text("{\n  \"rev\": 3,\n");
+    environment.announce_text("\n");
     gateway.log_until("endpoint watch failed");
 }
 
 /// A slow discovery is requested once: hanging up early would repeat the request while it is still being served.
 #[test]
 fn a_slow_discovery_is_requested_once() {
-    let world = World::new(1, 3.0);
-    world.slow_discovery(Duration::from_millis(1500));
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    environment.delay_discovery(Duration::from_millis(1500));
+    let gateway = environment.start();
     gateway.client();
-    world.drain(0);
+    environment.drain(0);
     gateway.log_until("endpoint list updated");
-    assert_eq!(world.watches(), 1);
+    assert_eq!(environment.watches(), 1);
 }
 
 /// A notification is sent until it is acknowledged.
 #[test]
 fn a_notification_is_sent_until_it_is_acknowledged() {
-    let world = World::new(1, 3.0);
-    world.hold_notices(true);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    environment.hold_notifications(true);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("o1", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
+    environment.call().reset();
     let failed = r#"{"id":"o1","state":"failed"}"#;
-    assert_eq!(world.notice(), failed);
-    assert_eq!(world.notice(), failed);
-    world.hold_notices(false);
+    assert_eq!(environment.notification(), failed);
+    assert_eq!(environment.notification(), failed);
+    environment.hold_notifications(false);
     // Those behind it are sent once it is acknowledged.
     assert_eq!(gateway.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
     loop {
-        match world.call_or_notice() {
+        match environment.next_seen() {
             Seen::Call(call) => call.reset(),
             Seen::Notification(line) if line == failed => {}
             Seen::Notification(line) => break assert_eq!(line, r#"{"id":"o2","state":"failed"}"#),
@@ -445,80 +448,80 @@
 /// message's deadline on, so that the notification is resent early on another connection, with those queued behind it.
 #[test]
 fn a_notification_on_a_connection_that_fell_silent_is_resent_in_time() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let mut out = Vec::new();
     for id in ["n1", "n2", "n3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        out.push(world.call());
+        out.push(environment.call());
     }
     let failed = |id: &str| format!(r#"{{"id":"{id}","state":"failed"}}"#);
     out.remove(0).reset();
-    assert_eq!(world.notice(), failed("n1"));
-    world.lose_notices(1);
+    assert_eq!(environment.notification(), failed("n1"));
+    environment.lose_notifications(1);
     let begun = Instant::now();
     out.into_iter().for_each(Call::reset);
-    let mut notified = [world.notice(), world.notice()];
+    let mut notified = [environment.notification(), environment.notification()];
     assert!(begun.elapsed() < Duration::from_millis(500), "after {:?}", begun.elapsed());
     notified.sort();
     assert_eq!(notified, ["n2", "n3"].map(failed));
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A long journal is compacted again and again: it stays within the disk's limit, and keeps pending messages.
 #[test]
 fn a_long_journal_is_compacted() {
-    let world = World::patient(1, 0.1);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 0.1);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("kept", "0", "salary", 1, b"x"), "+OK");
-    let _open = world.call();
+    let _open = environment.call();
     let body = vec![b'x'; 2000];
     for number in 0..150 {
         assert_eq!(client.enqueue(&format!("l{number}"), "0", "salary", 1, &body), "+OK");
-        world.call().answer("200 OK", "");
-        assert!(world.disk_used() <= 100_000);
+        environment.call().answer("200 OK", "");
+        assert!(environment.disk_used() <= 100_000);
     }
     let gateway = gateway.kill_and_restart();
-    assert_eq!(world.notice(), r#"{"id":"kept","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"kept","state":"failed"}"#);
     drop(gateway);
 }
 
 /// An idle connection that the endpoint has closed is not reused: a call on it would be lost.
 #[test]
 fn a_closed_connection_is_not_reused() {
-    let world = World::new(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     for id in ["y1", "y2", "y3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, id);
         call.answer("200 OK", "Connection: close\r\n");
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A call whose connection is established only after a Retry-After, or while draining, must not be sent on it.
 #[test]
 fn calls_still_connecting_are_withdrawn_on_a_retry_after() {
-    let mut world = World::new(2, 3.0);
-    let hanging = world.hang_connections(0);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::new(2, 3.0);
+    let hanging = environment.hang_connections(0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["v1", "v2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.endpoint, 1);
     let responded_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
     gateway.log_until("Retry-After received");
-    world.release(hanging);
+    environment.release(hanging);
     for _ in 0..2 {
-        let call = world.call();
+        let call = environment.call();
         assert!(responded_at.elapsed() >= Duration::from_millis(3500), "after {:?}", responded_at.elapsed());
         call.answer("200 OK", "");
     }
@@ -527,72 +530,72 @@
 /// A retry whose connection is established only after its idempotency window has passed must not be sent on it.
 #[test]
 fn a_retry_still_connecting_at_the_end_of_its_window_is_not_sent() {
-    let mut world = World::new(2, 3.0);
-    let hanging = world.hang_connections(0);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::new(2, 3.0);
+    let hanging = environment.hang_connections(0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     // One goes to each endpoint. The one that responds is disabled then, so that the retry has to go to the other one.
     for id in ["w1", "w2"] {
         assert_eq!(client.enqueue(id, &id[1..], "brief,k=w", 1, b"x"), "+OK");
     }
-    let failed = world.call();
+    let failed = environment.call();
     assert_eq!(failed.endpoint, 1);
-    assert_eq!(gateway.operate("POST /_endpoints/detach?id=s-1"), 200);
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-1"), 200);
     let (id, sent) = (failed.id.clone(), Instant::now());
     failed.answer("500 No", "");
-    assert_eq!(world.notice(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
+    assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
     assert!(sent.elapsed() < Duration::from_secs(4), "its connection was waited for: {:?}", sent.elapsed());
-    world.release(hanging);
-    let other = world.call();
+    environment.release(hanging);
+    let other = environment.call();
     assert_ne!(other.id, id, "it was sent after its window");
     other.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A call that several messages share may connect for as long as one of them has time; a message that expires meanwhile
 /// has had its final outcome by then and must not be sent.
 #[test]
 fn a_message_that_expires_while_its_shared_call_connects_is_not_sent() {
-    let mut world = World::new(1, 3.0);
-    world.batch = 4;
-    let hanging = world.hang_connections(0);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::new(1, 3.0);
+    environment.batch = 4;
+    let hanging = environment.hang_connections(0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     // Both wait for the endpoint, so that they share a call.
-    assert_eq!(gateway.operate("POST /_endpoints/detach?id=s-0"), 200);
+    assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
     for (id, left) in [("short", 2000), ("long", 20_000)] {
         let fields = format!("c=salary,d={left},dest=1");
         assert_eq!(client.ask(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
-    assert_eq!(gateway.operate("POST /_endpoints/attach?id=s-0"), 200);
-    let notification = world.notice();
+    assert_eq!(gateway.admin_request("POST /_endpoints/attach?id=s-0"), 200);
+    let notification = environment.notification();
     assert!(
         notification.starts_with(r#"{"after_ms":"#)
             && notification.contains(r#""id":"short","state":"returned""#),
         "{notification}"
     );
-    world.release(hanging);
-    let call = world.call();
+    environment.release(hanging);
+    let call = environment.call();
     assert_eq!((call.path.as_str(), call.id.as_str()), ("/hook", "long"));
     call.answer("200 OK", "");
     gateway.log_until("messages waited too long for a connection");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Idle connections are kept at each endpoint, also where there are more endpoints than call slots: with only as many
 /// as slots, each call would evict a connection that is soon needed again.
 #[test]
 fn idle_connections_are_kept_at_more_endpoints_than_slots() {
-    let mut world = World::patient(6, 3.0);
-    (world.slots, world.apart) = (2, true);
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(6, 3.0);
+    (environment.slots, environment.destination_per_endpoint) = (2, true);
+    let gateway = environment.start();
     let mut client = gateway.client();
     let mut round = |number: u32| -> Vec<_> {
         (1..=6)
             .map(|destination| {
                 let id = format!("p{number}-{destination}");
                 assert_eq!(client.enqueue(&id, "0", "salary", destination, b"x"), "+OK");
-                let call = world.call();
+                let call = environment.call();
                 let connection = call.connection();
                 call.answer("200 OK", "");
                 connection
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,69 +1,72 @@
 //! The handover from one process to the next: what is handed over, and what holds when either dies midway.
 
-mod world;
+mod environment;
 
+use environment::*;
 use std::net::TcpListener;
 use std::time::Duration;
-use world::*;
 
 const SOON: Duration = Duration::from_secs(10);
 
 /// Clients, the queue behind the listener and in-flight calls are not interrupted, handover after handover.
 #[test]
 fn repeated_handovers_interrupt_no_client_and_no_call() {
-    let world = World::patient(1, 3.0);
-    let mut predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let mut predecessor = environment.start();
     let (mut idle, mut half) = (predecessor.client(), predecessor.client());
     assert_eq!(idle.ask(&["PING"]), "+PONG");
     for round in 0..3 {
         let id = |name: &str| format!("{name}{round}");
         // Two of one ordering key: the second waits for the first, which is in flight during the handover.
         assert_eq!(idle.enqueue(&id("first"), "9", "notice,k=a", 1, b"1"), "+OK");
-        let in_flight = world.call();
+        let in_flight = environment.call();
         // Connections are closed after 2 s between two requests, and after 1 s within one: nothing slow comes between.
         assert_eq!(half.ask(&["PING"]), "+PONG");
         assert_eq!(idle.enqueue(&id("second"), "9", "notice,k=b", 1, b"2"), "+OK");
         half.send(b"*1\r\n$4\r\nPI");
-        let successor = world.start();
+        let successor = environment.start();
         half.send(b"NG\r\n");
         assert_eq!(half.line(), "+PONG");
         assert_eq!(idle.enqueue(&id("third"), "0", "salary", 1, b"3"), "+OK");
-        assert_eq!((successor.operate("GET /_ready"), predecessor.operate("GET /_ready")), (200, 503));
-        predecessor.terminate();
-        let third = world.call();
+        assert_eq!(
+            (successor.admin_request("GET /_ready"), predecessor.admin_request("GET /_ready")),
+            (200, 503)
+        );
+        predecessor.send_sigterm();
+        let third = environment.call();
         assert_eq!(third.id, id("third"));
         third.answer("200 OK", "");
         assert_eq!(successor.client().ask(&["PING"]), "+PONG");
-        world.no_call();
+        environment.expect_no_call();
         in_flight.answer("200 OK", "");
-        let second = world.call();
+        let second = environment.call();
         assert_eq!(second.id, id("second"));
         second.answer("200 OK", "");
         assert!(predecessor.wait(SOON).success());
         predecessor = successor;
         (idle, half) = (predecessor.client(), predecessor.client());
     }
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A Retry-After binds the successor too, as does a disabled endpoint; the predecessor's admin endpoint passes requests on.
 #[test]
 fn retry_after_delays_and_disabled_endpoints_are_handed_over() {
-    let mut world = World::patient(2, 3.0);
-    world.apart = true;
-    let predecessor = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(2, 3.0);
+    environment.destination_per_endpoint = true;
+    let predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
+    environment.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
     predecessor.log_until("Retry-After received");
-    assert_eq!(predecessor.operate("POST /_endpoints/detach?id=s-1"), 200);
-    let successor = world.start();
+    assert_eq!(predecessor.admin_request("POST /_endpoints/detach?id=s-1"), 200);
+    let successor = environment.start();
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     assert_eq!(client.enqueue("w3", "0", "salary", 2, b"x"), "+OK");
-    world.no_call();
-    assert_eq!(predecessor.operate("POST /_endpoints/attach?id=s-9"), 404);
-    assert_eq!(predecessor.operate("POST /_endpoints/attach?id=s-1"), 200);
-    let call = world.call();
+    environment.expect_no_call();
+    assert_eq!(predecessor.admin_request("POST /_endpoints/attach?id=s-9"), 404);
+    assert_eq!(predecessor.admin_request("POST /_endpoints/attach?id=s-1"), 200);
+    let call = environment.call();
     assert_eq!(call.id, "w3");
     call.answer("200 OK", "");
     drop(successor);
@@ -72,12 +75,12 @@
 /// A lame duck stays one.
 #[test]
 fn a_lame_duck_stays_lame() {
-    let world = World::patient(1, 3.0);
-    let predecessor = world.start();
-    assert_eq!(predecessor.operate("POST /_lameduck/on"), 200);
-    let successor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let predecessor = environment.start();
+    assert_eq!(predecessor.admin_request("POST /_lameduck/on"), 200);
+    let successor = environment.start();
     assert!(successor.client().ask(&["PING"]).starts_with("-ERR"));
-    assert_eq!(successor.operate("POST /_lameduck/off"), 200);
+    assert_eq!(successor.admin_request("POST /_lameduck/off"), 200);
     assert_eq!(successor.client().ask(&["PING"]), "+PONG");
 }
 
@@ -85,49 +88,49 @@
 /// connecting.
 #[test]
 fn the_successor_cancels_calls_of_the_predecessor() {
-    let mut world = World::new(2, 3.0);
-    let hanging = world.hang_connections(0);
-    let predecessor = world.start();
+    let mut environment = TestEnvironment::new(2, 3.0);
+    let hanging = environment.hang_connections(0);
+    let predecessor = environment.start();
     let mut client = predecessor.client();
     for id in ["c1", "c2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
-    let first = world.call();
+    let first = environment.call();
     assert_eq!(first.endpoint, 1);
-    let successor = world.start();
-    assert_eq!(successor.operate("POST /_endpoints/detach?id=s-0"), 200);
-    world.release(hanging);
-    let second = world.call();
+    let successor = environment.start();
+    assert_eq!(successor.admin_request("POST /_endpoints/detach?id=s-0"), 200);
+    environment.release(hanging);
+    let second = environment.call();
     assert_eq!(second.endpoint, 1);
     assert_ne!(first.id, second.id);
     first.answer("200 OK", "");
     second.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// If the predecessor is killed midway, its calls may have run: those that are not idempotent have failed, and the others
 /// are retried, and only then.
 #[test]
 fn in_flight_calls_of_a_killed_predecessor_count_as_uncertain() {
-    let world = World::patient(2, 3.0);
-    let predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(2, 3.0);
+    let predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    let _non_idempotent_call = world.call();
+    let _non_idempotent_call = environment.call();
     assert_eq!(client.enqueue("k1", "5", "notice,k=k1", 1, b"x"), "+OK");
-    let _idempotent_call = world.call();
-    let successor = world.start();
-    assert_eq!(successor.operate("GET /_ready"), 200);
-    world.nothing();
+    let _idempotent_call = environment.call();
+    let successor = environment.start();
+    assert_eq!(successor.admin_request("GET /_ready"), 200);
+    environment.expect_nothing();
     predecessor.kill();
-    let (mut notices, mut calls) = (Vec::new(), Vec::new());
+    let (mut notifications, mut calls) = (Vec::new(), Vec::new());
     for _ in 0..2 {
-        match world.call_or_notice() {
+        match environment.next_seen() {
             Seen::Call(call) => calls.push(call),
-            Seen::Notification(line) => notices.push(line),
+            Seen::Notification(line) => notifications.push(line),
         }
     }
-    assert_eq!(notices, [r#"{"id":"u1","state":"failed"}"#]);
+    assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
     assert_eq!(calls.iter().map(|call| call.id.as_str()).collect::<Vec<_>>(), ["k1"]);
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
     assert_eq!(successor.client().ask(&["PING"]), "+PONG");
@@ -136,89 +139,89 @@
 /// When it exits, the predecessor drops calls that are still in flight, and the successor learns of it.
 #[test]
 fn calls_beyond_the_predecessors_exit_are_dropped() {
-    let world = World::patient(1, 3.0);
-    let mut predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let mut predecessor = environment.start();
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
-    let _successor = world.start();
-    predecessor.terminate();
+    let in_flight = environment.call();
+    let _successor = environment.start();
+    predecessor.send_sigterm();
     assert!(predecessor.wait(SOON).success());
     assert!(in_flight.is_closed());
-    assert_eq!(world.notice(), r#"{"id":"u1","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
 }
 
 /// If the successor dies before it has done anything, the predecessor continues where it was, with its calls in flight.
 #[test]
 fn the_predecessor_continues_if_the_successor_dies_at_once() {
-    let world = World::patient(1, 3.0);
-    let predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("k1", "9", "notice,k=a", 1, b"1"), "+OK");
-    let in_flight = world.call();
+    let in_flight = environment.call();
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
-    world.start().kill();
+    environment.start().kill();
     assert!(predecessor.log_until("resuming service").contains("journal_untouched=true"));
-    world.no_call();
+    environment.expect_no_call();
     in_flight.answer("200 OK", "");
-    let second = world.call();
+    let second = environment.call();
     assert_eq!(second.id, "k2");
     second.answer("200 OK", "");
-    assert_eq!(predecessor.operate("GET /_ready"), 200);
+    assert_eq!(predecessor.admin_request("GET /_ready"), 200);
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    environment.call().answer("200 OK", "");
     // It can be replaced as before.
-    assert_eq!(world.start().client().ask(&["PING"]), "+PONG");
+    assert_eq!(environment.start().client().ask(&["PING"]), "+PONG");
 }
 
 /// If it dies later, the journal holds what it has done; no message has two calls in flight.
 #[test]
 fn the_predecessor_recovers_from_the_journal_of_a_dead_successor() {
-    let world = World::patient(1, 3.0);
-    let predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("k1", "9", "notice,k=a", 1, b"1"), "+OK");
-    let first = world.call();
-    let successor = world.start();
+    let first = environment.call();
+    let successor = environment.start();
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     assert_eq!(client.enqueue("u1", "0", "salary", 1, b"3"), "+OK");
-    let other = world.call();
+    let other = environment.call();
     assert_eq!(other.id, "u1");
     successor.kill();
     assert!(predecessor.log_until("resuming service").contains("journal_untouched=false"));
-    let (mut notices, mut order) = (Vec::new(), Vec::new());
-    while notices.is_empty() || order.len() < 2 {
-        match world.call_or_notice() {
+    let (mut notifications, mut order) = (Vec::new(), Vec::new());
+    while notifications.is_empty() || order.len() < 2 {
+        match environment.next_seen() {
             Seen::Call(call) => {
                 // Its first call is dropped before it is retried.
                 assert!(first.is_closed());
                 order.push(call.id.clone());
                 call.answer("200 OK", "");
             }
-            Seen::Notification(line) => notices.push(line),
+            Seen::Notification(line) => notifications.push(line),
         }
     }
-    assert_eq!(notices, [r#"{"id":"u1","state":"failed"}"#]);
+    assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
     assert_eq!(order, ["k1", "k2"]);
     assert_eq!(predecessor.client().ask(&["PING"]), "+PONG");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A successor of another fingerprint continues from the journal: calls finish first; clients, Retry-After delays and
 /// disabled endpoints are handed over.
 #[test]
 fn a_successor_of_another_build_continues_from_the_journal() {
-    let mut world = World::patient(3, 3.0);
-    world.apart = true;
-    let mut predecessor = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(3, 3.0);
+    environment.destination_per_endpoint = true;
+    let mut predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 2, b"x"), "+OK");
-    world.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
+    environment.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
     predecessor.log_until("Retry-After received");
-    assert_eq!(predecessor.operate("POST /_endpoints/detach?id=s-2"), 200);
+    assert_eq!(predecessor.admin_request("POST /_endpoints/detach?id=s-2"), 200);
     assert_eq!(client.enqueue("k1", "9", "notice,k=a", 1, b"1"), "+OK");
-    let in_flight = world.call();
-    world.zone.set("elsewhere");
-    let successor = world.start_beside();
+    let in_flight = environment.call();
+    environment.zone.set("elsewhere");
+    let successor = environment.start_beside();
     predecessor.log_until("finishing calls before the handover");
     // It accepts messages as before, and starts no call.
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
@@ -226,72 +229,75 @@
     assert_eq!(client.enqueue("w2", "0", "salary", 2, b"x"), "+OK");
     in_flight.answer("200 OK", "");
     let successor = successor.listening();
-    assert_eq!((successor.operate("GET /_ready"), predecessor.operate("GET /_ready")), (200, 503));
-    predecessor.terminate();
+    assert_eq!(
+        (successor.admin_request("GET /_ready"), predecessor.admin_request("GET /_ready")),
+        (200, 503)
+    );
+    predecessor.send_sigterm();
     assert!(predecessor.wait(SOON).success());
-    let second = world.call();
+    let second = environment.call();
     assert_eq!(second.id, "k2");
     second.answer("200 OK", "");
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    world.no_call();
-    assert_eq!(successor.operate("POST /_endpoints/attach?id=s-2"), 200);
-    let third = world.call();
+    environment.expect_no_call();
+    assert_eq!(successor.admin_request("POST /_endpoints/attach?id=s-2"), 200);
+    let third = environment.call();
     assert_eq!(third.id, "u3");
     third.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// A call that takes too long to finish is dropped before the successor continues.
 #[test]
 fn an_unresponsive_call_does_not_delay_a_successor_of_another_build() {
-    let world = World::patient(1, 3.0);
-    let predecessor = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let predecessor = environment.start();
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
-    world.zone.set("elsewhere");
-    let successor = world.start();
+    let in_flight = environment.call();
+    environment.zone.set("elsewhere");
+    let successor = environment.start();
     assert!(in_flight.is_closed());
-    assert_eq!(world.notice(), r#"{"id":"u1","state":"failed"}"#);
+    assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
     assert_eq!(successor.client().ask(&["PING"]), "+PONG");
 }
 
 /// The owner's lock may be free a moment before its address is: the next process waits for it.
 #[test]
 fn an_address_that_is_still_in_use_is_waited_for() {
-    let world = World::new(1, 3.0);
+    let environment = TestEnvironment::new(1, 3.0);
     let before = TcpListener::bind("127.0.0.1:0").unwrap();
-    world.listen.set(before.local_addr().unwrap());
-    let gateway = world.start_beside();
+    environment.listen.set(before.local_addr().unwrap());
+    let gateway = environment.start_beside();
     gateway.log_until("address still in use");
-    assert_eq!(gateway.operate("GET /_ready"), 503);
+    assert_eq!(gateway.admin_request("GET /_ready"), 503);
     drop(before);
     let gateway = gateway.listening();
     assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
-    assert_eq!(gateway.operate("GET /_ready"), 200);
+    assert_eq!(gateway.admin_request("GET /_ready"), 200);
 }
 
 /// Where no Unix socket can be bound the gateway logs it and serves.
 #[test]
 fn without_unix_sockets_the_gateway_serves() {
-    let world = World::patient(1, 3.0);
-    world.start().kill();
-    world.refuse_unix_sockets();
-    let gateway = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    environment.start().kill();
+    environment.refuse_unix_sockets();
+    let gateway = environment.start();
     gateway.log_until("no handover is possible");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("one", "9", "notice,k=a", 1, b"1"), "+OK");
-    assert_eq!(world.call().id, "one");
+    assert_eq!(environment.call().id, "one");
 }
 
 /// A gateway that could not listen for a successor at first does so as soon as it can.
 #[test]
 fn a_handover_is_possible_as_soon_as_its_socket_can_be_bound() {
-    let world = World::new(1, 3.0);
-    let stopped = world.start().kill();
-    world.refuse_unix_sockets();
+    let environment = TestEnvironment::new(1, 3.0);
+    let stopped = environment.start().kill();
+    environment.refuse_unix_sockets();
     let predecessor = stopped.restart();
     predecessor.log_until("no handover is possible");
-    world.permit_unix_sockets();
-    let successor = world.start_beside().listening();
+    environment.permit_unix_sockets();
+    let successor = environment.start_beside().listening();
     assert!(successor.has_logged("took over from the predecessor"));
 }
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -1,18 +1,18 @@
 //! The journal's records: those that other builds have written, long lists, torn tails and compaction.
 
+mod environment;
 #[path = "../src/bin/delivery-gateway/journal/mod.rs"]
 #[allow(dead_code)]
 mod journal;
-mod world;
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointState};
+use environment::*;
 use journal::{
     AcceptedRecord, CircuitKey, Journal, PendingMessage, PersistedCircuit, PersistedCircuitChange, SentRecord,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
-use world::*;
 
 /// A journal that was written while destinations had 16 bits: compacted once, then appended to. Messages of destinations
 /// 1, 300 and 65535 are pending, with deadlines decades away. The first of 1 and of 300 were in flight; the second ones
@@ -76,16 +76,16 @@
 /// Each message goes to its destination, and each destination is as it was.
 #[test]
 fn a_journal_of_16_bit_destinations_is_read() {
-    let mut world = World::patient(3, 3.0);
-    world.destinations = vec![1, 300, 65535];
-    world.known.set(0);
-    world.append_to_journal(&JOURNAL_WITH_16_BIT_DESTINATIONS.concat());
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(3, 3.0);
+    environment.destinations = vec![1, 300, 65535];
+    environment.known.set(0);
+    environment.append_to_journal(&JOURNAL_WITH_16_BIT_DESTINATIONS.concat());
+    let gateway = environment.start();
     gateway.log_until("journal replayed pending=6 revision=2");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("unlisted", "0", "salary", 40000, b"x"), "+OK");
     assert!(client.enqueue("unknown", "0", "salary", 40001, b"x").starts_with("-ERR "));
-    world.tell_all(3);
+    environment.announce_all(3);
     // A line for the circuit would come before this one, had it been closed.
     gateway.log_until("endpoint list updated revision=3");
     assert!(!gateway.has_logged("open circuits changed"));
@@ -94,7 +94,7 @@
     let had_none = BTreeMap::from([("low-2", 0), ("mid-2", 1), ("out-1", 2), ("out-2", 2)]);
     let mut left: BTreeSet<&str> = had_none.keys().copied().collect();
     while !left.is_empty() {
-        let call = world.call_among_notices();
+        let call = environment.call_among_notifications();
         let to = had_none.get(call.id.as_str()).or(had_attempt.get(call.id.as_str()));
         assert_eq!(to, Some(&call.endpoint), "{}", call.id);
         assert_eq!(call.body, call.id.replace('-', " ").as_bytes());
@@ -108,9 +108,9 @@
 #[test]
 fn destinations_have_32_bits() {
     const WIDE: u32 = 70_000;
-    let mut world = World::patient(3, 0.006);
-    world.destinations = vec![WIDE, WIDE % 65_536, u32::MAX];
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_long_deadlines(3, 0.006);
+    environment.destinations = vec![WIDE, WIDE % 65_536, u32::MAX];
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert!(client.enqueue("unknown", "0", "salary", u32::MAX % 65_536, b"x").starts_with("-ERR "));
     let enqueue = |client: &mut Client, id: &str, key: &str, destination| {
@@ -118,13 +118,13 @@
     };
     enqueue(&mut client, "wide-1", "1", WIDE);
     enqueue(&mut client, "most-1", "2", u32::MAX);
-    let in_flight = [world.call(), world.call()];
+    let in_flight = [environment.call(), environment.call()];
     enqueue(&mut client, "wide-2", "1", WIDE);
     enqueue(&mut client, "most-2", "2", u32::MAX);
     let mut size = 0;
     for round in 0.. {
         assert!(round < 100, "the journal is never compacted");
-        let before = std::mem::replace(&mut size, world.journal().len());
+        let before = std::mem::replace(&mut size, environment.journal().len());
         if size < before {
             break;
         }
@@ -132,7 +132,7 @@
             client.enqueue(&format!("fill-{round}"), "0", "salary", WIDE % 65_536, &[b'x'; 300]),
             "+OK"
         );
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
@@ -141,7 +141,7 @@
     let to = BTreeMap::from([("wide-1", 0), ("wide-2", 0), ("most-1", 2), ("most-2", 2)]);
     let mut seen = BTreeSet::new();
     while seen.len() < to.len() {
-        let call = world.call_among_notices();
+        let call = environment.call_among_notifications();
         // The last one of those that filled the journal may have been in flight.
         if !call.id.starts_with("fill-") {
             assert_eq!(to.get(call.id.as_str()), Some(&call.endpoint), "{}", call.id);
@@ -150,7 +150,7 @@
         call.answer("200 OK", "");
     }
     assert_eq!(gateway.client().enqueue("after", "0", "salary", u32::MAX, b"x"), "+OK");
-    assert_eq!(world.call_among_notices().endpoint, 2);
+    assert_eq!(environment.call_among_notifications().endpoint, 2);
 }
 
 /// A state folder with a journal alone; it is removed at the end.
@@ -273,23 +273,23 @@
 /// A circuit that opened since the start is open for the next process: it sends one probe at a time.
 #[test]
 fn an_open_circuit_outlasts_a_kill() {
-    let world = World::patient(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     for id in ["a", "b", "c", "d"] {
         assert_eq!(client.enqueue(id, "0", &format!("notice,k={id}"), 1, b"x"), "+OK");
     }
-    (0..4).for_each(|_| world.call().reset());
+    (0..4).for_each(|_| environment.call().reset());
     gateway.log_until("open circuits changed before=0 after=1");
     let gateway = gateway.kill_and_restart();
     // A line for the circuit would come before the one for the operators, had it been closed.
-    assert_eq!(gateway.operate("POST /_lameduck/on"), 200);
+    assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     gateway.log_until("lame duck mode switched");
     assert!(!gateway.has_logged("open circuits changed"));
-    assert_eq!(gateway.operate("POST /_lameduck/off"), 200);
+    assert_eq!(gateway.admin_request("POST /_lameduck/off"), 200);
     let mut left = BTreeSet::from(["a", "b", "c", "d"]);
     while !left.is_empty() {
-        let call = world.call();
+        let call = environment.call();
         left.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
@@ -404,24 +404,24 @@
 #[test]
 fn an_endpoint_list_beyond_one_record_outlasts_a_kill() {
     const MANY: u32 = 80_000;
-    let mut world = World::patient(1, 60.0);
-    world.enlarge(MANY as usize);
-    world.apart = true;
+    let mut environment = TestEnvironment::with_long_deadlines(1, 60.0);
+    environment.enlarge(MANY as usize);
+    environment.destination_per_endpoint = true;
     // One that stays in flight is pending when the process is killed.
-    let send = |gateway: &Scheduler, id: &str, destination| {
+    let send = |gateway: &RunningGateway, id: &str, destination| {
         assert_eq!(gateway.client().enqueue(id, "0", "salary", destination, b"x"), "+OK");
-        let call = world.call_among_notices();
+        let call = environment.call_among_notifications();
         assert_eq!(call.id, id);
         call
     };
-    let gateway = world.start();
+    let gateway = environment.start();
     let _out = send(&gateway, "known", MANY);
-    assert!(world.journal().len() > 4 << 20);
-    world.known.set(1);
+    assert!(environment.journal().len() > 4 << 20);
+    environment.known.set(1);
     let gateway = gateway.kill_and_restart();
     gateway.log_until("journal replayed pending=1 revision=1");
     send(&gateway, "replayed", MANY - 1).answer("200 OK", "");
-    world.tell_all(2);
+    environment.announce_all(2);
     gateway.log_until("endpoint list updated revision=2 changed=80000");
     let _out = send(&gateway, "watched", MANY - 2);
     let gateway = gateway.kill_and_restart();
@@ -470,16 +470,16 @@
 #[test]
 fn a_journal_without_faults_has_only_record_kinds_of_the_build_before() {
     const LAST_KNOWN_KIND: u8 = 12;
-    let world = World::patient(1, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("r1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    environment.call().answer("200 OK", "");
     assert_eq!(client.enqueue("r2", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
-    assert!(world.notice().contains("failed"));
+    environment.call().reset();
+    assert!(environment.notification().contains("failed"));
     drop(gateway.kill_and_restart());
-    let journal = world.journal();
+    let journal = environment.journal();
     let (mut at, mut records) = (0, 0);
     while let Some(head) = journal[at..].first_chunk::<4>() {
         assert!(journal[at + 8] <= LAST_KNOWN_KIND, "record {records} is of kind {}", journal[at + 8]);
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -1,28 +1,28 @@
 //! A deployment of a thousand endpoints and gateways, each gateway on a small machine.
 
-mod world;
+mod environment;
 
-use world::*;
+use environment::*;
 
 const MANY: u32 = 1024;
 const SOCKETS: u32 = 256;
 const MEMORY_MB: u32 = 32;
 
-fn large() -> World {
-    let mut world = World::patient(1, 3.0);
-    world.enlarge(MANY as usize);
-    (world.apart, world.fleet_size, world.rate) = (true, MANY, 1e6);
-    (world.sockets, world.memory_mb) = (SOCKETS, MEMORY_MB);
-    world
+fn large() -> TestEnvironment {
+    let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
+    environment.enlarge(MANY as usize);
+    (environment.destination_per_endpoint, environment.fleet_size, environment.rate) = (true, MANY, 1e6);
+    (environment.sockets, environment.memory_mb) = (SOCKETS, MEMORY_MB);
+    environment
 }
 
 /// Each destination gets its message, through fewer descriptors than there are endpoints. Under one ordering key each is
 /// sent when the one before is completed; the last stays in flight.
-fn deliver_to_all(world: &World, gateway: &Scheduler, round: &str) -> Call {
+fn deliver_to_all(environment: &TestEnvironment, gateway: &RunningGateway, round: &str) -> Call {
     let mut client = gateway.client();
     let mut send = |id: &str, destination| {
         assert_eq!(client.enqueue(id, "9", "notice,k=k", destination, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.id, id);
         call
     };
@@ -41,28 +41,28 @@
 /// all of it applies, within the limits.
 #[test]
 fn a_thousand_endpoints_and_gateways_fit_a_small_machine() {
-    let world = large();
-    world.known.set(1);
-    let gateway = world.start();
+    let environment = large();
+    environment.known.set(1);
+    let gateway = environment.start();
     assert!(gateway.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
-    world.tell_all(2);
+    environment.announce_all(2);
     gateway.log_until("endpoint list updated revision=2 changed=1024");
-    let _out = deliver_to_all(&world, &gateway, "w");
+    let _out = deliver_to_all(&environment, &gateway, "w");
     let gateway = gateway.kill_and_restart();
     gateway.log_until("journal replayed pending=1 revision=2");
-    let again = world.call();
+    let again = environment.call();
     assert_eq!(again.id, "w-last");
     again.answer("200 OK", "");
-    let _out = deliver_to_all(&world, &gateway, "j");
-    let agent = world.agent_with_drain(MANY as usize - 1);
-    world.configure(&agent);
-    gateway.hang_up();
+    let _out = deliver_to_all(&environment, &gateway, "j");
+    let agent = environment.agent_with_drain(MANY as usize - 1);
+    environment.configure(&agent);
+    gateway.send_sighup();
     gateway.log_until("endpoint list updated revision=5 changed=1024");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("drains", "0", "salary", MANY, b"x"), "+OK");
     assert_eq!(client.enqueue("serves", "0", "salary", MANY - 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.id, "serves");
     call.answer("200 OK", "");
-    world.nothing();
+    environment.expect_nothing();
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,24 +1,24 @@
 //! A log that cannot be written: the gateway serves all the same.
 
-mod world;
+mod environment;
 
+use environment::*;
 use std::fs::File;
 use std::io::Write;
 use std::process::Stdio;
 use std::time::Duration;
-use world::*;
 
 /// Serves one message, handles a signal, and exits with success.
 fn serves(log: Stdio) {
-    let world = World::new(1, 3.0);
-    let mut gateway = world.start_logging_to(log);
+    let environment = TestEnvironment::new(1, 3.0);
+    let mut gateway = environment.start_logging_to(log);
     let mut client = gateway.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("g1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
-    gateway.hang_up();
+    environment.call().answer("200 OK", "");
+    gateway.send_sighup();
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    gateway.terminate();
+    gateway.send_sigterm();
     assert!(gateway.wait(Duration::from_secs(5)).success());
 }
 
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -1,11 +1,11 @@
 //! System calls that fail for a moment, and transfers that are interrupted or short. The faults come from the shim
 //! (`fault-shim/`), at the places that each test names; `tests/machine_sweep.rs` goes through all calls and errors.
 
-mod world;
+mod environment;
 
+use environment::*;
 use libc::{EADDRNOTAVAIL, EAGAIN, EINTR, EIO, ENETUNREACH, ENFILE, ENOBUFS, ENOLCK, ENOMEM};
 use std::time::Duration;
-use world::*;
 
 /// Reads and writes that a signal interrupts or cuts short lose no request: not its answer, nor its call's.
 #[test]
@@ -16,18 +16,18 @@
         (SystemCall::TcpRead, SystemCall::SHORT),
         (SystemCall::TcpWrite, SystemCall::SHORT),
     ] {
-        let world = World::faulty(1, 1);
-        let gateway = world.start();
-        world.fail(call, Fault::always(&[error]).with_ratio(0.5));
+        let environment = TestEnvironment::with_faults(1, 1);
+        let gateway = environment.start();
+        environment.fail(call, Fault::always(&[error]).with_ratio(0.5));
         let mut client = gateway.client().within(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
             let answer = client.enqueue(&id, "0", "salary", 1, &[b'x'; 9000]);
             assert_eq!(answer, "+OK", "{call:?} {error}");
-            world.call().answer("200 OK", "");
+            environment.call().answer("200 OK", "");
         }
-        world.nothing();
-        assert!(world.faults().counted(call).unwrap().failures > 10, "{call:?} {error}");
+        environment.expect_nothing();
+        assert!(environment.faults().counted(call).unwrap().failures > 10, "{call:?} {error}");
     }
 }
 
@@ -35,25 +35,25 @@
 #[test]
 fn a_handover_survives_interrupted_transfers() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
-        let world = World::faulty(1, 1);
-        let mut old = world.start();
+        let environment = TestEnvironment::with_faults(1, 1);
+        let mut old = environment.start();
         let mut client = old.client();
         assert_eq!(client.enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-        let out = world.call();
-        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
-        let new = world.start_beside().listening();
+        let out = environment.call();
+        environment.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
+        let new = environment.start_beside().listening();
         assert!(new.has_logged("took over from the predecessor"), "{call:?}");
         // On the connection that moved.
         assert_eq!(client.enqueue("u2", "0", "salary", 1, b"x"), "+OK", "{call:?}");
-        let second = world.call();
+        let second = environment.call();
         assert_eq!(second.id, "u2");
         second.answer("200 OK", "");
         out.answer("200 OK", "");
-        old.terminate();
+        old.send_sigterm();
         assert!(old.wait(Duration::from_secs(5)).success(), "{call:?}");
         new.log_until("the previous process has ended broken_calls=0");
         assert!(!old.has_logged("the successor ended"), "{call:?}");
-        world.nothing();
+        environment.expect_nothing();
     }
 }
 
@@ -61,14 +61,14 @@
 #[test]
 fn an_interrupted_signal_is_handled() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
-        let world = World::faulty(1, 1);
-        let mut gateway = world.start();
-        world.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
+        let environment = TestEnvironment::with_faults(1, 1);
+        let mut gateway = environment.start();
+        environment.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         for round in 1..=4 {
-            gateway.hang_up();
+            gateway.send_sighup();
             gateway.log_times("configuration reloaded", round);
         }
-        gateway.terminate();
+        gateway.send_sigterm();
         assert!(gateway.wait(Duration::from_secs(5)).success(), "{call:?}");
     }
 }
@@ -84,18 +84,18 @@
         SystemCall::StateLock,
     ];
     for call in calls {
-        let world = World::faulty(1, 1);
-        let gateway = world.start();
+        let environment = TestEnvironment::with_faults(1, 1);
+        let gateway = environment.start();
         assert_eq!(gateway.client().enqueue("o1", "0", "notice,k=aa", 1, b"x"), "+OK");
-        let _out = world.call();
+        let _out = environment.call();
         let stopped = gateway.kill();
         // A torn tail to be truncated, and a copy to be removed.
-        world.append_to_journal(b"torn");
-        world.leave_copy_of_journal();
-        world.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
+        environment.append_to_journal(b"torn");
+        environment.leave_copy_of_journal();
+        environment.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let gateway = stopped.restart();
-        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
-        let call = world.call();
+        assert!(environment.faults().counted(call).unwrap().failures > 0, "{call:?}");
+        let call = environment.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
         drop(gateway);
@@ -112,10 +112,10 @@
         SystemCall::SetSocketOption,
         SystemCall::EpollControl,
     ] {
-        let world = World::faulty(1, 1);
-        world.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
-        let gateway = world.start();
-        assert_eq!(world.faults().counted(call).unwrap().failures, 4, "{call:?}");
+        let environment = TestEnvironment::with_faults(1, 1);
+        environment.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
+        let gateway = environment.start();
+        assert_eq!(environment.faults().counted(call).unwrap().failures, 4, "{call:?}");
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
@@ -126,9 +126,9 @@
     let calls =
         [SystemCall::EpollCreate, SystemCall::EventFd, SystemCall::SocketPair, SystemCall::GetSocketName];
     for call in calls {
-        let world = World::faulty(1, 1);
-        world.fail(call, Fault::always(&[ENFILE, ENOMEM]).times(2));
-        let gateway = world.start();
+        let environment = TestEnvironment::with_faults(1, 1);
+        environment.fail(call, Fault::always(&[ENFILE, ENOMEM]).times(2));
+        let gateway = environment.start();
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
@@ -137,14 +137,14 @@
 #[test]
 fn a_configuration_that_cannot_be_read_is_retried() {
     for call in [SystemCall::ConfigOpen, SystemCall::ConfigRead] {
-        let world = World::faulty(2, 1);
-        let gateway = world.start();
-        let agent = world.agent_with_drain(0);
-        world.configure(&agent);
-        world.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
-        gateway.hang_up();
+        let environment = TestEnvironment::with_faults(2, 1);
+        let gateway = environment.start();
+        let agent = environment.agent_with_drain(0);
+        environment.configure(&agent);
+        environment.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
+        gateway.send_sighup();
         gateway.log_until("configuration reloaded");
-        assert!(world.faults().counted(call).unwrap().failures > 0, "{call:?}");
+        assert!(environment.faults().counted(call).unwrap().failures > 0, "{call:?}");
     }
 }
 
@@ -155,12 +155,12 @@
     for (call, error) in
         errors.map(|error| (SystemCall::Connect, error)).into_iter().chain([(SystemCall::Socket, ENFILE)])
     {
-        let world = World::faulty(1, 1);
-        let gateway = world.start();
-        world.until_watched();
-        world.fail(call, Fault::always(&[error]).times(2));
+        let environment = TestEnvironment::with_faults(1, 1);
+        let gateway = environment.start();
+        environment.wait_until_watched();
+        environment.fail(call, Fault::always(&[error]).times(2));
         assert_eq!(gateway.client().enqueue("c1", "0", "salary", 1, b"x"), "+OK");
-        world.call().answer("200 OK", "");
+        environment.call().answer("200 OK", "");
         assert!(!gateway.has_logged("open circuits changed"), "{call:?} {error}");
     }
 }
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -2,11 +2,11 @@
 //! broken.
 //! The faults come from the shim (`fault-shim/`).
 
-mod world;
+mod environment;
 
+use environment::*;
 use libc::{EIO, ENOSPC};
 use std::time::{Duration, Instant};
-use world::*;
 
 /// A disk that has no room, or breaks.
 const DISK: [i32; 2] = [ENOSPC, EIO];
@@ -18,40 +18,40 @@
 /// A final outcome is announced only once no restart can lose it: a message that was returned may be enqueued elsewhere.
 #[test]
 fn a_final_outcome_is_announced_only_after_it_is_written() {
-    let world = World::faulty(1, 1);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_faults(1, 1);
+    let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("v1", "0", "notice,k=aa", 1, b"x"), "+OK");
-    let call = world.call();
-    world.fail(SystemCall::StateWrite, Fault::always(&DISK));
+    let call = environment.call();
+    environment.fail(SystemCall::StateWrite, Fault::always(&DISK));
     // Not processed, and no attempt left: it is returned.
     call.answer("504 Gateway Timeout", "");
-    world.nothing();
-    world.faults().clear(SystemCall::StateWrite).unwrap();
-    assert!(world.notice().contains(r#""id":"v1","state":"returned""#));
+    environment.expect_nothing();
+    environment.faults().clear(SystemCall::StateWrite).unwrap();
+    assert!(environment.notification().contains(r#""id":"v1","state":"returned""#));
     let _courier = gateway.kill_and_restart();
     // Announced once more at most, and never sent.
-    world.no_call();
+    environment.expect_no_call();
 }
 
 /// A change of the endpoint list that could not be written is not lost behind the next one that can.
 #[test]
 fn an_endpoint_list_that_could_not_be_written_is_written_later() {
-    let world = World::faulty(2, 1);
-    let gateway = world.start();
-    world.fail(SystemCall::StateWrite, Fault::always(&DISK));
-    world.remove(0);
+    let environment = TestEnvironment::with_faults(2, 1);
+    let gateway = environment.start();
+    environment.fail(SystemCall::StateWrite, Fault::always(&DISK));
+    environment.remove(0);
     gateway.log_until("endpoint list updated");
-    world.faults().clear(SystemCall::StateWrite).unwrap();
-    world.serve_again(1, 3);
+    environment.faults().clear(SystemCall::StateWrite).unwrap();
+    environment.announce_serving(1, 3);
     gateway.log_times("endpoint list updated", 2);
     let stopped = gateway.kill();
     // The next process gets no list from discovery.
-    world.silence_discovery(true);
+    environment.set_discovery_silent(true);
     let gateway = stopped.restart();
     let mut client = gateway.client();
     for number in 0..6 {
         assert_eq!(client.enqueue(&format!("l{number}"), "0", "notice,k=aa", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = environment.call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
@@ -60,49 +60,49 @@
 /// A record that is half written when the disk fails is no part of the journal, and what comes after it is.
 #[test]
 fn a_torn_record_loses_no_other_record() {
-    let world = World::faulty(1, 1);
-    let gateway = world.start();
+    let environment = TestEnvironment::with_faults(1, 1);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     for round in 0..4 {
-        world.fail(SystemCall::StateWrite, Fault::always(&[SystemCall::TORN]).times(1));
+        environment.fail(SystemCall::StateWrite, Fault::always(&[SystemCall::TORN]).times(1));
         let id = format!("torn{round}");
         assert!(client.enqueue(&id, "0", "salary", 1, &[b'y'; 300]).starts_with("-BUSY"));
     }
     assert_eq!(client.enqueue("t2", "0", "salary", 1, b"x"), "+OK");
-    assert_eq!(world.call().id, "t2");
+    assert_eq!(environment.call().id, "t2");
     drop(call);
     let _courier = gateway.kill_and_restart();
-    let mut announced = [world.notice(), world.notice()];
+    let mut announced = [environment.notification(), environment.notification()];
     announced.sort();
     assert_eq!(announced, [failed("t1"), failed("t2")]);
-    world.nothing();
+    environment.expect_nothing();
 }
 
 /// Attempts that cannot be recorded are not made, and do not count as attempts of the message: it is sent as soon as the
 /// disk can be written again.
 #[test]
 fn a_disk_that_fails_for_a_while_uses_up_no_attempts() {
-    let mut world = World::faulty(1, 1);
-    world.latency_objective = 3;
-    let gateway = world.start();
+    let mut environment = TestEnvironment::with_faults(1, 1);
+    environment.latency_objective = 3;
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("d1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(client.enqueue("d2", "0", "salary", 1, b"x"), "+OK");
-    let second = world.call();
-    world.fail(SystemCall::StateWrite, Fault::always(&DISK));
+    let second = environment.call();
+    environment.fail(SystemCall::StateWrite, Fault::always(&DISK));
     call.answer("503 Service Unavailable", "");
     second.answer("503 Service Unavailable", "");
     // Longer than it takes to use up all attempts.
     let end = Instant::now() + Duration::from_secs(8);
     while Instant::now() < end {
-        world.nothing();
+        environment.expect_nothing();
     }
-    world.faults().clear(SystemCall::StateWrite).unwrap();
+    environment.faults().clear(SystemCall::StateWrite).unwrap();
     for _ in 0..2 {
-        world.call().answer("200 OK", "");
+        environment.call().answer("200 OK", "");
     }
-    world.nothing();
+    environment.expect_nothing();
 }
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -1,12 +1,12 @@
 //! A process that is killed at any of its writes, half done or complete: the next one breaks no rule with what it finds.
 
-mod world;
+mod environment;
 
+use environment::audit::{ClientExpectation, DeliveryAudit};
+use environment::*;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 use std::time::Duration;
-use world::life::{Clients, Life};
-use world::*;
 
 /// Messages that are enqueued at most until the process is killed.
 const MESSAGES: u32 = 30;
@@ -20,26 +20,26 @@
 /// Kills the process at its nth call of a kind, and lets the next one continue. Whether it came to that.
 fn live_until(call: SystemCall, how: i32, nth: u32) -> bool {
     let what = format!("{call:?} {how} at call {nth}");
-    let mut world = World::faulty(2, u64::from(nth) + 1);
+    let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
     // Small, so that the journal is compacted.
-    world.disk_mb = 0.03;
-    world.latency_objective = 3;
-    let mut life = Life::new(&world);
-    let mut gateway = world.start();
-    world.fail(call, Fault::always(&[how]).after(nth).times(1));
+    environment.disk_mb = 0.03;
+    environment.latency_objective = 3;
+    let mut audit = DeliveryAudit::new(&environment);
+    let mut gateway = environment.start();
+    environment.fail(call, Fault::always(&[how]).after(nth).times(1));
     for number in 0..MESSAGES {
         if gateway.has_ended() {
             break;
         }
-        life.hand_in(&gateway, &format!("m{number}"), number % 2 == 0, Clients::MayBeCutOff);
-        life.see(Duration::from_millis(10));
+        audit.enqueue(&gateway, &format!("m{number}"), number % 2 == 0, ClientExpectation::MayBeDisconnected);
+        audit.observe(Duration::from_millis(10));
     }
     let killed = gateway.has_ended();
     drop(gateway);
-    world.faults().clear(call).unwrap();
-    let gateway = world.start();
-    life.hand_in(&gateway, "after", true, Clients::AreAnswered);
-    life.settle(&what);
+    environment.faults().clear(call).unwrap();
+    let gateway = environment.start();
+    audit.enqueue(&gateway, "after", true, ClientExpectation::AreAnswered);
+    audit.settle(&what);
     assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
     killed
 }
@@ -88,21 +88,21 @@
 /// Whether it came to the kill.
 fn hand_over_until(call: SystemCall, how: i32, nth: u32, which: Killed) -> bool {
     let what = format!("{call:?} {how} at call {nth} of the {which:?}");
-    let mut world = World::faulty(2, u64::from(nth) + 1);
-    world.latency_objective = 3;
-    let mut life = Life::new(&world);
-    let mut predecessor = world.start();
+    let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
+    environment.latency_objective = 3;
+    let mut audit = DeliveryAudit::new(&environment);
+    let mut predecessor = environment.start();
     for number in 0..PENDING {
-        life.hand_in(&predecessor, &format!("m{number}"), number % 2 == 0, Clients::AreAnswered);
+        audit.enqueue(&predecessor, &format!("m{number}"), number % 2 == 0, ClientExpectation::AreAnswered);
     }
     let fault = Fault::always(&[how]).after(nth).times(1);
-    let faults_of_successor = world.new_faults(SUCCESSOR_SEED);
+    let faults_of_successor = environment.replace_faults(SUCCESSOR_SEED);
     let killed_page = match which {
-        Killed::Predecessor => world.faults(),
+        Killed::Predecessor => environment.faults(),
         Killed::Successor => &faults_of_successor,
     };
     killed_page.set(call, fault).unwrap();
-    let mut successor = world.start_process();
+    let mut successor = environment.start_process();
     let listens = successor.listens_or_ends();
     killed_page.clear(call).unwrap();
     // A kill that has started completes; no other one starts.
@@ -116,14 +116,14 @@
     assert!(killed || listens, "{what}: the successor neither serves nor ends");
     if listens && !successor.has_ended() {
         if !predecessor.has_ended() {
-            predecessor.terminate();
+            predecessor.send_sigterm();
         }
         let successor = successor.listening();
-        life.hand_in(&successor, "after", true, Clients::AreAnswered);
-        life.settle(&what);
+        audit.enqueue(&successor, "after", true, ClientExpectation::AreAnswered);
+        audit.settle(&what);
     } else {
-        life.hand_in(&predecessor, "after", true, Clients::AreAnswered);
-        life.settle(&what);
+        audit.enqueue(&predecessor, "after", true, ClientExpectation::AreAnswered);
+        audit.settle(&what);
     }
     killed
 }
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -2,13 +2,13 @@
 //! process on: a short run with a new configuration, a shutdown and a restart, in which each request must get its final
 //! outcome within the rules.
 
-mod world;
+mod environment;
 
+use environment::audit::{ClientExpectation, DeliveryAudit};
+use environment::*;
 use libc::*;
 use std::thread;
 use std::time::Duration;
-use world::life::{Clients, Life};
-use world::*;
 
 /// Messages of each class that one life brings.
 const MESSAGES: usize = 8;
@@ -24,70 +24,70 @@
 use Which::{First, Part};
 
 /// Lets calls fail with each of the errors, through a life for each.
-fn live_with(call: SystemCall, errors: &[i32], which: Which, clients: Clients) {
-    thread::scope(|lives| {
+fn live_with(call: SystemCall, errors: &[i32], which: Which, clients: ClientExpectation) {
+    thread::scope(|audits| {
         for (seed, error) in errors.iter().enumerate() {
-            lives.spawn(move || live_with_error(call, *error, seed as u64 + 1, which, clients));
+            audits.spawn(move || live_with_error(call, *error, seed as u64 + 1, which, clients));
         }
     });
 }
 
-fn live_with_error(call: SystemCall, error: i32, seed: u64, which: Which, clients: Clients) {
-    let mut world = World::faulty(2, seed);
+fn live_with_error(call: SystemCall, error: i32, seed: u64, which: Which, clients: ClientExpectation) {
+    let mut environment = TestEnvironment::with_faults(2, seed);
     // Small, so that the journal is compacted; and with what a killed process has left behind.
-    world.disk_mb = 0.06;
-    world.latency_objective = 3;
-    world.append_to_journal(b"torn");
-    world.leave_copy_of_journal();
+    environment.disk_mb = 0.06;
+    environment.latency_objective = 3;
+    environment.append_to_journal(b"torn");
+    environment.leave_copy_of_journal();
     let fault = Fault::always(&[error]);
-    world.fail(
+    environment.fail(
         call,
         match which {
             First(count) => fault.times(count),
             Part(part) => fault.with_ratio(part),
         },
     );
-    live(&world, &format!("{call:?} {error}"), clients);
-    let counted = world.faults().counted(call).unwrap();
+    live(&environment, &format!("{call:?} {error}"), clients);
+    let counted = environment.faults().counted(call).unwrap();
     assert!(counted.failures > 0, "{call:?} {error}: {counted:?}");
 }
 
-fn live(world: &World, what: &str, clients: Clients) {
-    let mut life = Life::new(world);
-    let mut gateway = world.start();
+fn live(environment: &TestEnvironment, what: &str, clients: ClientExpectation) {
+    let mut audit = DeliveryAudit::new(environment);
+    let mut gateway = environment.start();
     for number in 0..MESSAGES {
-        life.hand_in(&gateway, &format!("a{number}"), true, clients);
-        life.hand_in(&gateway, &format!("b{number}"), false, clients);
+        audit.enqueue(&gateway, &format!("a{number}"), true, clients);
+        audit.enqueue(&gateway, &format!("b{number}"), false, clients);
     }
     // Until the journal is compacted, whether or not that succeeds.
-    let compactions = || world.faults().counted(SystemCall::StateRename).unwrap().calls;
+    let compactions = || environment.faults().counted(SystemCall::StateRename).unwrap().calls;
     for number in (0..MOST_FILLERS).take_while(|_| compactions() == 0) {
-        life.hand_in(&gateway, &format!("e{number}"), false, clients);
-        life.see(Duration::from_millis(50));
+        audit.enqueue(&gateway, &format!("e{number}"), false, clients);
+        audit.observe(Duration::from_millis(50));
     }
     assert!(compactions() > 0, "{what}: the journal was never compacted");
-    gateway.hang_up();
-    life.hand_in(&gateway, "c0", true, clients);
-    gateway.terminate();
+    gateway.send_sighup();
+    audit.enqueue(&gateway, "c0", true, clients);
+    gateway.send_sigterm();
     assert!(gateway.wait(Duration::from_secs(6)).success(), "{what}: the process did not end well");
-    let gateway = world.start();
-    life.hand_in(&gateway, "d0", true, clients);
-    life.hand_in(&gateway, "d1", false, clients);
-    life.settle(what);
+    let gateway = environment.start();
+    audit.enqueue(&gateway, "d0", true, clients);
+    audit.enqueue(&gateway, "d1", false, clients);
+    audit.settle(what);
     assert!(!gateway.has_logged("panicked"), "{what}");
 }
 
 /// A test for each call, with its errors, the part of the calls that fail, and what that means for clients.
-macro_rules! lives {
+macro_rules! audits {
     ($($name:ident: $call:ident, [$($error:expr),+], $part:expr, $clients:ident;)+) => {
         $(#[test]
         fn $name() {
-            live_with(SystemCall::$call, &[$($error),+], $part, Clients::$clients);
+            live_with(SystemCall::$call, &[$($error),+], $part, ClientExpectation::$clients);
         })+
     };
 }
 
-lives! {
+audits! {
     accept: Accept, [EINTR, ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ETIMEDOUT, EHOSTUNREACH], Part(0.5), AreAnswered;
     socket: Socket, [EMFILE, ENFILE, ENOBUFS, ENOMEM], Part(0.3), AreAnswered;
     bind: Bind, [EADDRINUSE, EADDRNOTAVAIL, ENOMEM], First(3), AreAnswered;
@@ -99,13 +99,13 @@
     shutdown: Shutdown, [ENOTCONN, ENOBUFS], First(3), AreAnswered;
     tcp_read: TcpRead, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Part(0.3), AreAnswered;
     tcp_write: TcpWrite, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Part(0.3), AreAnswered;
-    broken_tcp_read: TcpRead, [ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH], Part(0.1), MayBeCutOff;
-    broken_tcp_write: TcpWrite, [EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH], Part(0.1), MayBeCutOff;
+    broken_tcp_read: TcpRead, [ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH], Part(0.1), MayBeDisconnected;
+    broken_tcp_write: TcpWrite, [EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH], Part(0.1), MayBeDisconnected;
     unix_read: UnixRead, [EINTR, ENOMEM], Part(0.5), AreAnswered;
     unix_write: UnixWrite, [EINTR, EAGAIN], Part(0.5), AreAnswered;
     socket_pair: SocketPair, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
     epoll_create: EpollCreate, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
-    epoll_control: EpollControl, [ENOMEM, ENOSPC], Part(0.2), MayBeCutOff;
+    epoll_control: EpollControl, [ENOMEM, ENOSPC], Part(0.2), MayBeDisconnected;
     epoll_wait: EpollWait, [EINTR], Part(0.3), AreAnswered;
     event_fd: EventFd, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
     state_open: StateOpen, [EIO, ENOSPC, EDQUOT, EMFILE, ENFILE, EINTR, ENOMEM], First(3), AreAnswered;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,38 +1,38 @@
 //! SIGHUP: the gateway switches to another agent of discovery without disturbing anything else.
 
-mod world;
+mod environment;
 
-use world::*;
+use environment::*;
 
 /// The new agent's endpoint list applies, unacknowledged notifications go to it, and neither calls nor clients are
 /// disturbed.
 #[test]
 fn sighup_moves_watch_and_notifications_to_the_new_agent() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("h1", "0", "salary", 1, b"x"), "+OK");
     assert_eq!(client.enqueue("h2", "0", "salary", 1, b"x"), "+OK");
-    let (lost, out) = (world.call(), world.call());
-    world.hold_notices(true);
+    let (lost, out) = (environment.call(), environment.call());
+    environment.hold_notifications(true);
     let failed = format!(r#"{{"id":"{}","state":"failed"}}"#, lost.id);
     lost.reset();
-    assert_eq!(world.notice(), failed);
+    assert_eq!(environment.notification(), failed);
 
-    let agent = world.agent_with_drain(0);
-    world.configure(&agent);
-    gateway.hang_up();
+    let agent = environment.agent_with_drain(0);
+    environment.configure(&agent);
+    gateway.send_sighup();
     gateway.log_until("endpoint list updated");
     // What the old one has not acknowledged is sent to the new one, which acknowledges it.
-    while world.notices_at(&agent) == 0 {
-        assert_eq!(world.notice(), failed);
+    while environment.notification_requests_at(&agent) == 0 {
+        assert_eq!(environment.notification(), failed);
     }
     assert!(!out.is_closed());
     out.answer("200 OK", "");
     let mut open = Vec::new();
     for id in ["h3", "h4", "h5"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call_among_notices();
+        let call = environment.call_among_notifications();
         assert_eq!(call.endpoint, 1);
         open.push(call);
     }
@@ -42,23 +42,23 @@
 /// A malformed file changes nothing, and the next one applies.
 #[test]
 fn a_malformed_configuration_changes_nothing() {
-    let world = World::new(2, 3.0);
-    let gateway = world.start();
+    let environment = TestEnvironment::new(2, 3.0);
+    let gateway = environment.start();
     let mut client = gateway.client();
-    world.spoil_configuration();
-    gateway.hang_up();
+    environment.write_invalid_configuration();
+    gateway.send_sighup();
     gateway.log_until("configuration not reloaded");
     assert_eq!(client.enqueue("s1", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
-    assert_eq!(world.notice(), r#"{"id":"s1","state":"failed"}"#);
-    let agents = [world.agent_with_drain(0), world.agent_with_drain(1)];
+    environment.call().reset();
+    assert_eq!(environment.notification(), r#"{"id":"s1","state":"failed"}"#);
+    let agents = [environment.agent_with_drain(0), environment.agent_with_drain(1)];
     for (number, agent) in agents.iter().enumerate() {
-        world.configure(agent);
-        gateway.hang_up();
+        environment.configure(agent);
+        gateway.send_sighup();
         gateway.log_times("endpoint list updated", number + 1);
     }
     assert_eq!(client.enqueue("s2", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = environment.call();
     assert_eq!(call.endpoint, 0);
     call.answer("200 OK", "");
 }
