--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -17,9 +17,9 @@
 use super::routes::AdminEndpoint;
 use crate::rate_limited_log::RateLimitedLog;
 
-/// Connections from which on a new one evicts the one that has been without its request for longest ...
+/// Connections from which on a new one evicts the one that has been without its request for longest.
 const MAX_BEFORE_EVICTION: usize = 8;
-/// ... and connections in all, those that are closing counted.
+/// Connections in all, those that are closing counted.
 const MAX_CONNECTIONS: usize = 16;
 /// How long a request may take to become complete.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -21,7 +21,7 @@
 use crate::send_guard::{Attempt, Breach, Receiver};
 
 /// Longest body of a call, in bytes.
-const MAX_BODY_BYTES: usize = 64 << 10;
+const MAX_BATCH_BODY_BYTES: usize = 64 << 10;
 
 /// An attempt that was not made, as its time to leave had passed or a rule forbids it.
 const NOT_SENT: AttemptResult = not_made(AttemptOutcome::NotSent);
@@ -47,7 +47,7 @@
     }
 
     fn has_room_for(&self, message: &OutgoingMessage) -> bool {
-        self.is_empty() || self.body_bytes + message.batched_size() <= MAX_BODY_BYTES
+        self.is_empty() || self.body_bytes + message.batched_size() <= MAX_BATCH_BODY_BYTES
     }
 
     fn push(&mut self, message: OutgoingMessage, attempt_timeout: Duration) {
@@ -160,8 +160,8 @@
     /// Does not make an attempt that would break a rule.
     fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
         if let Some(suppressed) = self.lines.breach.due() {
-            let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
-            error!(?id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
+            let id = self.journal.state.pending.get(&message.0).map_or("", |pending| &pending.message.id);
+            error!(id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
         }
         // The attempt that is in flight already will report its own result.
         if breach != Breach::AlreadyInFlight {
@@ -243,7 +243,8 @@
             self.guard.note_retry_after(self.clock.now(), &receiver, delay);
         }
         if let Some(suppressed) = self.lines.retry_after.due() {
-            info!(?destination, ?delay, suppressed, "Retry-After received");
+            let destination = destination.map(|destination| destination.0);
+            info!(destination, ?delay, suppressed, "Retry-After received");
         }
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
     }
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -1,4 +1,5 @@
-//! What operators ask at the admin endpoint. A success holds from then on, also for the next process.
+//! What operators ask at the admin endpoint. A disabled endpoint is in the journal before the request succeeds, and
+//! stays disabled after a restart. The lame duck lasts until the process ends, or is handed over.
 
 use delivery_gateway::{Event, Time};
 use tracing::info;
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -64,7 +64,8 @@
     /// The platform has the notifications of these messages.
     pub(super) fn outcomes_acknowledged(&mut self, now: Time, messages: Vec<MessageId>) {
         for message in messages {
-            debug!(number = message.0, "notification acknowledged");
+            let id = self.journal.state.pending.get(&message.0).map_or("", |pending| &pending.message.id);
+            debug!(id, "notification acknowledged");
             self.complete_message(message);
             self.scheduler.handle(now, Event::OutcomeAcknowledged(message));
         }
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -63,7 +63,7 @@
             failure_score: circuit.failure_score,
             calls_lost: circuit.calls_lost,
             slow_start_since: circuit.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
-            baseline_rate: circuit.baseline_rate,
+            baseline_per_sec: circuit.baseline_per_sec,
         })
     }
 
@@ -74,7 +74,7 @@
         self.pending.insert(id.clone(), number);
         let Some(accepted) = self.catalog.accepted_message(&self.clock, number, &pending.message) else {
             let class = &pending.message.class;
-            warn!(class, "message failed: the settings no longer have its class");
+            warn!(id, class, "message failed: the settings no longer have its class");
             self.record_final_outcome(message, FinalOutcome::Failed);
             return;
         };
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -1,7 +1,8 @@
 //! The messages that the gateway's tasks exchange. The event loop owns all state; every other part sends it a
 //! [`GatewayEvent`] and is answered over the channel that the event carries, or by what the event loop sends it.
 //!
-//! Types only: each part imports this module, and none of them imports another one's.
+//! Types only. The parts that accept connections, and the tasks that make calls, import this module and not the event
+//! loop, which owns the journal and the connection pool and calls these directly.
 
 use bytes::Bytes;
 use delivery_gateway::discovery::WatchEvent;
@@ -97,7 +98,7 @@
     Accepted(MessageId),
     /// The same message was accepted for an earlier request.
     AlreadyAccepted,
-    /// Not accepted; the client does well to wait this long, if it is said.
+    /// Not accepted; the client should wait this long before it tries again, if given.
     Rejected(Option<Duration>),
     /// Not accepted, and it is no use to ask again.
     Error(&'static str),
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -254,7 +254,8 @@
         Some(())
     }
 
-    /// Stops the intake. Connections go to be transferred once the request that each may have open is answered. None if the process is to end meanwhile.
+    /// Stops the intake. Connections go to be transferred once the request that each may have open is answered. None if
+    /// the process is to end meanwhile.
     async fn pause(&mut self, intake: Intake) -> Result<Option<Paused>, StartError> {
         let phase = self.plan.channels.phase.send_replace(ServicePhase::HandingOver);
         intake.watching.abort();
@@ -274,8 +275,8 @@
         Ok(Some(Paused { listener, phase, _gate: ClosedGate { closing, _permit: permit } }))
     }
 
-    /// Hands the service over, unless the journal lacks what the successor would need. Calls in flight are finished here
-    /// for a successor of the same fingerprint, and aborted before for any other.
+    /// Hands the service over, unless the journal lacks what the successor would need. Calls in flight are finished
+    /// here for a successor of the same fingerprint, and aborted before for any other.
     async fn hand_over(&mut self, successor: SuccessorConnection, listener: &TcpListener) -> HandoverResult {
         self.event_loop.process_queued(&mut self.events);
         if !successor.shares_state {
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -39,7 +39,8 @@
 }
 
 /// Where the owner of a state folder listens for a successor: in the directory for temporary files, under a name for
-/// this folder.
+/// this folder. The name begins with the former name of the program, as both builds of a handover must find the same
+/// path.
 pub fn socket_path(folder: &Path) -> PathBuf {
     let folder = folder.canonicalize().unwrap_or_else(|_| folder.to_owned());
     let name = crc32fast::hash(folder.as_os_str().as_encoded_bytes());
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -28,7 +28,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 /// The body of a response for one message means nothing; a longer one, or a longer wait for its end, is not worth the
 /// connection.
-const MAX_BODY_BYTES: u64 = 64 << 10;
+const MAX_RESPONSE_BODY_BYTES: u64 = 64 << 10;
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Pool {
@@ -299,11 +299,11 @@
     connection: Connection,
     response: Response<Incoming>,
 ) -> Option<Bytes> {
-    if response.body().size_hint().lower() > MAX_BODY_BYTES {
+    if response.body().size_hint().lower() > MAX_RESPONSE_BODY_BYTES {
         return None;
     }
     let has_ambiguous_length = Headers::of(&response).has_ambiguous_length();
-    let body = Limited::new(response.into_body(), MAX_BODY_BYTES as usize).collect();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY_BYTES as usize).collect();
     let body = timeout(BODY_TIMEOUT, body).await.ok()?.ok()?.to_bytes();
     if !has_ambiguous_length {
         tokio::task::spawn_local(return_connection(pool, endpoint, connection));
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -123,7 +123,9 @@
             MessageOutcome::open(AttemptOutcome::TooManyConnections)
         }
         503 => MessageOutcome::open(AttemptOutcome::Rejected(None)),
+        // The endpoint counts the attempts of the message as used up.
         504 => MessageOutcome::open(AttemptOutcome::AttemptsExhausted),
+        // The endpoint no longer wants the message: no final outcome is owed.
         410 => MessageOutcome::completed(AttemptOutcome::NotSent),
         // An error, or an unknown status: the call may have run.
         _ => MessageOutcome::open(AttemptOutcome::ErrorResponse),
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -85,7 +85,8 @@
 pub struct SentRecord {
     /// Journal time in milliseconds.
     pub sent_ms: u64,
-    /// The index of the zone in the settings.
+    /// The number of the zone in the endpoint directory; it means the same after a restart as long as the zones of the
+    /// settings do not change.
     pub zone: u8,
 }
 
@@ -140,8 +141,8 @@
     pub calls_lost: Option<bool>,
     /// Since when slow start limits calls, in journal time in milliseconds.
     pub slow_start_ms: Option<u64>,
-    /// See [`CircuitRecord::baseline_rate`].
-    pub baseline_rate: f64,
+    /// See [`CircuitRecord::baseline_per_sec`].
+    pub baseline_per_sec: f64,
 }
 
 impl PersistedCircuit {
@@ -154,7 +155,7 @@
             failure_score: circuit.failure_score,
             calls_lost: circuit.calls_lost,
             slow_start_ms: circuit.slow_start_since.map(journal_ms),
-            baseline_rate: circuit.baseline_rate,
+            baseline_per_sec: circuit.baseline_per_sec,
         }
     }
 
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -19,7 +19,7 @@
 use crate::journal::FinalOutcome;
 
 /// The first time-out of a request. After it the batch goes again on another connection, as this one may be dead while
-/// the agent lives, and the time-out doubles up to [`AGENT_RESPONSE_TIMEOUT`]. Two requests fit into the grace of a final outcome.
+/// the agent lives, and the time-out doubles up to [`AGENT_RESPONSE_TIMEOUT`].
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Between tries to connect to an agent.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -97,7 +97,7 @@
     },
 }
 
-/// The connection to the agent, and how it fares.
+/// The connection to the agent, and and its state.
 struct NotificationSender {
     agent: AgentAddress,
     events: UnboundedSender<GatewayEvent>,
--- a/src/bin/delivery-gateway/resp2/codec.rs
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -9,7 +9,7 @@
 /// Words of one request.
 const MAX_WORDS: usize = 16;
 /// Bytes of the longest word of a request, which is the body of a message.
-pub const MAX_BODY_BYTES: usize = 64 << 10;
+pub const MAX_MESSAGE_BODY_BYTES: usize = 64 << 10;
 /// Bytes of a request besides its longest word: a key, an id, fields and their lengths.
 pub const MAX_BYTES_BESIDE_BODY: usize = 4 << 10;
 /// Bytes of a line that announces a count or a length.
@@ -82,7 +82,7 @@
     let mut position = header.end;
     for _ in 0..header.value {
         let Some(word) = length_line(buffer, position, b'$')? else { return Ok(None) };
-        if word.value > MAX_BODY_BYTES {
+        if word.value > MAX_MESSAGE_BODY_BYTES {
             return Err(RespError::TooLong);
         }
         let word_end = word.end + word.value;
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-use super::codec::MAX_BODY_BYTES;
+use super::codec::MAX_MESSAGE_BODY_BYTES;
 use crate::events::EnqueueRequest;
 use crate::journal::AcceptedRecord;
 
@@ -30,7 +30,7 @@
     /// A word is missing, or there is one too many.
     #[error("ENQUEUE takes a key, an id, fields and a body")]
     WordCount,
-    /// More than [`MAX_BODY_BYTES`].
+    /// More than [`MAX_MESSAGE_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
     /// The ordering key is no hexadecimal number of 64 bits.
@@ -75,7 +75,7 @@
         let [_command, ordering_key, id, fields, body] = words else {
             return Err(EnqueueError::WordCount);
         };
-        if body.len() > MAX_BODY_BYTES {
+        if body.len() > MAX_MESSAGE_BODY_BYTES {
             return Err(EnqueueError::BodyTooLong);
         }
         let ordering_key = text(ordering_key)
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -1,6 +1,7 @@
-//! Decoding of RESP2 requests (round trip, bad input and bounds), the mapping of `ENQUEUE`, and the encoding of replies.
+//! Decoding of RESP2 requests (round trip, bad input and bounds), the mapping of `ENQUEUE`, and the encoding of
+//! replies.
 
-use super::codec::{decode_request, Reply, RespError, MAX_BODY_BYTES, MAX_BYTES_BESIDE_BODY};
+use super::codec::{decode_request, Reply, RespError, MAX_BYTES_BESIDE_BODY, MAX_MESSAGE_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -54,7 +55,7 @@
 
 #[test]
 fn a_request_is_bounded_in_total() {
-    let body = vec![b'x'; MAX_BODY_BYTES];
+    let body = vec![b'x'; MAX_MESSAGE_BODY_BYTES];
     let words = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
     assert!(decode_parts([&words(100), b""]).is_ok());
     assert_eq!(decode_parts([&words(MAX_BYTES_BESIDE_BODY), b""]), Err(RespError::TooLong));
@@ -88,7 +89,7 @@
 #[test]
 fn each_enqueue_error_has_its_text() {
     let good = b"c=notice,dest=1,d=1000";
-    let long_body = vec![b'x'; MAX_BODY_BYTES + 1];
+    let long_body = vec![b'x'; MAX_MESSAGE_BODY_BYTES + 1];
     let cases: [(&[&[u8]], &str); 12] = [
         (&[b"ENQUEUE", b"0", b"m-1", good], "ENQUEUE takes a key, an id, fields and a body"),
         (&[b"ENQUEUE", b"0", b"m-1", good, &long_body], "the body is too long"),
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -1,4 +1,5 @@
-//! The one place that says whether a message may be sent to an endpoint now, by the rules of the protocol alone.
+//! The last check before an attempt: whether the message may be sent to the endpoint now, by the rules of the protocol
+//! alone.
 //!
 //! The scheduler keeps to the rules by itself. The guard checks again, from the journal's facts and the directory
 //! rather than from the scheduler's state, right before an attempt is recorded; what it forbids is not sent, counted,
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -169,7 +169,7 @@
             failure_score: DOWN_FAILURE_SCORE,
             calls_lost: Some(true),
             slow_start_since: None,
-            baseline_rate: 0.0,
+            baseline_per_sec: 0.0,
         };
         self.gateway.handle(Event::CircuitRestored(record));
     }
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -75,9 +75,10 @@
 pub const COLD_CAPACITY_RATIO: Setting<f64> = setting("Rules.ColdFrom", 0.2);
 /// After this long at most a returned destination has its full capacity. Nanoseconds.
 pub const WARM_UP: Setting<Duration> = setting("Rules.Cold", Duration::from_secs(10));
-/// A returning destination fails again if it gets more than this multiple of its present capacity ...
+/// A returning destination fails again if it gets more than this multiple of its present capacity over the overload
+/// window.
 pub const OVERLOAD_MULTIPLE: Setting<f64> = setting("Rules.TipMultiple", 2.0);
-/// ... over this time. Nanoseconds.
+/// The overload window: how long a returning destination survives an overload. Nanoseconds.
 pub const OVERLOAD_WINDOW: Setting<Duration> = setting("Rules.Fall", Duration::from_secs(2));
 /// How soon after an endpoint is announced as draining or removed no new call may reach it. Nanoseconds.
 pub const DRAIN_GRACE: Setting<Duration> = setting("Rules.StopSendingWithin", Duration::from_secs(2));
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `values` spreads both forms into one flat map from path to text, and reads single values from it.
 //! - `keys` is the table of all settings, with the name, purpose, unit and default of each. It is the only place that
-//!   knows the protocol's own names.
+//!   knows the names of settings.
 //! - `mapping` puts the table's values into [`Settings`](crate::Settings).
 //!
 //! A setting that is absent has its default, and one that the table does not list is ignored. A value of the wrong
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The delivery gateway's scheduler, and what the programs around it share.
 //!
-//! [`Scheduler`] decides which message goes to which endpoint, and when. It is told what happens ([`Event`]) and
+//! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and
 //! answers with what to do ([`Action`]). It opens no socket, reads no clock and shares nothing: its randomness comes
 //! from the seed, its time from the caller. Call [`Scheduler::handle`] for every event, then [`Scheduler::decide`]
 //! once.
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -44,7 +44,7 @@
     SetTimer {
         /// How long from now.
         after: Duration,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Close the idle connections to an endpoint.
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -25,9 +25,10 @@
     MalformedResponse,
     /// Cancelled by the scheduler; may have run.
     Cancelled,
-    /// Not sent at all: no free slot, or no time left.
+    /// Certainly not processed: not sent (no time left, or withdrawn), or refused by the endpoint before it
+    /// ran. It says nothing of the endpoint's health.
     NotSent,
-    /// Not sent: the message has had all its attempts.
+    /// The endpoint says that the message has had all its attempts; this one did not run.
     AttemptsExhausted,
     /// Rejected for the connection that it came on: the endpoint has too many. No rate limit was met.
     TooManyConnections,
@@ -54,7 +55,7 @@
 /// What a destination reports of its own limit with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Part of the limit that is unused just now, from 0.
+    /// Ratio of the limit that is unused just now: 0 is used up, 1 is all of it; up to 2 is accepted.
     pub headroom: f64,
     /// The limit, in calls a second over the whole fleet; zero where there is none.
     pub limit_per_sec: f64,
--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -22,7 +22,7 @@
     /// When the slow start began, if one is under way.
     pub slow_start_since: Option<Time>,
     /// Calls a second that were served before the outage.
-    pub baseline_rate: f64,
+    pub baseline_per_sec: f64,
 }
 
 /// A change of what has to outlast a restart.
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -1,4 +1,4 @@
-//! What a scheduler is told.
+//! What a scheduler receives.
 
 use std::time::Duration;
 
@@ -18,14 +18,16 @@
     WatchEstablished,
     /// A message was accepted.
     MessageAccepted(AcceptedMessage),
-    /// A message that was accepted before a restart. They come in the order of acceptance, before all others.
+    /// A message that was accepted before a restart. They come in the order of acceptance, before any
+    /// [`Event::MessageAccepted`].
     MessageRestored(RestoredMessage),
     /// A circuit's state from before a restart; comes after the endpoint list.
     CircuitRestored(CircuitRecord),
     /// The final outcome of a message was acknowledged; see
     /// [`Settings::outcomes_need_acknowledgement`](super::Settings::outcomes_need_acknowledgement).
     OutcomeAcknowledged(MessageId),
-    /// The gateway shuts down at this time: no call is started that would not be over by then.
+    /// The gateway shuts down at this time: no call is started that would not be over by then. The largest
+    /// time cancels the shutdown.
     ShutdownScheduled(Time),
     /// Operators disable an endpoint, listed or not. It may come twice.
     EndpointDisabled(EndpointId),
--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -13,8 +13,8 @@
 }
 
 ids! {
-    /// A message, unique for the life of a scheduler. It is also the idempotency key that travels with a
-    /// call.
+    /// The number of a message, unique for the life of a scheduler. The ids and idempotency keys of clients
+    /// are texts of their own.
     MessageId(u32);
     /// One endpoint of a destination.
     EndpointId(u32);
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -16,7 +16,7 @@
     pub destination: DestinationId,
     /// Its ordering key, if it has one.
     pub key: Option<OrderingKey>,
-    /// When it is given up.
+    /// When it is given up, on the scheduler's clock.
     pub deadline: Time,
     /// Another gateway that crashed had accepted it before; where it is idempotent with a key it may have run
     /// there.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The types of the scheduler's interface: what it is told ([`Event`]), what it answers ([`Action`]), and
+//! The types of the scheduler's interface: what it receives ([`Event`]), what it answers ([`Action`]), and
 //! what it is given at its start ([`Settings`]). Types without rules: no decision is made here.
 
 mod action;
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,5 +1,6 @@
-//! What a scheduler is given at its start. The names that settings have in the configuration are mapped to
-//! these in `src/config`.
+//! What a scheduler is given at its start. `src/config` maps the names in the configuration to these, and has
+//! the defaults of settings that a configuration leaves out. The defaults here are those of
+//! [`Settings::default`], for tests and examples.
 
 use std::time::Duration;
 
@@ -29,7 +30,8 @@
     Ignored,
     /// Calls a second that its destination serves for the whole fleet.
     Exact,
-    /// The same, but up to half too high or too low.
+    /// The same, but up to half too high or too low. Treated like [`CapacityHints::Exact`]: the rate limit
+    /// learns the rest.
     Approximate,
 }
 
@@ -42,9 +44,10 @@
     pub cold_capacity_ratio: f64,
     /// After this long at most a returned destination has its full capacity. Default: 10 s.
     pub warm_up: Duration,
-    /// A returning destination that gets more than this multiple of its present capacity ... Default: 2.
+    /// A returning destination fails again when it gets more than this multiple of its present capacity over
+    /// the overload window. Default: 2.
     pub overload_multiple: f64,
-    /// ... over this time fails again. Default: 2 s.
+    /// The overload window: how long a returning destination survives an overload. Default: 2 s.
     pub overload_window: Duration,
     /// How soon after an endpoint is announced as draining or removed no new call may reach it. Default: 2 s.
     pub drain_grace: Duration,
@@ -67,8 +70,8 @@
     pub capacity_hints: CapacityHints,
     /// How the value of a message falls after its latency objective. Default: [`Decay::Linear`].
     pub decay: Decay,
-    /// Cost of a message that goes to an endpoint with limits of its own in a zone, by
-    /// [`ZoneId`](super::ZoneId); zero where absent.
+    /// Cost, in any unit as costs are only compared, of a message that goes to an endpoint with limits of its
+    /// own in a zone, by [`ZoneId`](super::ZoneId); zero where absent.
     pub zone_costs: Vec<f64>,
     /// Calls that may be in flight at once. Default: 16.
     pub max_in_flight_calls: usize,
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -201,7 +201,8 @@
 }
 
 /// How severe a failed call is, if no call has succeeded since it was sent. Errors and resets don't count
-/// while the route has a healthy endpoint. Missing responses do, as mostly all endpoints hang together.
+/// while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route stall at
+/// once.
 fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
         AttemptOutcome::ConnectFailed => Severity::Certain,
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -6,8 +6,9 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// After a failure an endpoint is the last choice for this ratio of the overload window; the time doubles
-/// with each further failure, up to the length of a slow start.
+/// After a failure an endpoint is the last choice for a random time. Its upper end after the first failure is
+/// twice this ratio of the overload window; it doubles with each further one, up to the length of a slow
+/// start.
 const BASE_AVOIDANCE_OF_WINDOW: f64 = 0.1;
 
 impl Scheduler {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -6,12 +6,16 @@
 //! idempotency key, within its deduplication scope, its idempotency window and the limit of attempts, after a
 //! backoff with full jitter. Everything else protects this path.
 //!
-//! Each rule has a module of its own with its constants and its state, and reads no other rule's state:
-//! `quota`, `idempotency`, `ordering`, `retry`, `message_value`, `connection_reuse` and `watch_backoff` for
-//! messages, connections and the endpoint list; `retry_after`, `circuit_breaker`, `slow_start`, `rate_limit`,
-//! `loss_ratio` and `traffic` for a route, which holds their state. The other modules compose them:
-//! [`Scheduler::decide`] lists the steps in their order, `route_availability` the rules that a call has to
-//! pass, `call_outcome` what is learnt from a call.
+//! Each rule has a module of its own with its constants and its state: `quota`, `idempotency`, `ordering`,
+//! `retry`, `message_value`, `connection_reuse`, `watch_backoff`, `drain` and `shutdown` for messages,
+//! connections, the endpoint list and the process; `retry_after`, `circuit_breaker`, `slow_start`,
+//! `rate_limit`, `loss_ratio` and `traffic` for a route, which holds their state. No rule reads another one's
+//! state, save that `slow_start` asks `traffic` for the rates that its budget follows.
+//!
+//! The other modules compose them: [`Scheduler::decide`] lists the steps in their order, `admission` what is
+//! accepted and shed, `route_availability` the rules that a call has to pass, `message_choice`,
+//! `endpoint_selection` and `slot_allocation` what is sent, `call_outcome` what is learnt from a call, and
+//! `unresponsive_calls` what follows from its silence.
 
 use crate::model::*;
 use serde::{Deserialize, Serialize};
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -45,7 +45,7 @@
             failure_score: route.circuit.failure_score(),
             calls_lost: route.circuit.calls_lost(),
             slow_start_since: route.slow_start.since(),
-            baseline_rate: route.traffic.baseline_per_sec(),
+            baseline_per_sec: route.traffic.baseline_per_sec(),
         })
     }
 
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -35,7 +35,7 @@
         let Some(route) = self.routes.get_mut(&id) else { return };
         self.ready_index.changed_circuits.insert(id);
         route.circuit.restore(&record);
-        route.traffic.restore_baseline(record.baseline_rate);
+        route.traffic.restore_baseline(record.baseline_per_sec);
         route.slow_start.restore(record.slow_start_since);
         if route.slow_start.is_active() {
             route.rate_limit.drain();
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -11,7 +11,8 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// Upper end of the first random backoff, as a ratio of the latency objective.
+/// Unit of the backoff, as a ratio of the latency objective: it doubles with each attempt that was made, so
+/// that the random backoff after the first attempt has twice this as its upper end.
 const BACKOFF_BASE_OF_OBJECTIVE: f64 = 0.05;
 /// Upper end of any backoff, as a ratio of the latency objective.
 const BACKOFF_CAP_OF_OBJECTIVE: f64 = 0.7;
@@ -22,7 +23,7 @@
 /// Longest time-out, as a multiple of the latency objective.
 const MAX_TIMEOUT_OF_OBJECTIVE: f64 = 3.0;
 
-/// The first backoff before jitter.
+/// The unit of the backoff, before jitter.
 pub fn base_backoff(latency_objective: Duration) -> Duration {
     latency_objective.mul_f64(BACKOFF_BASE_OF_OBJECTIVE)
 }
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -14,9 +14,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A queue of more messages than this gets an index ...
+/// A queue of more messages than this gets an index.
 const INDEX_ABOVE_LENGTH: usize = 64;
-/// ... and loses it when it has no more than this.
+/// A queue that has an index loses it when it has no more messages than this.
 const NO_INDEX_UP_TO_LENGTH: usize = 32;
 /// Stages that the value of a message goes through at most.
 pub const STAGES: usize = 2 * VALUE_STAGES - 1;
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -96,9 +96,9 @@
 /// The indexes of a scheduler.
 #[derive(Default)]
 pub struct ReadyIndex {
-    /// The next step that has a free slot visits all destinations ...
+    /// Whether the next step that has a free slot visits all destinations.
     pub all: bool,
-    /// ... or these.
+    /// The destinations that it visits otherwise.
     touched: BTreeSet<DestinationId>,
     send_times: DueQueue<DestinationId>,
     recheck_times: DueQueue<DestinationId>,
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -10,7 +10,8 @@
 
 /// A call is unresponsive after so many latencies (mean plus deviation) of its route.
 const PATIENCE_IN_LATENCIES: f64 = 3.0;
-/// ... but not before this ratio of the shortest latency objective: short pauses of an endpoint are ordinary.
+/// No call is unresponsive before this ratio of the shortest latency objective: short pauses of an endpoint
+/// are ordinary.
 const MIN_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
 /// A call with a message that is not idempotent gets this multiple of that patience before it is cancelled,
 /// as the message is lost with it.
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -13,7 +13,7 @@
 /// How long discovery may take to answer a watch request. Giving up earlier would make it answer twice.
 pub const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Delay after the watch broke without a word from discovery.
+/// Delay after the watch broke without a response from discovery.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
 /// Upper end of the first random delay after a rejection, for each gateway of the fleet.
 const FIRST_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_millis(200);
@@ -22,9 +22,11 @@
 /// Longest delay after a rejection, whatever the size of the fleet: an instance that starts to drain must be
 /// noticed within the drain's grace time, and the answer itself may take [`WATCH_RESPONSE_TIMEOUT`].
 const MAX_REJECTION_DELAY: Duration = Duration::from_secs(5);
-/// The first watch is spread over this time for each gateway of the fleet ...
+/// The first watch is spread over this time for each gateway of the fleet, up to
+/// [`START_SPREAD_OF_DRAIN_GRACE`].
 const START_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
-/// ... but at most over this ratio of the drain's grace time, which runs on while a gateway is down.
+/// The first watch is spread at most over this ratio of the drain's grace time, which runs on while a gateway
+/// is down.
 const START_SPREAD_OF_DRAIN_GRACE: f64 = 0.5;
 
 /// The delay before the first watch request; `chance` is a random number in `0.0..1.0`.
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -1,8 +1,9 @@
 //! The environment of a gateway under test, on loopback sockets: endpoints whose every response the test chooses,
 //! discovery's agent with the endpoint list and the notifications, clients, and the gateway's own process.
 //!
-//! What the gateway does is observed in order: [`TestEnvironment::call`] and [`TestEnvironment::notification`] return the
-//! next thing and fail where it is another one.
+//! What the gateway does is observed in order: [`TestEnvironment::call`] and [`TestEnvironment::notification`] return
+//! the next thing and fail where it is another one.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 pub mod audit;
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -49,7 +49,8 @@
     environment.expect_nothing();
 }
 
-/// A Retry-After binds the successor too, as does a disabled endpoint; the predecessor's admin endpoint passes requests on.
+/// A Retry-After binds the successor too, as does a disabled endpoint; the predecessor's admin endpoint passes requests
+/// on.
 #[test]
 fn retry_after_delays_and_disabled_endpoints_are_handed_over() {
     let mut environment = TestEnvironment::with_long_deadlines(2, 3.0);
@@ -108,8 +109,8 @@
     environment.expect_nothing();
 }
 
-/// If the predecessor is killed midway, its calls may have run: those that are not idempotent have failed, and the others
-/// are retried, and only then.
+/// If the predecessor is killed midway, its calls may have run: those that are not idempotent have failed, and the
+/// others are retried, and only then.
 #[test]
 fn in_flight_calls_of_a_killed_predecessor_count_as_uncertain() {
     let environment = TestEnvironment::with_long_deadlines(2, 3.0);
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -14,9 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// A journal that was written while destinations had 16 bits: compacted once, then appended to. Messages of destinations
-/// 1, 300 and 65535 are pending, with deadlines decades away. The first of 1 and of 300 were in flight; the second ones
-/// waited behind them, in order. The circuit of 65535 is open, 40000 is not listed any more, and all else drains.
+/// A journal that was written while destinations had 16 bits: compacted once, then appended to. Messages of
+/// destinations 1, 300 and 65535 are pending, with deadlines decades away. The first of 1 and of 300 were in flight;
+/// the second ones waited behind them, in order. The circuit of 65535 is open, 40000 is not listed any more, and all
+/// else drains.
 const JOURNAL_WITH_16_BIT_DESTINATIONS: &[&[u8]] = &[
     // Endpoints
     b"\xa3\x00\x00\x00\x9d\xb3\xdd\xc3\x06\x02\x01\x03\x03s-0\x0f127.0.0.1:39731\x08kingston\x05banks\
@@ -186,7 +187,7 @@
         failure_score: rng.u32(..),
         calls_lost: [None, Some(false), Some(true)][rng.usize(..3)],
         slow_start_ms: rng.bool().then(|| rng.u64(..)),
-        baseline_rate: rng.f64(),
+        baseline_per_sec: rng.f64(),
     }
 }
 
@@ -199,8 +200,8 @@
     );
 }
 
-/// Circuits that change one by one are read as they were, over kills and compactions. A tail that is torn anywhere loses
-/// no more than the last change.
+/// Circuits that change one by one are read as they were, over kills and compactions. A tail that is torn anywhere
+/// loses no more than the last change.
 #[test]
 fn circuit_changes_survive_kills_compactions_and_torn_tails() {
     let folder = StateFolder::new("circuits");
@@ -335,8 +336,8 @@
     }
 }
 
-/// An endpoint list that no record can hold is applied completely or not at all, wherever its tail is torn. What is left
-/// of it changes nothing that comes after it.
+/// An endpoint list that no record can hold is applied completely or not at all, wherever its tail is torn. What is
+/// left of it changes nothing that comes after it.
 #[test]
 fn an_endpoint_list_of_many_records_is_applied_completely_or_not_at_all() {
     const MANY: u32 = 50_000;
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -16,8 +16,8 @@
     environment
 }
 
-/// Each destination gets its message, through fewer descriptors than there are endpoints. Under one ordering key each is
-/// sent when the one before is completed; the last stays in flight.
+/// Each destination gets its message, through fewer descriptors than there are endpoints. Under one ordering key each
+/// is sent when the one before is completed; the last stays in flight.
 fn deliver_to_all(environment: &TestEnvironment, gateway: &RunningGateway, round: &str) -> Call {
     let mut client = gateway.client();
     let mut send = |id: &str, destination| {
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -1,6 +1,5 @@
-//! A state folder that cannot be written for a while: each accepted message still gets one final outcome, and no rule is
-//! broken.
-//! The faults come from the shim (`fault-shim/`).
+//! A state folder that cannot be written for a while: each accepted message still gets one final outcome, and no rule
+//! is broken. The faults come from the shim (`fault-shim/`).
 
 mod environment;
 
@@ -15,7 +14,8 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A final outcome is announced only once no restart can lose it: a message that was returned may be enqueued elsewhere.
+/// A final outcome is announced only once no restart can lose it: a message that was returned may be enqueued
+/// elsewhere.
 #[test]
 fn a_final_outcome_is_announced_only_after_it_is_written() {
     let environment = TestEnvironment::with_faults(1, 1);
@@ -80,8 +80,8 @@
     environment.expect_nothing();
 }
 
-/// Attempts that cannot be recorded are not made, and do not count as attempts of the message: it is sent as soon as the
-/// disk can be written again.
+/// Attempts that cannot be recorded are not made, and do not count as attempts of the message: it is sent as soon as
+/// the disk can be written again.
 #[test]
 fn a_disk_that_fails_for_a_while_uses_up_no_attempts() {
     let mut environment = TestEnvironment::with_faults(1, 1);
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -1,4 +1,5 @@
-//! A process that is killed at any of its writes, half done or complete: the next one breaks no rule with what it finds.
+//! A process that is killed at any of its writes, half done or complete: the next one breaks no rule with what it
+//! finds.
 
 mod environment;
 
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -248,7 +248,7 @@
             failure_score: route.failure_score,
             calls_lost: route.spell.as_ref().map(|spell| spell.lost),
             slow_start_since: route.returned,
-            baseline_rate: route.share,
+            baseline_per_sec: route.share,
         })
     }
 
@@ -484,7 +484,7 @@
         let (settings, chance) = (&self.settings, self.rng.f64());
         let Some(route) = self.routes.get_mut(&RouteId(outage.destination, outage.endpoint)) else { return };
         (route.last_answer, route.failure_score) = (outage.last_success_at, outage.failure_score);
-        (route.returned, route.share) = (outage.slow_start_since, outage.baseline_rate);
+        (route.returned, route.share) = (outage.slow_start_since, outage.baseline_per_sec);
         if route.returned.is_some() {
             route.tokens = 0.0;
         }
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -288,7 +288,7 @@
         failure_score: 0,
         calls_lost: None,
         slow_start_since: Some(begun),
-        baseline_rate: 0.0,
+        baseline_per_sec: 0.0,
     }));
     bench.accept(1, 0, 3, None);
     loop {
--- a/tests/same_decisions/comparison.rs
+++ b/tests/same_decisions/comparison.rs
@@ -78,8 +78,8 @@
 }
 
 fn same_circuit(product: &CircuitRecord, reference: &CircuitRecord) -> bool {
-    near_rate(product.baseline_rate, reference.baseline_rate)
-        && CircuitRecord { baseline_rate: reference.baseline_rate, ..*product } == *reference
+    near_rate(product.baseline_per_sec, reference.baseline_per_sec)
+        && CircuitRecord { baseline_per_sec: reference.baseline_per_sec, ..*product } == *reference
 }
 
 /// A destination with the longest queue, its messages, and its routes.
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -29,7 +29,7 @@
             failure_score: 6,
             calls_lost: Some(true),
             slow_start_since: None,
-            baseline_rate: 0.3,
+            baseline_per_sec: 0.3,
         }));
     }
 }
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -262,7 +262,7 @@
             failure_score: 6,
             calls_lost: Some(true),
             slow_start_since: None,
-            baseline_rate: 0.0,
+            baseline_per_sec: 0.0,
         }));
     }
     assert_eq!(bench.step(), []);
