--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -113,7 +113,7 @@
     fn record_attempt(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> bool {
         let zone = self.directory.zone(endpoint).0;
         let sent = SentRecord { sent_ms: self.clock.journal_ms(now), zone };
-        let recorded = self.journal.record_attempt(message.0, sent);
+        let recorded = self.journal.record_attempt_started(message.0, sent);
         self.journal_errors.log_failure(recorded)
     }
 
@@ -275,7 +275,7 @@
 
     fn record_attempt_outcome(&mut self, message: MessageId, outcome: AttemptOutcome) {
         let recorded = match outcome {
-            AttemptOutcome::LocalFailure => self.journal.record_attempt_not_sent(message.0),
+            AttemptOutcome::LocalFailure => self.journal.record_attempt_undone(message.0),
             outcome => self.journal.record_attempt_outcome(message.0, !outcome.was_not_processed()),
         };
         self.journal_errors.log_failure(recorded);
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// It is not recorded, and must not be made.
-    pub fn record_attempt(&mut self, number: u32, attempt: SentRecord) -> Result<(), JournalError> {
+    pub fn record_attempt_started(&mut self, number: u32, attempt: SentRecord) -> Result<(), JournalError> {
         self.write_ahead(Record::AttemptStarted { number, attempt })
     }
 
@@ -177,8 +177,8 @@
     ///
     /// # Errors
     /// The record is deferred.
-    pub fn record_attempt_not_sent(&mut self, number: u32) -> Result<(), JournalError> {
-        self.end_attempt(number, Record::AttemptNotSent { number })
+    pub fn record_attempt_undone(&mut self, number: u32) -> Result<(), JournalError> {
+        self.end_attempt(number, Record::AttemptUndone { number })
     }
 
     /// A message has its final outcome, of which nobody has been notified.
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -36,7 +36,7 @@
     /// counts until the last one has been read.
     EndpointsPart { index: u32, count: u32, update: DiscoveryUpdate },
     /// The attempt that was started last was not sent, for a reason on this machine.
-    AttemptNotSent { number: u32 },
+    AttemptUndone { number: u32 },
 }
 
 /// A message as it was accepted.
--- a/src/bin/delivery-gateway/journal/state.rs
+++ b/src/bin/delivery-gateway/journal/state.rs
@@ -36,7 +36,7 @@
             Record::Pending { number, message } => self.insert(number, message),
             Record::AttemptStarted { number, attempt } => self.start_attempt(number, attempt),
             Record::AttemptFinished { number, may_have_run } => self.finish_attempt(number, may_have_run),
-            Record::AttemptNotSent { number } => self.undo_attempt(number),
+            Record::AttemptUndone { number } => self.undo_attempt(number),
             Record::OutcomeDecided { number, final_outcome } => {
                 if let Some(pending) = self.pending.get_mut(&number) {
                     pending.final_outcome = Some(final_outcome);
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -68,8 +68,8 @@
             self.ordering.push(key, id);
         }
         self.deadlines.insert(Deadline { at: deadline, message: id });
-        let standing = self.standing(&message);
-        self.queues.entry(destination).or_default().push(message.seq, id, standing);
+        let queue_state = self.queue_state(&message);
+        self.queues.entry(destination).or_default().push(message.seq, id, queue_state);
         self.open_messages += 1;
         self.touch(destination);
         self.record_demand(now, destination);
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -46,7 +46,7 @@
                 self.complete_call(now, call_id, call, &finished);
             }
         }
-        self.update_standing(id);
+        self.update_queue_state(id);
         if finished.complete {
             self.complete_message(id);
         } else {
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -77,7 +77,7 @@
         message.call = Some(call_id);
         let message = message_id;
         self.actions.push(Action::StartAttempt { message, endpoint, attempt_timeout, send_within });
-        self.update_standing(message_id);
+        self.update_queue_state(message_id);
     }
 
     /// Closes the idle connections to an endpoint if reusing one is too risky. Returns how long the
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,7 +1,7 @@
 //! Keeps the state and its indexes in step: what a change affects, and what can be forgotten.
 
 use super::route::Route;
-use super::state::queue::{Lane, Standing};
+use super::state::queue::{MessageGroup, QueueState};
 use super::state::ready_index::ReadyIndex;
 use super::state::{Message, RouteId};
 use super::{Deadline, Scheduler};
@@ -19,29 +19,29 @@
 
     /// How a message stands in its queue. Messages of a class that were never attempted differ in their age
     /// alone.
-    pub(super) fn standing(&self, message: &Message) -> Standing {
+    pub(super) fn queue_state(&self, message: &Message) -> QueueState {
         if message.call.is_some() {
-            return Standing::InFlight;
+            return QueueState::InFlight;
         }
         if message.ordering_key(&self.settings).is_some()
             || message.first_uncertain_attempt.is_some()
             || message.attempts >= self.settings.max_attempts
         {
-            return Standing::Individual;
+            return QueueState::Individual;
         }
-        Standing::Grouped {
-            lane: Lane { class: message.accepted.class, over_quota: message.over_quota },
+        QueueState::Grouped {
+            group: MessageGroup { class: message.accepted.class, over_quota: message.over_quota },
             enqueued_at: message.enqueued_at,
             not_before: message.not_before,
         }
     }
 
-    /// Updates the queue entry of a message; to be called whenever its standing may have changed.
-    pub(super) fn update_standing(&mut self, id: MessageId) {
+    /// Updates the queue entry of a message; to be called whenever its state there may have changed.
+    pub(super) fn update_queue_state(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        let standing = self.standing(message);
+        let queue_state = self.queue_state(message);
         if let Some(queue) = self.queues.get_mut(&message.accepted.destination) {
-            queue.set_standing(message.seq, standing);
+            queue.set_queue_state(message.seq, queue_state);
         }
     }
 
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -3,7 +3,7 @@
 use super::idempotency;
 use super::loss_ratio;
 use super::message_value;
-use super::state::queue::{Lane, Queue, Standing};
+use super::state::queue::{MessageGroup, Queue, QueueState};
 use super::state::ready_index::{earliest, Revisit};
 use super::state::{Message, RemainingValue, RouteId};
 use super::Scheduler;
@@ -91,20 +91,20 @@
         include_non_idempotent: bool,
     ) -> Option<Vec<MessageId>> {
         let mut queue = std::mem::take(self.queues.get_mut(&destination)?);
-        let standing =
-            |id| self.messages.get(&id).map_or(Standing::InFlight, |message| self.standing(message));
-        let index = queue.take_index(standing);
+        let queue_state =
+            |id| self.messages.get(&id).map_or(QueueState::InFlight, |message| self.queue_state(message));
+        let index = queue.take_index(queue_state);
         let best = index.map(|mut index| {
-            let class = |lane: Lane| &self.settings.classes[usize::from(lane.class.0)];
-            let stage = |lane: Lane, enqueued_at: Time| {
+            let class = |group: MessageGroup| &self.settings.classes[usize::from(group.class.0)];
+            let stage = |group: MessageGroup, enqueued_at: Time| {
                 let age_secs = (now - enqueued_at).as_secs_f64();
-                let objective_secs = class(lane).latency_objective.as_secs_f64();
+                let objective_secs = class(group).latency_objective.as_secs_f64();
                 let stage_at =
-                    |age_secs: f64| RemainingValue::at_age(class(lane), self.settings.decay, age_secs).stage;
+                    |age_secs: f64| RemainingValue::at_age(class(group), self.settings.decay, age_secs).stage;
                 stage_at(age_secs) + stage_at(age_secs + objective_secs)
             };
             index.advance(now, stage);
-            let is_included = |lane| include_non_idempotent && !idempotency::is_resendable(class(lane));
+            let is_included = |group| include_non_idempotent && !idempotency::is_resendable(class(group));
             let best = index.candidates(is_included);
             queue.give_back(index);
             best
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -168,7 +168,7 @@
         self.give_up_expired(now);
         self.shed_load(now);
         let mut next = self.mark_unresponsive_calls(now);
-        self.free_pinned_slot(now);
+        self.cancel_unresponsive_call(now);
         self.fill_free_slots(now, &mut next);
         self.restart_watch(now, &mut next);
         self.set_timer(now, next);
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -19,7 +19,7 @@
             message.first_uncertain_attempt.get_or_insert(attempt);
         }
         message.awaits_acknowledgement |= restored.outcome_recorded;
-        self.update_standing(id);
+        self.update_queue_state(id);
         if restored.outcome_recorded {
             self.complete_message(id);
         } else {
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -66,7 +66,7 @@
             let Some(first) = first else { break };
             let destination = ready.swap_remove(first).destination;
             // Other calls have started since it was found ready, so it may have to wait now.
-            let Some(candidate) = self.look_at(now, destination, next) else { continue };
+            let Some(candidate) = self.find_candidate_or_park(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
         }
@@ -88,13 +88,13 @@
         destination: DestinationId,
         next: &mut Option<Time>,
     ) -> Option<ReadyDestination> {
-        let value_per_sec = self.look_at(now, destination, next)?.value_per_sec;
+        let value_per_sec = self.find_candidate_or_park(now, destination, next)?.value_per_sec;
         Some(ReadyDestination { destination, value_per_sec })
     }
 
     /// What may be sent to a destination now. If nothing may, it is not visited again before that can have
     /// changed.
-    fn look_at(
+    fn find_candidate_or_park(
         &mut self,
         now: Time,
         destination: DestinationId,
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -26,7 +26,7 @@
 
 /// Messages that differ in nothing but their age.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Lane {
+pub struct MessageGroup {
     /// Their class.
     pub class: ClassId,
     /// Whether they are beyond their tenant's quota.
@@ -35,13 +35,13 @@
 
 /// State of a message in its queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QueueState {
     /// A call carries it: it is no candidate.
     InFlight,
     /// It is compared on its own.
     Individual,
     /// One of a group that differs in its age alone. It may not be sent before `not_before`.
-    Grouped { lane: Lane, enqueued_at: Time, not_before: Time },
+    Grouped { group: MessageGroup, enqueued_at: Time, not_before: Time },
 }
 
 /// The messages of one destination that have no final outcome yet.
@@ -66,9 +66,9 @@
         self.order.values().copied()
     }
 
-    pub fn push(&mut self, seq: Seq, id: MessageId, standing: Standing) {
+    pub fn push(&mut self, seq: Seq, id: MessageId, queue_state: QueueState) {
         self.order.insert(seq, id);
-        self.set_standing(seq, standing);
+        self.set_queue_state(seq, queue_state);
     }
 
     pub fn remove(&mut self, seq: Seq) {
@@ -79,21 +79,21 @@
     }
 
     /// Sets the state of a message.
-    pub fn set_standing(&mut self, seq: Seq, standing: Standing) {
+    pub fn set_queue_state(&mut self, seq: Seq, queue_state: QueueState) {
         if let Some((index, id)) = self.index.as_mut().zip(self.order.get(&seq)) {
             index.remove(seq);
-            index.insert(seq, *id, standing);
+            index.insert(seq, *id, queue_state);
         }
     }
 
     /// Takes out the index of a long queue; the caller gives it back. It is built where there is none yet,
-    /// with `standing` for the state of each message.
-    pub fn take_index(&mut self, standing: impl Fn(MessageId) -> Standing) -> Option<Box<Index>> {
+    /// with `queue_state` for the state of each message.
+    pub fn take_index(&mut self, queue_state: impl Fn(MessageId) -> QueueState) -> Option<Box<Index>> {
         if self.len() <= if self.index.is_some() { NO_INDEX_UP_TO_LENGTH } else { INDEX_ABOVE_LENGTH } {
             self.index = None;
         } else if self.index.is_none() {
             let mut index = Box::<Index>::default();
-            self.order.iter().for_each(|(seq, id)| index.insert(*seq, *id, standing(*id)));
+            self.order.iter().for_each(|(seq, id)| index.insert(*seq, *id, queue_state(*id)));
             return Some(index);
         }
         self.index.take()
@@ -110,15 +110,15 @@
     all: BTreeMap<Seq, (MessageId, Location)>,
     apart: BTreeSet<Seq>,
     later: BTreeSet<(Time, Seq)>,
-    lanes: BTreeMap<Lane, [Stage; STAGES]>,
+    groups: BTreeMap<MessageGroup, [Stage; STAGES]>,
 }
 
 #[derive(Clone, Copy)]
 enum Location {
     Nowhere,
-    Apart,
-    Later { lane: Lane, enqueued_at: Time, not_before: Time },
-    Stage { lane: Lane, stage: usize, enqueued_at: Time },
+    Individual,
+    Later { group: MessageGroup, enqueued_at: Time, not_before: Time },
+    Stage { group: MessageGroup, stage: usize, enqueued_at: Time },
 }
 
 #[derive(Default)]
@@ -138,16 +138,16 @@
 }
 
 impl Index {
-    fn insert(&mut self, seq: Seq, id: MessageId, standing: Standing) {
-        let location = match standing {
-            Standing::InFlight => Location::Nowhere,
-            Standing::Individual => {
+    fn insert(&mut self, seq: Seq, id: MessageId, queue_state: QueueState) {
+        let location = match queue_state {
+            QueueState::InFlight => Location::Nowhere,
+            QueueState::Individual => {
                 self.apart.insert(seq);
-                Location::Apart
+                Location::Individual
             }
-            Standing::Grouped { lane, enqueued_at, not_before } => {
+            QueueState::Grouped { group, enqueued_at, not_before } => {
                 self.later.insert((not_before, seq));
-                Location::Later { lane, enqueued_at, not_before }
+                Location::Later { group, enqueued_at, not_before }
             }
         };
         self.all.insert(seq, (id, location));
@@ -155,61 +155,61 @@
 
     fn remove(&mut self, seq: Seq) {
         match self.all.remove(&seq) {
-            Some((_, Location::Apart)) => drop(self.apart.remove(&seq)),
+            Some((_, Location::Individual)) => drop(self.apart.remove(&seq)),
             Some((_, Location::Later { not_before, .. })) => drop(self.later.remove(&(not_before, seq))),
-            Some((_, Location::Stage { lane, stage, enqueued_at })) => {
-                self.leave(seq, lane, stage, enqueued_at)
+            Some((_, Location::Stage { group, stage, enqueued_at })) => {
+                self.leave(seq, group, stage, enqueued_at)
             }
             Some((_, Location::Nowhere)) | None => {}
         }
     }
 
-    fn leave(&mut self, seq: Seq, lane: Lane, stage: usize, enqueued_at: Time) {
-        if let Some(stages) = self.lanes.get_mut(&lane) {
+    fn leave(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
+        if let Some(stages) = self.groups.get_mut(&group) {
             stages[stage].by_age.remove(&(enqueued_at, seq));
             stages[stage].by_place.remove(&seq);
         }
     }
 
-    fn enter(&mut self, seq: Seq, lane: Lane, stage: usize, enqueued_at: Time) {
-        let entered = &mut self.lanes.entry(lane).or_default()[stage];
+    fn enter(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
+        let entered = &mut self.groups.entry(group).or_default()[stage];
         entered.by_age.insert((enqueued_at, seq));
         entered.by_place.insert(seq);
         if let Some((_, location)) = self.all.get_mut(&seq) {
-            *location = Location::Stage { lane, stage, enqueued_at };
+            *location = Location::Stage { group, stage, enqueued_at };
         }
     }
 
     /// Moves each message to the stage that it has reached by now. Stages only grow with age.
-    pub fn advance(&mut self, now: Time, stage_of: impl Fn(Lane, Time) -> usize) {
+    pub fn advance(&mut self, now: Time, stage_of: impl Fn(MessageGroup, Time) -> usize) {
         while let Some((_, seq)) = self.later.first().filter(|(at, _)| *at <= now).copied() {
             self.later.pop_first();
-            if let Some((_, Location::Later { lane, enqueued_at, .. })) = self.all.get(&seq).copied() {
-                self.enter(seq, lane, stage_of(lane, enqueued_at).min(STAGES - 1), enqueued_at);
+            if let Some((_, Location::Later { group, enqueued_at, .. })) = self.all.get(&seq).copied() {
+                self.enter(seq, group, stage_of(group, enqueued_at).min(STAGES - 1), enqueued_at);
             }
         }
-        for lane in self.lanes.keys().copied().collect::<Vec<_>>() {
+        for group in self.groups.keys().copied().collect::<Vec<_>>() {
             for stage in 0..STAGES - 1 {
-                while let Some((enqueued_at, seq)) = self.lanes[&lane][stage].by_age.first().copied() {
-                    let reached = stage_of(lane, enqueued_at).min(STAGES - 1);
+                while let Some((enqueued_at, seq)) = self.groups[&group][stage].by_age.first().copied() {
+                    let reached = stage_of(group, enqueued_at).min(STAGES - 1);
                     if reached <= stage {
                         break;
                     }
-                    self.leave(seq, lane, stage, enqueued_at);
-                    self.enter(seq, lane, reached, enqueued_at);
+                    self.leave(seq, group, stage, enqueued_at);
+                    self.enter(seq, group, reached, enqueued_at);
                 }
             }
         }
     }
 
     /// The messages of which one is the best now, in the order of the queue, and the first that may be sent
-    /// later. Of lanes for which `go_through` holds, all messages.
-    pub fn candidates(&self, go_through: impl Fn(Lane) -> bool) -> Vec<MessageId> {
+    /// later. Of groups for which `go_through` holds, all messages.
+    pub fn candidates(&self, go_through: impl Fn(MessageGroup) -> bool) -> Vec<MessageId> {
         let mut found: BTreeSet<Seq> = self.apart.clone();
         found.extend(self.later.first().map(|(_, seq)| *seq));
-        for (lane, stages) in &self.lanes {
+        for (group, stages) in &self.groups {
             for stage in stages {
-                if go_through(*lane) {
+                if go_through(*group) {
                     found.extend(&stage.by_place);
                 } else {
                     found.extend(stage.ends());
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -58,7 +58,7 @@
     }
 
     /// Cancels the oldest unresponsive call where no slot is free and messages wait.
-    pub(super) fn free_pinned_slot(&mut self, now: Time) {
+    pub(super) fn cancel_unresponsive_call(&mut self, now: Time) {
         let has_waiting_messages = self.open_messages > self.calls.len();
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
             return;
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -441,8 +441,8 @@
     let (first, second) = (SentRecord { sent_ms: 1_000, zone: 1 }, SentRecord { sent_ms: 2_000, zone: 2 });
     let mut journal = folder.journal(DISK);
     let number = journal.accept(accepted_record("m1")).unwrap();
-    journal.record_attempt(number, first).unwrap();
-    journal.record_attempt(number, second).unwrap();
+    journal.record_attempt_started(number, first).unwrap();
+    journal.record_attempt_started(number, second).unwrap();
     journal.record_attempt_outcome(number, false).unwrap();
     let journal = folder.journal(DISK);
     let pending: &PendingMessage = &journal.state.pending[&number];
@@ -508,7 +508,7 @@
     let endpoints = (0..1000).map(endpoint).collect();
     assert!(journal.record_endpoints(DiscoveryUpdate { revision: 2, is_snapshot: true, endpoints }).is_err());
     let number = journal.accept(accepted_record("m1")).unwrap();
-    journal.record_attempt(number, SentRecord { sent_ms: 1_000, zone: 1 }).unwrap();
+    journal.record_attempt_started(number, SentRecord { sent_ms: 1_000, zone: 1 }).unwrap();
     journal.record_attempt_outcome(number, true).unwrap();
     let journal = folder.journal(DISK);
     assert_eq!(
