--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -14,7 +14,7 @@
 use crate::figures::{Figure, Figures, Point};
 use crate::fit::median;
 use crate::stubs::{address_in, class, command, serve, serve_calls, target};
-use crate::stubs::{Agent, Client, Configuration, Process, Seen};
+use crate::stubs::{Agent, Client, Configuration, Process, StubEvent};
 
 /// Destinations that the messages are for, one endpoint each.
 const DESTINATIONS: u64 = 64;
@@ -76,7 +76,7 @@
 
 /// Stubs of endpoints and of discovery, for all sizes.
 struct Stubs {
-    seen: Receiver<Seen>,
+    seen: Receiver<StubEvent>,
     agent: Agent,
     /// One address for all endpoints.
     endpoints: SocketAddr,
@@ -129,7 +129,7 @@
         while attempted.len() < messages && Instant::now() < end {
             guard.check()?;
             match self.seen.recv_timeout(CHECK_INTERVAL) {
-                Ok(Seen::Call(call)) => {
+                Ok(StubEvent::Call(call)) => {
                     attempted.insert(call.id.clone());
                     match response {
                         Response::Deliver => call.answer("200 OK", ""),
@@ -138,7 +138,7 @@
                         }
                     }
                 }
-                Ok(Seen::Notification(_)) | Err(RecvTimeoutError::Timeout) => {}
+                Ok(StubEvent::Notification(_)) | Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
         }
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use super::ledger::{is_open, Fate, Ledger};
-use crate::stubs::{locked, serve, serve_calls, Call, Seen};
+use crate::stubs::{locked, serve, serve_calls, Call, StubEvent};
 
 /// Longest time of an ordinary response.
 const MAX_LATENCY: Duration = Duration::from_millis(60);
@@ -97,7 +97,7 @@
 
 /// Notes each call in the ledger, and has it answered.
 fn dispatch(
-    calls: &Receiver<Seen>,
+    calls: &Receiver<StubEvent>,
     endpoints: &Arc<Vec<Endpoint>>,
     max_attempts: usize,
     seed: u64,
@@ -105,7 +105,7 @@
 ) {
     let mut random = fastrand::Rng::with_seed(seed);
     while let Ok(seen) = calls.recv() {
-        let Seen::Call(call) = seen else { continue };
+        let StubEvent::Call(call) = seen else { continue };
         let endpoint = &endpoints[call.endpoint];
         let destination = endpoint.destination;
         let Ok(connection) = call.connection.try_clone() else { continue };
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -16,7 +16,7 @@
 use super::ledger::Ledger;
 use super::Plan;
 use crate::fault_page::{Call, FaultPage, PAGE_VARIABLE};
-use crate::stubs::{address_in, class, locked, target, Agent, Client, Configuration, Process, Seen};
+use crate::stubs::{address_in, class, locked, target, Agent, Client, Configuration, Process, StubEvent};
 
 /// From SIGTERM to SIGKILL.
 const TERM_TO_KILL: Duration = Duration::from_millis(3700);
@@ -56,7 +56,7 @@
     /// By endpoint: whether the list has it as draining.
     draining: Vec<bool>,
     /// Where its agents pass on outcome notifications.
-    seen: Sender<Seen>,
+    seen: Sender<StubEvent>,
     /// The log of the processes that have ended.
     log: Vec<String>,
 }
@@ -72,7 +72,7 @@
         seed: u64,
         endpoints: &[Endpoint],
         ledger: &Arc<Mutex<Ledger>>,
-        seen: &Sender<Seen>,
+        seen: &Sender<StubEvent>,
     ) -> io::Result<Self> {
         std::fs::create_dir_all(folder.join("state"))?;
         std::fs::create_dir_all(folder.join("tmp"))?;
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -20,7 +20,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use crate::stubs::{locked, Seen};
+use crate::stubs::{locked, StubEvent};
 use clients::{enqueue_messages, send_malformed_requests, GatewayClients};
 use endpoints::Endpoint;
 use faults::{change_behaviors, fault_counts, inject_faults, set_background_faults};
@@ -161,9 +161,9 @@
 }
 
 /// Reads the outcome notifications of all gateways.
-fn read_notifications(notifications: &Receiver<Seen>, ledger: &Mutex<Ledger>) {
+fn read_notifications(notifications: &Receiver<StubEvent>, ledger: &Mutex<Ledger>) {
     while let Ok(seen) = notifications.recv() {
-        let Seen::Notification(line) = seen else { continue };
+        let StubEvent::Notification(line) = seen else { continue };
         let notification: Result<serde_json::Value, _> = serde_json::from_str(&line);
         match notification.as_ref().ok().and_then(|notification| notification["id"].as_str()) {
             Some(id) => locked(ledger).notified(id),
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::endpoint::Seen;
+use super::endpoint::StubEvent;
 use super::http::{read_request, serve};
 use super::locked;
 
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// It cannot listen.
-    pub fn start(seen: &Sender<Seen>) -> io::Result<Self> {
+    pub fn start(seen: &Sender<StubEvent>) -> io::Result<Self> {
         let state = Arc::new(Discovery::default());
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -119,7 +119,7 @@
 }
 
 impl Discovery {
-    fn serve_connection(&self, stream: TcpStream, seen: &Sender<Seen>) {
+    fn serve_connection(&self, stream: TcpStream, seen: &Sender<StubEvent>) {
         let Ok(mut output) = stream.try_clone() else { return };
         let mut input = BufReader::new(stream);
         self.connections.fetch_add(1, Ordering::SeqCst);
@@ -144,10 +144,10 @@
         self.lost_notifications.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
     }
 
-    fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, seen: &Sender<Seen>) {
+    fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, seen: &Sender<StubEvent>) {
         self.notification_requests.fetch_add(1, Ordering::SeqCst);
         for line in String::from_utf8_lossy(body).lines() {
-            let _ = seen.send(Seen::Notification(line.to_owned()));
+            let _ = seen.send(StubEvent::Notification(line.to_owned()));
         }
         if !self.hold_notifications.load(Ordering::SeqCst) {
             let _ = output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
--- a/src/bin/testbed/stubs/endpoint.rs
+++ b/src/bin/testbed/stubs/endpoint.rs
@@ -7,7 +7,7 @@
 use super::http::{read_request, Request};
 
 /// What stubs have seen the gateway do.
-pub enum Seen {
+pub enum StubEvent {
     /// It has called an endpoint.
     Call(Call),
     /// It has notified discovery's agent of a final outcome, with this line.
@@ -48,7 +48,7 @@
 }
 
 /// Serves one connection to an endpoint, until it ends or nobody receives what is seen any more.
-pub fn serve_calls(endpoint: usize, stream: TcpStream, seen: &Sender<Seen>) {
+pub fn serve_calls(endpoint: usize, stream: TcpStream, seen: &Sender<StubEvent>) {
     let Ok(mut output) = stream.try_clone() else { return };
     let mut input = BufReader::new(stream);
     while let Some(Request { line, headers, body }) = read_request(&mut input) {
@@ -58,7 +58,7 @@
         let (answer, answered) = channel();
         let Ok(connection) = output.try_clone() else { return };
         let call = Call { endpoint, path, id, body, headers, answer, connection };
-        if seen.send(Seen::Call(call)).is_err() {
+        if seen.send(StubEvent::Call(call)).is_err() {
             return;
         }
         match answered.recv() {
--- a/src/bin/testbed/stubs/mod.rs
+++ b/src/bin/testbed/stubs/mod.rs
@@ -14,7 +14,7 @@
 pub use client::{command, Client};
 pub use configuration::{class, target, Configuration};
 pub use discovery::Agent;
-pub use endpoint::{serve_calls, Call, Seen};
+pub use endpoint::{serve_calls, Call, StubEvent};
 pub use http::serve;
 pub use process::{address_in, Process};
 
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -52,12 +52,12 @@
     let mut failed = false;
     let mut retried = false;
     while !(failed && retried) {
-        match environment.next_seen() {
-            Seen::Notification(line) => {
+        match environment.next_event() {
+            StubEvent::Notification(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
                 failed = true;
             }
-            Seen::Call(call) => {
+            StubEvent::Call(call) => {
                 assert_eq!((call.id.as_str(), call.header("idempotency-key")), ("b2", Some("k2")));
                 call.answer("200 OK", "");
                 retried = true;
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -150,12 +150,14 @@
 fn assert_all_are_sent(environment: &TestEnvironment, ids: &[&str]) {
     let mut unsent = ids.to_vec();
     while !unsent.is_empty() {
-        match environment.next_seen() {
-            Seen::Call(call) => {
+        match environment.next_event() {
+            StubEvent::Call(call) => {
                 unsent.retain(|id| *id != call.id);
                 call.answer("200 OK", "");
             }
-            Seen::Notification(line) => assert!(!line.contains("untried"), "given up with no call: {line}"),
+            StubEvent::Notification(line) => {
+                assert!(!line.contains("untried"), "given up with no call: {line}")
+            }
         }
     }
 }
--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use super::{Call, RunningGateway, Seen, TestEnvironment};
+use super::{Call, RunningGateway, StubEvent, TestEnvironment};
 
 /// Longer than a gateway takes for a reply; real clients wait for less, but the machine may be busy.
 const ANSWER: Duration = Duration::from_secs(3);
@@ -79,10 +79,10 @@
     /// Observes calls and notifications, for so long at most or until no message is pending any more.
     pub fn observe(&mut self, limit: Duration) {
         let end = Instant::now() + limit;
-        while let Some(seen) = self.environment.seen_within(end.saturating_duration_since(Instant::now())) {
+        while let Some(seen) = self.environment.event_within(end.saturating_duration_since(Instant::now())) {
             match seen {
-                Seen::Call(call) => self.serve(call),
-                Seen::Notification(line) => {
+                StubEvent::Call(call) => self.serve(call),
+                StubEvent::Notification(line) => {
                     let notification: serde_json::Value = serde_json::from_str(&line).unwrap();
                     let id = notification["id"].as_str().unwrap();
                     self.messages.get_mut(id).unwrap_or_else(|| panic!("nobody's notice: {line}")).notified =
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -26,7 +26,7 @@
 use stubs::{address_in, class, command, locked, serve, serve_calls, target, Configuration, Process};
 
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
-pub use stubs::{Agent, Call, Client, Seen};
+pub use stubs::{Agent, Call, Client, StubEvent};
 
 /// Where this names a seed, all gateways of all tests run with the faults below.
 const EVERYWHERE_VARIABLE: &str = "FAULTS_EVERYWHERE";
@@ -114,8 +114,8 @@
     /// port.
     refusing: Vec<Socket>,
     discovery: Agent,
-    seen: Receiver<Seen>,
-    send: Sender<Seen>,
+    seen: Receiver<StubEvent>,
+    send: Sender<StubEvent>,
     /// Latency objective of the classes in seconds; their deadline is eight times as long.
     pub latency_objective: u64,
     pub max_pending_messages: u32,
@@ -410,35 +410,35 @@
     }
 
     /// The next call or notification of the gateway.
-    pub fn next_seen(&self) -> Seen {
+    pub fn next_event(&self) -> StubEvent {
         self.seen.recv_timeout(PATIENCE).expect("the gateway does something")
     }
 
     /// The next call or notification, if one arrives in time.
-    pub fn seen_within(&self, limit: Duration) -> Option<Seen> {
+    pub fn event_within(&self, limit: Duration) -> Option<StubEvent> {
         self.seen.recv_timeout(limit).ok()
     }
 
     pub fn call(&self) -> Call {
-        match self.next_seen() {
-            Seen::Call(call) => call,
-            Seen::Notification(line) => panic!("a call was due, not the notification {line}"),
+        match self.next_event() {
+            StubEvent::Call(call) => call,
+            StubEvent::Notification(line) => panic!("a call was due, not the notification {line}"),
         }
     }
 
     /// The next call; notifications may be repeated meanwhile.
     pub fn call_among_notifications(&self) -> Call {
         loop {
-            if let Seen::Call(call) = self.next_seen() {
+            if let StubEvent::Call(call) = self.next_event() {
                 return call;
             }
         }
     }
 
     pub fn notification(&self) -> String {
-        match self.next_seen() {
-            Seen::Notification(line) => line,
-            Seen::Call(call) => panic!("a notification was due, not a call for {}", call.id),
+        match self.next_event() {
+            StubEvent::Notification(line) => line,
+            StubEvent::Call(call) => panic!("a notification was due, not a call for {}", call.id),
         }
     }
 
@@ -446,7 +446,7 @@
     pub fn expect_no_call(&self) {
         let end = Instant::now() + QUIET;
         while let Ok(seen) = self.seen.recv_timeout(end.saturating_duration_since(Instant::now())) {
-            if let Seen::Call(call) = seen {
+            if let StubEvent::Call(call) = seen {
                 panic!("no call was due, but {} was", call.id);
             }
         }
@@ -454,8 +454,8 @@
 
     pub fn expect_nothing(&self) {
         match self.seen.recv_timeout(QUIET) {
-            Ok(Seen::Call(call)) => panic!("no call was due, but {} was", call.id),
-            Ok(Seen::Notification(line)) => panic!("no notification was due, but {line} was"),
+            Ok(StubEvent::Call(call)) => panic!("no call was due, but {} was", call.id),
+            Ok(StubEvent::Notification(line)) => panic!("no notification was due, but {line} was"),
             Err(_) => {}
         }
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -53,12 +53,12 @@
         let (mut order, mut notifications) = (Vec::new(), Vec::new());
         // After a restart the notification for the first one and the next call are sent concurrently.
         while order.len() + notifications.len() < 6 + usize::from(restart) {
-            match environment.next_seen() {
-                Seen::Call(call) => {
+            match environment.next_event() {
+                StubEvent::Call(call) => {
                     order.push(call.id.clone());
                     call.answer("200 OK", "");
                 }
-                Seen::Notification(line) => notifications.push(line),
+                StubEvent::Notification(line) => notifications.push(line),
             }
         }
         assert!(
@@ -150,9 +150,9 @@
     // Its idempotency window is short: it fails as soon as it may not be sent again.
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
-        match environment.next_seen() {
-            Seen::Notification(line) => break assert_eq!(line, failed),
-            Seen::Call(call) => {
+        match environment.next_event() {
+            StubEvent::Notification(line) => break assert_eq!(line, failed),
+            StubEvent::Call(call) => {
                 assert_eq!(call.id, "n1");
                 call.answer("500 Oops", "");
             }
@@ -436,10 +436,10 @@
     // Those behind it are sent once it is acknowledged.
     assert_eq!(gateway.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
     loop {
-        match environment.next_seen() {
-            Seen::Call(call) => call.reset(),
-            Seen::Notification(line) if line == failed => {}
-            Seen::Notification(line) => break assert_eq!(line, r#"{"id":"o2","state":"failed"}"#),
+        match environment.next_event() {
+            StubEvent::Call(call) => call.reset(),
+            StubEvent::Notification(line) if line == failed => {}
+            StubEvent::Notification(line) => break assert_eq!(line, r#"{"id":"o2","state":"failed"}"#),
         }
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -126,9 +126,9 @@
     predecessor.kill();
     let (mut notifications, mut calls) = (Vec::new(), Vec::new());
     for _ in 0..2 {
-        match environment.next_seen() {
-            Seen::Call(call) => calls.push(call),
-            Seen::Notification(line) => notifications.push(line),
+        match environment.next_event() {
+            StubEvent::Call(call) => calls.push(call),
+            StubEvent::Notification(line) => notifications.push(line),
         }
     }
     assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
@@ -191,14 +191,14 @@
     assert!(predecessor.log_until("resuming service").contains("journal_untouched=false"));
     let (mut notifications, mut order) = (Vec::new(), Vec::new());
     while notifications.is_empty() || order.len() < 2 {
-        match environment.next_seen() {
-            Seen::Call(call) => {
+        match environment.next_event() {
+            StubEvent::Call(call) => {
                 // Its first call is dropped before it is retried.
                 assert!(first.is_closed());
                 order.push(call.id.clone());
                 call.answer("200 OK", "");
             }
-            Seen::Notification(line) => notifications.push(line),
+            StubEvent::Notification(line) => notifications.push(line),
         }
     }
     assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -29,9 +29,9 @@
     // The one that was in flight may have run; the other one is sent.
     let mut announced = false;
     let call = loop {
-        match environment.next_seen() {
-            Seen::Call(call) => break call,
-            Seen::Notification(line) => announced = line == failed("f1") && !announced,
+        match environment.next_event() {
+            StubEvent::Call(call) => break call,
+            StubEvent::Notification(line) => announced = line == failed("f1") && !announced,
         }
     };
     assert_eq!(call.id, "f2");
