--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -3,7 +3,7 @@
 mod common;
 mod environment;
 
-use common::{accepted, endpoint, idempotent, ms, settings, Bench, StartedAttempt};
+use common::{accepted, endpoint, idempotent, ms, settings, StartedAttempt, TestBench};
 use delivery_gateway::{Action, AttemptOutcome, ClassId, DestinationKind, Event, Settings};
 use environment::*;
 use std::io::Write;
@@ -163,11 +163,11 @@
 /// Once clients have had time to notice, a lame duck accepts nothing.
 #[test]
 fn a_lame_duck_accepts_nothing_after_its_grace() {
-    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
+    let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
     bench.handle(Event::LameDuck(true));
     let class = (ClassId(0), &idempotent());
     let admits =
-        |bench: &mut Bench| bench.scheduler.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
+        |bench: &mut TestBench| bench.scheduler.admits(bench.now, &accepted(bench.now, 1, class, 3, None));
     assert!(admits(&mut bench));
     bench.now = bench.now + ms(2000);
     bench.handle(Event::LameDuck(true));
@@ -181,7 +181,7 @@
 #[test]
 fn an_enabled_endpoint_gets_a_slow_start() {
     let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
-    let mut bench = Bench::new(
+    let mut bench = TestBench::new(
         Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![idempotent()]) },
         vec![endpoint(11, 3), endpoint(12, 4)],
     );
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -25,7 +25,7 @@
 /// A scheduler that lives through random events, and its circuits as they follow from the changes that it reports.
 struct Run {
     rng: fastrand::Rng,
-    bench: Bench,
+    bench: TestBench,
     recorded: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
     in_flight: Vec<StartedAttempt>,
 }
@@ -41,7 +41,7 @@
         };
         Run {
             rng: fastrand::Rng::with_seed(seed),
-            bench: Bench::new(settings, all_ready()),
+            bench: TestBench::new(settings, all_ready()),
             recorded: BTreeMap::new(),
             in_flight: Vec::new(),
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -75,7 +75,7 @@
 }
 
 /// A scheduler and its simulated clock.
-pub struct Bench {
+pub struct TestBench {
     pub scheduler: Scheduler,
     pub now: Time,
     pub settings: Settings,
@@ -83,10 +83,10 @@
     attempts: BTreeMap<u32, u16>,
 }
 
-impl Bench {
+impl TestBench {
     /// A scheduler that knows these endpoints, at 100 s of its clock.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        let mut bench = Bench {
+        let mut bench = TestBench {
             scheduler: Scheduler::new(settings.clone(), 1),
             now: Time::ZERO + Duration::from_secs(100),
             settings,
@@ -132,7 +132,7 @@
 
     /// Advances time in small steps, deciding at each; stops at the first step with an attempt or a final
     /// outcome.
-    pub fn until_action(&mut self, limit: Duration) -> Vec<Action> {
+    pub fn advance_until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
             self.now = self.now + ms(5);
@@ -185,6 +185,6 @@
 }
 
 /// A scheduler with one class, and endpoint 7 as the only one of destination 1.
-pub fn single_destination(class: Class) -> Bench {
-    Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
+pub fn single_destination(class: Class) -> TestBench {
+    TestBench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::recovering_fleet::{run, OutageKind, Scenario};
-use common::{endpoint, idempotent, ms, settings, Bench, StartedAttempt};
+use common::{endpoint, idempotent, ms, settings, StartedAttempt, TestBench};
 use delivery_gateway::*;
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
                 let case = format!("{capacity_hints:?} {capacity_hint} {fleet_size}");
                 let listed = Endpoint { capacity_hint, ..endpoint(7, 1) };
                 let base = settings(vec![idempotent()]);
-                let mut bench = Bench::new(Settings { fleet_size, capacity_hints, ..base }, vec![listed]);
+                let mut bench = TestBench::new(Settings { fleet_size, capacity_hints, ..base }, vec![listed]);
                 let (mut calls, mut calls_after_rejection) = (0, 0);
                 for step in 0..24_000 {
                     bench.now = bench.now + ms(5);
@@ -102,20 +102,20 @@
 #[test]
 fn without_an_endpoint_list_messages_get_their_outcome_in_time() {
     let settings = Settings { fleet_size: 100, ..settings(vec![idempotent()]) };
-    let mut bench = Bench::new(settings.clone(), Vec::new());
+    let mut bench = TestBench::new(settings.clone(), Vec::new());
     bench.accept(1, 0, 1, None);
     let deadline = settings.classes[0].deadline;
-    assert!(matches!(bench.until_action(deadline + ms(10))[..], [Action::Reject { .. }]));
+    assert!(matches!(bench.advance_until_action(deadline + ms(10))[..], [Action::Reject { .. }]));
     bench.accept(2, 0, 1, None);
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(7, 1)])));
-    assert!(matches!(bench.until_action(deadline)[..], [Action::StartAttempt { .. }]));
+    assert!(matches!(bench.advance_until_action(deadline)[..], [Action::StartAttempt { .. }]));
 }
 
 /// After a lowered limit a low-traffic gateway is back at its part within a few calls, not minutes.
 #[test]
 fn a_reduced_rate_limit_recovers_to_the_announced_part() {
     let mut bench =
-        Bench::new(Settings { fleet_size: 100, ..settings(vec![idempotent()]) }, vec![endpoint(7, 1)]);
+        TestBench::new(Settings { fleet_size: 100, ..settings(vec![idempotent()]) }, vec![endpoint(7, 1)]);
     let mut last_message = 0;
     let mut rejected = 0;
     let mut served = 0;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -107,8 +107,8 @@
         .collect()
 }
 
-fn new_bench() -> Bench {
-    Bench::new(test_settings(), test_endpoints())
+fn new_bench() -> TestBench {
+    TestBench::new(test_settings(), test_endpoints())
 }
 
 /// An attempt that was sent.
@@ -271,7 +271,7 @@
 
 /// A scheduler that lives through the steps of a sequence, and its judge.
 struct Run {
-    bench: Bench,
+    bench: TestBench,
     judge: Judge,
     last_message: u32,
     /// All actions so far.
@@ -409,7 +409,7 @@
 /// Two schedulers that take turns in one process share no state.
 #[test]
 fn interleaved_schedulers_act_as_if_alone() {
-    let run = |bench: &mut Bench, step: u32| {
+    let run = |bench: &mut TestBench, step: u32| {
         bench.now = bench.now + ms(40);
         bench.accept(step, 2, 1 + (step % 3) as u16, None);
         let actions = bench.decide();
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -6,14 +6,14 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> Bench {
+fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> TestBench {
     let settings = Settings { outcomes_need_acknowledgement, ..settings(classes) };
     let limits = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
-    Bench::new(Settings { limits, ..settings }, vec![endpoint(11, 3)])
+    TestBench::new(Settings { limits, ..settings }, vec![endpoint(11, 3)])
 }
 
 fn restored(
-    bench: &Bench,
+    bench: &TestBench,
     id: u32,
     key: Option<u64>,
     attempts: u32,
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -8,10 +8,10 @@
 fn when_nearly_full_the_least_valuable_messages_are_rejected() {
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
     let base = settings(vec![idempotent(), high_value]);
-    let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
+    let mut bench = TestBench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     (0..10).for_each(|id| bench.accept(id, 0, 1, None));
     (10..20).for_each(|id| bench.accept(id, 1, 1, None));
-    let shed = bench.until_action(ms(5));
+    let shed = bench.advance_until_action(ms(5));
     assert!(!shed.is_empty());
     assert!(shed.iter().all(|a| matches!(a, Action::Reject { message, .. } if message.0 < 10)), "{shed:?}");
 }
@@ -19,7 +19,7 @@
 #[test]
 fn a_free_slot_goes_to_the_destination_with_fewest_calls_in_flight() {
     let base = settings(vec![idempotent()]);
-    let mut bench = Bench::new(
+    let mut bench = TestBench::new(
         Settings { max_in_flight_calls: 4, ..base },
         vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)],
     );
@@ -36,7 +36,7 @@
     let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits: false }];
     let mut bench =
-        Bench::new(Settings { max_in_flight_calls: 1, destination_kinds, ..base }, vec![endpoint(7, 1)]);
+        TestBench::new(Settings { max_in_flight_calls: 1, destination_kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| bench.accept(id, 0, 1, None));
     assert_eq!(bench.start_attempts().len(), 5);
 }
@@ -47,9 +47,9 @@
 fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
     let base = settings(vec![idempotent(), high_value]);
-    let mut bench = Bench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
+    let mut bench = TestBench::new(Settings { max_pending_messages: 20, ..base }, vec![]);
     let classes = bench.settings.classes.clone();
-    let admits = |bench: &mut Bench, class: u8| {
+    let admits = |bench: &mut TestBench, class: u8| {
         let new = accepted(bench.now, 99, (ClassId(class), &classes[usize::from(class)]), 1, None);
         bench.scheduler.admits(bench.now, &new)
     };
@@ -57,7 +57,7 @@
         assert!(admits(&mut bench, 0), "{id}");
         bench.accept(id, 0, 1, None);
     }
-    assert!(bench.until_action(ms(5)).is_empty());
+    assert!(bench.advance_until_action(ms(5)).is_empty());
     assert!(!admits(&mut bench, 0));
     assert!(admits(&mut bench, 1));
     // Late and near its deadline, the least valuable one has no value left.
@@ -69,7 +69,7 @@
 fn messages_beyond_a_tenants_quota_are_shed_first() {
     let base = settings(vec![idempotent()]);
     let tenants = vec![Tenant { quota_per_sec: 5.0 }, Tenant { quota_per_sec: 1000.0 }];
-    let mut bench = Bench::new(
+    let mut bench = TestBench::new(
         Settings { max_pending_messages: 40, tenants, over_quota_value_ratio: 0.1, ..base },
         vec![],
     );
@@ -82,7 +82,7 @@
         let message = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
         bench.handle(Event::MessageAccepted(message));
     }
-    let shed = bench.until_action(ms(5));
+    let shed = bench.advance_until_action(ms(5));
     assert!(!shed.is_empty());
     assert!(
         shed.iter().all(|a| matches!(a, Action::Reject { message, .. } if (6..20).contains(&message.0))),
@@ -102,7 +102,7 @@
             late_value_ratio: 0.5,
             ..idempotent()
         };
-        let mut bench = Bench::new(Settings { decay, ..settings(vec![class]) }, vec![]);
+        let mut bench = TestBench::new(Settings { decay, ..settings(vec![class]) }, vec![]);
         bench.accept(1, 0, 1, None);
         bench.now = bench.now + latency_objective * 5 / 2;
         bench.accept(2, 0, 1, None);
@@ -121,12 +121,12 @@
     let costly = Endpoint { zone: ZoneId(2), capacity_hint: 5.0, ..endpoint(7, 1) };
     let cheap = Endpoint { zone: ZoneId(1), capacity_hint: 5.0, ..endpoint(8, 1) };
     let zone_costs = vec![0.0, 0.03, 0.06];
-    let mut bench = Bench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
+    let mut bench = TestBench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.start_attempts()[0].endpoint, 8);
     bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
     bench.accept(2, 0, 1, None);
-    let next = bench.until_action(ms(700));
+    let next = bench.advance_until_action(ms(700));
     assert!(matches!(next[..], [Action::StartAttempt { endpoint: EndpointId(8), .. }]), "{next:?}");
     bench.finish(2, 8, AttemptOutcome::Delivered, ms(20));
     (3..40).for_each(|id| bench.accept(id, 0, 1, None));
@@ -139,7 +139,7 @@
 fn gateways_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
         .map(|seed| {
-            let mut bench = Bench::new(settings(vec![idempotent()]), vec![]);
+            let mut bench = TestBench::new(settings(vec![idempotent()]), vec![]);
             bench.scheduler = Scheduler::new(bench.settings.clone(), seed);
             bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![
                 endpoint(7, 1),
@@ -159,7 +159,7 @@
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
     let base = settings(vec![idempotent(), high_value]);
     let mut bench =
-        Bench::new(Settings { max_in_flight_calls: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
+        TestBench::new(Settings { max_in_flight_calls: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     bench.accept(1, 0, 1, None);
     bench.accept(2, 1, 2, None);
     assert_eq!(bench.start_attempts()[0].message, 2);
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -14,7 +14,7 @@
     let began = bench.now;
     let mut probes = 0;
     while bench.now - began < Duration::from_secs(6) {
-        let actions = bench.until_action(Duration::from_secs(6));
+        let actions = bench.advance_until_action(Duration::from_secs(6));
         assert_eq!(actions.len(), 1, "one probe at a time");
         let Action::StartAttempt { message, .. } = actions[0] else { panic!("{actions:?}") };
         probes += 1;
@@ -66,7 +66,7 @@
 #[test]
 fn unresponsive_destinations_leave_slots_for_the_healthy() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
-    let mut bench = Bench::new(settings(vec![non_idempotent()]), all);
+    let mut bench = TestBench::new(settings(vec![non_idempotent()]), all);
     let mut healthy = 0;
     for id in 0..400 {
         bench.now = bench.now + ms(25);
@@ -93,7 +93,7 @@
         bench.now = bench.now + last;
         bench.finish(1, 7, AttemptOutcome::Timeout, last);
         bench.accept(1000 + bench.now.0 as u32, 0, 1, None);
-        match bench.until_action(Duration::from_secs(5)).first() {
+        match bench.advance_until_action(Duration::from_secs(5)).first() {
             Some(Action::StartAttempt { message, attempt_timeout, .. }) => {
                 last = *attempt_timeout;
                 if message.0 != 1 {
@@ -111,7 +111,7 @@
 #[test]
 fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
     for recovers in [true, false] {
-        let mut bench = Bench::new(settings(vec![idempotent(), non_idempotent()]), vec![endpoint(7, 1)]);
+        let mut bench = TestBench::new(settings(vec![idempotent(), non_idempotent()]), vec![endpoint(7, 1)]);
         let deadline = bench.settings.classes[1].deadline;
         let mut accepted_at = None;
         let mut waited = None;
@@ -151,9 +151,9 @@
 /// connections were closed before use.
 fn connections_closed_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
-    let mut bench = Bench::new(settings(vec![idempotent()]), all);
+    let mut bench = TestBench::new(settings(vec![idempotent()]), all);
     let mut id = 0;
-    let mut call = |bench: &mut Bench, to: u32, outcome: AttemptOutcome| {
+    let mut call = |bench: &mut TestBench, to: u32, outcome: AttemptOutcome| {
         id += 1;
         bench.accept(id, 0, to as u16, None);
         let actions = bench.decide();
@@ -201,11 +201,11 @@
 fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
     let base = settings(vec![idempotent()]);
     let mut bench =
-        Bench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
+        TestBench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     (0..2).for_each(|id| bench.accept(id, 0, 1 + id as u16, None));
     assert_eq!(bench.start_attempts().len(), 2);
     bench.accept(5, 0, 2, None);
-    let actions = bench.until_action(Duration::from_secs(3));
+    let actions = bench.advance_until_action(Duration::from_secs(3));
     assert_eq!(actions, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
@@ -222,7 +222,7 @@
         bench.finish(1, 7, AttemptOutcome::ConnectFailed, ms(20));
         let began = bench.now;
         while bench.now - began < Duration::from_secs(12) {
-            for action in bench.until_action(Duration::from_secs(1)) {
+            for action in bench.advance_until_action(Duration::from_secs(1)) {
                 if let Action::StartAttempt { message, .. } = action {
                     probes += 1;
                     bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(20));
@@ -279,7 +279,7 @@
 #[test]
 fn a_slow_start_progresses_while_nothing_happens() {
     let settings = Settings { fleet_size: 300, ..settings(vec![idempotent()]) };
-    let mut bench = Bench::new(settings, vec![Endpoint { capacity_hint: 40.0, ..endpoint(11, 3) }]);
+    let mut bench = TestBench::new(settings, vec![Endpoint { capacity_hint: 40.0, ..endpoint(11, 3) }]);
     let begun = bench.now;
     bench.handle(Event::CircuitRestored(CircuitRecord {
         destination: DestinationId(3),
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn a_retry_after_holds_back_every_message_of_the_destination() {
-    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+    let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.start_attempts()[0].endpoint;
     bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
     let rejected_at = bench.now;
     bench.accept(2, 0, 1, None);
     assert!(bench.start_attempts().is_empty());
-    assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
+    assert!(!bench.advance_until_action(Duration::from_secs(5)).is_empty());
     assert!(bench.now - rejected_at >= ms(800));
 }
 
@@ -21,7 +21,7 @@
 #[test]
 fn a_retry_after_with_any_message_of_a_call_is_kept() {
     let base = settings(vec![idempotent()]);
-    let mut bench = Bench::new(
+    let mut bench = TestBench::new(
         Settings {
             destination_kinds: vec![DestinationKind { batch: 5, per_endpoint_limits: false }],
             ..base
@@ -34,7 +34,7 @@
     bench.finish(2, 7, AttemptOutcome::Rejected(None), ms(20));
     bench.finish(3, 7, AttemptOutcome::Rejected(None), ms(20));
     let rejected_at = bench.now;
-    assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
+    assert!(!bench.advance_until_action(Duration::from_secs(5)).is_empty());
     assert!(bench.now - rejected_at >= ms(900));
 }
 
@@ -42,7 +42,8 @@
 fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
     let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
-    let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    let mut bench =
+        TestBench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.start_attempts()[0].endpoint;
     bench.finish(1, first, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
@@ -93,7 +94,7 @@
         let base = settings(vec![idempotent()]);
         let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
         let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
-        let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
+        let mut bench = TestBench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
         // Its rate is far above its share of what is announced now.
         bench
             .scheduler
@@ -127,7 +128,10 @@
         bench.start_attempts();
         bench.finish(1, 7, AttemptOutcome::Rejected(None), ms(20));
         let rejected_at = bench.now;
-        assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::StartAttempt { .. }]));
+        assert!(matches!(
+            bench.advance_until_action(Duration::from_secs(30))[..],
+            [Action::StartAttempt { .. }]
+        ));
         bench.now - rejected_at
     };
     let mut backoffs: Vec<Duration> = (0..40).map(backoff).collect();
@@ -145,7 +149,7 @@
 /// other gateways out.
 #[test]
 fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
-    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 2)]);
+    let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 2)]);
     let closes =
         |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
     bench.accept(1, 0, 2, None);
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -22,7 +22,7 @@
 ];
 
 /// Message 1 was sent to endpoint 7, and its attempt ended with this outcome.
-fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> Bench {
+fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> TestBench {
     let mut bench = single_destination(class);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.start_attempts().len(), 1);
@@ -33,20 +33,20 @@
 
 #[test]
 fn a_message_without_any_endpoint_is_rejected_by_its_deadline() {
-    let mut bench = Bench::new(settings(vec![idempotent_with_key()]), vec![]);
+    let mut bench = TestBench::new(settings(vec![idempotent_with_key()]), vec![]);
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
-    let actions = bench.until_action(Duration::from_secs(30));
+    let actions = bench.advance_until_action(Duration::from_secs(30));
     assert!(matches!(actions[..], [Action::Reject { message: MessageId(1), .. }]));
     assert!(bench.now <= deadline + bench.settings.limits.final_outcome_grace);
-    assert!(bench.until_action(Duration::from_secs(30)).is_empty());
+    assert!(bench.advance_until_action(Duration::from_secs(30)).is_empty());
 }
 
 #[test]
 fn a_non_idempotent_message_that_may_have_run_is_never_retried_and_fails() {
     for outcome in MAY_HAVE_RUN {
         let mut bench = after_one_attempt(non_idempotent(), outcome);
-        let actions = bench.until_action(Duration::from_secs(30));
+        let actions = bench.advance_until_action(Duration::from_secs(30));
         assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }], "{outcome:?}");
     }
 }
@@ -55,7 +55,7 @@
 fn a_non_idempotent_message_that_did_not_run_is_retried() {
     for outcome in DID_NOT_RUN {
         let mut bench = after_one_attempt(non_idempotent(), outcome);
-        let next = bench.until_action(Duration::from_secs(15));
+        let next = bench.advance_until_action(Duration::from_secs(15));
         assert!(matches!(next[0], Action::StartAttempt { message: MessageId(1), .. }), "{outcome:?}");
     }
 }
@@ -70,7 +70,7 @@
     loop {
         bench.now = bench.now + ms(30);
         bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(30));
-        match bench.until_action(Duration::from_secs(30)).first() {
+        match bench.advance_until_action(Duration::from_secs(30)).first() {
             Some(Action::StartAttempt { .. }) => {
                 assert!(bench.now < sent + bench.settings.classes[0].idempotency_window);
                 retries += 1;
@@ -97,7 +97,7 @@
     assert_eq!(within(&bench.decide()), bench.settings.classes[0].deadline);
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
-    let retry = bench.until_action(Duration::from_secs(10));
+    let retry = bench.advance_until_action(Duration::from_secs(10));
     let last = bench.now + within(&retry);
     let window = bench.settings.classes[0].idempotency_window;
     assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
@@ -108,7 +108,7 @@
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
     let class = Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() };
-    let mut bench = Bench::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
+    let mut bench = TestBench::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
     bench.accept(1, 0, 1, None);
     let first = bench.start_attempts()[0].endpoint;
     bench.now = bench.now + ms(50);
@@ -116,18 +116,18 @@
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
     let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
-    let actions = bench.until_action(Duration::from_secs(30));
+    let actions = bench.advance_until_action(Duration::from_secs(30));
     assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
 /// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run at
 /// the endpoint that is returned.
-fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (Bench, u32) {
+fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (TestBench, u32) {
     let base =
         settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
     let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
     let other = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
-    let mut bench = Bench::new(
+    let mut bench = TestBench::new(
         Settings { max_in_flight_calls: 1, destination_kinds, ..base },
         vec![endpoint(7, 1), other],
     );
@@ -172,7 +172,7 @@
         // It has more value than the new messages.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
-        assert!(matches!(bench.until_action(Duration::from_secs(2)).as_slice(),
+        assert!(matches!(bench.advance_until_action(Duration::from_secs(2)).as_slice(),
             [Action::StartAttempt { message: MessageId(2), endpoint, .. }] if endpoint.0 != first));
     }
 }
@@ -190,7 +190,7 @@
                 for attempt in 0..failures {
                     bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(10));
                     let failed_at = bench.now;
-                    assert!(!bench.until_action(Duration::from_secs(10)).is_empty());
+                    assert!(!bench.advance_until_action(Duration::from_secs(10)).is_empty());
                     if attempt + 1 == failures {
                         return (bench.now - failed_at).as_millis() as u64;
                     }
@@ -217,7 +217,7 @@
         redelivered: true,
         tenant: TenantId(0),
     }));
-    let actions = bench.until_action(Duration::from_secs(30));
+    let actions = bench.advance_until_action(Duration::from_secs(30));
     assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
@@ -226,7 +226,7 @@
     let class = Class { ordered: true, ..non_idempotent() };
     let base = settings(vec![class]);
     let limits = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
-    let mut bench = Bench::new(Settings { limits, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
+    let mut bench = TestBench::new(Settings { limits, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, Some(5));
     bench.accept(2, 0, 1, Some(5));
     let sent = bench.start_attempts();
@@ -235,10 +235,10 @@
     // The client abandons the message, the attempt goes on: the key is in use until its outcome is known, and held
     // back after it.
     bench.handle(Event::MessageAbandoned(MessageId(1)));
-    assert!(bench.until_action(ms(100)).is_empty());
+    assert!(bench.advance_until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].endpoint, AttemptOutcome::Reset, ms(100));
     let finished_at = bench.now;
-    let next = bench.until_action(Duration::from_secs(10));
+    let next = bench.advance_until_action(Duration::from_secs(10));
     assert!(matches!(next[0], Action::StartAttempt { message: MessageId(2), .. }));
     assert!(bench.now - finished_at >= ms(300));
 }
@@ -247,7 +247,7 @@
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
     let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { ordered: true, ..class });
-    let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
+    let mut bench = TestBench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
     // The one behind can be retried: a non-idempotent one would wait after a loss.
     bench.accept(2, 1, 1, Some(5));
@@ -255,7 +255,7 @@
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
     let mut actions = bench.decide();
-    actions.extend(bench.until_action(ms(500)));
+    actions.extend(bench.advance_until_action(ms(500)));
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(1) }), "{actions:?}");
     assert!(
         actions.iter().any(|a| matches!(a, Action::StartAttempt { message: MessageId(2), .. })),
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
-        let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+        let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
             availability: mode,
             ..endpoint(7, 1)
@@ -16,7 +16,7 @@
         let attempts = bench.start_attempts();
         assert!(!attempts.is_empty() && attempts.iter().all(|attempt| attempt.endpoint == 8));
     }
-    let mut bench = Bench::new(settings(vec![idempotent()]), vec![endpoint(7, 1)]);
+    let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1)]);
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![endpoint(8, 1)])));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.start_attempts()[0].endpoint, 8);
@@ -64,8 +64,8 @@
 }
 
 /// One gateway of a fleet, which knows one endpoint.
-fn fleet_member(fleet_size: u32) -> Bench {
-    Bench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)])
+fn fleet_member(fleet_size: u32) -> TestBench {
+    TestBench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)])
 }
 
 /// A watch that discovery rejects is retried with growing backoff, the longer the more gateways there are:
@@ -96,7 +96,10 @@
         );
         let rejected_at = bench.now;
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
-        assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { active: true }]);
+        assert_eq!(
+            bench.advance_until_action(Duration::from_secs(6)),
+            [Action::WatchEndpoints { active: true }]
+        );
         bench.now - rejected_at
     };
     let mut backoffs: Vec<Duration> = (0..318).map(backoff).collect();
@@ -135,7 +138,7 @@
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
     }
     bench.handle(Event::WatchEstablished);
-    assert_eq!(bench.until_action(Duration::from_secs(10)), []);
+    assert_eq!(bench.advance_until_action(Duration::from_secs(10)), []);
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
-    assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
+    assert_eq!(bench.advance_until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
 }
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -15,7 +15,7 @@
 
 /// One message whose first attempt may have run, and the process that has restored it.
 struct Restored {
-    bench: Bench,
+    bench: TestBench,
     /// When the first attempt was sent.
     first_sent_at: Time,
     seed: u64,
@@ -94,7 +94,7 @@
         ..idempotent_with_key()
     };
     let settings = Settings { outcomes_need_acknowledgement: true, ..settings(vec![class]) };
-    let mut bench = Bench::new(settings, vec![listed()]);
+    let mut bench = TestBench::new(settings, vec![listed()]);
     let first_sent_at = bench.now;
     bench.now = first_sent_at + passed;
     let mut restored = Restored { bench, first_sent_at, seed, attempts: 1, resent: 0, has_failed: false };
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -20,7 +20,7 @@
 }
 
 /// Restores open circuits for a part of the destinations.
-fn restore_circuits(bench: &mut Bench) {
+fn restore_circuits(bench: &mut TestBench) {
     for destination in (1..=u32::from(DESTINATIONS)).step_by(OPEN_CIRCUIT_EVERY) {
         bench.handle(Event::CircuitRestored(CircuitRecord {
             destination: DestinationId(destination),
@@ -35,7 +35,7 @@
 }
 
 /// Restores messages that were never attempted, of all classes and destinations in turn.
-fn restore_messages(bench: &mut Bench, count: u32, time_left: Duration) {
+fn restore_messages(bench: &mut TestBench, count: u32, time_left: Duration) {
     let classes = bench.settings.classes.clone();
     for id in 0..count {
         let class = ClassId((id % CLASSES) as u8);
@@ -55,7 +55,7 @@
 }
 
 /// Delivers all that is sent until the messages' deadline.
-fn run_until(bench: &mut Bench, deadline: Time, messages: u32) -> Outcomes {
+fn run_until(bench: &mut TestBench, deadline: Time, messages: u32) -> Outcomes {
     let mut attempted = vec![false; messages as usize];
     let mut given_up = [0; CLASSES as usize];
     while bench.now < deadline {
@@ -90,7 +90,7 @@
     let all = settings.max_pending_messages as u32;
     let time_left = settings.classes[0].deadline / 2;
     for seed in 1..=5 {
-        let mut bench = Bench::new(settings.clone(), endpoints.clone());
+        let mut bench = TestBench::new(settings.clone(), endpoints.clone());
         bench.restart(settings.clone(), seed, endpoints.clone());
         restore_circuits(&mut bench);
         restore_messages(&mut bench, all, time_left);
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -22,7 +22,7 @@
 const LONG: Duration = Duration::from_secs(24 * 3600);
 
 /// A scheduler, its clock, and the number of the last message.
-struct Bench {
+struct TestBench {
     scheduler: Scheduler,
     settings: Settings,
     now: Time,
@@ -56,15 +56,15 @@
     }
 }
 
-impl Bench {
-    fn new(endpoints: usize) -> Bench {
-        Bench::with(settings(), endpoints)
+impl TestBench {
+    fn new(endpoints: usize) -> TestBench {
+        TestBench::with(settings(), endpoints)
     }
 
-    fn with(settings: Settings, endpoints: usize) -> Bench {
+    fn with(settings: Settings, endpoints: usize) -> TestBench {
         let now = Time::ZERO + Duration::from_secs(100);
         let mut bench =
-            Bench { scheduler: Scheduler::new(settings.clone(), 7), settings, now, last_message: 0 };
+            TestBench { scheduler: Scheduler::new(settings.clone(), 7), settings, now, last_message: 0 };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(
             (0..endpoints).map(endpoint).collect(),
         )));
@@ -174,8 +174,8 @@
 
 #[test]
 fn a_step_visits_neither_waiting_destinations_nor_the_endpoint_list() {
-    let few = Bench::new(SMALL).count_visits();
-    let mut large = Bench::new(LARGE);
+    let few = TestBench::new(SMALL).count_visits();
+    let mut large = TestBench::new(LARGE);
     large.keep_waiting(WAITING, PENDING);
     assert_at_most(3, few, large.count_visits());
 }
@@ -183,7 +183,7 @@
 /// Each waiting destination has a Retry-After of its own, and some end at each step: only these are visited.
 #[test]
 fn only_retry_afters_that_end_are_visited() {
-    let mut bench = Bench::new(LARGE);
+    let mut bench = TestBench::new(LARGE);
     let waiting = DESTINATIONS - WAITING..DESTINATIONS;
     for (number, to) in waiting.enumerate() {
         let delay = Duration::from_millis(10 * (number as u64 + 1));
@@ -206,9 +206,9 @@
 #[test]
 fn calls_in_flight_are_not_scanned() {
     for (few, many) in [((20, 20), (90, 90)), ((20, 2), (90, 9)), ((20, 2), (90, 2))] {
-        let mut small = Bench::new(SMALL);
+        let mut small = TestBench::new(SMALL);
         small.leave_in_flight(few.0, few.1);
-        let mut large = Bench::new(LARGE);
+        let mut large = TestBench::new(LARGE);
         large.leave_in_flight(many.0, many.1);
         assert_at_most(2, small.count_visits(), large.count_visits());
     }
@@ -218,7 +218,7 @@
 #[test]
 fn finished_calls_are_found_without_a_scan() {
     let visits = |calls: usize| {
-        let mut bench = Bench::new(SMALL);
+        let mut bench = TestBench::new(SMALL);
         (0..calls).for_each(|_| bench.accept(BUSY_DESTINATION));
         let sent = bench.step();
         assert_eq!(sent.len(), calls);
@@ -237,7 +237,7 @@
 #[test]
 fn a_long_queue_is_not_scanned_for_each_message() {
     let visits = |messages: usize| {
-        let mut bench = Bench::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
+        let mut bench = TestBench::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
         (0..messages).for_each(|_| bench.accept(BUSY_DESTINATION));
         let mut sent = bench.step();
         let before = bench.scheduler.work();
@@ -253,7 +253,7 @@
 
 #[test]
 fn no_circuit_is_visited_where_none_changed() {
-    let mut bench = Bench::new(LARGE);
+    let mut bench = TestBench::new(LARGE);
     for to in DESTINATIONS - WAITING..DESTINATIONS {
         bench.handle(Event::CircuitRestored(CircuitRecord {
             destination: destination(to),
@@ -285,7 +285,7 @@
 #[test]
 fn a_delta_of_one_endpoint_does_not_scan_the_list() {
     let visits = |endpoints: usize| {
-        let mut bench = Bench::new(endpoints);
+        let mut bench = TestBench::new(endpoints);
         let before = bench.scheduler.work();
         for availability in
             [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
