--- a/fault-shim/faults.rs
+++ b/fault-shim/faults.rs
@@ -28,7 +28,7 @@
             Call::SHORT => InjectedFault::Short,
             Call::TORN => InjectedFault::Torn,
             Call::KILLED_BEFORE => InjectedFault::KilledBefore,
-            Call::KILLED_BEHIND => InjectedFault::KilledAfter,
+            Call::KILLED_AFTER => InjectedFault::KilledAfter,
             error => InjectedFault::Error(error),
         }
     }
--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -4,8 +4,8 @@
 //! [`crate::fault_page`].
 
 use crate::fault_page::{
-    Call, BUDGET_WORD, CALLS_WORD, ERRORS, ERRORS_WORD, FAILURES_WORD, PAGE_BYTES, PAGE_VARIABLE, RATE_WORD,
-    SKIPPED_WORD, WALL_OFFSET_BYTE, WORD_BYTES,
+    Call, BUDGET_WORD, CALLS_WORD, ERRORS_WORD, FAILURES_WORD, MAX_ERRORS, PAGE_BYTES, PAGE_VARIABLE,
+    RATE_WORD, SKIPPED_WORD, WALL_OFFSET_BYTE, WORD_BYTES,
 };
 use crate::next_function::real;
 use libc::{c_char, c_int, mode_t};
@@ -103,7 +103,7 @@
     }
 
     /// The errors of which each failure draws one; zeros stand for none.
-    pub fn errors(&self) -> [i32; ERRORS] {
+    pub fn errors(&self) -> [i32; MAX_ERRORS] {
         std::array::from_fn(|error| self.word(ERRORS_WORD + error).load(Ordering::SeqCst) as i32)
     }
 }
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -16,7 +16,7 @@
 /// The environment variable that names the page's file to the shim.
 pub const PAGE_VARIABLE: &str = "FAULT_PAGE";
 /// Errors that one call can be given, of which each failure draws one.
-pub const ERRORS: usize = 8;
+pub const MAX_ERRORS: usize = 8;
 /// The budget of a fault that lasts until it is cleared.
 pub const UNLIMITED: u32 = u32::MAX;
 /// The rate at which each call fails; other rates are parts of this.
@@ -39,7 +39,7 @@
 pub const FAILURES_WORD: usize = 4;
 pub const ERRORS_WORD: usize = 5;
 /// Words of one entry.
-const ENTRY_WORDS: usize = ERRORS_WORD + ERRORS;
+const ENTRY_WORDS: usize = ERRORS_WORD + MAX_ERRORS;
 
 /// System calls that can fail, told apart by what they are made on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -89,7 +89,7 @@
     /// Instead of an error number: the process is killed before the call, or when half of the bytes are written.
     pub const KILLED_BEFORE: i32 = -3;
     /// Instead of an error number: the process is killed after the call, before it returns.
-    pub const KILLED_BEHIND: i32 = -4;
+    pub const KILLED_AFTER: i32 = -4;
 
     /// All calls, in the order of their entries.
     pub const ALL: [Call; 28] = [
@@ -142,13 +142,13 @@
     /// Calls that succeed before the first failure.
     pub skipped: u32,
     /// Error numbers, or the negative numbers of [`Call`]; unused elements are 0.
-    pub errors: [i32; ERRORS],
+    pub errors: [i32; MAX_ERRORS],
 }
 
 impl Fault {
     /// Fails each call with one of these errors.
     pub fn always(errors: &[i32]) -> Self {
-        let mut padded = [0; ERRORS];
+        let mut padded = [0; MAX_ERRORS];
         padded.iter_mut().zip(errors).for_each(|(unused, error)| *unused = *error);
         Fault { rate: ALWAYS, budget: UNLIMITED, skipped: 0, errors: padded }
     }
@@ -171,7 +171,7 @@
 
 /// What the shim has counted of one call since the page was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counted {
+pub struct CallCounts {
     pub calls: u32,
     /// Calls that failed.
     pub failures: u32,
@@ -210,10 +210,10 @@
     }
 
     /// Reads what the shim has counted of a call.
-    pub fn counted(&self, call: Call) -> io::Result<Counted> {
+    pub fn call_counts(&self, call: Call) -> io::Result<CallCounts> {
         let calls = self.read_word(call, CALLS_WORD)?;
         let failures = self.read_word(call, FAILURES_WORD)?;
-        Ok(Counted { calls, failures })
+        Ok(CallCounts { calls, failures })
     }
 
     fn read_word(&self, call: Call, word: usize) -> io::Result<u32> {
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -140,7 +140,7 @@
     for call in Call::ALL {
         let (mut calls, mut failures) = (0, 0);
         for gateway in gateways {
-            let counted = gateway.faults.counted(call)?;
+            let counted = gateway.faults.call_counts(call)?;
             calls += counted.calls;
             failures += counted.failures;
         }
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -27,7 +27,7 @@
             environment.call().answer("200 OK", "");
         }
         environment.expect_nothing();
-        assert!(environment.faults().counted(call).unwrap().failures > 10, "{call:?} {error}");
+        assert!(environment.faults().call_counts(call).unwrap().failures > 10, "{call:?} {error}");
     }
 }
 
@@ -94,7 +94,7 @@
         environment.leave_copy_of_journal();
         environment.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let gateway = stopped.restart();
-        assert!(environment.faults().counted(call).unwrap().failures > 0, "{call:?}");
+        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
         let call = environment.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
@@ -115,7 +115,7 @@
         let environment = TestEnvironment::with_faults(1, 1);
         environment.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
         let gateway = environment.start();
-        assert_eq!(environment.faults().counted(call).unwrap().failures, 4, "{call:?}");
+        assert_eq!(environment.faults().call_counts(call).unwrap().failures, 4, "{call:?}");
         assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
     }
 }
@@ -144,7 +144,7 @@
         environment.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         gateway.send_sighup();
         gateway.log_until("configuration reloaded");
-        assert!(environment.faults().counted(call).unwrap().failures > 0, "{call:?}");
+        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
     }
 }
 
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -55,7 +55,7 @@
                 if nth >= 2 * calls {
                     return;
                 }
-                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_BEHIND };
+                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
                 killed.fetch_add(u32::from(live_until(call, how, nth / 2)), Ordering::SeqCst);
             });
         }
@@ -108,7 +108,7 @@
     killed_page.clear(call).unwrap();
     // A kill that has started completes; no other one starts.
     thread::sleep(Duration::from_millis(50));
-    let killed = killed_page.counted(call).unwrap().failures > 0;
+    let killed = killed_page.call_counts(call).unwrap().failures > 0;
     let has_ended = match which {
         Killed::Predecessor => predecessor.has_ended(),
         Killed::Successor => successor.has_ended(),
@@ -135,7 +135,7 @@
         for nth in 0..2 * calls {
             let killed = &killed;
             cases.spawn(move || {
-                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_BEHIND };
+                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
                 killed.fetch_add(u32::from(hand_over_until(call, how, nth / 2, which)), Ordering::SeqCst);
             });
         }
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -48,7 +48,7 @@
         },
     );
     live(&environment, &format!("{call:?} {error}"), clients);
-    let counted = environment.faults().counted(call).unwrap();
+    let counted = environment.faults().call_counts(call).unwrap();
     assert!(counted.failures > 0, "{call:?} {error}: {counted:?}");
 }
 
@@ -60,7 +60,7 @@
         audit.enqueue(&gateway, &format!("b{number}"), false, clients);
     }
     // Until the journal is compacted, whether or not that succeeds.
-    let compactions = || environment.faults().counted(SystemCall::StateRename).unwrap().calls;
+    let compactions = || environment.faults().call_counts(SystemCall::StateRename).unwrap().calls;
     for number in (0..MOST_FILLERS).take_while(|_| compactions() == 0) {
         audit.enqueue(&gateway, &format!("e{number}"), false, clients);
         audit.observe(Duration::from_millis(50));
