--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -13,7 +13,7 @@
 use crate::experiment::Sweep;
 use crate::figures::{Figure, Figures, Point};
 use crate::fit::median;
-use crate::stubs::{address_in, class, command, serve, serve_calls, target};
+use crate::stubs::{address_in, class, encode_command, serve, serve_calls, target};
 use crate::stubs::{Agent, Client, Configuration, Process, StubEvent};
 
 /// Destinations that the messages are for, one endpoint each.
@@ -240,7 +240,7 @@
         let commands: Vec<u8> = (enqueued..enqueued + count).flat_map(enqueue_command).collect();
         client.try_send(&commands).map_err(failed)?;
         for _ in 0..count {
-            let reply = client.try_line().map_err(failed)?;
+            let reply = client.try_read_line().map_err(failed)?;
             if reply != "+OK" {
                 return Err(NotRun::Failed(format!("a message was answered '{reply}'")));
             }
@@ -258,7 +258,7 @@
     let id = format!("m{number:015}");
     let destination = 1 + number % DESTINATIONS;
     let fields = format!("d={DEADLINE_MS},c=notice,k=k{number},dest={destination}");
-    command(&[b"ENQUEUE", &b"0"[..], id.as_bytes(), fields.as_bytes(), &BODY])
+    encode_command(&[b"ENQUEUE", &b"0"[..], id.as_bytes(), fields.as_bytes(), &BODY])
 }
 
 /// Checks the bounds of the run, with the memory of a gateway.
@@ -296,8 +296,8 @@
             }
         }
     };
-    client.try_send(&command(&["PING"])).map_err(|error| NotRun::failed("PING", error))?;
-    let reply = client.try_line().map_err(|error| NotRun::failed("PING", error))?;
+    client.try_send(&encode_command(&["PING"])).map_err(|error| NotRun::failed("PING", error))?;
+    let reply = client.try_read_line().map_err(|error| NotRun::failed("PING", error))?;
     if reply != "+PONG" {
         return Err(NotRun::Failed(format!("PING was answered '{reply}'")));
     }
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use super::ledger::{Idempotency, Ledger};
-use crate::stubs::{command, locked, Client};
+use crate::stubs::{encode_command, locked, Client};
 
 /// A reply that takes longer is counted as late.
 const LATE_REPLY: Duration = Duration::from_millis(400);
@@ -114,7 +114,7 @@
         let ClassOfMessage { name, idempotency, fields } = class;
         let fields = format!("c={name},d={},dest={destination}{fields}", time_left.as_millis());
         let body = "x".repeat(random.usize(1..400));
-        let bytes = command(&["ENQUEUE", "0", id, fields.as_str(), body.as_str()]);
+        let bytes = encode_command(&["ENQUEUE", "0", id, fields.as_str(), body.as_str()]);
         Request { id: id.to_owned(), idempotency: *idempotency, time_left, bytes }
     }
 
@@ -145,7 +145,7 @@
 
 fn read_reply(clients: &GatewayClients, client: &mut Client, id: &str) -> io::Result<()> {
     let sent_at = Instant::now();
-    let line = client.try_line()?;
+    let line = client.try_read_line()?;
     if line.is_empty() {
         return Err(ErrorKind::UnexpectedEof.into());
     }
@@ -172,7 +172,7 @@
             _ => b"*2\r\n$-1\r\n",
         };
         let _ = client.try_send(bytes);
-        let is_unresponsive = match client.try_line() {
+        let is_unresponsive = match client.try_read_line() {
             Err(error) => matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
             Ok(_) => false,
         };
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -126,7 +126,7 @@
         while started_at.elapsed() < READY_TIMEOUT {
             let reply = Client::connect(self.address, READY_TIMEOUT).and_then(|mut client| {
                 client.try_send(b"*1\r\n$4\r\nPING\r\n")?;
-                client.try_line()
+                client.try_read_line()
             });
             if reply.is_ok_and(|line| line == "+PONG") {
                 locked(&self.ledger).gateway_ready(self.number, started_at);
--- a/src/bin/testbed/stubs/client.rs
+++ b/src/bin/testbed/stubs/client.rs
@@ -10,13 +10,13 @@
 }
 
 impl Client {
-    /// Connects; reads then time out after `patience`.
+    /// Connects; reads then time out after `read_timeout`.
     ///
     /// # Errors
     /// The connection does not come up.
-    pub fn connect(address: SocketAddr, patience: Duration) -> io::Result<Self> {
+    pub fn connect(address: SocketAddr, read_timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(read_timeout))?;
         Ok(Client { stream: BufReader::new(stream) })
     }
 
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// There is none in time, or the connection is broken.
-    pub fn try_line(&mut self) -> io::Result<String> {
+    pub fn try_read_line(&mut self) -> io::Result<String> {
         let mut line = String::new();
         self.stream.read_line(&mut line)?;
         Ok(line.trim_end().to_owned())
@@ -40,7 +40,7 @@
 }
 
 /// A command as it stands on the wire, in RESP2.
-pub fn command<W: AsRef<[u8]>>(words: &[W]) -> Vec<u8> {
+pub fn encode_command<W: AsRef<[u8]>>(words: &[W]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
     for word in words.iter().map(AsRef::as_ref) {
         bytes.extend(format!("${}\r\n", word.len()).as_bytes());
--- a/src/bin/testbed/stubs/mod.rs
+++ b/src/bin/testbed/stubs/mod.rs
@@ -11,7 +11,7 @@
 mod http;
 mod process;
 
-pub use client::{command, Client};
+pub use client::{encode_command, Client};
 pub use configuration::{class, target, Configuration};
 pub use discovery::Agent;
 pub use endpoint::{serve_calls, Call, StubEvent};
--- a/src/bin/testbed/stubs/process.rs
+++ b/src/bin/testbed/stubs/process.rs
@@ -68,8 +68,8 @@
     ///
     /// # Errors
     /// All lines, if there are not so many in time.
-    pub fn log_times(&self, words: &str, times: usize, patience: Duration) -> Result<String, Vec<String>> {
-        let end = Instant::now() + patience;
+    pub fn log_times(&self, words: &str, times: usize, timeout: Duration) -> Result<String, Vec<String>> {
+        let end = Instant::now() + timeout;
         let mut lines = locked(&self.log.lines);
         loop {
             let mut matching = lines.iter().filter(|line| line.contains(words));
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -54,7 +54,7 @@
         .collect();
     // Without evictions it would respond only once it had given up all of them, the last one too.
     assert_eq!(gateway.admin_request("GET /_ready"), 200);
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
     assert_eq!(slow.next().map(status), Some(408));
     // The last ones are still connected.
@@ -136,14 +136,14 @@
     let (mut idle, mut half) = (gateway.client(), gateway.client());
     assert_eq!(idle.enqueue("l1", "0", "salary", 1, b"x"), "+OK");
     let out = environment.call();
-    assert_eq!(half.ask(&["PING"]), "+PONG");
+    assert_eq!(half.request(&["PING"]), "+PONG");
     half.send(b"*1\r\n$4\r\nPI");
     assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     assert!(idle.is_closed());
     // A request that has begun is answered on the way out.
     half.send(b"NG\r\n");
-    assert!(half.line().starts_with("-ERR"));
+    assert!(half.read_line().starts_with("-ERR"));
     assert!(half.is_closed());
     // So is the first one of a connection that was on its way.
     let mut late = gateway.client();
@@ -154,8 +154,8 @@
     environment.call().answer("200 OK", "");
     assert_eq!(gateway.admin_request("POST /_lameduck/off"), 200);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     assert_eq!(gateway.admin_request("GET /_ready"), 200);
     environment.expect_nothing();
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -117,12 +117,12 @@
         let mut stream = call.stream();
         call.answer("200 OK", "");
         // Answered after the delivery is recorded, so that the connection is idle.
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
         gateway.while_stopped(|| {
-            client.begin_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
+            client.send_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
             let _ = stream.write_all(WHOLE);
         });
-        assert_eq!(client.line(), "+OK");
+        assert_eq!(client.read_line(), "+OK");
         let call = environment.call();
         assert_eq!(call.id, format!("q{number}"));
         call.answer("200 OK", "");
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -136,7 +136,7 @@
     let first = environment.call();
     for (id, left) in [("short", 1000), ("long", 20_000)] {
         let fields = format!("c=notice,d={left},dest=1,k=k-{id}");
-        assert_eq!(client.ask(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
+        assert_eq!(client.request(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
     first.answer("200 OK", "");
     let shared = environment.call();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -14,10 +14,10 @@
 fn silent_clients_and_partial_requests_time_out() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
-    let mut silent = gateway.client().within(ERROR_TIMEOUT);
-    let mut half = gateway.client().within(ERROR_TIMEOUT);
+    let mut silent = gateway.client().with_read_timeout(ERROR_TIMEOUT);
+    let mut half = gateway.client().with_read_timeout(ERROR_TIMEOUT);
     half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
-    assert!(half.line().starts_with("-ERR "));
+    assert!(half.read_line().starts_with("-ERR "));
     assert!(half.is_closed());
     assert!(silent.is_closed());
 }
@@ -31,7 +31,7 @@
     let gateway = environment.start();
     let silent: Vec<Client> = (0..300).map(|_| gateway.client()).collect();
     for number in 0..20 {
-        let mut client = gateway.client().within(Duration::from_secs(1));
+        let mut client = gateway.client().with_read_timeout(Duration::from_secs(1));
         assert_eq!(client.enqueue(&format!("g{number}"), "0", "salary", 1, b"x"), "+OK");
         environment.call().answer("200 OK", "");
     }
@@ -52,7 +52,7 @@
     let (mut partial, mut whole) = (Vec::new(), Vec::new());
     gateway.while_stopped(|| {
         for _ in 0..48 {
-            let mut client = gateway.client().within(ERROR_TIMEOUT);
+            let mut client = gateway.client().with_read_timeout(ERROR_TIMEOUT);
             client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
             partial.push(client);
         }
@@ -61,14 +61,14 @@
     std::thread::sleep(Duration::from_millis(450));
     gateway.while_stopped(|| {
         for _ in 0..20 {
-            let mut client = gateway.client().within(ERROR_TIMEOUT);
-            client.command(&["PING"]);
+            let mut client = gateway.client().with_read_timeout(ERROR_TIMEOUT);
+            client.send_command(&["PING"]);
             whole.push(client);
         }
     });
-    whole.iter_mut().for_each(|client| assert_eq!(client.line(), "+PONG"));
+    whole.iter_mut().for_each(|client| assert_eq!(client.read_line(), "+PONG"));
     for (number, client) in partial.iter_mut().enumerate() {
-        let line = client.line();
+        let line = client.read_line();
         assert!(line.starts_with("-ERR "), "{line:?} on connection {number}");
     }
 }
@@ -92,10 +92,10 @@
         }
         begun = Instant::now();
         let mut client = gateway.client();
-        client.command(&["ENQUEUE", "0", "w1", "c=salary,d=1000,dest=1", "x"]);
+        client.send_command(&["ENQUEUE", "0", "w1", "c=salary,d=1000,dest=1", "x"]);
         delayed = Some(client);
     });
-    assert_eq!(delayed.unwrap().line(), "+OK");
+    assert_eq!(delayed.unwrap().read_line(), "+OK");
     let waited = begun.elapsed();
     assert!(environment.notification().contains(r#""id":"w1","state":"returned""#));
     let (took, late) = (begun.elapsed(), Duration::from_millis(300));
@@ -109,12 +109,13 @@
     let mut environment = TestEnvironment::new(1, 3.0);
     environment.sockets = 256;
     let gateway = environment.start();
-    let mut stayed: Vec<Client> = (0..80).map(|_| gateway.client().within(Duration::from_secs(1))).collect();
+    let mut stayed: Vec<Client> =
+        (0..80).map(|_| gateway.client().with_read_timeout(Duration::from_secs(1))).collect();
     for client in &mut stayed {
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     assert!(stayed[..30].iter_mut().all(Client::is_closed));
-    assert_eq!(stayed[79].ask(&["PING"]), "+PONG");
+    assert_eq!(stayed[79].request(&["PING"]), "+PONG");
 }
 
 /// The error arrives, however much the client goes on sending: closing with bytes unread resets the connection,
@@ -127,7 +128,7 @@
     client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nb1\r\n$3\r\nc=x\r\n$60000000\r\n");
     let part = vec![b'x'; 1 << 20];
     (0..60).for_each(|_| client.try_send(&part).unwrap());
-    assert!(client.line().starts_with("-ERR "));
+    assert!(client.read_line().starts_with("-ERR "));
     assert!(client.is_closed());
 }
 
@@ -141,8 +142,8 @@
     let mut client = gateway.client();
     assert_eq!(client.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
-    (0..2000).for_each(|_| assert!(flood.line().starts_with("-ERR ")));
-    assert_eq!(flood.ask(&["PING"]), "+PONG");
+    (0..2000).for_each(|_| assert!(flood.read_line().starts_with("-ERR ")));
+    assert_eq!(flood.request(&["PING"]), "+PONG");
 }
 
 /// The id of a pending message belongs to it: the same message once more is already accepted, and another one under
@@ -216,7 +217,7 @@
     for round in 0..5000 {
         // The connection is up before its request comes.
         let mut client = gateway.client();
-        let answer = client.ask(&["PING"]);
+        let answer = client.request(&["PING"]);
         assert!(answer.starts_with("-ERR "), "{answer:?} in round {round}");
     }
 }
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -29,7 +29,7 @@
     destination: u16,
 ) -> Call {
     let fields = format!("c=salary,d={ANNOUNCED_AFTER_MS},dest={destination}");
-    assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
+    assert_eq!(gateway.client().request(&["ENQUEUE", "0", "six", fields.as_str(), "x"]), "+OK");
     let call = environment.call();
     assert_eq!(call.id, "six");
     call
@@ -40,7 +40,7 @@
 fn assert_drain_is_known(environment: &TestEnvironment, gateway: &RunningGateway, drained: u16) {
     assert_eq!(environment.notification(), r#"{"id":"six","state":"failed"}"#);
     let fields = format!("c=salary,d=500,dest={drained}");
-    assert_eq!(gateway.client().ask(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
+    assert_eq!(gateway.client().request(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
     let notification = environment.notification();
     assert!(notification.contains(r#""id":"after","state":"returned""#), "{notification}");
 }
@@ -77,7 +77,7 @@
     for number in 0..IDLE_CLIENTS {
         let mut client = gateway.client();
         if number % 2 == 0 {
-            client.command(&["PING"]);
+            client.send_command(&["PING"]);
         }
         idle.push(client);
     }
@@ -116,7 +116,7 @@
     environment.set_discovery_silent(false);
     connect_idle_clients(&gateway, &mut idle);
     gateway.log_until("endpoint list updated");
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     // The descriptors may be used up at a restart too.
     let gateway = gateway.kill_and_restart();
     let _idle: Vec<Client> = (0..IDLE_CLIENTS).map(|_| gateway.client()).collect();
@@ -184,11 +184,11 @@
     for (id, class, destination) in [("untried2", "salary", 2), ("untried4", "notice,k=k4", 4)] {
         let fields = format!("c={class},d=10000,dest={destination}");
         // The responses that free the room may still be on their way.
-        while client.ask(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
+        while client.request(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
     }
     environment.expect_no_call();
     let gateway = gateway.kill_and_restart();
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     assert_all_are_sent(&environment, &["untried2", "untried4"]);
 }
 
@@ -203,7 +203,7 @@
     assert_eq!(client.enqueue("w1", "0", "brief,k=w1", 1, b"x"), "+OK");
     let _in_flight = environment.call();
     // Half a second has passed when this one fails.
-    assert_eq!(client.ask(&["ENQUEUE", "0", "t1", "c=salary,d=500,dest=2", "x"]), "+OK");
+    assert_eq!(client.request(&["ENQUEUE", "0", "t1", "c=salary,d=500,dest=2", "x"]), "+OK");
     let _unresponsive = environment.call();
     assert_eq!(environment.notification(), r#"{"id":"t1","state":"failed"}"#);
     let gateway = gateway.kill_and_restart();
--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -58,8 +58,8 @@
         let mut message = Message { is_non_idempotent, ..Message::default() };
         let ask = || -> io::Result<String> {
             let mut client = gateway.try_client(ANSWER)?;
-            client.begin_enqueue(id, "0", class, 1, &[b'x'; 3000]);
-            client.try_line()
+            client.send_enqueue(id, "0", class, 1, &[b'x'; 3000]);
+            client.try_read_line()
         };
         let answer = ask();
         match answer {
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 use std::time::{Duration, Instant};
-use stubs::{address_in, class, command, locked, serve, serve_calls, target, Configuration, Process};
+use stubs::{address_in, class, encode_command, locked, serve, serve_calls, target, Configuration, Process};
 
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
 pub use stubs::{Agent, Call, Client, StubEvent};
@@ -716,40 +716,40 @@
     }
 
     /// Shuts down the sending side.
-    pub fn end(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.stream.get_mut().shutdown(Shutdown::Write).unwrap();
     }
 
     /// Limits how long a read may take.
-    pub fn within(self, limit: Duration) -> Self {
+    pub fn with_read_timeout(self, limit: Duration) -> Self {
         self.stream.get_ref().set_read_timeout(Some(limit)).unwrap();
         self
     }
 
-    pub fn line(&mut self) -> String {
-        self.try_line().unwrap()
+    pub fn read_line(&mut self) -> String {
+        self.try_read_line().unwrap()
     }
 
-    pub fn ask<W: AsRef<[u8]>>(&mut self, words: &[W]) -> String {
-        self.command(words);
-        self.line()
+    pub fn request<W: AsRef<[u8]>>(&mut self, words: &[W]) -> String {
+        self.send_command(words);
+        self.read_line()
     }
 
     /// Sends a command without waiting for its reply.
-    pub fn command<W: AsRef<[u8]>>(&mut self, words: &[W]) {
-        self.send(&command(words));
+    pub fn send_command<W: AsRef<[u8]>>(&mut self, words: &[W]) {
+        self.send(&encode_command(words));
     }
 
     /// Enqueues a message; `class` may carry further fields.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
-        self.begin_enqueue(id, key, class, destination, body);
-        self.line()
+        self.send_enqueue(id, key, class, destination, body);
+        self.read_line()
     }
 
     /// Sends a request to enqueue without waiting for its reply.
-    pub fn begin_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
+    pub fn send_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
         let fields = format!("d=20000,c={class},dest={destination}");
-        self.command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
+        self.send_command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
     /// Whether the gateway closes the connection without a reply.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"\x00pay\r\n"), "+OK");
     let call = environment.call();
     assert_eq!((call.id.as_str(), &call.body[..]), ("a1", &b"\x00pay\r\n"[..]));
@@ -67,7 +67,7 @@
         );
         let inside = order.iter().take(3).all(|id| id.starts_with('s'));
         assert!(inside, "after a restart: {restart}: {order:?}");
-        assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+        assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     }
 }
 
@@ -88,15 +88,15 @@
     ] {
         let mut client = gateway.client();
         client.send(bad.as_bytes());
-        assert!(client.line().starts_with("-ERR"), "{bad:.20}");
+        assert!(client.read_line().starts_with("-ERR"), "{bad:.20}");
     }
     let mut client = gateway.client();
-    assert!(client.ask(&["FLUSH"]).starts_with("-ERR"));
-    assert!(client.ask(&["ENQUEUE", "0", "id"]).starts_with("-ERR"));
+    assert!(client.request(&["FLUSH"]).starts_with("-ERR"));
+    assert!(client.request(&["ENQUEUE", "0", "id"]).starts_with("-ERR"));
     assert!(client.enqueue("b1", "0", "unheard-of", 1, b"").starts_with("-ERR"));
     assert!(client.enqueue("b\n2", "0", "salary", 1, b"").starts_with("-ERR"));
-    assert!(client.ask(&["ENQUEUE", "zz", "b3", "c=salary,d=9,dest=1", ""]).starts_with("-ERR"));
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert!(client.request(&["ENQUEUE", "zz", "b3", "c=salary,d=9,dest=1", ""]).starts_with("-ERR"));
+    assert_eq!(client.request(&["PING"]), "+PONG");
 }
 
 /// A non-idempotent message whose call was in flight when the process was killed may have been processed: it fails at
@@ -108,7 +108,7 @@
     assert_eq!(gateway.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     let _open = environment.call();
     let gateway = gateway.kill_and_restart();
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
     environment.expect_no_call();
 }
@@ -327,7 +327,7 @@
     let environment = TestEnvironment::new(1, 0.0001);
     let gateway = environment.start();
     assert!(gateway.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
 }
 
 /// No more messages are pending than the settings allow, those with an unacknowledged outcome included: one more is
@@ -565,7 +565,7 @@
     assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
     for (id, left) in [("short", 2000), ("long", 20_000)] {
         let fields = format!("c=salary,d={left},dest=1");
-        assert_eq!(client.ask(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
+        assert_eq!(client.request(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
     assert_eq!(gateway.admin_request("POST /_endpoints/attach?id=s-0"), 200);
     let notification = environment.notification();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -14,19 +14,19 @@
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
     let mut predecessor = environment.start();
     let (mut idle, mut half) = (predecessor.client(), predecessor.client());
-    assert_eq!(idle.ask(&["PING"]), "+PONG");
+    assert_eq!(idle.request(&["PING"]), "+PONG");
     for round in 0..3 {
         let id = |name: &str| format!("{name}{round}");
         // Two of one ordering key: the second waits for the first, which is in flight during the handover.
         assert_eq!(idle.enqueue(&id("first"), "9", "notice,k=a", 1, b"1"), "+OK");
         let in_flight = environment.call();
         // Connections are closed after 2 s between two requests, and after 1 s within one: nothing slow comes between.
-        assert_eq!(half.ask(&["PING"]), "+PONG");
+        assert_eq!(half.request(&["PING"]), "+PONG");
         assert_eq!(idle.enqueue(&id("second"), "9", "notice,k=b", 1, b"2"), "+OK");
         half.send(b"*1\r\n$4\r\nPI");
         let successor = environment.start();
         half.send(b"NG\r\n");
-        assert_eq!(half.line(), "+PONG");
+        assert_eq!(half.read_line(), "+PONG");
         assert_eq!(idle.enqueue(&id("third"), "0", "salary", 1, b"3"), "+OK");
         assert_eq!(
             (successor.admin_request("GET /_ready"), predecessor.admin_request("GET /_ready")),
@@ -36,7 +36,7 @@
         let third = environment.call();
         assert_eq!(third.id, id("third"));
         third.answer("200 OK", "");
-        assert_eq!(successor.client().ask(&["PING"]), "+PONG");
+        assert_eq!(successor.client().request(&["PING"]), "+PONG");
         environment.expect_no_call();
         in_flight.answer("200 OK", "");
         let second = environment.call();
@@ -80,9 +80,9 @@
     let predecessor = environment.start();
     assert_eq!(predecessor.admin_request("POST /_lameduck/on"), 200);
     let successor = environment.start();
-    assert!(successor.client().ask(&["PING"]).starts_with("-ERR"));
+    assert!(successor.client().request(&["PING"]).starts_with("-ERR"));
     assert_eq!(successor.admin_request("POST /_lameduck/off"), 200);
-    assert_eq!(successor.client().ask(&["PING"]), "+PONG");
+    assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
 /// The successor cancels calls that the predecessor has in flight: to disable an endpoint withdraws one that is still
@@ -134,7 +134,7 @@
     assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
     assert_eq!(calls.iter().map(|call| call.id.as_str()).collect::<Vec<_>>(), ["k1"]);
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
-    assert_eq!(successor.client().ask(&["PING"]), "+PONG");
+    assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
 /// When it exits, the predecessor drops calls that are still in flight, and the successor learns of it.
@@ -171,7 +171,7 @@
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
     // It can be replaced as before.
-    assert_eq!(environment.start().client().ask(&["PING"]), "+PONG");
+    assert_eq!(environment.start().client().request(&["PING"]), "+PONG");
 }
 
 /// If it dies later, the journal holds what it has done; no message has two calls in flight.
@@ -203,7 +203,7 @@
     }
     assert_eq!(notifications, [r#"{"id":"u1","state":"failed"}"#]);
     assert_eq!(order, ["k1", "k2"]);
-    assert_eq!(predecessor.client().ask(&["PING"]), "+PONG");
+    assert_eq!(predecessor.client().request(&["PING"]), "+PONG");
     environment.expect_nothing();
 }
 
@@ -239,7 +239,7 @@
     let second = environment.call();
     assert_eq!(second.id, "k2");
     second.answer("200 OK", "");
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     environment.expect_no_call();
     assert_eq!(successor.admin_request("POST /_endpoints/attach?id=s-2"), 200);
     let third = environment.call();
@@ -259,7 +259,7 @@
     let successor = environment.start();
     assert!(in_flight.is_closed());
     assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
-    assert_eq!(successor.client().ask(&["PING"]), "+PONG");
+    assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
 /// The owner's lock may be free a moment before its address is: the next process waits for it.
@@ -273,7 +273,7 @@
     assert_eq!(gateway.admin_request("GET /_ready"), 503);
     drop(before);
     let gateway = gateway.listening();
-    assert_eq!(gateway.client().ask(&["PING"]), "+PONG");
+    assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     assert_eq!(gateway.admin_request("GET /_ready"), 200);
 }
 
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -13,11 +13,11 @@
     let environment = TestEnvironment::new(1, 3.0);
     let mut gateway = environment.start_logging_to(log);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("g1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
     gateway.send_sighup();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     gateway.send_sigterm();
     assert!(gateway.wait(Duration::from_secs(5)).success());
 }
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -19,7 +19,7 @@
         let environment = TestEnvironment::with_faults(1, 1);
         let gateway = environment.start();
         environment.fail(call, Fault::always(&[error]).with_ratio(0.5));
-        let mut client = gateway.client().within(Duration::from_millis(400));
+        let mut client = gateway.client().with_read_timeout(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
             let answer = client.enqueue(&id, "0", "salary", 1, &[b'x'; 9000]);
@@ -116,7 +116,7 @@
         environment.fail(call, Fault::always(&[ENOBUFS, EADDRNOTAVAIL, ENOMEM]).times(4));
         let gateway = environment.start();
         assert_eq!(environment.faults().call_counts(call).unwrap().failures, 4, "{call:?}");
-        assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
+        assert_eq!(gateway.client().request(&["PING"]), "+PONG", "{call:?}");
     }
 }
 
@@ -129,7 +129,7 @@
         let environment = TestEnvironment::with_faults(1, 1);
         environment.fail(call, Fault::always(&[ENFILE, ENOMEM]).times(2));
         let gateway = environment.start();
-        assert_eq!(gateway.client().ask(&["PING"]), "+PONG", "{call:?}");
+        assert_eq!(gateway.client().request(&["PING"]), "+PONG", "{call:?}");
     }
 }
 
