--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -216,7 +216,7 @@
     let end = Instant::now() + READY_TIMEOUT;
     while Instant::now() < end {
         guard.check()?;
-        if let Ok(line) = process.log_times("listening", 1, CHECK_INTERVAL) {
+        if let Ok(line) = process.wait_for_log_lines("listening", 1, CHECK_INTERVAL) {
             let no_address = || NotRun::Failed("the gateway logs no address".to_owned());
             return address_in(&line).ok_or_else(no_address);
         }
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -101,7 +101,7 @@
         self.configure(endpoints)?;
         let started_at = Instant::now();
         let process = self.spawn(plan)?;
-        let listening = process.log_times(" listening ", 1, READY_TIMEOUT);
+        let listening = process.wait_for_log_lines(" listening ", 1, READY_TIMEOUT);
         let address = listening.ok().and_then(|line| address_in(&line));
         self.process = Some(process);
         let Some(address) = address else {
@@ -206,7 +206,7 @@
     }
 
     fn hand_over_to(&mut self, next: Process) {
-        if next.log_times(" listening ", 1, READY_TIMEOUT).is_err() {
+        if next.wait_for_log_lines(" listening ", 1, READY_TIMEOUT).is_err() {
             self.breach("was not handed over");
         }
         self.terminate();
--- a/src/bin/testbed/stubs/process.rs
+++ b/src/bin/testbed/stubs/process.rs
@@ -68,7 +68,12 @@
     ///
     /// # Errors
     /// All lines, if there are not so many in time.
-    pub fn log_times(&self, words: &str, times: usize, timeout: Duration) -> Result<String, Vec<String>> {
+    pub fn wait_for_log_lines(
+        &self,
+        words: &str,
+        times: usize,
+        timeout: Duration,
+    ) -> Result<String, Vec<String>> {
         let end = Instant::now() + timeout;
         let mut lines = locked(&self.log.lines);
         loop {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -72,9 +72,9 @@
     assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
     assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
     environment.remove(0);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     environment.announce_serving(0, 3);
-    gateway.log_times("endpoint list updated", 2);
+    gateway.wait_for_log_lines("endpoint list updated", 2);
     for round in 0..2 {
         // Both are free: without the change some of these would go to the first one.
         let mut client = gateway.client();
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -179,7 +179,7 @@
     let gateway = environment.start();
     let mut client = gateway.client();
     environment.remove(1);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
@@ -190,11 +190,11 @@
     };
     let old = deliver("a1");
     environment.replace(0, 0, 1);
-    gateway.log_times("endpoint list updated", 2);
+    gateway.wait_for_log_lines("endpoint list updated", 2);
     let new = deliver("a2");
     assert_ne!(new, old);
     environment.remove(1);
-    gateway.log_times("endpoint list updated", 3);
+    gateway.wait_for_log_lines("endpoint list updated", 3);
     assert_eq!(deliver("a3"), new);
 }
 
@@ -207,7 +207,7 @@
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
             environment.replace(0, round, TIMES);
-            gateway.log_times("endpoint list updated", round as usize + 1);
+            gateway.wait_for_log_lines("endpoint list updated", round as usize + 1);
         }
         gateway.memory()
     };
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -76,7 +76,7 @@
     let call = environment.call();
     let responded_at = Instant::now();
     call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
-    gateway.log_until("Retry-After received");
+    gateway.wait_for_log_line("Retry-After received");
     assert_eq!(gateway.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
     assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -188,7 +188,7 @@
     environment.destination_per_endpoint = true;
     let gateway = environment.start();
     environment.remove(1);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     let mut client = gateway.client();
     assert!(client.enqueue("d9", "0", "salary", 9, b"x").starts_with("-ERR "));
     assert_eq!(client.enqueue("d2", "0", "salary", 2, b"x"), "+OK");
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -52,7 +52,7 @@
     let environment = one_destination_each(2);
     let gateway = environment.start();
     let _in_flight = start_announcement_timer(&environment, &gateway, 2);
-    gateway.log_until("endpoint watch failed");
+    gateway.wait_for_log_line("endpoint watch failed");
     environment.drain(0);
     assert_drain_is_known(&environment, &gateway, 1);
 }
@@ -63,7 +63,7 @@
     let environment = one_destination_each(2);
     environment.set_discovery_silent(true);
     let gateway = environment.start();
-    gateway.log_until("endpoint watch failed");
+    gateway.wait_for_log_line("endpoint watch failed");
     // The next request is made meanwhile and gets no response either: none made before the recovery is answered.
     environment.expect_no_call();
     environment.drain(0);
@@ -106,7 +106,7 @@
     for number in 0..10 {
         deliver_from_new_client(&environment, &gateway, &format!("f{number}"));
     }
-    gateway.log_until("endpoint watch failed");
+    gateway.wait_for_log_line("endpoint watch failed");
     connect_idle_clients(&gateway, &mut idle);
     // A failure is notified with the descriptors that are left.
     assert_eq!(gateway.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
@@ -115,7 +115,7 @@
     environment.drain(0);
     environment.set_discovery_silent(false);
     connect_idle_clients(&gateway, &mut idle);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     // The descriptors may be used up at a restart too.
     let gateway = gateway.kill_and_restart();
@@ -128,7 +128,7 @@
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
         environment.call().answer("429 Later", "X-Come-Back-Ms: 500000\r\n");
-        gateway.log_until("Retry-After received");
+        gateway.wait_for_log_line("Retry-After received");
     }
 }
 
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -567,12 +567,12 @@
 
     /// Waits until its admin endpoint is open.
     fn with_door(mut self) -> Self {
-        self.admin = address_in(&self.log_until("admin endpoint open")).unwrap();
+        self.admin = address_in(&self.wait_for_log_line("admin endpoint open")).unwrap();
         self
     }
 
     /// Waits until it serves or has ended; returns whether it serves.
-    pub fn listens_or_ends(&mut self) -> bool {
+    pub fn wait_until_listening_or_ended(&mut self) -> bool {
         let end = Instant::now() + PATIENCE;
         while !self.has_logged(" listening ") && !self.has_ended() && Instant::now() < end {
             thread::sleep(Duration::from_millis(5));
@@ -582,7 +582,7 @@
 
     /// Waits until it serves.
     pub fn listening(mut self) -> Self {
-        self.address = address_in(&self.log_until("listening")).unwrap();
+        self.address = address_in(&self.wait_for_log_line("listening")).unwrap();
         self
     }
 
@@ -601,14 +601,14 @@
     }
 
     /// Waits for a line of the log that contains some words, and returns it.
-    pub fn log_until(&self, words: &str) -> String {
-        self.log_times(words, 1)
+    pub fn wait_for_log_line(&self, words: &str) -> String {
+        self.wait_for_log_lines(words, 1)
     }
 
     /// Waits for so many such lines, and returns the last of them.
-    pub fn log_times(&self, words: &str, times: usize) -> String {
+    pub fn wait_for_log_lines(&self, words: &str, times: usize) -> String {
         self.process
-            .log_times(words, times, PATIENCE)
+            .wait_for_log_lines(words, times, PATIENCE)
             .unwrap_or_else(|lines| panic!("the log never says '{words}': {lines:#?}"))
     }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -223,7 +223,7 @@
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     let responded_at = Instant::now();
     environment.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
-    gateway.log_until("Retry-After received");
+    gateway.wait_for_log_line("Retry-After received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
     assert!(responded_at.elapsed() >= Duration::from_millis(700), "after {:?}", responded_at.elapsed());
@@ -237,7 +237,7 @@
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
     environment.drain(0);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     environment.set_discovery_silent(true);
     let gateway = gateway.kill_and_restart();
     let mut client = gateway.client();
@@ -302,7 +302,7 @@
     }
     assert!((5..60).contains(&accepted), "{accepted}");
     let gateway = gateway.kill_and_restart();
-    assert!(gateway.log_until("journal replayed").contains(&format!("pending={accepted}")));
+    assert!(gateway.wait_for_log_line("journal replayed").contains(&format!("pending={accepted}")));
 }
 
 /// A torn or damaged tail of the journal is truncated; what stands before it is kept, and the process starts.
@@ -317,7 +317,7 @@
     let gateway = gateway.kill();
     environment.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
     let gateway = gateway.restart();
-    assert!(gateway.log_until("journal replayed").contains("pending=1"));
+    assert!(gateway.wait_for_log_line("journal replayed").contains("pending=1"));
     assert_eq!(environment.notification(), r#"{"id":"j1","state":"failed"}"#);
 }
 
@@ -379,12 +379,12 @@
     let mut client = gateway.client();
     assert_eq!(client.enqueue("q1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
-    gateway.log_until("endpoint watch failed");
+    gateway.wait_for_log_line("endpoint watch failed");
     assert_eq!(gateway.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
     environment.drain(0);
     environment.set_discovery_silent(false);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
 }
 
 /// Endpoint lists may be indented, also on the watch, and arrive in pieces; one that breaks off is malformed, and the
@@ -397,7 +397,7 @@
     let (first, rest) = text.split_at(text.len() / 2);
     environment.announce_text(first);
     environment.announce_text(rest);
-    gateway.log_until("endpoint list updated revision=2 changed=1");
+    gateway.wait_for_log_line("endpoint list updated revision=2 changed=1");
     for id in ["i1", "i2"] {
         assert_eq!(gateway.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
@@ -406,7 +406,7 @@
     }
     environment.announce_text("{\n  \"rev\": 3,\n");
     environment.announce_text("\n");
-    gateway.log_until("endpoint watch failed");
+    gateway.wait_for_log_line("endpoint watch failed");
 }
 
 /// A slow discovery is requested once: hanging up early would repeat the request while it is still being served.
@@ -417,7 +417,7 @@
     let gateway = environment.start();
     gateway.client();
     environment.drain(0);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     assert_eq!(environment.watches(), 1);
 }
 
@@ -518,7 +518,7 @@
     assert_eq!(call.endpoint, 1);
     let responded_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
-    gateway.log_until("Retry-After received");
+    gateway.wait_for_log_line("Retry-After received");
     environment.release(hanging);
     for _ in 0..2 {
         let call = environment.call();
@@ -578,7 +578,7 @@
     let call = environment.call();
     assert_eq!((call.path.as_str(), call.id.as_str()), ("/hook", "long"));
     call.answer("200 OK", "");
-    gateway.log_until("messages waited too long for a connection");
+    gateway.wait_for_log_line("messages waited too long for a connection");
     environment.expect_nothing();
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -59,7 +59,7 @@
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
-    predecessor.log_until("Retry-After received");
+    predecessor.wait_for_log_line("Retry-After received");
     assert_eq!(predecessor.admin_request("POST /_endpoints/detach?id=s-1"), 200);
     let successor = environment.start();
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
@@ -161,7 +161,7 @@
     let in_flight = environment.call();
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     environment.start().kill();
-    assert!(predecessor.log_until("resuming service").contains("journal_untouched=true"));
+    assert!(predecessor.wait_for_log_line("resuming service").contains("journal_untouched=true"));
     environment.expect_no_call();
     in_flight.answer("200 OK", "");
     let second = environment.call();
@@ -188,7 +188,7 @@
     let other = environment.call();
     assert_eq!(other.id, "u1");
     successor.kill();
-    assert!(predecessor.log_until("resuming service").contains("journal_untouched=false"));
+    assert!(predecessor.wait_for_log_line("resuming service").contains("journal_untouched=false"));
     let (mut notifications, mut order) = (Vec::new(), Vec::new());
     while notifications.is_empty() || order.len() < 2 {
         match environment.next_event() {
@@ -217,13 +217,13 @@
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 2, b"x"), "+OK");
     environment.call().answer("429 Too Many Requests", "X-Come-Back-Ms: 500000\r\n");
-    predecessor.log_until("Retry-After received");
+    predecessor.wait_for_log_line("Retry-After received");
     assert_eq!(predecessor.admin_request("POST /_endpoints/detach?id=s-2"), 200);
     assert_eq!(client.enqueue("k1", "9", "notice,k=a", 1, b"1"), "+OK");
     let in_flight = environment.call();
     environment.zone.set("elsewhere");
     let successor = environment.start_beside();
-    predecessor.log_until("finishing calls before the handover");
+    predecessor.wait_for_log_line("finishing calls before the handover");
     // It accepts messages as before, and starts no call.
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     assert_eq!(client.enqueue("u3", "0", "salary", 3, b"3"), "+OK");
@@ -269,7 +269,7 @@
     let before = TcpListener::bind("127.0.0.1:0").unwrap();
     environment.listen.set(before.local_addr().unwrap());
     let gateway = environment.start_beside();
-    gateway.log_until("address still in use");
+    gateway.wait_for_log_line("address still in use");
     assert_eq!(gateway.admin_request("GET /_ready"), 503);
     drop(before);
     let gateway = gateway.listening();
@@ -284,7 +284,7 @@
     environment.start().kill();
     environment.refuse_unix_sockets();
     let gateway = environment.start();
-    gateway.log_until("no handover is possible");
+    gateway.wait_for_log_line("no handover is possible");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("one", "9", "notice,k=a", 1, b"1"), "+OK");
     assert_eq!(environment.call().id, "one");
@@ -297,7 +297,7 @@
     let stopped = environment.start().kill();
     environment.refuse_unix_sockets();
     let predecessor = stopped.restart();
-    predecessor.log_until("no handover is possible");
+    predecessor.wait_for_log_line("no handover is possible");
     environment.permit_unix_sockets();
     let successor = environment.start_beside().listening();
     assert!(successor.has_logged("took over from the predecessor"));
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -82,13 +82,13 @@
     environment.known.set(0);
     environment.append_to_journal(&JOURNAL_WITH_16_BIT_DESTINATIONS.concat());
     let gateway = environment.start();
-    gateway.log_until("journal replayed pending=6 revision=2");
+    gateway.wait_for_log_line("journal replayed pending=6 revision=2");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("unlisted", "0", "salary", 40000, b"x"), "+OK");
     assert!(client.enqueue("unknown", "0", "salary", 40001, b"x").starts_with("-ERR "));
     environment.announce_all(3);
     // A line for the circuit would come before this one, had it been closed.
-    gateway.log_until("endpoint list updated revision=3");
+    gateway.wait_for_log_line("endpoint list updated revision=3");
     assert!(!gateway.has_logged("open circuits changed"));
     // An attempt that was in flight may have run: it is retried inside its idempotency window alone.
     let had_attempt = BTreeMap::from([("low-1", 0), ("mid-1", 1)]);
@@ -102,7 +102,7 @@
         left.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
-    gateway.log_until("open circuits changed before=1 after=0");
+    gateway.wait_for_log_line("open circuits changed before=1 after=0");
 }
 
 /// Destinations that differ only in the bits above the lowest 16 are kept apart, over compaction and a kill.
@@ -281,11 +281,11 @@
         assert_eq!(client.enqueue(id, "0", &format!("notice,k={id}"), 1, b"x"), "+OK");
     }
     (0..4).for_each(|_| environment.call().reset());
-    gateway.log_until("open circuits changed before=0 after=1");
+    gateway.wait_for_log_line("open circuits changed before=0 after=1");
     let gateway = gateway.kill_and_restart();
     // A line for the circuit would come before the one for the operators, had it been closed.
     assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
-    gateway.log_until("lame duck mode switched");
+    gateway.wait_for_log_line("lame duck mode switched");
     assert!(!gateway.has_logged("open circuits changed"));
     assert_eq!(gateway.admin_request("POST /_lameduck/off"), 200);
     let mut left = BTreeSet::from(["a", "b", "c", "d"]);
@@ -294,7 +294,7 @@
         left.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
-    gateway.log_until("open circuits changed before=1 after=0");
+    gateway.wait_for_log_line("open circuits changed before=1 after=0");
 }
 
 /// Endpoints whose update would be too long for one record.
@@ -420,13 +420,13 @@
     assert!(environment.journal().len() > 4 << 20);
     environment.known.set(1);
     let gateway = gateway.kill_and_restart();
-    gateway.log_until("journal replayed pending=1 revision=1");
+    gateway.wait_for_log_line("journal replayed pending=1 revision=1");
     send(&gateway, "replayed", MANY - 1).answer("200 OK", "");
     environment.announce_all(2);
-    gateway.log_until("endpoint list updated revision=2 changed=80000");
+    gateway.wait_for_log_line("endpoint list updated revision=2 changed=80000");
     let _out = send(&gateway, "watched", MANY - 2);
     let gateway = gateway.kill_and_restart();
-    let replayed = gateway.log_until("journal replayed");
+    let replayed = gateway.wait_for_log_line("journal replayed");
     assert!(replayed.ends_with("revision=2"), "{replayed}");
     send(&gateway, "again", MANY - 3).answer("200 OK", "");
     assert!(!gateway.has_logged("cannot be written"));
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -46,10 +46,10 @@
     let gateway = environment.start();
     assert!(gateway.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
     environment.announce_all(2);
-    gateway.log_until("endpoint list updated revision=2 changed=1024");
+    gateway.wait_for_log_line("endpoint list updated revision=2 changed=1024");
     let _out = deliver_to_all(&environment, &gateway, "w");
     let gateway = gateway.kill_and_restart();
-    gateway.log_until("journal replayed pending=1 revision=2");
+    gateway.wait_for_log_line("journal replayed pending=1 revision=2");
     let again = environment.call();
     assert_eq!(again.id, "w-last");
     again.answer("200 OK", "");
@@ -57,7 +57,7 @@
     let agent = environment.agent_with_drain(MANY as usize - 1);
     environment.configure(&agent);
     gateway.send_sighup();
-    gateway.log_until("endpoint list updated revision=5 changed=1024");
+    gateway.wait_for_log_line("endpoint list updated revision=5 changed=1024");
     let mut client = gateway.client();
     assert_eq!(client.enqueue("drains", "0", "salary", MANY, b"x"), "+OK");
     assert_eq!(client.enqueue("serves", "0", "salary", MANY - 1, b"x"), "+OK");
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -51,7 +51,7 @@
         out.answer("200 OK", "");
         old.send_sigterm();
         assert!(old.wait(Duration::from_secs(5)).success(), "{call:?}");
-        new.log_until("the previous process has ended broken_calls=0");
+        new.wait_for_log_line("the previous process has ended broken_calls=0");
         assert!(!old.has_logged("the successor ended"), "{call:?}");
         environment.expect_nothing();
     }
@@ -66,7 +66,7 @@
         environment.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         for round in 1..=4 {
             gateway.send_sighup();
-            gateway.log_times("configuration reloaded", round);
+            gateway.wait_for_log_lines("configuration reloaded", round);
         }
         gateway.send_sigterm();
         assert!(gateway.wait(Duration::from_secs(5)).success(), "{call:?}");
@@ -143,7 +143,7 @@
         environment.configure(&agent);
         environment.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         gateway.send_sighup();
-        gateway.log_until("configuration reloaded");
+        gateway.wait_for_log_line("configuration reloaded");
         assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
     }
 }
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -40,10 +40,10 @@
     let gateway = environment.start();
     environment.fail(SystemCall::StateWrite, Fault::always(&DISK));
     environment.remove(0);
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     environment.faults().clear(SystemCall::StateWrite).unwrap();
     environment.announce_serving(1, 3);
-    gateway.log_times("endpoint list updated", 2);
+    gateway.wait_for_log_lines("endpoint list updated", 2);
     let stopped = gateway.kill();
     // The next process gets no list from discovery.
     environment.set_discovery_silent(true);
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -104,7 +104,7 @@
     };
     killed_page.set(call, fault).unwrap();
     let mut successor = environment.start_process();
-    let listens = successor.listens_or_ends();
+    let listens = successor.wait_until_listening_or_ended();
     killed_page.clear(call).unwrap();
     // A kill that has started completes; no other one starts.
     thread::sleep(Duration::from_millis(50));
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -22,7 +22,7 @@
     let agent = environment.agent_with_drain(0);
     environment.configure(&agent);
     gateway.send_sighup();
-    gateway.log_until("endpoint list updated");
+    gateway.wait_for_log_line("endpoint list updated");
     // What the old one has not acknowledged is sent to the new one, which acknowledges it.
     while environment.notification_requests_at(&agent) == 0 {
         assert_eq!(environment.notification(), failed);
@@ -47,7 +47,7 @@
     let mut client = gateway.client();
     environment.write_invalid_configuration();
     gateway.send_sighup();
-    gateway.log_until("configuration not reloaded");
+    gateway.wait_for_log_line("configuration not reloaded");
     assert_eq!(client.enqueue("s1", "0", "salary", 1, b"x"), "+OK");
     environment.call().reset();
     assert_eq!(environment.notification(), r#"{"id":"s1","state":"failed"}"#);
@@ -55,7 +55,7 @@
     for (number, agent) in agents.iter().enumerate() {
         environment.configure(agent);
         gateway.send_sighup();
-        gateway.log_times("endpoint list updated", number + 1);
+        gateway.wait_for_log_lines("endpoint list updated", number + 1);
     }
     assert_eq!(client.enqueue("s2", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
