--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -7,11 +7,11 @@
 
 /// A class of the settings: its latency objective in seconds, name, effect, idempotency window in milliseconds, and
 /// whether it is ordered.
-pub fn class(latency_objective: u64, name: &str, idempotency: &str, window: u64, order: bool) -> Value {
+pub fn class(latency_objective_secs: u64, name: &str, idempotency: &str, window: u64, order: bool) -> Value {
     json!({
         "Name": name, "Effect": idempotency, "Group": "all", "RepeatWindow": window * 1_000_000,
         "OneAtATime": order, "Worth": 1.0, "LateShare": 0.5,
-        "Aim": latency_objective * 1_000_000_000, "Deadline": latency_objective * 8 * 1_000_000_000,
+        "Aim": latency_objective_secs * 1_000_000_000, "Deadline": latency_objective_secs * 8 * 1_000_000_000,
     })
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -209,7 +209,7 @@
             environment.replace(0, round, TIMES);
             gateway.wait_for_log_lines("endpoint list updated", round as usize + 1);
         }
-        gateway.memory()
+        gateway.resident_memory_kib()
     };
     // The first rounds grow the buffers.
     let before = replace(0..5);
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -25,7 +25,7 @@
     pub outage: OutageKind,
     pub fleet_size: u32,
     /// Calls a second that the destination serves when it is warm.
-    pub capacity: f64,
+    pub capacity_per_sec: f64,
     /// The rate that the endpoint list announces, relative to the capacity.
     pub announced_ratio: f64,
     /// Messages a second, relative to the capacity.
@@ -35,7 +35,7 @@
     /// Time from the start to the outage.
     pub outage_after: Duration,
     /// Rejected calls use up the destination's limit as well.
-    pub rejections_count: bool,
+    pub rejections_use_capacity: bool,
     pub seed: u64,
 }
 
@@ -130,7 +130,7 @@
             worst_overload = worst_overload.max(fleet.overload());
         }
     }
-    let possible = scenario.capacity * scenario.outage_after.as_secs_f64();
+    let possible = scenario.capacity_per_sec * scenario.outage_after.as_secs_f64();
     let enqueued = fleet.enqueued_since_recovery.len().max(1);
     Observed {
         worst_overload,
@@ -168,7 +168,7 @@
 
 /// Gateways that know the endpoint list and have no messages yet.
 fn new_gateways(scenario: &Scenario, settings: &Settings, now: Time) -> Vec<Gateway> {
-    let weight = scenario.capacity * scenario.announced_ratio;
+    let weight = scenario.capacity_per_sec * scenario.announced_ratio;
     let listed = Endpoint { capacity_hint: weight, ..endpoint(ENDPOINT.0, DESTINATION) };
     let traffic: Vec<f64> = (0..scenario.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
     let all: f64 = traffic.iter().sum();
@@ -231,7 +231,7 @@
         } else {
             1.0
         };
-        self.scenario.capacity * ratio
+        self.scenario.capacity_per_sec * ratio
     }
 
     /// What was sent in the last overload window, relative to what the destination survives.
@@ -244,7 +244,7 @@
 
     fn enqueue_messages(&mut self) {
         let has_recovered = self.has_recovered();
-        let all = self.scenario.capacity * self.scenario.load * STEP.as_secs_f64();
+        let all = self.scenario.capacity_per_sec * self.scenario.load * STEP.as_secs_f64();
         let class = (ClassId(0), &self.settings.classes[0]);
         for gateway in &mut self.gateways {
             if self.rng.f64() >= all * gateway.traffic_ratio {
@@ -358,7 +358,7 @@
         self.early_calls += early;
         if self.room < 1.0 {
             self.early_rejections += early;
-            if self.scenario.rejections_count {
+            if self.scenario.rejections_use_capacity {
                 self.room = 0.0;
             }
             return (AttemptOutcome::Rejected(None), FAILURE_TIME);
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -45,7 +45,7 @@
 const EVERYWHERE_PART: f64 = 0.1;
 
 /// The idempotency window of the class `brief`.
-pub const BRIEF_WINDOW: Duration = Duration::from_millis(400);
+pub const BRIEF_IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(400);
 
 /// Far longer than anything here takes; only a failing test waits for so long.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -117,7 +117,7 @@
     seen: Receiver<StubEvent>,
     send: Sender<StubEvent>,
     /// Latency objective of the classes in seconds; their deadline is eight times as long.
-    pub latency_objective: u64,
+    pub latency_objective_secs: u64,
     pub max_pending_messages: u32,
     pub slots: u32,
     /// Messages that one call may carry.
@@ -184,7 +184,7 @@
             discovery,
             seen,
             send,
-            latency_objective: 3,
+            latency_objective_secs: 3,
             max_pending_messages: 400,
             slots: 16,
             batch: 1,
@@ -251,7 +251,7 @@
 
     /// An environment with long deadlines.
     pub fn with_long_deadlines(endpoints: usize, disk_mb: f64) -> Self {
-        TestEnvironment { latency_objective: 100, ..TestEnvironment::new(endpoints, disk_mb) }
+        TestEnvironment { latency_objective_secs: 100, ..TestEnvironment::new(endpoints, disk_mb) }
     }
 
     /// Grows to so many endpoints; the new ones share one address.
@@ -388,9 +388,15 @@
         let known = self.endpoints.len().min(self.known.get());
         let targets: Vec<Value> = (0..known).map(|at| self.target(at, "SERVING")).collect();
         let classes = [
-            class(self.latency_objective, "notice", "idempotency_key", 10_000, true),
-            class(self.latency_objective, "brief", "idempotency_key", BRIEF_WINDOW.as_millis() as u64, true),
-            class(self.latency_objective, "salary", "non_idempotent", 0, false),
+            class(self.latency_objective_secs, "notice", "idempotency_key", 10_000, true),
+            class(
+                self.latency_objective_secs,
+                "brief",
+                "idempotency_key",
+                BRIEF_IDEMPOTENCY_WINDOW.as_millis() as u64,
+                true,
+            ),
+            class(self.latency_objective_secs, "salary", "non_idempotent", 0, false),
         ];
         let configuration = Configuration {
             listen: self.listen.get(),
@@ -533,7 +539,7 @@
         locked(&self.discovery.state.watches).open.len()
     }
 
-    pub fn disk_used(&self) -> u64 {
+    pub fn disk_used_bytes(&self) -> u64 {
         let files = std::fs::read_dir(self.folder.join("state")).unwrap();
         files.map(|file| file.unwrap().metadata().map_or(0, |data| data.len().div_ceil(512) * 512)).sum()
     }
@@ -654,12 +660,12 @@
     }
 
     /// Resident memory of the process, in KiB.
-    pub fn memory(&self) -> u64 {
+    pub fn resident_memory_kib(&self) -> u64 {
         self.process.status_value("VmRSS").unwrap()
     }
 
     /// The most that it ever had, in KiB.
-    pub fn peak_memory(&self) -> u64 {
+    pub fn peak_memory_kib(&self) -> u64 {
         self.process.status_value("VmHWM").unwrap()
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,12 +13,12 @@
 const FLEET: Scenario = Scenario {
     outage: OutageKind::Down,
     fleet_size: 100,
-    capacity: 20.0,
+    capacity_per_sec: 20.0,
     announced_ratio: 1.0,
     load: 2.0,
     batch: 1,
     outage_after: Duration::from_secs(6),
-    rejections_count: true,
+    rejections_use_capacity: true,
     seed: 1,
 };
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -298,7 +298,7 @@
             "+OK" => accepted += 1,
             answer => assert!(answer.starts_with("-BUSY "), "{answer}"),
         }
-        assert!(environment.disk_used() <= 300_000);
+        assert!(environment.disk_used_bytes() <= 300_000);
     }
     assert!((5..60).contains(&accepted), "{accepted}");
     let gateway = gateway.kill_and_restart();
@@ -481,7 +481,7 @@
     for number in 0..150 {
         assert_eq!(client.enqueue(&format!("l{number}"), "0", "salary", 1, &body), "+OK");
         environment.call().answer("200 OK", "");
-        assert!(environment.disk_used() <= 100_000);
+        assert!(environment.disk_used_bytes() <= 100_000);
     }
     let gateway = gateway.kill_and_restart();
     assert_eq!(environment.notification(), r#"{"id":"kept","state":"failed"}"#);
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -32,7 +32,7 @@
         let held = gateway.descriptors();
         assert!(held <= SOCKETS as usize, "{held} descriptors at {id}");
     }
-    let most = gateway.peak_memory();
+    let most = gateway.peak_memory_kib();
     assert!(most <= u64::from(MEMORY_MB) << 10, "{most} KiB");
     send(&format!("{round}-last"), MANY)
 }
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -49,7 +49,7 @@
     let sent = Instant::now();
     let stopped = gateway.kill();
     environment.faults().step_wall_clock(-HOUR_MS).unwrap();
-    thread::sleep((sent + BRIEF_WINDOW).saturating_duration_since(Instant::now()));
+    thread::sleep((sent + BRIEF_IDEMPOTENCY_WINDOW).saturating_duration_since(Instant::now()));
     let _courier = stopped.restart();
     assert_eq!(environment.notification(), failed("b1"));
 }
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -85,7 +85,7 @@
 #[test]
 fn a_disk_that_fails_for_a_while_uses_up_no_attempts() {
     let mut environment = TestEnvironment::with_faults(1, 1);
-    environment.latency_objective = 3;
+    environment.latency_objective_secs = 3;
     let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("d1", "0", "salary", 1, b"x"), "+OK");
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -24,7 +24,7 @@
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
     // Small, so that the journal is compacted.
     environment.disk_mb = 0.03;
-    environment.latency_objective = 3;
+    environment.latency_objective_secs = 3;
     let mut audit = DeliveryAudit::new(&environment);
     let mut gateway = environment.start();
     environment.fail(call, Fault::always(&[how]).after(nth).times(1));
@@ -90,7 +90,7 @@
 fn hand_over_until(call: SystemCall, how: i32, nth: u32, which: Killed) -> bool {
     let what = format!("{call:?} {how} at call {nth} of the {which:?}");
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
-    environment.latency_objective = 3;
+    environment.latency_objective_secs = 3;
     let mut audit = DeliveryAudit::new(&environment);
     let mut predecessor = environment.start();
     for number in 0..PENDING {
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -36,7 +36,7 @@
     let mut environment = TestEnvironment::with_faults(2, seed);
     // Small, so that the journal is compacted; and with what a killed process has left behind.
     environment.disk_mb = 0.06;
-    environment.latency_objective = 3;
+    environment.latency_objective_secs = 3;
     environment.append_to_journal(b"torn");
     environment.leave_copy_of_journal();
     let fault = Fault::always(&[error]);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,12 +9,12 @@
 const BASE: Scenario = Scenario {
     outage: OutageKind::Down,
     fleet_size: 200,
-    capacity: 60.0,
+    capacity_per_sec: 60.0,
     announced_ratio: 1.0,
     load: 0.8,
     batch: 1,
     outage_after: Duration::from_secs(6),
-    rejections_count: false,
+    rejections_use_capacity: false,
     seed: 1,
 };
 
@@ -27,7 +27,7 @@
                 "{:?}, {} gateways, {} calls a second, announced {}, batches of {}, load {}, seed {seed}",
                 scenario.outage,
                 scenario.fleet_size,
-                scenario.capacity,
+                scenario.capacity_per_sec,
                 scenario.announced_ratio,
                 scenario.batch,
                 scenario.load
@@ -44,8 +44,8 @@
 #[test]
 fn a_retry_after_gathers_no_herd() {
     let base = Scenario { outage: OutageKind::RejectsWithRetryAfter, ..BASE };
-    let small = Scenario { capacity: 20.0, ..base };
-    let tiny = Scenario { capacity: 6.0, ..base };
+    let small = Scenario { capacity_per_sec: 20.0, ..base };
+    let tiny = Scenario { capacity_per_sec: 6.0, ..base };
     let few_gateways = Scenario { fleet_size: 20, ..small };
     let high_load = Scenario { load: 1.5, ..base };
     assert_budget_is_kept(&[base, small, tiny, few_gateways, high_load]);
@@ -55,8 +55,8 @@
 #[test]
 fn rejections_without_retry_after_slow_all_down() {
     let base = Scenario { outage: OutageKind::Rejects, ..BASE };
-    let small = Scenario { capacity: 20.0, ..base };
-    let tiny = Scenario { capacity: 12.0, ..base };
+    let small = Scenario { capacity_per_sec: 20.0, ..base };
+    let tiny = Scenario { capacity_per_sec: 12.0, ..base };
     let highest_load = Scenario { load: 4.0, ..small };
     let high_load = Scenario { load: 1.5, ..base };
     let batches = Scenario { batch: 20, ..base };
@@ -69,10 +69,10 @@
     for outage in [OutageKind::Down, OutageKind::Unresponsive] {
         let base = Scenario { outage, ..BASE };
         let high_load = Scenario { load: 1.5, ..base };
-        let highest_load = Scenario { load: 4.0, capacity: 20.0, ..base };
+        let highest_load = Scenario { load: 4.0, capacity_per_sec: 20.0, ..base };
         let announced_too_high = Scenario { announced_ratio: 1.5, ..base };
-        let tiny = Scenario { capacity: 6.0, ..base };
-        let few_gateways = Scenario { fleet_size: 20, capacity: 20.0, ..base };
+        let tiny = Scenario { capacity_per_sec: 6.0, ..base };
+        let few_gateways = Scenario { fleet_size: 20, capacity_per_sec: 20.0, ..base };
         let batches = Scenario { batch: 20, ..base };
         assert_budget_is_kept(&[
             base,
