--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -154,7 +154,7 @@
         }
         Behavior::Malformed if misbehaves => {
             locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
-            call.raw(b"HTTP/1.1 2\r\n\r\n");
+            call.answer_raw(b"HTTP/1.1 2\r\n\r\n");
         }
         Behavior::Rejecting if misbehaves => {
             let retry_after = Duration::from_millis(random.u64(200..1500));
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -67,7 +67,7 @@
     /// The response to a request for the complete list.
     pub list: Mutex<String>,
     /// Whether requests for a watch go unanswered.
-    pub silent: AtomicBool,
+    pub is_silent: AtomicBool,
     /// Milliseconds before a watch is answered.
     pub watch_delay_ms: AtomicU64,
     /// Whether notifications go unanswered.
@@ -132,7 +132,7 @@
                 self.receive_notifications(&request.body, &mut output, seen);
             } else if request.line.starts_with("GET /v1/endpoints ") {
                 self.send_list(&mut output);
-            } else if !self.silent.load(Ordering::SeqCst) {
+            } else if !self.is_silent.load(Ordering::SeqCst) {
                 self.open_watch(&mut output);
             }
         }
--- a/src/bin/testbed/stubs/endpoint.rs
+++ b/src/bin/testbed/stubs/endpoint.rs
@@ -33,11 +33,11 @@
 impl Call {
     /// Responds without a body. Each of `headers` ends in a line break.
     pub fn answer(self, status: &str, headers: &str) {
-        self.raw(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n").as_bytes());
+        self.answer_raw(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n").as_bytes());
     }
 
     /// Responds with these bytes, whatever they are.
-    pub fn raw(self, bytes: &[u8]) {
+    pub fn answer_raw(self, bytes: &[u8]) {
         let _ = self.answer.send(Some(bytes.to_vec()));
     }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -29,9 +29,9 @@
     {
         assert_eq!(client.enqueue(&format!("d{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
-        assert!(!used.contains(&call.connection()), "after {answer}");
-        used.push(call.connection());
-        call.raw(answer.as_bytes());
+        assert!(!used.contains(&call.gateway_address()), "after {answer}");
+        used.push(call.gateway_address());
+        call.answer_raw(answer.as_bytes());
     }
     environment.expect_nothing();
 }
@@ -58,7 +58,7 @@
         // After the first ones the gateway waits before it sends the next.
         let call = environment.call();
         let begun = Instant::now();
-        call.raw(answer.as_bytes());
+        call.answer_raw(answer.as_bytes());
         assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
         assert!(begun.elapsed() < Duration::from_secs(1), "{:?} for {answer:.20}", begun.elapsed());
     }
@@ -73,7 +73,7 @@
     let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("c1", "0", "salary", 1, b"x"), "+OK");
-    environment.call().raw(b"HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    environment.call().answer_raw(b"HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     for (number, id) in ["c1", "c2", "c3"].iter().enumerate() {
         if number > 0 {
             assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
@@ -81,7 +81,7 @@
         let call = environment.call();
         assert_eq!(call.id, *id);
         let mut stream = call.stream();
-        call.raw(WHOLE);
+        call.answer_raw(WHOLE);
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         assert_eq!(stream.read(&mut [0]).unwrap(), 0, "the connection of {id} is closed");
     }
@@ -99,7 +99,7 @@
         assert_eq!(client.enqueue(&format!("b{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
         assert_eq!(call.id, format!("b{number}"));
-        call.raw(&twice);
+        call.answer_raw(&twice);
     }
     environment.expect_nothing();
 }
@@ -140,13 +140,13 @@
     assert_eq!(client.enqueue("m0", "0", "salary", 1, b"x"), "+OK");
     let mut call = environment.call();
     for number in 1..10 {
-        let (connection, answered) = (call.connection(), Instant::now());
+        let (connection, answered) = (call.gateway_address(), Instant::now());
         call.answer("200 OK", "");
         // The connection is idle, or will be in a moment; only one that is reused has to pause.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
         call = environment.call();
         let rested = answered.elapsed();
-        assert!(call.connection() != connection || rested >= Duration::from_millis(5), "{rested:?}");
+        assert!(call.gateway_address() != connection || rested >= Duration::from_millis(5), "{rested:?}");
     }
     call.answer("200 OK", "");
     environment.expect_nothing();
@@ -161,13 +161,13 @@
     let hint = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     assert_eq!(client.enqueue("e1", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
-    let connection = call.connection();
-    call.raw(&[hint.repeat(3).as_bytes(), WHOLE].concat());
+    let connection = call.gateway_address();
+    call.answer_raw(&[hint.repeat(3).as_bytes(), WHOLE].concat());
     environment.expect_nothing();
     assert_eq!(client.enqueue("e2", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
-    assert_eq!(call.connection(), connection);
-    call.raw(hint.repeat(200).as_bytes());
+    assert_eq!(call.gateway_address(), connection);
+    call.answer_raw(hint.repeat(200).as_bytes());
     assert_eq!(environment.notification(), r#"{"id":"e2","state":"failed"}"#);
 }
 
@@ -183,13 +183,13 @@
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
-        let connection = call.connection();
+        let connection = call.gateway_address();
         call.answer("200 OK", "");
         environment.expect_nothing();
         connection
     };
     let old = deliver("a1");
-    environment.replace(0, 0, 1);
+    environment.announce_replaced(0, 0, 1);
     gateway.wait_for_log_lines("endpoint list updated", 2);
     let new = deliver("a2");
     assert_ne!(new, old);
@@ -206,7 +206,7 @@
     let gateway = environment.start();
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
-            environment.replace(0, round, TIMES);
+            environment.announce_replaced(0, round, TIMES);
             gateway.wait_for_log_lines("endpoint list updated", round as usize + 1);
         }
         gateway.resident_memory_kib()
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -36,7 +36,7 @@
     );
     let call = environment.call();
     assert_eq!(call.header("x-budget").map(|budget| budget.parse::<f64>().is_ok()), Some(true));
-    let mut carried = call.batched();
+    let mut carried = call.batch_messages();
     carried.sort();
     let item =
         |id: &str, key: Option<&str>, body: &str| (id.to_owned(), key.map(str::to_owned), body.to_owned());
@@ -47,7 +47,7 @@
         item("b4", None, "YjQ="),
     ];
     assert_eq!(carried, expected);
-    call.answer_each("", &[("b4", "gone"), ("b1", "ok"), ("b3", "error"), ("b2", "error")]);
+    call.answer_batch("", &[("b4", "gone"), ("b1", "ok"), ("b3", "error"), ("b2", "error")]);
     // Only the idempotent one is retried; the non-idempotent one may have run and fails; the others are completed.
     let mut failed = false;
     let mut retried = false;
@@ -75,7 +75,7 @@
     enqueue_behind_one(&environment, &gateway, &[("w1", "salary"), ("w2", "salary")]);
     let call = environment.call();
     let responded_at = Instant::now();
-    call.answer_each("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
+    call.answer_batch("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
     gateway.wait_for_log_line("Retry-After received");
     assert_eq!(gateway.client().enqueue("w3", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
@@ -99,9 +99,9 @@
         let gateway = environment.start();
         enqueue_behind_one(&environment, &gateway, &[("s1", "salary"), ("s2", "salary")]);
         let call = environment.call();
-        assert_eq!(call.batched().len(), 2);
+        assert_eq!(call.batch_messages().len(), 2);
         let stream = call.stream();
-        call.raw(answer.as_bytes());
+        call.answer_raw(answer.as_bytes());
         if number == 1 {
             let _ = stream.shutdown(std::net::Shutdown::Write);
         }
@@ -119,8 +119,8 @@
     let gateway = environment.start();
     enqueue_behind_one(&environment, &gateway, &[("t1", "salary"), ("t2", "salary")]);
     let call = environment.call();
-    assert_eq!(call.batched().len(), 2);
-    call.answer_each("", &[("t1", "ok"), ("t2", "ok"), ("t1", "later")]);
+    assert_eq!(call.batch_messages().len(), 2);
+    call.answer_batch("", &[("t1", "ok"), ("t2", "ok"), ("t1", "later")]);
     assert_eq!(environment.notification(), r#"{"id":"t1","state":"failed"}"#);
     environment.expect_nothing();
 }
@@ -140,14 +140,14 @@
     }
     first.answer("200 OK", "");
     let shared = environment.call();
-    let mut carried: Vec<_> = shared.batched().into_iter().map(|(id, ..)| id).collect();
+    let mut carried: Vec<_> = shared.batch_messages().into_iter().map(|(id, ..)| id).collect();
     carried.sort();
     assert_eq!(carried, ["long", "short"]);
     let budget: f64 = shared.header("x-budget").unwrap().parse().unwrap();
     assert!(budget <= 1.0, "{budget}");
     assert_eq!(environment.notification(), r#"{"id":"short","state":"failed"}"#);
     // The response comes all the same.
-    shared.answer_each("", &[("short", "ok"), ("long", "ok")]);
+    shared.answer_batch("", &[("short", "ok"), ("long", "ok")]);
     let retried = environment.call();
     assert_eq!((retried.id.as_str(), retried.header("idempotency-key")), ("long", Some("k-long")));
     retried.answer("200 OK", "");
--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -124,7 +124,7 @@
     }
 
     /// Waits until every accepted message has its outcome.
-    pub fn settle(&mut self, what: &str) {
+    pub fn wait_for_outcomes(&mut self, what: &str) {
         self.observe(ENDS);
         assert!(self.pending.is_empty(), "{what}: no end for {:?}", self.pending);
     }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// The messages of a batch: id, key, body in Base64.
-    pub fn batched(&self) -> Vec<(String, Option<String>, String)> {
+    pub fn batch_messages(&self) -> Vec<(String, Option<String>, String)> {
         assert_eq!(self.path, "/hook/batch");
         let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
         let text = |item: &Value, name: &str| item[name].as_str().map(str::to_owned);
@@ -67,11 +67,11 @@
     }
 
     /// Answers a batch with the state of each message.
-    pub fn answer_each(self, headers: &str, states: &[(&str, &str)]) {
+    pub fn answer_batch(self, headers: &str, states: &[(&str, &str)]) {
         let states = states.iter().map(|(id, state)| json!({"id": id, "state": state}));
         let body = Value::from_iter(states).to_string();
         let head = format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
-        self.raw((head + &body).as_bytes());
+        self.answer_raw((head + &body).as_bytes());
     }
 
     /// The endpoint's side of the connection, for what arrives on it beside the response.
@@ -80,7 +80,7 @@
     }
 
     /// The gateway's side of the connection that this call came on.
-    pub fn connection(&self) -> SocketAddr {
+    pub fn gateway_address(&self) -> SocketAddr {
         self.connection.peer_addr().unwrap()
     }
 
@@ -134,7 +134,7 @@
     /// Name of the zone in the settings: processes with different names do not share state.
     pub zone: Cell<&'static str>,
     /// Endpoints in the list of the configuration; all if there are fewer.
-    pub known: Cell<usize>,
+    pub listed_endpoints: Cell<usize>,
     /// Where clients connect; the system chooses the port unless it is set.
     pub listen: Cell<SocketAddr>,
     pub disk_mb: f64,
@@ -195,7 +195,7 @@
             destination_per_endpoint: false,
             destinations: Vec::new(),
             zone: Cell::new("kingston"),
-            known: Cell::new(usize::MAX),
+            listed_endpoints: Cell::new(usize::MAX),
             listen: Cell::new(([127, 0, 0, 1], 0).into()),
             disk_mb,
             faults: None,
@@ -245,7 +245,7 @@
     }
 
     /// A compacted copy that was not renamed to the journal before its process died.
-    pub fn leave_copy_of_journal(&self) {
+    pub fn write_unfinished_journal_copy(&self) {
         std::fs::write(self.folder.join("state/journal.new"), b"half a copy").unwrap();
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Grows to so many endpoints; the new ones share one address.
-    pub fn enlarge(&mut self, endpoints: usize) {
+    pub fn grow_to(&mut self, endpoints: usize) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.endpoints.resize(endpoints, listener.local_addr().unwrap());
         let send = self.send.clone();
@@ -290,7 +290,7 @@
 
     /// Announces that other endpoints at the same address have replaced one: `times` of them, one after the
     /// other, with ids that contain `number`.
-    pub fn replace(&self, endpoint: usize, number: u32, times: u32) {
+    pub fn announce_replaced(&self, endpoint: usize, number: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -385,7 +385,7 @@
 
     /// Writes the configuration, with discovery at some agent.
     pub fn configure(&self, agent: &Agent) {
-        let known = self.endpoints.len().min(self.known.get());
+        let known = self.endpoints.len().min(self.listed_endpoints.get());
         let targets: Vec<Value> = (0..known).map(|at| self.target(at, "SERVING")).collect();
         let classes = [
             class(self.latency_objective_secs, "notice", "idempotency_key", 10_000, true),
@@ -491,7 +491,7 @@
     }
 
     /// The same, indented.
-    pub fn indented_drain(&self, endpoint: usize) -> String {
+    pub fn indented_drain_update(&self, endpoint: usize) -> String {
         let update = json!({"rev": 2, "all": false, "targets": [self.target(endpoint, "DRAINING")]});
         format!("{update:#}\n")
     }
@@ -517,7 +517,7 @@
 
     /// Makes discovery accept connections and never answer.
     pub fn set_discovery_silent(&self, silent: bool) {
-        self.discovery.state.silent.store(silent, Ordering::SeqCst);
+        self.discovery.state.is_silent.store(silent, Ordering::SeqCst);
     }
 
     /// Makes discovery answer watches late.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -393,7 +393,7 @@
 fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
-    let text = environment.indented_drain(0);
+    let text = environment.indented_drain_update(0);
     let (first, rest) = text.split_at(text.len() / 2);
     environment.announce_text(first);
     environment.announce_text(rest);
@@ -596,7 +596,7 @@
                 let id = format!("p{number}-{destination}");
                 assert_eq!(client.enqueue(&id, "0", "salary", destination, b"x"), "+OK");
                 let call = environment.call();
-                let connection = call.connection();
+                let connection = call.gateway_address();
                 call.answer("200 OK", "");
                 connection
             })
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -79,7 +79,7 @@
 fn a_journal_of_16_bit_destinations_is_read() {
     let mut environment = TestEnvironment::with_long_deadlines(3, 3.0);
     environment.destinations = vec![1, 300, 65535];
-    environment.known.set(0);
+    environment.listed_endpoints.set(0);
     environment.append_to_journal(&JOURNAL_WITH_16_BIT_DESTINATIONS.concat());
     let gateway = environment.start();
     gateway.wait_for_log_line("journal replayed pending=6 revision=2");
@@ -406,7 +406,7 @@
 fn an_endpoint_list_beyond_one_record_outlasts_a_kill() {
     const MANY: u32 = 80_000;
     let mut environment = TestEnvironment::with_long_deadlines(1, 60.0);
-    environment.enlarge(MANY as usize);
+    environment.grow_to(MANY as usize);
     environment.destination_per_endpoint = true;
     // One that stays in flight is pending when the process is killed.
     let send = |gateway: &RunningGateway, id: &str, destination| {
@@ -418,7 +418,7 @@
     let gateway = environment.start();
     let _out = send(&gateway, "known", MANY);
     assert!(environment.journal().len() > 4 << 20);
-    environment.known.set(1);
+    environment.listed_endpoints.set(1);
     let gateway = gateway.kill_and_restart();
     gateway.wait_for_log_line("journal replayed pending=1 revision=1");
     send(&gateway, "replayed", MANY - 1).answer("200 OK", "");
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -10,7 +10,7 @@
 
 fn large() -> TestEnvironment {
     let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
-    environment.enlarge(MANY as usize);
+    environment.grow_to(MANY as usize);
     (environment.destination_per_endpoint, environment.fleet_size, environment.rate) = (true, MANY, 1e6);
     (environment.sockets, environment.memory_mb) = (SOCKETS, MEMORY_MB);
     environment
@@ -42,7 +42,7 @@
 #[test]
 fn a_thousand_endpoints_and_gateways_fit_a_small_machine() {
     let environment = large();
-    environment.known.set(1);
+    environment.listed_endpoints.set(1);
     let gateway = environment.start();
     assert!(gateway.client().enqueue("early", "0", "salary", MANY, b"x").starts_with("-ERR "));
     environment.announce_all(2);
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -91,7 +91,7 @@
         let stopped = gateway.kill();
         // A torn tail to be truncated, and a copy to be removed.
         environment.append_to_journal(b"torn");
-        environment.leave_copy_of_journal();
+        environment.write_unfinished_journal_copy();
         environment.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let gateway = stopped.restart();
         assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -40,7 +40,7 @@
     environment.faults().clear(call).unwrap();
     let gateway = environment.start();
     audit.enqueue(&gateway, "after", true, ClientExpectation::AreAnswered);
-    audit.settle(&what);
+    audit.wait_for_outcomes(&what);
     assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
     killed
 }
@@ -121,10 +121,10 @@
         }
         let successor = successor.listening();
         audit.enqueue(&successor, "after", true, ClientExpectation::AreAnswered);
-        audit.settle(&what);
+        audit.wait_for_outcomes(&what);
     } else {
         audit.enqueue(&predecessor, "after", true, ClientExpectation::AreAnswered);
-        audit.settle(&what);
+        audit.wait_for_outcomes(&what);
     }
     killed
 }
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -38,7 +38,7 @@
     environment.disk_mb = 0.06;
     environment.latency_objective_secs = 3;
     environment.append_to_journal(b"torn");
-    environment.leave_copy_of_journal();
+    environment.write_unfinished_journal_copy();
     let fault = Fault::always(&[error]);
     environment.fail(
         call,
@@ -73,7 +73,7 @@
     let gateway = environment.start();
     audit.enqueue(&gateway, "d0", true, clients);
     audit.enqueue(&gateway, "d1", false, clients);
-    audit.settle(what);
+    audit.wait_for_outcomes(what);
     assert!(!gateway.has_logged("panicked"), "{what}");
 }
 
