--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -108,7 +108,7 @@
             fleet_size: 1,
             classes: &[class(LATENCY_OBJECTIVE_S, "notice", "idempotency_key", 600_000, false)],
             zone: "kingston",
-            slots: DESTINATIONS as u32,
+            max_in_flight_calls: DESTINATIONS as u32,
             batch: 1,
             // Shedding begins below the limit.
             max_pending_messages: 2 * size as u32,
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -260,7 +260,7 @@
             fleet_size: 24,
             classes: &classes,
             zone: "kingston",
-            slots: 8,
+            max_in_flight_calls: 8,
             batch: 1,
             max_pending_messages: 60,
         };
--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -16,10 +16,10 @@
 }
 
 /// An entry of the endpoint list, of the one zone and kind that the configuration names.
-pub fn target(uid: &str, address: SocketAddr, destination: u32, state: &str, rate: f64) -> Value {
+pub fn target(uid: &str, address: SocketAddr, destination: u32, state: &str, capacity_hint: f64) -> Value {
     json!({
         "uid": uid, "endpoint": address.to_string(), "az": "kingston", "model": "banks", "pod_group": destination,
-        "state": state, "capacity_hint": rate, "boot_ms": 0,
+        "state": state, "capacity_hint": capacity_hint, "boot_ms": 0,
     })
 }
 
@@ -34,7 +34,7 @@
     pub fleet_size: u32,
     pub classes: &'a [Value],
     pub zone: &'a str,
-    pub slots: u32,
+    pub max_in_flight_calls: u32,
     pub batch: u32,
     pub max_pending_messages: u32,
 }
@@ -55,7 +55,9 @@
                 "Projects": [{"Name": "north", "QuotaPerS": 0.0}, {"Name": "south", "QuotaPerS": 1e6}],
                 "OverShareWorth": 0.2,
                 "WeightSource": "nominal",
-                "FamilyInfo": {"CallsOut": self.slots, "KindBatch": [self.batch], "OwnLimits": [false]},
+                "FamilyInfo": {
+                    "CallsOut": self.max_in_flight_calls, "KindBatch": [self.batch], "OwnLimits": [false],
+                },
                 "Permissions": {
                     "MostHeld": self.max_pending_messages, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
                     "ConnectTimeout": 5_000_000_000_u64,
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -78,7 +78,7 @@
     pub notification_requests: AtomicU32,
     pub watches: Mutex<Watches>,
     /// Watches that it accepts a second; no limit if absent.
-    pub capacity: Mutex<Option<Capacity>>,
+    pub watch_limit: Mutex<Option<WatchTokenBucket>>,
     /// Connections that it has accepted.
     pub connections: AtomicU64,
     /// Watches that it has rejected.
@@ -88,22 +88,22 @@
 }
 
 /// A token bucket of watches, which holds those of one second.
-pub struct Capacity {
-    per_s: f64,
+pub struct WatchTokenBucket {
+    per_sec: f64,
     tokens: f64,
     filled_at: Instant,
 }
 
-impl Capacity {
+impl WatchTokenBucket {
     /// A full bucket.
-    pub fn new(per_s: f64) -> Self {
-        Capacity { per_s, tokens: per_s, filled_at: Instant::now() }
+    pub fn new(per_sec: f64) -> Self {
+        WatchTokenBucket { per_sec, tokens: per_sec, filled_at: Instant::now() }
     }
 
     fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let filled = self.tokens + (now - self.filled_at).as_secs_f64() * self.per_s;
-        self.tokens = filled.min(self.per_s);
+        let filled = self.tokens + (now - self.filled_at).as_secs_f64() * self.per_sec;
+        self.tokens = filled.min(self.per_sec);
         self.filled_at = now;
         let has_token = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(has_token));
@@ -162,7 +162,7 @@
     }
 
     fn open_watch(&self, output: &mut TcpStream) {
-        if locked(&self.capacity).as_mut().is_some_and(|capacity| !capacity.try_take()) {
+        if locked(&self.watch_limit).as_mut().is_some_and(|bucket| !bucket.try_take()) {
             self.rejected_watches.fetch_add(1, Ordering::SeqCst);
             let _ = output.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
--- a/src/bin/testbed/watch_sweep.rs
+++ b/src/bin/testbed/watch_sweep.rs
@@ -24,7 +24,7 @@
 use crate::fit::median;
 use crate::processor_time::processor_time;
 use crate::simulated_gateway::{directory_for, SimulatedGateway};
-use crate::stubs::discovery::{Capacity, Discovery};
+use crate::stubs::discovery::{Discovery, WatchTokenBucket};
 use crate::stubs::{locked, target, Agent};
 
 /// Descriptors of a watcher: its own socket, and three of the stub.
@@ -321,7 +321,7 @@
         let state = self.agent.state.clone();
         let before = DiscoveryCounts::of(&state);
         let watches_per_s = *experiment.discovery.watches_per_s.get_ref() as f64;
-        *locked(&state.capacity) = Some(Capacity::new(watches_per_s));
+        *locked(&state.watch_limit) = Some(WatchTokenBucket::new(watches_per_s));
         let line = self.change();
         let begun_at = Instant::now();
         self.agent.break_watches();
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -119,14 +119,14 @@
     /// Latency objective of the classes in seconds; their deadline is eight times as long.
     pub latency_objective_secs: u64,
     pub max_pending_messages: u32,
-    pub slots: u32,
+    pub max_in_flight_calls: u32,
     /// Messages that one call may carry.
     pub batch: u32,
     pub sockets: u32,
     pub memory_mb: u32,
     /// Size of the fleet in the settings, and the capacity hint of each endpoint in calls a second.
     pub fleet_size: u32,
-    pub rate: f64,
+    pub capacity_hint: f64,
     /// Each endpoint has a destination of its own, from 1 on.
     pub destination_per_endpoint: bool,
     /// The destination of each endpoint; for those not named here the fields above decide.
@@ -186,12 +186,12 @@
             send,
             latency_objective_secs: 3,
             max_pending_messages: 400,
-            slots: 16,
+            max_in_flight_calls: 16,
             batch: 1,
             sockets: 1024,
             memory_mb: 192,
             fleet_size: 1,
-            rate: 1000.0,
+            capacity_hint: 1000.0,
             destination_per_endpoint: false,
             destinations: Vec::new(),
             zone: Cell::new("kingston"),
@@ -313,7 +313,7 @@
     fn target(&self, endpoint: usize, state: &str) -> Value {
         let otherwise = if self.destination_per_endpoint { endpoint as u32 + 1 } else { 1 };
         let destination = self.destinations.get(endpoint).copied().unwrap_or(otherwise);
-        target(&format!("s-{endpoint}"), self.endpoints[endpoint], destination, state, self.rate)
+        target(&format!("s-{endpoint}"), self.endpoints[endpoint], destination, state, self.capacity_hint)
     }
 
     pub fn start(&self) -> RunningGateway<'_> {
@@ -408,7 +408,7 @@
             fleet_size: self.fleet_size,
             classes: &classes,
             zone: self.zone.get(),
-            slots: self.slots,
+            max_in_flight_calls: self.max_in_flight_calls,
             batch: self.batch,
             max_pending_messages: self.max_pending_messages,
         };
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -29,7 +29,7 @@
 fn a_tenant_beyond_its_quota_is_served_last() {
     for restart in [false, true] {
         let mut environment = TestEnvironment::new(1, 3.0);
-        environment.slots = 1;
+        environment.max_in_flight_calls = 1;
         let mut gateway = environment.start();
         let mut client = gateway.client();
         assert_eq!(client.enqueue("first", "0", "salary,t=south", 1, b"x"), "+OK");
@@ -587,7 +587,7 @@
 #[test]
 fn idle_connections_are_kept_at_more_endpoints_than_slots() {
     let mut environment = TestEnvironment::with_long_deadlines(6, 3.0);
-    (environment.slots, environment.destination_per_endpoint) = (2, true);
+    (environment.max_in_flight_calls, environment.destination_per_endpoint) = (2, true);
     let gateway = environment.start();
     let mut client = gateway.client();
     let mut round = |number: u32| -> Vec<_> {
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -11,7 +11,8 @@
 fn large() -> TestEnvironment {
     let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
     environment.grow_to(MANY as usize);
-    (environment.destination_per_endpoint, environment.fleet_size, environment.rate) = (true, MANY, 1e6);
+    (environment.destination_per_endpoint, environment.fleet_size, environment.capacity_hint) =
+        (true, MANY, 1e6);
     (environment.sockets, environment.memory_mb) = (SOCKETS, MEMORY_MB);
     environment
 }
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_wall_clock_stepped_forward_over_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
-    environment.slots = 1;
+    environment.max_in_flight_calls = 1;
     let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
@@ -58,7 +58,7 @@
 #[test]
 fn a_wall_clock_stepped_during_a_handover_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
-    environment.slots = 1;
+    environment.max_in_flight_calls = 1;
     let predecessor = environment.start();
     let mut client = predecessor.client();
     assert_eq!(client.enqueue("h1", "0", "salary", 1, b"x"), "+OK");
