--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -268,7 +268,7 @@
     }
 
     fn start_calls(&mut self, now: Time, endpoint: EndpointId, attempts: &[Action]) {
-        for attempts_of_call in attempts.chunks(self.directory.max_batch(endpoint)) {
+        for attempts_of_call in attempts.chunks(self.directory.max_batch_size(endpoint)) {
             self.start_attempts(now, endpoint, attempts_of_call);
         }
     }
--- a/src/config/mapping.rs
+++ b/src/config/mapping.rs
@@ -101,11 +101,11 @@
     (0..batches.len().max(per_endpoint_limits.len()))
         .map(|index| {
             Ok(DestinationKind {
-                batch: match batches.get(index) {
+                max_batch_size: match batches.get(index) {
                     Some(entry) => root.entry(keys::BATCH_BY_KIND, entry)?,
                     None => 1,
                 },
-                per_endpoint_limits: match per_endpoint_limits.get(index) {
+                has_per_endpoint_limits: match per_endpoint_limits.get(index) {
                     Some(entry) => root.entry(keys::PER_ENDPOINT_LIMITS_BY_KIND, entry)?,
                     None => false,
                 },
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -49,8 +49,8 @@
     /// None where the list's text is no address.
     address: Option<SocketAddr>,
     availability: Availability,
-    max_batch: usize,
-    per_endpoint_limits: bool,
+    max_batch_size: usize,
+    has_per_endpoint_limits: bool,
 }
 
 impl EndpointDirectory {
@@ -99,13 +99,13 @@
     }
 
     /// Messages that one call to an endpoint may carry; one if it is unknown.
-    pub fn max_batch(&self, id: EndpointId) -> usize {
-        self.entries.get(&id).map_or(1, |entry| entry.max_batch)
+    pub fn max_batch_size(&self, id: EndpointId) -> usize {
+        self.entries.get(&id).map_or(1, |entry| entry.max_batch_size)
     }
 
     /// Whether an endpoint's rate limit and circuit breaker are its own and not its whole destination's.
     pub fn has_own_limits(&self, id: EndpointId) -> bool {
-        self.entries.get(&id).is_some_and(|entry| entry.per_endpoint_limits)
+        self.entries.get(&id).is_some_and(|entry| entry.has_per_endpoint_limits)
     }
 
     /// The destination of an endpoint.
@@ -232,8 +232,8 @@
             destination,
             address,
             availability,
-            max_batch: kind_settings.map_or(1, |kind| kind.batch.max(1)),
-            per_endpoint_limits: kind_settings.is_some_and(|kind| kind.per_endpoint_limits),
+            max_batch_size: kind_settings.map_or(1, |kind| kind.max_batch_size.max(1)),
+            has_per_endpoint_limits: kind_settings.is_some_and(|kind| kind.has_per_endpoint_limits),
         };
         self.entries.insert(id, entry);
         Endpoint { id, zone, kind, destination, availability, capacity_hint: discovered.capacity_hint }
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to an endpoint. Attempts of one step to one endpoint share a call, as far as
-    /// [`DestinationKind::batch`](super::DestinationKind::batch) allows.
+    /// [`DestinationKind::max_batch_size`](super::DestinationKind::max_batch_size) allows.
     StartAttempt {
         /// The message.
         message: MessageId,
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub struct DestinationKind {
     /// Messages that one call may carry. Default: 1.
-    pub batch: usize,
+    pub max_batch_size: usize,
     /// The endpoints of a destination have rate limits and circuit breakers of their own. Default: false.
-    pub per_endpoint_limits: bool,
+    pub has_per_endpoint_limits: bool,
 }
 
 /// What the capacity hint of an endpoint in the endpoint list means.
@@ -103,7 +103,7 @@
             fleet_size: 2,
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            destination_kinds: vec![DestinationKind { batch: 1, per_endpoint_limits: false }],
+            destination_kinds: vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: false }],
             capacity_hints: CapacityHints::Exact,
             decay: Decay::Linear,
             zone_costs: Vec::new(),
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -55,7 +55,7 @@
             self.ready_index.removed_endpoints.remove(&entry.id);
         }
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
-        let batch_size = kind.map_or(1, |kind| kind.batch.max(1));
+        let batch_size = kind.map_or(1, |kind| kind.max_batch_size.max(1));
         let chance = self.rng.f64();
         let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
             rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -53,7 +53,7 @@
     /// The route of an endpoint.
     pub(super) fn route_of(&self, entry: &Endpoint) -> RouteId {
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
-        let has_own_limits = kind.is_some_and(|kind| kind.per_endpoint_limits);
+        let has_own_limits = kind.is_some_and(|kind| kind.has_per_endpoint_limits);
         RouteId { destination: entry.destination, endpoint: has_own_limits.then_some(entry.id) }
     }
 }
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -180,7 +180,7 @@
 /// An enabled endpoint may have been restarted: it is served slowly at first.
 #[test]
 fn an_enabled_endpoint_gets_a_slow_start() {
-    let apart = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
+    let apart = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
     let mut bench = Bench::new(
         Settings { destination_kinds: apart, max_in_flight_calls: 64, ..settings(vec![idempotent()]) },
         vec![endpoint(11, 3), endpoint(12, 4)],
--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -32,8 +32,8 @@
 
 impl Run {
     fn new(seed: u64) -> Self {
-        let destination_kinds =
-            [false, true].map(|per_endpoint_limits| DestinationKind { batch: 1, per_endpoint_limits });
+        let destination_kinds = [false, true]
+            .map(|has_per_endpoint_limits| DestinationKind { max_batch_size: 1, has_per_endpoint_limits });
         let settings = Settings {
             destination_kinds: destination_kinds.into(),
             max_in_flight_calls: 24,
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -158,7 +158,10 @@
     Settings {
         classes: vec![class],
         fleet_size: scenario.fleet_size,
-        destination_kinds: vec![DestinationKind { batch: scenario.batch, per_endpoint_limits: false }],
+        destination_kinds: vec![DestinationKind {
+            max_batch_size: scenario.batch,
+            has_per_endpoint_limits: false,
+        }],
         max_in_flight_calls: 4,
         max_pending_messages: 48,
         limits,
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -6,7 +6,7 @@
 
 fn directory() -> EndpointDirectory {
     let settings = Settings {
-        destination_kinds: vec![DestinationKind { batch: 20, per_endpoint_limits: false }],
+        destination_kinds: vec![DestinationKind { max_batch_size: 20, has_per_endpoint_limits: false }],
         ..Settings::default()
     };
     let (kind_names, zone_names) = (vec!["banks".to_owned()], vec!["kingston".to_owned()]);
@@ -59,7 +59,7 @@
     let next = directory.apply(&update(false, vec![target("c", "SERVING"), target("a", "DELETED")]));
     assert!(matches!(next, EndpointUpdate::Delta(_)));
     assert_eq!(entries(next), [(3, Availability::Ready), (1, Availability::Removed)]);
-    assert_eq!(directory.max_batch(EndpointId(3)), 20);
+    assert_eq!(directory.max_batch_size(EndpointId(3)), 20);
     assert_eq!(directory.address(EndpointId(3)), Some(([127, 0, 0, 1], 9).into()));
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -87,8 +87,8 @@
         max_pending_messages: 60,
         max_attempts: 5,
         destination_kinds: vec![
-            DestinationKind { batch: 1, per_endpoint_limits: false },
-            DestinationKind { batch: LARGEST_BATCH, per_endpoint_limits: false },
+            DestinationKind { max_batch_size: 1, has_per_endpoint_limits: false },
+            DestinationKind { max_batch_size: LARGEST_BATCH, has_per_endpoint_limits: false },
         ],
         limits: DeliveryLimits { ordering_key_hold: ms(120), ..base.limits.clone() },
         ..base
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -364,8 +364,11 @@
             }
             let weight = self.weight_of(&entry);
             let usual = self.usual;
-            let batch =
-                self.settings.destination_kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
+            let batch = self
+                .settings
+                .destination_kinds
+                .get(usize::from(entry.kind.0))
+                .map_or(1, |k| k.max_batch_size.max(1));
             // Nor may the first calls of all come at once: each begins somewhere inside a call of its pace.
             // What is not told has to be tried, and what is told far too low must not hold messages back.
             let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
@@ -1304,7 +1307,7 @@
             .settings
             .destination_kinds
             .get(usize::from(entry.kind.0))
-            .is_some_and(|k| k.per_endpoint_limits);
+            .is_some_and(|k| k.has_per_endpoint_limits);
         RouteId(entry.destination, apart.then_some(entry.id))
     }
 
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -34,7 +34,7 @@
 #[test]
 fn one_call_carries_a_batch_where_the_kind_allows_it() {
     let base = settings(vec![idempotent()]);
-    let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits: false }];
+    let destination_kinds = vec![DestinationKind { max_batch_size: 5, has_per_endpoint_limits: false }];
     let mut bench =
         Bench::new(Settings { max_in_flight_calls: 1, destination_kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| bench.accept(id, 0, 1, None));
@@ -117,7 +117,7 @@
 #[test]
 fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
     let base = settings(vec![idempotent()]);
-    let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
+    let destination_kinds = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
     let costly = Endpoint { zone: ZoneId(2), capacity_hint: 5.0, ..endpoint(7, 1) };
     let cheap = Endpoint { zone: ZoneId(1), capacity_hint: 5.0, ..endpoint(8, 1) };
     let zone_costs = vec![0.0, 0.03, 0.06];
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -23,7 +23,7 @@
     let base = settings(vec![idempotent()]);
     let mut bench = Bench::new(
         Settings {
-            destination_kinds: vec![DestinationKind { batch: 5, per_endpoint_limits: false }],
+            destination_kinds: vec![DestinationKind { max_batch_size: 5, has_per_endpoint_limits: false }],
             ..base
         },
         vec![endpoint(7, 1)],
@@ -41,7 +41,7 @@
 #[test]
 fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
     let base = settings(vec![idempotent()]);
-    let destination_kinds = vec![DestinationKind { batch: 1, per_endpoint_limits: true }];
+    let destination_kinds = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
     let mut bench = Bench::new(Settings { destination_kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.start_attempts()[0].endpoint;
@@ -91,7 +91,8 @@
 fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
     let calls_after_a_rejection = |batch: usize, seconds: u64| {
         let base = settings(vec![idempotent()]);
-        let destination_kinds = vec![DestinationKind { batch, per_endpoint_limits: false }];
+        let destination_kinds =
+            vec![DestinationKind { max_batch_size: batch, has_per_endpoint_limits: false }];
         let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = Bench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
         // Its rate is far above its share of what is announced now.
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -122,10 +122,10 @@
 
 /// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run at
 /// the endpoint that is returned.
-fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (Bench, u32) {
+fn may_have_run_in_one_zone(has_per_endpoint_limits: bool) -> (Bench, u32) {
     let base =
         settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
-    let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
+    let destination_kinds = vec![DestinationKind { max_batch_size: 5, has_per_endpoint_limits }];
     let other = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
     let mut bench = Bench::new(
         Settings { max_in_flight_calls: 1, destination_kinds, ..base },
@@ -141,8 +141,8 @@
 /// A call is sent to the endpoint of its first message; a message that must not be sent there must not share it.
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
-    for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
+    for has_per_endpoint_limits in [false, true] {
+        let (mut bench, first) = may_have_run_in_one_zone(has_per_endpoint_limits);
         let mut calls = [0, 0];
         for round in 0..40 {
             bench.now = bench.now + ms(100);
@@ -150,7 +150,7 @@
             for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                 calls[usize::from(to == first)] += 1;
                 if message == 1 {
-                    assert_eq!(to, first, "{per_endpoint_limits}");
+                    assert_eq!(to, first, "{has_per_endpoint_limits}");
                 }
                 // An endpoint that rejects is not preferred: calls go to both.
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
@@ -164,8 +164,8 @@
 /// elsewhere.
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
-    for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
+    for has_per_endpoint_limits in [false, true] {
+        let (mut bench, first) = may_have_run_in_one_zone(has_per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
--- a/tests/same_decisions/history.rs
+++ b/tests/same_decisions/history.rs
@@ -295,7 +295,10 @@
                 Tenant { quota_per_sec: 3.0 * f64::from(self.fleet_size) },
             ],
             destination_kinds: [(1, false), (1, true), (3, false), (4, true)]
-                .map(|(batch, per_endpoint_limits)| DestinationKind { batch, per_endpoint_limits })
+                .map(|(batch, has_per_endpoint_limits)| DestinationKind {
+                    max_batch_size: batch,
+                    has_per_endpoint_limits,
+                })
                 .into(),
             capacity_hints: if self.is_on(Switch::IgnoredCapacityHints) {
                 CapacityHints::Ignored
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -50,7 +50,7 @@
     assert_eq!(json.class_names, ["pay-notice"]);
     assert_eq!(json.settings.zone_costs, [0.0, 0.03]);
     assert_eq!(json.tenant_names, ["north"]);
-    assert!(json.settings.destination_kinds[1].per_endpoint_limits);
+    assert!(json.settings.destination_kinds[1].has_per_endpoint_limits);
 }
 
 #[test]
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -250,7 +250,7 @@
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
     let parsed = delivery_gateway::settings_from_lines(config).unwrap();
     assert_eq!(parsed.settings.fleet_size, 3);
-    assert_eq!(parsed.settings.destination_kinds[1].batch, 4);
+    assert_eq!(parsed.settings.destination_kinds[1].max_batch_size, 4);
     // A list's number taken over later in a batch does not touch what referred to it before.
     let list = |endpoint| {
         let entry =
