--- a/src/bin/delivery-gateway/completed_messages/tests.rs
+++ b/src/bin/delivery-gateway/completed_messages/tests.rs
@@ -9,7 +9,7 @@
         destination: 1,
         idempotency_key: None,
         deadline_ms: 0,
-        redelivered: false,
+        is_redelivered: false,
         body: Bytes::new(),
         tenant: String::new(),
     }
--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -49,7 +49,7 @@
             destination: request.destination,
             idempotency_key: request.idempotency_key,
             deadline_ms: self.clock.journal_ms(deadline),
-            redelivered: request.redelivered,
+            is_redelivered: request.is_redelivered,
             body: request.body,
         };
         if !self.admits(now, &record) {
--- a/src/bin/delivery-gateway/event_loop/catalog.rs
+++ b/src/bin/delivery-gateway/event_loop/catalog.rs
@@ -52,7 +52,7 @@
             destination: DestinationId(record.destination),
             key: (record.ordering_key != 0).then_some(OrderingKey(record.ordering_key)),
             deadline: clock.scheduler_time(record.deadline_ms),
-            redelivered: record.redelivered,
+            is_redelivered: record.is_redelivered,
             tenant: self.tenant_id(&record.tenant),
         })
     }
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -29,7 +29,7 @@
 const NOT_RECORDED: AttemptResult = not_made(AttemptOutcome::LocalFailure);
 
 const fn not_made(outcome: AttemptOutcome) -> AttemptResult {
-    AttemptResult { outcome, latency: Duration::ZERO, complete: false, load_report: None }
+    AttemptResult { outcome, latency: Duration::ZERO, completes_message: false, load_report: None }
 }
 
 /// Messages that are to share one call.
@@ -126,7 +126,7 @@
         let class = self.catalog.class(class);
         let deadline = self.clock.scheduler_time(pending.message.deadline_ms);
         // A redelivered message may have run at another gateway at any time since it was first enqueued there.
-        let is_repeat = pending.message.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let is_repeat = pending.message.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         let elsewhere =
             is_repeat.then(|| SentAttempt { sent_at: deadline - class.deadline, zone: receiver.zone });
         let attempt = Attempt {
@@ -251,7 +251,7 @@
 
     fn attempt_ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, result: AttemptResult) {
         let Some(InFlightAttempt { attempt, .. }) = self.in_flight.remove(message) else { return };
-        let AttemptResult { outcome, latency, complete, load_report } = result;
+        let AttemptResult { outcome, latency, completes_message, load_report } = result;
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             let id = &pending.message.id;
             debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "attempt finished");
@@ -259,14 +259,14 @@
         if let AttemptOutcome::Rejected(Some(delay)) = outcome {
             self.note_retry_after(endpoint, delay);
         }
-        if complete {
+        if completes_message {
             self.counters.delivered += u32::from(outcome == AttemptOutcome::Delivered);
             self.complete_message(message);
         } else {
             self.record_attempt_outcome(message, outcome);
         }
         let finished =
-            FinishedAttempt { message, endpoint, attempt, outcome, latency, complete, load_report };
+            FinishedAttempt { message, endpoint, attempt, outcome, latency, completes_message, load_report };
         self.scheduler.handle(now, Event::AttemptFinished(finished));
         if self.directory.is_removed(endpoint) {
             self.forget_removed_endpoints();
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -83,7 +83,7 @@
             message: accepted,
             attempts: pending.attempts,
             first_uncertain_attempt: self.first_uncertain_attempt(pending),
-            outcome_recorded: final_outcome.is_some(),
+            has_final_outcome: final_outcome.is_some(),
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
         if pending.in_flight.is_some() {
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -86,7 +86,7 @@
     /// What endpoints recognize a retry by.
     pub idempotency_key: Option<String>,
     /// The client may have given the message to another gateway before.
-    pub redelivered: bool,
+    pub is_redelivered: bool,
     /// What is delivered.
     pub body: Bytes,
 }
@@ -132,7 +132,7 @@
     /// Time since the attempt was sent.
     pub latency: Duration,
     /// The message is completed, and needs no notification.
-    pub complete: bool,
+    pub completes_message: bool,
     /// What the endpoint reported of its capacity.
     pub load_report: Option<LoadReport>,
 }
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -209,7 +209,7 @@
     let attempt = AttemptResult {
         outcome: AttemptOutcome::Reset,
         latency: Duration::ZERO,
-        complete: false,
+        completes_message: false,
         load_report: None,
     };
     let result = CallResult { attempts: vec![attempt], retry_after: None };
--- a/src/bin/delivery-gateway/handover/tests.rs
+++ b/src/bin/delivery-gateway/handover/tests.rs
@@ -46,7 +46,7 @@
     let attempt = AttemptResult {
         outcome: AttemptOutcome::Reset,
         latency: Duration::ZERO,
-        complete: false,
+        completes_message: false,
         load_report: None,
     };
     let ended = ToSuccessor::CallEnded {
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -223,7 +223,7 @@
         let retry_after = Headers::of(&response).retry_after();
         // Where a step took long, the response may have arrived after the deadline, and delivers nothing. That a call
         // has not run, and Retry-After, hold all the same.
-        let timed_out = AttemptResult { outcome: AttemptOutcome::Timeout, complete: false, ..head };
+        let timed_out = AttemptResult { outcome: AttemptOutcome::Timeout, completes_message: false, ..head };
         let in_time =
             self.call.messages.iter().all(|message| connection.wire.was_served_before(message.expires_at));
         let rest = finish_response(self.pool.clone(), self.call.endpoint, connection, response);
@@ -240,7 +240,7 @@
             Ok(None) | Err(_) => {
                 let malformed = AttemptResult {
                     outcome: AttemptOutcome::MalformedResponse,
-                    complete: false,
+                    completes_message: false,
                     load_report: None,
                     ..head
                 };
@@ -256,7 +256,7 @@
         let states = BatchStates::parse(body);
         let results = self.call.messages.iter().map(|message| {
             let state = states.outcome_of(&message.id, retry_after);
-            AttemptResult { outcome: state.outcome, complete: state.complete, ..head }
+            AttemptResult { outcome: state.outcome, completes_message: state.completes_message, ..head }
         });
         CallResult { attempts: results.collect(), retry_after }
     }
@@ -266,7 +266,7 @@
         let result = AttemptResult {
             outcome,
             latency: self.started.elapsed(),
-            complete: outcome == AttemptOutcome::Delivered,
+            completes_message: outcome == AttemptOutcome::Delivered,
             load_report: None,
         };
         self.same_for_all(result, None)
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -80,16 +80,16 @@
     /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// Whether the message is completed, so that no further attempt is made.
-    pub complete: bool,
+    pub completes_message: bool,
 }
 
 impl MessageOutcome {
     fn completed(outcome: AttemptOutcome) -> Self {
-        MessageOutcome { outcome, complete: true }
+        MessageOutcome { outcome, completes_message: true }
     }
 
     fn open(outcome: AttemptOutcome) -> Self {
-        MessageOutcome { outcome, complete: false }
+        MessageOutcome { outcome, completes_message: false }
     }
 }
 
@@ -101,9 +101,9 @@
     origin: ConnectionOrigin,
 ) -> AttemptResult {
     let headers = Headers::of(response);
-    let MessageOutcome { outcome, complete } =
+    let MessageOutcome { outcome, completes_message } =
         outcome_of_status(response.status().as_u16(), headers, kind, origin);
-    AttemptResult { outcome, latency, complete, load_report: headers.load_report() }
+    AttemptResult { outcome, latency, completes_message, load_report: headers.load_report() }
 }
 
 fn outcome_of_status(
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -55,7 +55,7 @@
     /// Journal time in milliseconds.
     pub deadline_ms: u64,
     /// The client may have given the message to another gateway before.
-    pub redelivered: bool,
+    pub is_redelivered: bool,
     /// What is delivered.
     pub body: Bytes,
     /// By name; empty where there is none. In a [record of its own](Record::Tenant), as older journals have none.
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -104,7 +104,7 @@
             destination,
             time_left: Duration::from_millis(time_left_ms),
             idempotency_key: idempotency_key.map(str::to_owned),
-            redelivered: fields.get(field::REDELIVERED) == Some("1"),
+            is_redelivered: fields.get(field::REDELIVERED) == Some("1"),
             // A copy: a slice would keep all that was read with it in memory.
             body: Bytes::copy_from_slice(body),
         })
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -78,12 +78,12 @@
         destination: 7,
         time_left: Duration::from_millis(1500),
         idempotency_key: Some("key-1".to_owned()),
-        redelivered: true,
+        is_redelivered: true,
         body: Bytes::from_static(b"body"),
     };
     assert_eq!(request, expected);
     let request = enqueue_request(&[b"ENQUEUE", b"0", b"m-1", b"c=salary,dest=1,d=0", b""]).unwrap();
-    assert_eq!((request.tenant.as_str(), request.idempotency_key, request.redelivered), ("", None, false));
+    assert_eq!((request.tenant.as_str(), request.idempotency_key, request.is_redelivered), ("", None, false));
 }
 
 #[test]
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -161,7 +161,7 @@
             attempt: record.attempt,
             outcome: attempt_outcome(record.code, record.detail)?,
             latency: Duration::from_nanos(record.latency),
-            complete: record.complete,
+            completes_message: record.complete,
             load_report: instance.and_then(|instance| instance.load_report(&record.report)),
         })
     }
--- a/src/bin/simulator-adapter/translation.rs
+++ b/src/bin/simulator-adapter/translation.rs
@@ -74,7 +74,7 @@
             destination: DestinationId(u32::from(record.destination as u16)),
             key: (record.key != 0).then_some(OrderingKey(record.key)),
             deadline: Time(record.deadline),
-            redelivered: record.options & REDELIVERED != 0,
+            is_redelivered: record.options & REDELIVERED != 0,
             tenant: TenantId(record.tenant),
         }
     }
@@ -122,7 +122,7 @@
         Action::CloseIdleConnections { endpoint } => {
             Reply::CloseIdleConnections { instance, endpoint: endpoint.0 }
         }
-        Action::WatchEndpoints { active } => Reply::WatchEndpoints { instance, active },
+        Action::WatchEndpoints { is_active } => Reply::WatchEndpoints { instance, active: is_active },
     }
 }
 
--- a/src/bin/testbed/simulated_gateway.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -119,7 +119,7 @@
             destination,
             key: None,
             deadline: self.now + self.deadline,
-            redelivered: false,
+            is_redelivered: false,
             tenant: TenantId(0),
         };
         if self.scheduler.admits(self.now, &message) {
@@ -146,10 +146,10 @@
     }
 
     fn finish(&mut self, call: CallInFlight) {
-        let complete = call.outcome == AttemptOutcome::Delivered;
-        self.counts.delivered += u64::from(complete);
+        let completes_message = call.outcome == AttemptOutcome::Delivered;
+        self.counts.delivered += u64::from(completes_message);
         let attempt = self.attempts.get(&call.message).map_or(0, |count| count.saturating_sub(1));
-        if complete {
+        if completes_message {
             self.attempts.remove(&call.message);
         }
         self.handle(Event::AttemptFinished(FinishedAttempt {
@@ -158,7 +158,7 @@
             attempt,
             outcome: call.outcome,
             latency: self.now - call.sent_at,
-            complete,
+            completes_message,
             load_report: self.endpoints.load_report(),
         }));
     }
--- a/src/config/mapping.rs
+++ b/src/config/mapping.rs
@@ -84,7 +84,7 @@
         idempotency: item.get(keys::class::IDEMPOTENCY)?,
         deduplication_scope: item.get(keys::class::DEDUPLICATION_SCOPE)?,
         idempotency_window: item.get(keys::class::IDEMPOTENCY_WINDOW)?,
-        ordered: item.get(keys::class::ORDERED)?,
+        is_ordered: item.get(keys::class::ORDERED)?,
         priority_weight: item.get(keys::class::PRIORITY_WEIGHT)?,
         late_value_ratio: item.get(keys::class::LATE_VALUE_RATIO)?,
     })
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,7 +21,7 @@
 //! }])));
 //! scheduler.handle(now, Event::MessageAccepted(AcceptedMessage {
 //!     id: MessageId(1), class: ClassId(0), destination: DestinationId(3), key: None,
-//!     deadline: now + Duration::from_secs(20), redelivered: false, tenant: TenantId(0),
+//!     deadline: now + Duration::from_secs(20), is_redelivered: false, tenant: TenantId(0),
 //! }));
 //! let mut actions = Vec::new();
 //! scheduler.decide(now, &mut actions);
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -55,6 +55,6 @@
     /// Begin, or end, a watch on the endpoint list.
     WatchEndpoints {
         /// Whether it begins.
-        active: bool,
+        is_active: bool,
     },
 }
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -75,7 +75,7 @@
     /// Time since it was sent.
     pub latency: Duration,
     /// The message is completed; if not, its final outcome is still owed.
-    pub complete: bool,
+    pub completes_message: bool,
     /// What was reported of the limit.
     pub load_report: Option<LoadReport>,
 }
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -39,7 +39,7 @@
     pub idempotency_window: Duration,
     /// Messages with one [`OrderingKey`](super::OrderingKey) are delivered one at a time, in the order of
     /// acceptance.
-    pub ordered: bool,
+    pub is_ordered: bool,
     /// Value of a message that is delivered within its latency objective.
     pub priority_weight: f64,
     /// Ratio of the value that is left at the deadline, from 0 to 1; see [`Decay`].
@@ -54,7 +54,7 @@
             idempotency: Idempotency::IdempotentWithKey,
             deduplication_scope: DeduplicationScope::Destination,
             idempotency_window: Duration::from_secs(10),
-            ordered: false,
+            is_ordered: false,
             priority_weight: 1.0,
             late_value_ratio: 0.5,
         }
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -20,7 +20,7 @@
     pub deadline: Time,
     /// Another gateway that crashed had accepted it before; where it is idempotent with a key it may have run
     /// there.
-    pub redelivered: bool,
+    pub is_redelivered: bool,
     /// The tenant that it belongs to.
     pub tenant: TenantId,
 }
@@ -44,5 +44,5 @@
     /// The first attempt that may have run.
     pub first_uncertain_attempt: Option<SentAttempt>,
     /// It has its final outcome, which nobody has acknowledged yet: its ordering key is taken until then.
-    pub outcome_recorded: bool,
+    pub has_final_outcome: bool,
 }
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -47,7 +47,7 @@
             }
         }
         self.update_queue_state(id);
-        if finished.complete {
+        if finished.completes_message {
             self.complete_message(id);
         } else {
             self.set_last_send_deadline(now, id);
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -93,7 +93,7 @@
     /// Starts the watch on the list again once its backoff has run out.
     pub(super) fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_backoff.take_due(now) {
-            self.actions.push(Action::WatchEndpoints { active: true });
+            self.actions.push(Action::WatchEndpoints { is_active: true });
         }
         earliest(next, self.watch_backoff.retry_at());
     }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -18,9 +18,9 @@
             let attempt = UncertainAttempt { sent_at, zone: Some(zone) };
             message.first_uncertain_attempt.get_or_insert(attempt);
         }
-        message.awaits_acknowledgement |= restored.outcome_recorded;
+        message.awaits_acknowledgement |= restored.has_final_outcome;
         self.update_queue_state(id);
-        if restored.outcome_recorded {
+        if restored.has_final_outcome {
             self.complete_message(id);
         } else {
             self.set_last_send_deadline(now, id);
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -52,7 +52,7 @@
         let class = settings.classes.get(usize::from(accepted.class.0))?;
         let enqueued_at = accepted.deadline - class.deadline;
         // Another gateway may have sent it at any time since.
-        let may_have_run = accepted.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let may_have_run = accepted.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         let elsewhere = UncertainAttempt { sent_at: enqueued_at, zone: None };
         Some(Message {
             accepted,
@@ -75,6 +75,6 @@
 
     /// The key whose messages go one at a time, where its class is ordered.
     pub fn ordering_key(&self, settings: &Settings) -> Option<OrderingKey> {
-        self.accepted.key.filter(|_| self.class(settings).ordered)
+        self.accepted.key.filter(|_| self.class(settings).is_ordered)
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -61,7 +61,7 @@
         destination: DestinationId(destination.into()),
         key: key.map(OrderingKey),
         deadline: now + rules.deadline,
-        redelivered: false,
+        is_redelivered: false,
         tenant: TenantId(0),
     }
 }
@@ -178,7 +178,7 @@
             attempt,
             outcome,
             latency,
-            complete: outcome == AttemptOutcome::Delivered,
+            completes_message: outcome == AttemptOutcome::Delivered,
             load_report,
         }));
     }
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -277,8 +277,8 @@
         let is_out = self.is_out();
         while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
-            let complete = outcome == AttemptOutcome::Delivered;
-            if complete && self.enqueued_since_recovery.contains(&message) {
+            let completes_message = outcome == AttemptOutcome::Delivered;
+            if completes_message && self.enqueued_since_recovery.contains(&message) {
                 self.delivered_since_recovery += 1;
             }
             let finished = FinishedAttempt {
@@ -287,12 +287,12 @@
                 attempt,
                 outcome,
                 latency: self.now - sent_at,
-                complete,
+                completes_message,
                 load_report: None,
             };
             let gateway = &mut self.gateways[gateway];
             gateway.scheduler.handle(self.now, Event::AttemptFinished(finished));
-            gateway.saw_outage |= is_out && !complete;
+            gateway.saw_outage |= is_out && !completes_message;
             gateway.has_events = true;
         }
     }
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -460,7 +460,7 @@
         destination: 1,
         idempotency_key: None,
         deadline_ms: 0,
-        redelivered: false,
+        is_redelivered: false,
         body: Bytes::new(),
         tenant: String::new(),
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -79,7 +79,7 @@
 }
 
 fn test_settings() -> Settings {
-    let ordered = Class { ordered: true, ..non_idempotent() };
+    let ordered = Class { is_ordered: true, ..non_idempotent() };
     let by_zone = Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() };
     let base = settings(vec![idempotent_with_key(), non_idempotent(), idempotent(), ordered, by_zone]);
     Settings {
@@ -223,7 +223,7 @@
     }
 
     fn is_ordered(&self, message: &JudgedMessage) -> bool {
-        self.settings.classes[message.class].ordered
+        self.settings.classes[message.class].is_ordered
     }
 
     fn record_attempt(&mut self, now: Time, id: u32, endpoint: u32) {
@@ -250,7 +250,7 @@
         }
         let is_uncertain =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
-        if self.settings.classes[message.class].ordered && is_uncertain {
+        if self.settings.classes[message.class].is_ordered && is_uncertain {
             self.key_holds.insert(message.key, now + self.settings.limits.ordering_key_hold);
         }
         attempt
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -407,7 +407,7 @@
     /// Watches the list again once its gap has passed.
     fn watch_again(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_at.take_if(|at| *at <= now).is_some() {
-            self.actions.push(Action::WatchEndpoints { active: true });
+            self.actions.push(Action::WatchEndpoints { is_active: true });
         }
         earliest(next, self.watch_at);
     }
@@ -430,7 +430,7 @@
         let over_quota = self.is_over_share(now, taken.tenant);
         let Some(message) = self.new_message(now, taken, over_quota) else { return };
         let taken = &message.taken;
-        if let (true, Some(key)) = (self.class(&message).ordered, taken.key) {
+        if let (true, Some(key)) = (self.class(&message).is_ordered, taken.key) {
             self.keys.entry(key).or_default().push(taken.id);
         }
         self.deadlines.insert((taken.deadline, taken.id));
@@ -450,7 +450,7 @@
         let class = self.settings.classes.get(usize::from(taken.class.0))?;
         let born = taken.deadline - class.deadline;
         // A keyed message of a courier that died may have run there at any time since it was handed in.
-        let may_have_run = taken.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let may_have_run = taken.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         Some(Message {
             born,
             over_quota,
@@ -475,7 +475,7 @@
         if let Some(SentAttempt { sent_at: sent, zone }) = restored.first_uncertain_attempt {
             message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent, Some(zone))));
         }
-        if restored.outcome_recorded {
+        if restored.has_final_outcome {
             message.unheard = true;
             self.close(id);
         } else if let Some(end) = self.messages.get(&id).and_then(|m| self.last_send(m)) {
@@ -575,7 +575,7 @@
         // A call that may still be running lets its key rest before the next message of the key.
         let unsettled = !was_not_processed
             && !matches!(finished.outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
-        if let (true, true, Some(key)) = (unsettled, class.ordered, message.taken.key) {
+        if let (true, true, Some(key)) = (unsettled, class.is_ordered, message.taken.key) {
             self.rests.retain(|_, until| *until > now);
             self.rests.insert(key, now + self.settings.limits.ordering_key_hold);
         }
@@ -586,7 +586,7 @@
                 self.end_call(now, call_id, call, &finished);
             }
         }
-        if finished.complete {
+        if finished.completes_message {
             self.close(finished.message);
         } else if let Some(end) = self.messages.get(&finished.message).and_then(|m| self.last_send(m)) {
             // What can never be sent again is answered at once: it would only fill what may be held and keep
@@ -1027,7 +1027,7 @@
         }
         let class = self.class(message);
         let mut at = message.not_before;
-        if let (true, Some(key)) = (class.ordered, message.taken.key) {
+        if let (true, Some(key)) = (class.is_ordered, message.taken.key) {
             if self.keys.get(&key).and_then(|turn| turn.first()) != Some(&message.taken.id) {
                 reached("key not in turn");
                 return None;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -26,12 +26,12 @@
         attempts,
         first_uncertain_attempt: first_uncertain_attempt
             .map(|at| SentAttempt { sent_at: at, zone: ZoneId(0) }),
-        outcome_recorded: false,
+        has_final_outcome: false,
     }
 }
 
 fn ordered() -> Class {
-    Class { ordered: true, ..idempotent_with_key() }
+    Class { is_ordered: true, ..idempotent_with_key() }
 }
 
 #[test]
@@ -99,7 +99,7 @@
 fn an_ordering_key_is_free_once_the_outcome_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
     let completed = RestoredMessage {
-        outcome_recorded: true,
+        has_final_outcome: true,
         ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900)))
     };
     bench.handle(Event::MessageRestored(completed));
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -78,8 +78,8 @@
         let tenant = TenantId(u32::from(id >= 20));
         let (class, destination) = (ClassId(0), DestinationId(1));
         let id = MessageId(id);
-        let redelivered = false;
-        let message = AcceptedMessage { id, class, destination, key: None, deadline, redelivered, tenant };
+        let is_redelivered = false;
+        let message = AcceptedMessage { id, class, destination, key: None, deadline, is_redelivered, tenant };
         bench.handle(Event::MessageAccepted(message));
     }
     let shed = bench.until_action(ms(5));
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -214,7 +214,7 @@
         destination: DestinationId(1),
         key: None,
         deadline: bench.now + (class.deadline - class.idempotency_window),
-        redelivered: true,
+        is_redelivered: true,
         tenant: TenantId(0),
     }));
     let actions = bench.until_action(Duration::from_secs(30));
@@ -223,7 +223,7 @@
 
 #[test]
 fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
-    let class = Class { ordered: true, ..non_idempotent() };
+    let class = Class { is_ordered: true, ..non_idempotent() };
     let base = settings(vec![class]);
     let limits = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
     let mut bench = Bench::new(Settings { limits, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -246,7 +246,7 @@
 /// A message that can never be sent again must not keep its ordering key from the messages behind it.
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
-    let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { ordered: true, ..class });
+    let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { is_ordered: true, ..class });
     let mut bench = Bench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
     // The one behind can be retried: a non-idempotent one would wait after a loss.
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -52,7 +52,7 @@
     let mut longest = Duration::ZERO;
     bench.handle(Event::EndpointsUpdated(failure.clone()));
     while bench.now < end {
-        if bench.decide().contains(&Action::WatchEndpoints { active: true }) {
+        if bench.decide().contains(&Action::WatchEndpoints { is_active: true }) {
             retries += 1;
             longest = longest.max(bench.now - last);
             last = bench.now;
@@ -96,7 +96,7 @@
         );
         let rejected_at = bench.now;
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
-        assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { active: true }]);
+        assert_eq!(bench.until_action(Duration::from_secs(6)), [Action::WatchEndpoints { is_active: true }]);
         bench.now - rejected_at
     };
     let mut backoffs: Vec<Duration> = (0..318).map(backoff).collect();
@@ -137,5 +137,5 @@
     bench.handle(Event::WatchEstablished);
     assert_eq!(bench.until_action(Duration::from_secs(10)), []);
     bench.handle(Event::EndpointsUpdated(EndpointUpdate::WatchRejected));
-    assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { active: true }]);
+    assert_eq!(bench.until_action(ms(610)), [Action::WatchEndpoints { is_active: true }]);
 }
--- a/tests/same_decisions/history.rs
+++ b/tests/same_decisions/history.rs
@@ -136,7 +136,7 @@
     pub tenant: u32,
     /// Ratio of its time that a message has left.
     pub time_left_ratio: f64,
-    pub redelivered: bool,
+    pub is_redelivered: bool,
 }
 
 /// A step, and whether the scheduler decides after it or only after the next.
@@ -196,14 +196,14 @@
     let time_left_ratios = prop_oneof![4 => Just(1.0), 1 => 0.05f64..1.0];
     let redelivered = prop::bool::weighted(0.05);
     (destinations, 0usize..6, 0u64..5, 1u8..7, 0u32..3, time_left_ratios, redelivered).prop_map(
-        |(destination, class, key, count, tenant, time_left_ratio, redelivered)| AcceptStep {
+        |(destination, class, key, count, tenant, time_left_ratio, is_redelivered)| AcceptStep {
             destination,
             class,
             key,
             count,
             tenant,
             time_left_ratio,
-            redelivered,
+            is_redelivered,
         },
     )
 }
@@ -361,8 +361,8 @@
         priority_weight: 0.5,
         ..keyed.clone()
     };
-    let ordered = Class { ordered: true, ..keyed.clone() };
-    let non_idempotent_ordered = Class { ordered: true, deadline: deadline * 2, ..non_idempotent.clone() };
+    let ordered = Class { is_ordered: true, ..keyed.clone() };
+    let non_idempotent_ordered = Class { is_ordered: true, deadline: deadline * 2, ..non_idempotent.clone() };
     vec![keyed, by_zone, non_idempotent, idempotent, ordered, non_idempotent_ordered]
 }
 
--- a/tests/same_decisions/messages.rs
+++ b/tests/same_decisions/messages.rs
@@ -30,7 +30,7 @@
             destination: DestinationId(destination.into()),
             key: (step.key > 0).then_some(OrderingKey(step.key)),
             deadline: self.now + class.deadline.mul_f64(step.time_left_ratio),
-            redelivered: step.redelivered,
+            is_redelivered: step.is_redelivered,
             tenant: TenantId(step.tenant),
         };
         let product = self.schedulers.product.admits(self.now, &message);
@@ -145,10 +145,10 @@
             self.retry_after_ends.insert(self.now + retry_after);
         }
         let attempts = self.pending.get(&message).map_or(1, |pending| pending.attempts);
-        let complete = attempt.outcome == AttemptOutcome::Delivered;
+        let completes_message = attempt.outcome == AttemptOutcome::Delivered;
         let sent = self.sent_attempt(&attempt);
         if let Some(pending) = self.pending.get_mut(&message) {
-            pending.is_closed |= complete;
+            pending.is_closed |= completes_message;
             if !attempt.outcome.was_not_processed() {
                 pending.first_uncertain_attempt.get_or_insert(sent);
             }
@@ -162,7 +162,7 @@
             attempt: attempts.saturating_sub(1) as u16,
             outcome: attempt.outcome,
             latency: self.now - attempt.sent_at,
-            complete,
+            completes_message,
             load_report: attempt.load_report,
         }));
         self.forget_if_completed(message);
--- a/tests/same_decisions/simulation.rs
+++ b/tests/same_decisions/simulation.rs
@@ -216,7 +216,7 @@
             }
             Action::Reject { message, .. } | Action::ReportFailure { message } => self.give_outcome(message),
             Action::CancelAttempt { message, .. } => self.cancel(message),
-            Action::WatchEndpoints { active: true } => {
+            Action::WatchEndpoints { is_active: true } => {
                 self.watch_established_at = Some(self.now + WATCH_LATENCY);
             }
             _ => {}
--- a/tests/same_decisions/steps.rs
+++ b/tests/same_decisions/steps.rs
@@ -273,7 +273,7 @@
         message: pending.accepted.clone(),
         attempts: pending.attempts,
         first_uncertain_attempt: pending.first_uncertain_attempt,
-        outcome_recorded: pending.is_closed,
+        has_final_outcome: pending.is_closed,
     }
 }
 
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -240,7 +240,7 @@
                     message: pending.message.clone(),
                     attempts: pending.attempts,
                     first_uncertain_attempt: None,
-                    outcome_recorded: false,
+                    has_final_outcome: false,
                 };
                 scheduler.handle(self.now, Event::MessageRestored(restored));
             }
@@ -275,7 +275,7 @@
         let is_out = self.is_out();
         while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
-            let complete = outcome == AttemptOutcome::Delivered;
+            let completes_message = outcome == AttemptOutcome::Delivered;
             let gateway = &mut self.gateways[gateway];
             gateway.scheduler.handle(
                 self.now,
@@ -285,13 +285,13 @@
                     attempt,
                     outcome,
                     latency: self.now - sent_at,
-                    complete,
+                    completes_message,
                     load_report: None,
                 }),
             );
-            gateway.saw_outage |= is_out && !complete;
+            gateway.saw_outage |= is_out && !completes_message;
             gateway.has_events = true;
-            if complete {
+            if completes_message {
                 gateway.pending.remove(&message);
             }
         }
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -39,7 +39,7 @@
             message,
             attempts: self.attempts,
             first_uncertain_attempt: Some(SentAttempt { sent_at: self.first_sent_at, zone: ZoneId(0) }),
-            outcome_recorded: false,
+            has_final_outcome: false,
         }));
     }
 
@@ -74,7 +74,7 @@
             attempt: (self.attempts - 1) as u16,
             outcome,
             latency: ms(5),
-            complete: false,
+            completes_message: false,
             load_report: None,
         }));
     }
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -49,7 +49,7 @@
             message,
             attempts: 0,
             first_uncertain_attempt: None,
-            outcome_recorded: false,
+            has_final_outcome: false,
         }));
     }
 }
--- a/tests/scheduler_guarantees/watch.rs
+++ b/tests/scheduler_guarantees/watch.rs
@@ -22,7 +22,7 @@
     let mut delay = Duration::ZERO;
     while delay <= ANNOUNCED_AFTER {
         scheduler.decide(start + delay, &mut actions);
-        if actions.contains(&Action::WatchEndpoints { active: true }) {
+        if actions.contains(&Action::WatchEndpoints { is_active: true }) {
             return delay;
         }
         delay += STEP;
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -86,7 +86,7 @@
             destination: destination(destination_number),
             key: None,
             deadline,
-            redelivered: false,
+            is_redelivered: false,
             tenant: TenantId(0),
         }));
     }
@@ -110,7 +110,7 @@
             attempt: 0,
             outcome,
             latency: Duration::from_millis(1),
-            complete: outcome == AttemptOutcome::Delivered,
+            completes_message: outcome == AttemptOutcome::Delivered,
             load_report: None,
         }));
     }
