--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -152,7 +152,7 @@
             endpoint,
             destination: self.directory.destination(endpoint)?,
             zone: self.directory.zone(endpoint),
-            is_open: self.directory.is_open(endpoint),
+            is_open: self.directory.accepts_calls(endpoint),
             has_own_limits: self.directory.has_own_limits(endpoint),
         })
     }
--- a/src/bin/delivery-gateway/event_loop/endpoints.rs
+++ b/src/bin/delivery-gateway/event_loop/endpoints.rs
@@ -28,8 +28,8 @@
         let recorded = self.journal.record_endpoints(update);
         self.journal_errors.log_failure(recorded);
         info!(revision, changed, "endpoint list updated");
-        self.pool.retain_endpoints(|endpoint| self.directory.is_open(endpoint));
-        self.in_flight.withdraw(|endpoint| !self.directory.is_open(endpoint));
+        self.pool.retain_endpoints(|endpoint| self.directory.accepts_calls(endpoint));
+        self.in_flight.withdraw(|endpoint| !self.directory.accepts_calls(endpoint));
         self.forget_removed_endpoints();
     }
 
@@ -50,9 +50,9 @@
 
     /// Forgets the endpoints that were removed from the list, once no call to them is in flight.
     pub(super) fn forget_removed_endpoints(&mut self) {
-        if self.directory.has_removed() {
+        if self.directory.has_unlisted_endpoints() {
             let called = self.in_flight.endpoints();
-            self.directory.forget_removed(|endpoint| called.contains(&endpoint));
+            self.directory.remove_unlisted_endpoints(|endpoint| called.contains(&endpoint));
         }
     }
 }
--- a/src/bin/testbed/list_changes.rs
+++ b/src/bin/testbed/list_changes.rs
@@ -51,8 +51,8 @@
     }
 
     /// Forgets what has been removed, as the real event loop does after it has handled an update.
-    pub fn forget_removed(&mut self) {
-        self.directory.forget_removed(|_| false);
+    pub fn remove_unlisted_endpoints(&mut self) {
+        self.directory.remove_unlisted_endpoints(|_| false);
     }
 
     /// Bytes that the encoded changes take.
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -180,7 +180,7 @@
         if let Some(changes) = &mut self.list_changes {
             let update = changes.apply_next()?;
             self.gateway.handle(Event::EndpointsUpdated(update));
-            changes.forget_removed();
+            changes.remove_unlisted_endpoints();
         } else {
             self.gateway.enqueue(self.destinations[self.next_destination]);
             self.next_destination = (self.next_destination + 1) % self.destinations.len();
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -124,7 +124,7 @@
     }
 
     /// Whether an endpoint may be sent new calls.
-    pub fn is_open(&self, id: EndpointId) -> bool {
+    pub fn accepts_calls(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.availability == Availability::Ready)
             && !self.disabled.contains(&id)
     }
@@ -149,13 +149,13 @@
     }
 
     /// Whether there are endpoints that are not listed and not forgotten yet.
-    pub fn has_removed(&self) -> bool {
+    pub fn has_unlisted_endpoints(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
     /// Forgets the endpoints that are not listed, except those that are still needed. Disabled ones keep their numbers.
     /// `is_needed` is asked of no listed endpoint.
-    pub fn forget_removed(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
+    pub fn remove_unlisted_endpoints(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
         let EndpointDirectory { unlisted, entries, ids, disabled, .. } = self;
         unlisted.retain(|id, uid| {
             if is_needed(*id) {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -69,7 +69,7 @@
     let mut directory = directory();
     let target = DiscoveredEndpoint { address: "nowhere".to_owned(), ..target("a", "SERVING") };
     assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Availability::Draining)]);
-    assert!(!directory.is_open(EndpointId(1)));
+    assert!(!directory.accepts_calls(EndpointId(1)));
 }
 
 /// A state is a string on the wire and in the journal, known or not; one that is not known drains.
@@ -106,14 +106,14 @@
         (1..=4).map(|id| directory.is_removed(EndpointId(id))).collect::<Vec<_>>()
     };
     assert_eq!(removed(&directory), [true, true, true, false]);
-    directory.forget_removed(|id| id == EndpointId(2));
+    directory.remove_unlisted_endpoints(|id| id == EndpointId(2));
     assert_eq!(removed(&directory), [false, true, false, false]);
     let number = |directory: &EndpointDirectory, uid: &str| directory.endpoint_id(uid).map(|id| id.0);
     assert_eq!(["a", "b", "c", "d"].map(|uid| number(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
-    directory.forget_removed(|_| false);
+    directory.remove_unlisted_endpoints(|_| false);
     assert_eq!(number(&directory, "b"), None);
     let looked_at = std::cell::RefCell::new(Vec::new());
-    directory.forget_removed(|id| {
+    directory.remove_unlisted_endpoints(|id| {
         looked_at.borrow_mut().push(id.0);
         false
     });
@@ -121,22 +121,22 @@
     // One that is listed again keeps its number only while it is known.
     directory.apply(&update(false, vec![target("a", "SERVING"), target("c", "SERVING")]));
     assert_eq!(["a", "c"].map(|uid| number(&directory, uid)), [Some(5), Some(3)]);
-    assert!(directory.is_open(EndpointId(5)) && !directory.is_open(EndpointId(3)));
+    assert!(directory.accepts_calls(EndpointId(5)) && !directory.accepts_calls(EndpointId(3)));
     directory.set_disabled("c", false);
-    assert!(directory.is_open(EndpointId(3)) && !directory.has_removed());
+    assert!(directory.accepts_calls(EndpointId(3)) && !directory.has_unlisted_endpoints());
     // Numbers of another process: those that the list no longer names are forgotten, too.
     let mut next = self::directory();
     next.adopt_ids(directory.id_table());
     next.apply_snapshot(&[target("d", "SERVING"), target("e", "SERVING")]);
-    next.forget_removed(|id| id == EndpointId(5));
+    next.remove_unlisted_endpoints(|id| id == EndpointId(5));
     assert_eq!(["a", "c", "d", "e"].map(|uid| number(&next, uid)), [Some(5), None, Some(4), Some(6)]);
     // What is enabled again without being listed leaves no number behind.
     next.set_disabled("f", true);
-    next.forget_removed(|_| false);
+    next.remove_unlisted_endpoints(|_| false);
     assert_eq!(number(&next, "f"), Some(7));
     next.set_disabled("f", false);
-    next.forget_removed(|_| false);
-    assert_eq!((number(&next, "f"), next.has_removed()), (None, false));
+    next.remove_unlisted_endpoints(|_| false);
+    assert_eq!((number(&next, "f"), next.has_unlisted_endpoints()), (None, false));
 }
 
 /// The scheduler, its types and the settings know nothing of the form in which discovery has the list.
