--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -63,7 +63,7 @@
 use state::queue::{Queue, Seq};
 use state::ready_index::ReadyIndex;
 pub use state::ready_index::WorkCounters;
-use state::{Call, CallId, Latency, Message, RouteId, TrackedEndpoint};
+use state::{Call, CallId, LatencyEstimate, Message, RouteId, TrackedEndpoint};
 use watch_backoff::WatchBackoff;
 pub use watch_backoff::WATCH_RESPONSE_TIMEOUT;
 
@@ -90,7 +90,7 @@
     calls: BTreeMap<CallId, Call>,
     last_call: CallId,
     /// Latency over all destinations: what is assumed of one that was never called.
-    latency: Latency,
+    latency: LatencyEstimate,
     quotas: TenantQuotas,
     ordering: OrderingKeys,
     connection_reuse: ConnectionReuse,
@@ -129,7 +129,7 @@
 impl Scheduler {
     /// A scheduler without any state; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let latency = Latency::initial(&settings);
+        let latency = LatencyEstimate::initial(&settings);
         Scheduler { settings, rng: fastrand::Rng::with_seed(seed), latency, ..Scheduler::default() }
     }
 
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -6,7 +6,7 @@
 
 use super::backoff;
 use super::idempotency;
-use super::state::latency::Latency;
+use super::state::latency::LatencyEstimate;
 use super::state::message::Message;
 use crate::model::*;
 use std::time::Duration;
@@ -41,7 +41,12 @@
 }
 
 /// The time-out of the next attempt of a message at a destination with this latency.
-pub fn attempt_timeout(settings: &Settings, now: Time, message: &Message, latency: &Latency) -> Duration {
+pub fn attempt_timeout(
+    settings: &Settings,
+    now: Time,
+    message: &Message,
+    latency: &LatencyEstimate,
+) -> Duration {
     let class = message.class(settings);
     let remaining = message.accepted.deadline - now;
     let objective_secs = class.latency_objective.as_secs_f64();
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -6,7 +6,7 @@
 use super::rate_limit::RateLimit;
 use super::retry_after::RetryAfter;
 use super::slow_start::{overload_budget_per_sec, SlowStart};
-use super::state::{CallId, Latency};
+use super::state::{CallId, LatencyEstimate};
 use super::traffic::Traffic;
 use crate::model::{EndpointId, Settings, Time};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
     /// Demand, and calls served.
     pub traffic: Traffic,
     /// Latency of its calls.
-    pub latency: Latency,
+    pub latency: LatencyEstimate,
     /// Calls that may have run without success.
     pub losses: LossRatio,
     /// The rate at which it may be called.
--- a/src/scheduler/state/latency.rs
+++ b/src/scheduler/state/latency.rs
@@ -12,17 +12,17 @@
 
 /// Running mean and mean deviation of latencies.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Latency {
+pub struct LatencyEstimate {
     mean_secs: f64,
     deviation_secs: f64,
     samples: u32,
 }
 
-impl Latency {
+impl LatencyEstimate {
     /// What is assumed before the first sample.
-    pub fn initial(settings: &Settings) -> Latency {
+    pub fn initial(settings: &Settings) -> LatencyEstimate {
         let initial_secs = shortest_objective_secs(settings) * INITIAL_OF_OBJECTIVE;
-        Latency { mean_secs: initial_secs, deviation_secs: initial_secs, samples: 0 }
+        LatencyEstimate { mean_secs: initial_secs, deviation_secs: initial_secs, samples: 0 }
     }
 
     /// Adds a sample.
@@ -35,9 +35,9 @@
     }
 
     /// Adds a sample; the first one starts from another estimate, with the weight of a first one.
-    pub fn record_starting_from(&mut self, estimate: &Latency, sample: Duration) {
+    pub fn record_starting_from(&mut self, estimate: &LatencyEstimate, sample: Duration) {
         if self.samples == 0 {
-            *self = Latency { samples: 0, ..*estimate };
+            *self = LatencyEstimate { samples: 0, ..*estimate };
         }
         self.record(sample);
     }
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -13,7 +13,7 @@
 
 pub use call::{Call, CallId};
 pub use endpoint::TrackedEndpoint;
-pub use latency::Latency;
+pub use latency::LatencyEstimate;
 pub use message::{Message, UncertainAttempt};
 pub use route_id::RouteId;
 pub use value_decay::{RemainingValue, VALUE_STAGES};
