--- a/src/bin/testbed/simulated_gateway.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -239,8 +239,14 @@
 
     /// Items of its state that the scheduler has examined so far.
     pub fn items_examined(&self) -> u64 {
-        let WorkCounters { destinations, messages, calls, routes, endpoints } = self.scheduler.work();
-        destinations + messages + calls + routes + endpoints
+        let WorkCounters {
+            destinations_visited,
+            messages_compared,
+            calls_checked,
+            circuits_compared,
+            endpoints_visited,
+        } = self.scheduler.work_counters();
+        destinations_visited + messages_compared + calls_checked + circuits_compared + endpoints_visited
     }
 
     /// Circuits that are recorded now.
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -30,11 +30,11 @@
     }
 
     fn apply_entries(&mut self, now: Time, entries: Vec<Endpoint>) {
-        self.ready_index.work.endpoints += entries.len() as u64;
+        self.ready_index.work_counters.endpoints_visited += entries.len() as u64;
         for entry in entries {
             self.apply_entry(now, entry);
         }
-        self.ready_index.work.endpoints += self.ready_index.removed_endpoints.len() as u64;
+        self.ready_index.work_counters.endpoints_visited += self.ready_index.removed_endpoints.len() as u64;
         let has_no_calls =
             |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
         for id in self.ready_index.removed_endpoints.iter().filter(has_no_calls).copied().collect::<Vec<_>>()
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -109,7 +109,8 @@
             queue.give_back(index);
             best
         });
-        self.ready_index.work.messages += best.as_ref().map_or(queue.len(), Vec::len) as u64;
+        self.ready_index.work_counters.messages_compared +=
+            best.as_ref().map_or(queue.len(), Vec::len) as u64;
         self.queues.insert(destination, queue);
         best
     }
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -27,7 +27,7 @@
     /// nothing has changed may be among them.
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.ready_index.changed_circuits);
-        self.ready_index.work.routes += changed.len() as u64;
+        self.ready_index.work_counters.circuits_compared += changed.len() as u64;
         let change = |id: RouteId| CircuitChange {
             destination: id.destination,
             endpoint: id.endpoint,
@@ -72,7 +72,7 @@
     }
 
     /// How much was visited so far.
-    pub fn work(&self) -> WorkCounters {
-        self.ready_index.work
+    pub fn work_counters(&self) -> WorkCounters {
+        self.ready_index.work_counters
     }
 }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -107,7 +107,7 @@
         let mut revisit = Revisit::default();
         let candidate = self.find_candidate(now, destination, &mut revisit);
         earliest(next, revisit.send_at);
-        self.ready_index.work.destinations += 1;
+        self.ready_index.work_counters.destinations_visited += 1;
         if candidate.is_none() && !revisit.each_step {
             self.ready_index.park(destination, &revisit);
         } else {
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -82,15 +82,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
     /// Destinations that were visited for something to send.
-    pub destinations: u64,
+    pub destinations_visited: u64,
     /// Waiting messages that were compared for that.
-    pub messages: u64,
+    pub messages_compared: u64,
     /// Calls that were checked for a missing response.
-    pub calls: u64,
+    pub calls_checked: u64,
     /// Routes whose circuit record was compared.
-    pub routes: u64,
+    pub circuits_compared: u64,
     /// Endpoints that were visited when the endpoint list changed.
-    pub endpoints: u64,
+    pub endpoints_visited: u64,
 }
 
 /// The indexes of a scheduler.
@@ -115,7 +115,7 @@
     pub removed_endpoints: BTreeSet<EndpointId>,
     /// Routes whose circuit record may have changed since it was last asked for.
     pub changed_circuits: BTreeSet<RouteId>,
-    pub work: WorkCounters,
+    pub work_counters: WorkCounters,
 }
 
 impl ReadyIndex {
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -53,7 +53,7 @@
         let calls = self.routes.get(&id)?.calls.iter();
         let is_responsive = |call: &&CallId| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
         let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
-        self.ready_index.work.calls += 1 + skipped as u64;
+        self.ready_index.work_counters.calls_checked += 1 + skipped as u64;
         Some(*found)
     }
 
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -133,7 +133,7 @@
 
     /// What is visited while messages for a few destinations are accepted, sent and delivered, one after the other.
     fn count_visits(&mut self) -> WorkCounters {
-        let before = self.scheduler.work();
+        let before = self.scheduler.work_counters();
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
@@ -142,31 +142,42 @@
             assert_eq!(self.step(), []);
             self.scheduler.take_circuit_changes();
         }
-        since(before, self.scheduler.work())
+        since(before, self.scheduler.work_counters())
     }
 }
 
 /// What was visited between two readings of the counters.
 fn since(before: WorkCounters, after: WorkCounters) -> WorkCounters {
     WorkCounters {
-        destinations: after.destinations - before.destinations,
-        messages: after.messages - before.messages,
-        calls: after.calls - before.calls,
-        routes: after.routes - before.routes,
-        endpoints: after.endpoints - before.endpoints,
+        destinations_visited: after.destinations_visited - before.destinations_visited,
+        messages_compared: after.messages_compared - before.messages_compared,
+        calls_checked: after.calls_checked - before.calls_checked,
+        circuits_compared: after.circuits_compared - before.circuits_compared,
+        endpoints_visited: after.endpoints_visited - before.endpoints_visited,
     }
 }
 
 /// Visits of all kinds together.
 fn all(work: WorkCounters) -> u64 {
-    work.destinations + work.messages + work.calls + work.routes + work.endpoints
+    work.destinations_visited
+        + work.messages_compared
+        + work.calls_checked
+        + work.circuits_compared
+        + work.endpoints_visited
 }
 
 /// Requires at most so many times the visits of a base, in all and of each kind.
 fn assert_at_most(times: u64, base: WorkCounters, seen: WorkCounters) {
     assert!(all(base) > 0, "it counts");
     let figures = |work: WorkCounters| {
-        [all(work), work.destinations, work.messages, work.calls, work.routes, work.endpoints]
+        [
+            all(work),
+            work.destinations_visited,
+            work.messages_compared,
+            work.calls_checked,
+            work.circuits_compared,
+            work.endpoints_visited,
+        ]
     };
     let in_bounds = figures(base).into_iter().zip(figures(seen)).all(|(base, seen)| seen <= times * base);
     assert!(in_bounds, "at most {times} times {base:?}, not {seen:?}");
@@ -191,7 +202,7 @@
         bench.accept(to);
     }
     assert_eq!(bench.step(), []);
-    let before = bench.scheduler.work();
+    let before = bench.scheduler.work_counters();
     let mut sent = Vec::new();
     for _ in 0..ROUNDS {
         for _ in 0..10 {
@@ -199,8 +210,11 @@
         }
     }
     assert_eq!(sent.len(), ROUNDS, "all that became due was sent");
-    let visits = since(before, bench.scheduler.work());
-    assert!(visits.destinations <= 4 * ROUNDS as u64 && visits.messages <= 4 * ROUNDS as u64, "{visits:?}");
+    let visits = since(before, bench.scheduler.work_counters());
+    assert!(
+        visits.destinations_visited <= 4 * ROUNDS as u64 && visits.messages_compared <= 4 * ROUNDS as u64,
+        "{visits:?}"
+    );
 }
 
 #[test]
@@ -222,12 +236,12 @@
         (0..calls).for_each(|_| bench.accept(BUSY_DESTINATION));
         let sent = bench.step();
         assert_eq!(sent.len(), calls);
-        let before = bench.scheduler.work();
+        let before = bench.scheduler.work_counters();
         for call in sent.into_iter().rev().take(10) {
             bench.finish(call, AttemptOutcome::Delivered);
             assert_eq!(bench.step(), []);
         }
-        since(before, bench.scheduler.work())
+        since(before, bench.scheduler.work_counters())
     };
     assert_at_most(2, visits(20), visits(90));
     assert_at_most(2, visits(100), visits(450));
@@ -240,13 +254,13 @@
         let mut bench = Bench::with(Settings { max_in_flight_calls: 1, ..settings() }, SMALL);
         (0..messages).for_each(|_| bench.accept(BUSY_DESTINATION));
         let mut sent = bench.step();
-        let before = bench.scheduler.work();
+        let before = bench.scheduler.work_counters();
         for _ in 0..ROUNDS {
             assert_eq!(sent.len(), 1);
             bench.finish(sent[0], AttemptOutcome::Delivered);
             sent = bench.step();
         }
-        since(before, bench.scheduler.work())
+        since(before, bench.scheduler.work_counters())
     };
     assert_at_most(2, visits(PENDING / 100), visits(PENDING));
 }
@@ -267,26 +281,26 @@
     }
     assert_eq!(bench.step(), []);
     assert_eq!(bench.scheduler.take_circuit_changes().len(), WAITING, "all are reported once");
-    assert_eq!(bench.count_visits().routes, 0);
+    assert_eq!(bench.count_visits().circuits_compared, 0);
     assert_eq!(bench.scheduler.take_circuit_changes(), []);
     // A new one is reported alone.
     bench.accept(5);
     let sent = bench.step();
     bench.finish(sent[0], AttemptOutcome::ConnectFailed);
     bench.step();
-    let before = bench.scheduler.work();
+    let before = bench.scheduler.work_counters();
     let changed = bench.scheduler.take_circuit_changes();
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
     assert!(changed[0].record.is_some_and(|record| record.calls_lost == Some(true)));
-    assert_eq!(since(before, bench.scheduler.work()).routes, 1);
+    assert_eq!(since(before, bench.scheduler.work_counters()).circuits_compared, 1);
 }
 
 #[test]
 fn a_delta_of_one_endpoint_does_not_scan_the_list() {
     let visits = |endpoints: usize| {
         let mut bench = Bench::new(endpoints);
-        let before = bench.scheduler.work();
+        let before = bench.scheduler.work_counters();
         for availability in
             [Availability::Draining, Availability::Ready, Availability::Removed, Availability::Ready]
         {
@@ -296,7 +310,7 @@
             }])));
             assert_eq!(bench.step(), []);
         }
-        since(before, bench.scheduler.work()).endpoints
+        since(before, bench.scheduler.work_counters()).endpoints_visited
     };
     let few = visits(SMALL);
     assert!((4..=16).contains(&few), "each entry once or a few times: {few}");
