--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -103,7 +103,7 @@
         if had_record || self.has_circuit_record(call.route) {
             self.ready_index.changed_circuits.insert(call.route);
         }
-        self.schedule_silence_check(call.route);
+        self.schedule_response_check(call.route);
     }
 
     /// Learns of idle connections; returns whether one explains the loss of the call, so that the loss says
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -53,7 +53,7 @@
             is_cancelled: false,
         };
         self.calls.insert(call_id, call);
-        self.schedule_silence_check(route_id);
+        self.schedule_response_check(route_id);
     }
 
     fn start_attempt(
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -133,16 +133,16 @@
     }
 
     /// When a call that was sent at this time has been silent for too long.
-    pub fn silent_at(&self, sent_at: Time, patience: Duration) -> Time {
-        sent_at.max(self.last_success_at) + patience
+    pub fn unresponsive_at(&self, sent_at: Time, unresponsive_after: Duration) -> Time {
+        sent_at.max(self.last_success_at) + unresponsive_after
     }
 
     /// Opens the circuit because of a missing response, long before the attempt times out, so that few calls
     /// are lost.
-    pub fn open_on_silence(&mut self, now: Time, sent_at: Time, patience: Duration) {
+    pub fn open_on_missing_response(&mut self, now: Time, sent_at: Time, unresponsive_after: Duration) {
         self.open = Some(OpenInterval {
             since: self.last_success_at.min(sent_at),
-            next_probe_at: now + patience,
+            next_probe_at: now + unresponsive_after,
             has_lost_calls: true,
             ..OpenInterval::default()
         });
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -85,7 +85,7 @@
         route.endpoints.retain(|endpoint| *endpoint != id);
         if route_id.endpoint.is_some() {
             self.routes.remove(&route_id);
-            self.schedule_silence_check(route_id);
+            self.schedule_response_check(route_id);
             self.ready_index.changed_circuits.insert(route_id);
         }
     }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -114,7 +114,7 @@
         self.ready_index.changed_circuits = with_record.map(|(id, _)| *id).collect();
         let with_calls = self.routes.iter().filter(|(_, route)| !route.calls.is_empty());
         for id in with_calls.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.schedule_silence_check(id);
+            self.schedule_response_check(id);
         }
     }
 }
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -14,7 +14,7 @@
     /// what else can change the answer. The rules apply in this order: Retry-After, shutdown, circuit
     /// breaker, bulkhead, rate limit.
     pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, revisit: &mut Revisit) -> Option<Time> {
-        let patience = self.patience(id);
+        let unresponsive_after = self.unresponsive_after(id);
         let free_slots = self.free_slots();
         let rate_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get_mut(&id)?;
@@ -25,17 +25,17 @@
         }
         // The rate of a slow start grows from moment to moment.
         revisit.each_step |= route.slow_start.is_active();
-        if !self.shutdown.leaves_time_for(now, patience) {
+        if !self.shutdown.leaves_time_for(now, unresponsive_after) {
             return None;
         }
         let oldest_call = route.calls.first().and_then(|call| self.calls.get(call));
         if let (false, Some(call)) = (route.circuit.is_open(), oldest_call) {
-            let silent_at = route.circuit.silent_at(call.sent_at, patience);
-            if now >= silent_at {
-                route.circuit.open_on_silence(now, call.sent_at, patience);
+            let unresponsive_at = route.circuit.unresponsive_at(call.sent_at, unresponsive_after);
+            if now >= unresponsive_at {
+                route.circuit.open_on_missing_response(now, call.sent_at, unresponsive_after);
                 self.ready_index.changed_circuits.insert(id);
             } else {
-                earliest(&mut revisit.recheck_at, Some(silent_at));
+                earliest(&mut revisit.recheck_at, Some(unresponsive_at));
             }
         }
         if let Some(next_probe_at) = route.circuit.next_probe_at() {
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -108,7 +108,7 @@
     /// them, with their entries in the two sets of slots.
     parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
     /// When the oldest responsive call of a route becomes unresponsive.
-    pub silence_checks: DueQueue<RouteId>,
+    pub response_checks: DueQueue<RouteId>,
     /// Calls that are unresponsive and were not cancelled, the oldest first.
     pub unresponsive_calls: BTreeSet<CallId>,
     /// Endpoints that are removed from the list and kept while they have calls in flight.
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -9,26 +9,28 @@
 use std::time::Duration;
 
 /// A call is unresponsive after so many latencies (mean plus deviation) of its route.
-const PATIENCE_IN_LATENCIES: f64 = 3.0;
+const UNRESPONSIVE_AFTER_LATENCIES: f64 = 3.0;
 /// No call is unresponsive before this ratio of the shortest latency objective: short pauses of an endpoint
 /// are ordinary.
-const MIN_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
-/// A call with a message that is not idempotent gets this multiple of that patience before it is cancelled,
-/// as the message is lost with it.
-const PATIENCE_MULTIPLE_NON_IDEMPOTENT: u32 = 2;
+const MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO: f64 = 0.25;
+/// A call with a message that is not idempotent gets this multiple of [`Scheduler::unresponsive_after`] before
+/// it is cancelled, as the message is lost with it.
+const NON_IDEMPOTENT_CANCEL_MULTIPLE: u32 = 2;
 
 impl Scheduler {
     /// How long a call of a route may be silent.
-    pub(super) fn patience(&self, id: RouteId) -> Duration {
-        let typical_secs =
-            self.routes.get(&id).map_or(0.0, |route| route.latency.multiple_secs(PATIENCE_IN_LATENCIES));
-        let least_secs = shortest_objective_secs(&self.settings) * MIN_PATIENCE_OF_OBJECTIVE;
+    pub(super) fn unresponsive_after(&self, id: RouteId) -> Duration {
+        let typical_secs = self
+            .routes
+            .get(&id)
+            .map_or(0.0, |route| route.latency.multiple_secs(UNRESPONSIVE_AFTER_LATENCIES));
+        let least_secs = shortest_objective_secs(&self.settings) * MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO;
         Duration::from_secs_f64(typical_secs.max(least_secs))
     }
 
     /// Marks the calls that have become unresponsive; returns when the next one will.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
-        while let Some(route_id) = self.ready_index.silence_checks.due(now) {
+        while let Some(route_id) = self.ready_index.response_checks.due(now) {
             let oldest = self.oldest_responsive_call(route_id);
             if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
                 call.is_unresponsive = true;
@@ -36,17 +38,17 @@
                 self.ready_index.unresponsive_calls.insert(id);
                 self.connection_reuse.record_loss(now, &self.settings, connection_idle);
             }
-            self.schedule_silence_check(route_id);
+            self.schedule_response_check(route_id);
         }
-        self.ready_index.silence_checks.first()
+        self.ready_index.response_checks.first()
     }
 
     /// Schedules the time at which the oldest responsive call of a route becomes unresponsive. Calls become
     /// so in the order in which they were sent.
-    pub(super) fn schedule_silence_check(&mut self, id: RouteId) {
+    pub(super) fn schedule_response_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
-        let at = sent_at.map(|sent_at| sent_at + self.patience(id));
-        self.ready_index.silence_checks.set(id, at);
+        let at = sent_at.map(|sent_at| sent_at + self.unresponsive_after(id));
+        self.ready_index.response_checks.set(id, at);
     }
 
     fn oldest_responsive_call(&mut self, id: RouteId) -> Option<CallId> {
@@ -83,7 +85,7 @@
         let mut messages = call.messages.iter().filter_map(|id| self.messages.get(id));
         let all_resendable =
             messages.all(|message| idempotency::is_resendable(message.class(&self.settings)));
-        let multiple = if all_resendable { 1 } else { PATIENCE_MULTIPLE_NON_IDEMPOTENT };
-        now - call.sent_at > self.patience(call.route) * multiple
+        let multiple = if all_resendable { 1 } else { NON_IDEMPOTENT_CANCEL_MULTIPLE };
+        now - call.sent_at > self.unresponsive_after(call.route) * multiple
     }
 }
