--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -61,7 +61,7 @@
             endpoint,
             last_success_at: self.clock.scheduler_time(circuit.last_success_ms),
             failure_score: circuit.failure_score,
-            calls_lost: circuit.calls_lost,
+            has_lost_calls: circuit.has_lost_calls,
             slow_start_since: circuit.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
             baseline_per_sec: circuit.baseline_per_sec,
         })
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -137,8 +137,8 @@
     pub last_success_ms: u64,
     /// See [`CircuitRecord::failure_score`].
     pub failure_score: u32,
-    /// None while the circuit is closed; see [`CircuitRecord::calls_lost`].
-    pub calls_lost: Option<bool>,
+    /// None while the circuit is closed; see [`CircuitRecord::has_lost_calls`].
+    pub has_lost_calls: Option<bool>,
     /// Since when slow start limits calls, in journal time in milliseconds.
     pub slow_start_ms: Option<u64>,
     /// See [`CircuitRecord::baseline_per_sec`].
@@ -153,7 +153,7 @@
             uid,
             last_success_ms: journal_ms(circuit.last_success_at),
             failure_score: circuit.failure_score,
-            calls_lost: circuit.calls_lost,
+            has_lost_calls: circuit.has_lost_calls,
             slow_start_ms: circuit.slow_start_since.map(journal_ms),
             baseline_per_sec: circuit.baseline_per_sec,
         }
@@ -166,7 +166,7 @@
 
     /// Whether calls are stopped, but for probes.
     pub fn is_open(&self) -> bool {
-        self.calls_lost.is_some()
+        self.has_lost_calls.is_some()
     }
 }
 
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -167,7 +167,7 @@
             endpoint: None,
             last_success_at: self.gateway.now() - DOWN_SINCE,
             failure_score: DOWN_FAILURE_SCORE,
-            calls_lost: Some(true),
+            has_lost_calls: Some(true),
             slow_start_since: None,
             baseline_per_sec: 0.0,
         };
--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -18,7 +18,7 @@
     /// Weight of the failures since then.
     pub failure_score: u32,
     /// Whether calls were lost, and not just rejected, while the circuit is open; none while it is closed.
-    pub calls_lost: Option<bool>,
+    pub has_lost_calls: Option<bool>,
     /// When the slow start began, if one is under way.
     pub slow_start_since: Option<Time>,
     /// Calls a second that were served before the outage.
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -215,7 +215,7 @@
     pub fn restore(&mut self, record: &CircuitRecord) {
         self.last_success_at = record.last_success_at;
         self.failure_score = record.failure_score;
-        if let Some(has_lost_calls) = record.calls_lost {
+        if let Some(has_lost_calls) = record.has_lost_calls {
             self.open = Some(OpenInterval {
                 since: record.last_success_at,
                 has_failures: true,
@@ -236,7 +236,7 @@
     }
 
     /// Whether calls were lost, not just rejected; none where the circuit is closed.
-    pub fn calls_lost(&self) -> Option<bool> {
+    pub fn has_lost_calls(&self) -> Option<bool> {
         self.open.as_ref().map(|open| open.has_lost_calls)
     }
 }
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -43,7 +43,7 @@
             endpoint: id.endpoint,
             last_success_at: route.circuit.last_success_at(),
             failure_score: route.circuit.failure_score(),
-            calls_lost: route.circuit.calls_lost(),
+            has_lost_calls: route.circuit.has_lost_calls(),
             slow_start_since: route.slow_start.since(),
             baseline_per_sec: route.traffic.baseline_per_sec(),
         })
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -40,7 +40,7 @@
         if route.slow_start.is_active() {
             route.rate_limit.drain();
         }
-        if record.calls_lost.is_some() {
+        if record.has_lost_calls.is_some() {
             route.schedule_probe(now, &self.settings, chance);
         }
     }
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -13,8 +13,8 @@
 /// No call is unresponsive before this ratio of the shortest latency objective: short pauses of an endpoint
 /// are ordinary.
 const MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO: f64 = 0.25;
-/// A call with a message that is not idempotent gets this multiple of [`Scheduler::unresponsive_after`] before
-/// it is cancelled, as the message is lost with it.
+/// A call with a message that is not idempotent gets this multiple of [`Scheduler::unresponsive_after`]
+/// before it is cancelled, as the message is lost with it.
 const NON_IDEMPOTENT_CANCEL_MULTIPLE: u32 = 2;
 
 impl Scheduler {
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -185,7 +185,7 @@
         uid,
         last_success_ms: rng.u64(..),
         failure_score: rng.u32(..),
-        calls_lost: [None, Some(false), Some(true)][rng.usize(..3)],
+        has_lost_calls: [None, Some(false), Some(true)][rng.usize(..3)],
         slow_start_ms: rng.bool().then(|| rng.u64(..)),
         baseline_per_sec: rng.f64(),
     }
@@ -196,7 +196,7 @@
     assert_eq!(circuit_records.iter().collect::<Vec<_>>(), expected.values().collect::<Vec<_>>());
     assert_eq!(
         circuit_records.open_count(),
-        expected.values().filter(|circuit| circuit.calls_lost.is_some()).count()
+        expected.values().filter(|circuit| circuit.has_lost_calls.is_some()).count()
     );
 }
 
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -246,7 +246,7 @@
             endpoint: id.1,
             last_success_at: route.spell.as_ref().map_or(route.last_answer, |spell| spell.began),
             failure_score: route.failure_score,
-            calls_lost: route.spell.as_ref().map(|spell| spell.lost),
+            has_lost_calls: route.spell.as_ref().map(|spell| spell.lost),
             slow_start_since: route.returned,
             baseline_per_sec: route.share,
         })
@@ -491,7 +491,7 @@
         if route.returned.is_some() {
             route.tokens = 0.0;
         }
-        if let Some(lost) = outage.calls_lost {
+        if let Some(lost) = outage.has_lost_calls {
             route.spell =
                 Some(Spell { began: outage.last_success_at, failed: true, lost, ..Spell::default() });
             route.plan_trial(now, settings, chance);
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -247,7 +247,7 @@
             }
             bench.now = bench.now + ms(100);
         }
-        bench.scheduler.circuit_records().filter(|record| record.calls_lost.is_some()).count()
+        bench.scheduler.circuit_records().filter(|record| record.has_lost_calls.is_some()).count()
     };
     assert_eq!(open_circuits_after(AttemptOutcome::MalformedResponse), 0);
     assert_eq!(open_circuits_after(AttemptOutcome::Reset), 1);
@@ -286,7 +286,7 @@
         endpoint: None,
         last_success_at: begun,
         failure_score: 0,
-        calls_lost: None,
+        has_lost_calls: None,
         slow_start_since: Some(begun),
         baseline_per_sec: 0.0,
     }));
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -27,7 +27,7 @@
             endpoint: None,
             last_success_at: bench.now - Duration::from_secs(5),
             failure_score: 6,
-            calls_lost: Some(true),
+            has_lost_calls: Some(true),
             slow_start_since: None,
             baseline_per_sec: 0.3,
         }));
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -274,7 +274,7 @@
             endpoint: None,
             last_success_at: bench.now,
             failure_score: 6,
-            calls_lost: Some(true),
+            has_lost_calls: Some(true),
             slow_start_since: None,
             baseline_per_sec: 0.0,
         }));
@@ -292,7 +292,7 @@
     let changed = bench.scheduler.take_circuit_changes();
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
-    assert!(changed[0].record.is_some_and(|record| record.calls_lost == Some(true)));
+    assert!(changed[0].record.is_some_and(|record| record.has_lost_calls == Some(true)));
     assert_eq!(since(before, bench.scheduler.work_counters()).circuits_compared, 1);
 }
 
