--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -71,7 +71,7 @@
         let queue_state = self.queue_state(&message);
         self.queues.entry(destination).or_default().push(message.seq, id, queue_state);
         self.open_messages += 1;
-        self.touch(destination);
+        self.mark_destination_changed(destination);
         self.record_demand(now, destination);
         self.messages.insert(id, message);
     }
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -19,7 +19,7 @@
     pub(super) fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return };
         let id = self.route_of(&endpoint.entry);
-        self.touch(id.destination);
+        self.mark_destination_changed(id.destination);
         if let Some(route) = self.routes.get_mut(&id) {
             route.retry_after.extend(now + delay);
         }
@@ -36,7 +36,7 @@
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(call_id) = message.call.take() else { return };
         let destination = message.accepted.destination;
-        self.touch(destination);
+        self.mark_destination_changed(destination);
         self.record_attempt(now, call_id, &finished);
         // The messages of a call share its outcome: it is complete with the last of them.
         let Some(call) = self.calls.get_mut(&call_id) else { return };
@@ -227,7 +227,7 @@
         self.traffic.record_served(now, settings, is_recovering);
         if self.circuit.success_ends_outage(now, settings) {
             self.slow_start.begin(now);
-            self.rate_limit.drain();
+            self.rate_limit.clear_tokens();
         }
         self.rate_limit.on_success(settings, report);
         self.circuit.on_success(now);
--- a/src/scheduler/drain.rs
+++ b/src/scheduler/drain.rs
@@ -38,7 +38,7 @@
             return;
         }
         if let Some(endpoint) = self.endpoints.get(&id) {
-            self.touch(endpoint.entry.destination);
+            self.mark_destination_changed(endpoint.entry.destination);
         }
         self.actions.push(Action::CloseIdleConnections { endpoint: id });
     }
@@ -54,7 +54,7 @@
         let Some(route_id) = self.endpoints.get(&id).map(|endpoint| self.route_of(&endpoint.entry)) else {
             return;
         };
-        self.touch(route_id.destination);
+        self.mark_destination_changed(route_id.destination);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
         self.ready_index.changed_circuits.insert(route_id);
         route.circuit.reset();
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -23,7 +23,7 @@
                     endpoint.entry.availability = Availability::Removed;
                 }
                 self.ready_index.removed_endpoints = self.endpoints.keys().copied().collect();
-                self.ready_index.all = true;
+                self.ready_index.must_visit_all = true;
                 self.apply_entries(now, entries);
             }
         }
@@ -48,7 +48,10 @@
         if entry.availability == Availability::Removed && previous_destination.is_none() {
             return;
         }
-        previous_destination.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
+        previous_destination
+            .into_iter()
+            .chain([entry.destination])
+            .for_each(|to| self.mark_destination_changed(to));
         if entry.availability == Availability::Removed {
             self.ready_index.removed_endpoints.insert(entry.id);
         } else {
@@ -79,7 +82,7 @@
     pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
         self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
-        self.touch(endpoint.entry.destination);
+        self.mark_destination_changed(endpoint.entry.destination);
         let route_id = self.route_of(&endpoint.entry);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
         route.endpoints.retain(|endpoint| *endpoint != id);
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -10,10 +10,10 @@
 impl Scheduler {
     /// Something has changed at a destination: the next step visits it. The token buckets of its routes are
     /// refilled as the visits up to the last step would have done.
-    pub(super) fn touch(&mut self, destination: DestinationId) {
-        self.ready_index.touch(destination);
+    pub(super) fn mark_destination_changed(&mut self, destination: DestinationId) {
+        self.ready_index.mark_changed(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
-            route.rate_limit.settle(self.last_round_at);
+            route.rate_limit.refill_until(self.last_round_at);
         }
     }
 
@@ -70,7 +70,7 @@
                     self.queues.remove(&destination);
                 }
             }
-            self.touch(destination);
+            self.mark_destination_changed(destination);
         }
         self.forget_if_settled(id);
     }
@@ -95,17 +95,17 @@
         // It is the turn of the next message of its key, whatever its destination.
         let next = key.and_then(|key| self.ordering.remove(key, id));
         if let Some(next) = next.and_then(|next| self.messages.get(&next)) {
-            self.touch(next.accepted.destination);
+            self.mark_destination_changed(next.accepted.destination);
         }
     }
 
     /// Rebuilds the indexes from the state; the next step visits everything.
     pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
-            route.rate_limit.settle(self.last_round_at);
+            route.rate_limit.refill_until(self.last_round_at);
         }
         self.ready_index = ReadyIndex::default();
-        self.ready_index.all = true;
+        self.ready_index.must_visit_all = true;
         let unresponsive = self.calls.iter().filter(|(_, call)| call.is_unresponsive && !call.is_cancelled);
         self.ready_index.unresponsive_calls = unresponsive.map(|(id, _)| *id).collect();
         let removed = self.endpoints.values().filter(|endpoint| endpoint.is_removed());
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -184,7 +184,7 @@
     /// moment to moment.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
-        self.ready_index.all = true;
+        self.ready_index.must_visit_all = true;
     }
 
     /// One timer is set at a time: for the earliest moment at which something can be done without an event.
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -176,7 +176,7 @@
     }
 
     /// Adds the tokens that a check at that time would have added.
-    pub fn settle(&mut self, last_round_at: Time) {
+    pub fn refill_until(&mut self, last_round_at: Time) {
         if std::mem::take(&mut self.refill_pending) && self.refilled_at < last_round_at {
             self.refill(last_round_at, self.rate_per_sec, burst(self.rate_per_sec));
         }
@@ -188,7 +188,7 @@
     }
 
     /// Removes all saved tokens.
-    pub fn drain(&mut self) {
+    pub fn clear_tokens(&mut self) {
         self.tokens = 0.0;
     }
 
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -10,7 +10,7 @@
     pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
         self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
-        self.ready_index.all = true;
+        self.ready_index.must_visit_all = true;
         self.on_message_accepted(now, restored.message);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
@@ -29,7 +29,7 @@
 
     /// Restores what was learnt of a route before the restart.
     pub(super) fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
-        self.touch(record.destination);
+        self.mark_destination_changed(record.destination);
         let chance = self.rng.f64();
         let id = RouteId { destination: record.destination, endpoint: record.endpoint };
         let Some(route) = self.routes.get_mut(&id) else { return };
@@ -38,7 +38,7 @@
         route.traffic.restore_baseline(record.baseline_per_sec);
         route.slow_start.restore(record.slow_start_since);
         if route.slow_start.is_active() {
-            route.rate_limit.drain();
+            route.rate_limit.clear_tokens();
         }
         if record.has_lost_calls.is_some() {
             route.schedule_probe(now, &self.settings, chance);
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -50,18 +50,18 @@
 
     /// Calls a second that this gateway may send now.
     pub fn rate_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
-        match self.slow_start.warmth(now, settings) {
-            Some(warmth) => {
-                self.overload_budget_per_sec(now, settings, warmth).min(self.rate_limit.rate_per_sec())
+        match self.slow_start.warm_up_progress(now, settings) {
+            Some(progress) => {
+                self.overload_budget_per_sec(now, settings, progress).min(self.rate_limit.rate_per_sec())
             }
             None => self.rate_limit.rate_per_sec(),
         }
     }
 
     /// This gateway's share of what the destination may get at some point of its recovery, in calls a second.
-    pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
+    pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
         let limit_per_sec = self.rate_limit.limit_per_sec();
-        overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warmth)
+        overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warm_up_progress)
     }
 
     /// Sets when the next half-open probe may be sent, if the circuit is open; `chance` is a random number in
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -18,7 +18,7 @@
         let free_slots = self.free_slots();
         let rate_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get_mut(&id)?;
-        route.rate_limit.settle(self.last_round_at);
+        route.rate_limit.refill_until(self.last_round_at);
         if route.retry_after.is_pending(now) {
             earliest(&mut revisit.recheck_at, route.slow_start.ends_at(&self.settings));
             return Some(route.retry_after.until());
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -53,7 +53,7 @@
             return;
         }
         let mut due = self.ready_index.due(now, self.free_slots());
-        if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.all) {
+        if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.must_visit_all) {
             due.extend(self.queues.keys());
         }
         let mut ready: Vec<ReadyDestination> = Vec::new();
@@ -101,7 +101,7 @@
         next: &mut Option<Time>,
     ) -> Option<Candidate> {
         if !self.queues.contains_key(&destination) {
-            self.ready_index.forget(destination);
+            self.ready_index.remove(destination);
             return None;
         }
         let mut revisit = Revisit::default();
@@ -109,9 +109,9 @@
         earliest(next, revisit.send_at);
         self.ready_index.work_counters.destinations_visited += 1;
         if candidate.is_none() && !revisit.each_step {
-            self.ready_index.park(destination, &revisit);
+            self.ready_index.schedule_revisit(destination, &revisit);
         } else {
-            self.touch(destination);
+            self.mark_destination_changed(destination);
         }
         candidate
     }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -54,14 +54,14 @@
     }
 
     /// Its progress from 0 to 1; none if none is active or its time has run out.
-    pub fn warmth(&self, now: Time, settings: &Settings) -> Option<f64> {
-        let warmth = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
-        (warmth < 1.0).then_some(warmth)
+    pub fn warm_up_progress(&self, now: Time, settings: &Settings) -> Option<f64> {
+        let progress = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
+        (progress < 1.0).then_some(progress)
     }
 
     /// Ends it if its time has run out. Returns whether it did.
     pub fn finish_if_warm(&mut self, now: Time, settings: &Settings) -> bool {
-        let is_over = self.since.is_some() && self.warmth(now, settings).is_none();
+        let is_over = self.since.is_some() && self.warm_up_progress(now, settings).is_none();
         if is_over {
             self.since = None;
         }
@@ -71,14 +71,15 @@
 
 /// This gateway's share of what a recovering destination may get, in calls a second.
 ///
-/// `limit_per_sec` is what the healthy destination takes from all gateways; `warmth` runs from 0 to 1 over a
-/// slow start. The share follows what this gateway ordinarily sends there, and is at least an even share.
+/// `limit_per_sec` is what the healthy destination takes from all gateways; `warm_up_progress` runs
+/// from 0 to 1 over a slow start. The share follows what this gateway ordinarily sends there, and is at least
+/// an even share.
 pub fn overload_budget_per_sec(
     settings: &Settings,
     now: Time,
     traffic: &mut Traffic,
     limit_per_sec: f64,
-    warmth: f64,
+    warm_up_progress: f64,
 ) -> f64 {
     // A gateway with low traffic may send one call in each deadline, as its messages would run out unsent
     // otherwise. Few gateways have low traffic and messages for the same destination at the same time.
@@ -86,6 +87,6 @@
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
     let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
     let limits = &settings.limits;
-    let capacity_ratio = limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warmth;
+    let capacity_ratio = limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warm_up_progress;
     (share_per_sec * capacity_ratio * limits.overload_multiple * USED_BUDGET_RATIO).max(least_per_sec)
 }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -97,16 +97,16 @@
 #[derive(Default)]
 pub struct ReadyIndex {
     /// Whether the next step that has a free slot visits all destinations.
-    pub all: bool,
+    pub must_visit_all: bool,
     /// The destinations that it visits otherwise.
-    touched: BTreeSet<DestinationId>,
+    changed: BTreeSet<DestinationId>,
     send_times: DueQueue<DestinationId>,
     recheck_times: DueQueue<DestinationId>,
     more_slots: BTreeSet<(usize, DestinationId)>,
     fewer_slots: BTreeSet<(usize, DestinationId)>,
     /// Destinations that are not visited before one of the four above asks for it or something happens to
     /// them, with their entries in the two sets of slots.
-    parked: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
+    scheduled: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
     /// When the oldest responsive call of a route becomes unresponsive.
     pub response_checks: DueQueue<RouteId>,
     /// Calls that are unresponsive and were not cancelled, the oldest first.
@@ -120,14 +120,14 @@
 
 impl ReadyIndex {
     /// Something has happened to a destination: the next step visits it.
-    pub fn touch(&mut self, to: DestinationId) {
-        self.leave(to);
-        self.touched.insert(to);
+    pub fn mark_changed(&mut self, to: DestinationId) {
+        self.unschedule(to);
+        self.changed.insert(to);
     }
 
-    /// Destinations to visit now, in order. Each has to be parked or touched again afterwards.
+    /// Destinations to visit now, in order. Each has to be scheduled or marked as changed again afterwards.
     pub fn due(&mut self, now: Time, slots_free: usize) -> BTreeSet<DestinationId> {
-        let mut due = std::mem::take(&mut self.touched);
+        let mut due = std::mem::take(&mut self.changed);
         for queue in [&self.send_times, &self.recheck_times] {
             due.extend(queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, to)| *to));
         }
@@ -137,32 +137,32 @@
     }
 
     /// Records when a destination that was just visited in vain has to be visited again.
-    pub fn park(&mut self, to: DestinationId, revisit: &Revisit) {
-        self.leave(to);
-        self.touched.remove(&to);
+    pub fn schedule_revisit(&mut self, to: DestinationId, revisit: &Revisit) {
+        self.unschedule(to);
+        self.changed.remove(&to);
         self.send_times.set(to, revisit.send_at);
         self.recheck_times.set(to, revisit.recheck_at);
         revisit.more_slots.map(|least| self.more_slots.insert((least, to)));
         revisit.fewer_slots.map(|below| self.fewer_slots.insert((below, to)));
-        self.parked.insert(to, (revisit.more_slots, revisit.fewer_slots));
+        self.scheduled.insert(to, (revisit.more_slots, revisit.fewer_slots));
     }
 
     /// Nothing waits for this destination any more.
-    pub fn forget(&mut self, to: DestinationId) {
-        self.leave(to);
-        self.touched.remove(&to);
+    pub fn remove(&mut self, to: DestinationId) {
+        self.unschedule(to);
+        self.changed.remove(&to);
     }
 
-    /// Removes a destination from all that it was parked in.
-    fn leave(&mut self, to: DestinationId) {
-        let Some((more, fewer)) = self.parked.remove(&to) else { return };
+    /// Removes a destination from all that it was scheduled in.
+    fn unschedule(&mut self, to: DestinationId) {
+        let Some((more, fewer)) = self.scheduled.remove(&to) else { return };
         self.send_times.set(to, None);
         self.recheck_times.set(to, None);
         more.map(|least| self.more_slots.remove(&(least, to)));
         fewer.map(|below| self.fewer_slots.remove(&(below, to)));
     }
 
-    /// When a parked destination may next be sent something.
+    /// When a scheduled destination may next be sent something.
     pub fn next_send_at(&self) -> Option<Time> {
         self.send_times.first()
     }
