--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -61,7 +61,7 @@
             endpoint,
             last_success_at: self.clock.scheduler_time(circuit.last_success_ms),
             failure_score: circuit.failure_score,
-            calls_lost: circuit.calls_lost,
+            has_lost_calls: circuit.has_lost_calls,
             slow_start_since: circuit.slow_start_ms.map(|ms| self.clock.scheduler_time(ms)),
             baseline_per_sec: circuit.baseline_per_sec,
         })
@@ -83,7 +83,7 @@
             message: accepted,
             attempts: pending.attempts,
             first_uncertain_attempt: self.first_uncertain_attempt(pending),
-            outcome_recorded: final_outcome.is_some(),
+            has_final_outcome: final_outcome.is_some(),
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
         if pending.in_flight.is_some() {
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -167,7 +167,7 @@
             endpoint: None,
             last_success_at: self.gateway.now() - DOWN_SINCE,
             failure_score: DOWN_FAILURE_SCORE,
-            calls_lost: Some(true),
+            has_lost_calls: Some(true),
             slow_start_since: None,
             baseline_per_sec: 0.0,
         };
@@ -180,7 +180,7 @@
         if let Some(changes) = &mut self.list_changes {
             let update = changes.apply_next()?;
             self.gateway.handle(Event::EndpointsUpdated(update));
-            changes.forget_removed();
+            changes.remove_unlisted_endpoints();
         } else {
             self.gateway.enqueue(self.destinations[self.next_destination]);
             self.next_destination = (self.next_destination + 1) % self.destinations.len();
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -49,8 +49,8 @@
     /// None where the list's text is no address.
     address: Option<SocketAddr>,
     availability: Availability,
-    max_batch: usize,
-    per_endpoint_limits: bool,
+    max_batch_size: usize,
+    has_per_endpoint_limits: bool,
 }
 
 impl EndpointDirectory {
@@ -99,13 +99,13 @@
     }
 
     /// Messages that one call to an endpoint may carry; one if it is unknown.
-    pub fn max_batch(&self, id: EndpointId) -> usize {
-        self.entries.get(&id).map_or(1, |entry| entry.max_batch)
+    pub fn max_batch_size(&self, id: EndpointId) -> usize {
+        self.entries.get(&id).map_or(1, |entry| entry.max_batch_size)
     }
 
     /// Whether an endpoint's rate limit and circuit breaker are its own and not its whole destination's.
     pub fn has_own_limits(&self, id: EndpointId) -> bool {
-        self.entries.get(&id).is_some_and(|entry| entry.per_endpoint_limits)
+        self.entries.get(&id).is_some_and(|entry| entry.has_per_endpoint_limits)
     }
 
     /// The destination of an endpoint.
@@ -124,7 +124,7 @@
     }
 
     /// Whether an endpoint may be sent new calls.
-    pub fn is_open(&self, id: EndpointId) -> bool {
+    pub fn accepts_calls(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.availability == Availability::Ready)
             && !self.disabled.contains(&id)
     }
@@ -149,13 +149,13 @@
     }
 
     /// Whether there are endpoints that are not listed and not forgotten yet.
-    pub fn has_removed(&self) -> bool {
+    pub fn has_unlisted_endpoints(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
     /// Forgets the endpoints that are not listed, except those that are still needed. Disabled ones keep their numbers.
     /// `is_needed` is asked of no listed endpoint.
-    pub fn forget_removed(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
+    pub fn remove_unlisted_endpoints(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
         let EndpointDirectory { unlisted, entries, ids, disabled, .. } = self;
         unlisted.retain(|id, uid| {
             if is_needed(*id) {
@@ -232,8 +232,8 @@
             destination,
             address,
             availability,
-            max_batch: kind_settings.map_or(1, |kind| kind.batch.max(1)),
-            per_endpoint_limits: kind_settings.is_some_and(|kind| kind.per_endpoint_limits),
+            max_batch_size: kind_settings.map_or(1, |kind| kind.max_batch_size.max(1)),
+            has_per_endpoint_limits: kind_settings.is_some_and(|kind| kind.has_per_endpoint_limits),
         };
         self.entries.insert(id, entry);
         Endpoint { id, zone, kind, destination, availability, capacity_hint: discovered.capacity_hint }
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -133,16 +133,16 @@
     }
 
     /// When a call that was sent at this time has been silent for too long.
-    pub fn silent_at(&self, sent_at: Time, patience: Duration) -> Time {
-        sent_at.max(self.last_success_at) + patience
+    pub fn unresponsive_at(&self, sent_at: Time, unresponsive_after: Duration) -> Time {
+        sent_at.max(self.last_success_at) + unresponsive_after
     }
 
     /// Opens the circuit because of a missing response, long before the attempt times out, so that few calls
     /// are lost.
-    pub fn open_on_silence(&mut self, now: Time, sent_at: Time, patience: Duration) {
+    pub fn open_on_missing_response(&mut self, now: Time, sent_at: Time, unresponsive_after: Duration) {
         self.open = Some(OpenInterval {
             since: self.last_success_at.min(sent_at),
-            next_probe_at: now + patience,
+            next_probe_at: now + unresponsive_after,
             has_lost_calls: true,
             ..OpenInterval::default()
         });
@@ -215,7 +215,7 @@
     pub fn restore(&mut self, record: &CircuitRecord) {
         self.last_success_at = record.last_success_at;
         self.failure_score = record.failure_score;
-        if let Some(has_lost_calls) = record.calls_lost {
+        if let Some(has_lost_calls) = record.has_lost_calls {
             self.open = Some(OpenInterval {
                 since: record.last_success_at,
                 has_failures: true,
@@ -236,7 +236,7 @@
     }
 
     /// Whether calls were lost, not just rejected; none where the circuit is closed.
-    pub fn calls_lost(&self) -> Option<bool> {
+    pub fn has_lost_calls(&self) -> Option<bool> {
         self.open.as_ref().map(|open| open.has_lost_calls)
     }
 }
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -23,18 +23,18 @@
                     endpoint.entry.availability = Availability::Removed;
                 }
                 self.ready_index.removed_endpoints = self.endpoints.keys().copied().collect();
-                self.ready_index.all = true;
+                self.ready_index.must_visit_all = true;
                 self.apply_entries(now, entries);
             }
         }
     }
 
     fn apply_entries(&mut self, now: Time, entries: Vec<Endpoint>) {
-        self.ready_index.work.endpoints += entries.len() as u64;
+        self.ready_index.work_counters.endpoints_visited += entries.len() as u64;
         for entry in entries {
             self.apply_entry(now, entry);
         }
-        self.ready_index.work.endpoints += self.ready_index.removed_endpoints.len() as u64;
+        self.ready_index.work_counters.endpoints_visited += self.ready_index.removed_endpoints.len() as u64;
         let has_no_calls =
             |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
         for id in self.ready_index.removed_endpoints.iter().filter(has_no_calls).copied().collect::<Vec<_>>()
@@ -48,14 +48,17 @@
         if entry.availability == Availability::Removed && previous_destination.is_none() {
             return;
         }
-        previous_destination.into_iter().chain([entry.destination]).for_each(|to| self.touch(to));
+        previous_destination
+            .into_iter()
+            .chain([entry.destination])
+            .for_each(|to| self.mark_destination_changed(to));
         if entry.availability == Availability::Removed {
             self.ready_index.removed_endpoints.insert(entry.id);
         } else {
             self.ready_index.removed_endpoints.remove(&entry.id);
         }
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
-        let batch_size = kind.map_or(1, |kind| kind.batch.max(1));
+        let batch_size = kind.map_or(1, |kind| kind.max_batch_size.max(1));
         let chance = self.rng.f64();
         let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
             rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
@@ -79,13 +82,13 @@
     pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
         self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
-        self.touch(endpoint.entry.destination);
+        self.mark_destination_changed(endpoint.entry.destination);
         let route_id = self.route_of(&endpoint.entry);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
         route.endpoints.retain(|endpoint| *endpoint != id);
         if route_id.endpoint.is_some() {
             self.routes.remove(&route_id);
-            self.schedule_silence_check(route_id);
+            self.schedule_response_check(route_id);
             self.ready_index.changed_circuits.insert(route_id);
         }
     }
@@ -93,7 +96,7 @@
     /// Starts the watch on the list again once its backoff has run out.
     pub(super) fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_backoff.take_due(now) {
-            self.actions.push(Action::WatchEndpoints { active: true });
+            self.actions.push(Action::WatchEndpoints { is_active: true });
         }
         earliest(next, self.watch_backoff.retry_at());
     }
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -27,7 +27,7 @@
     /// nothing has changed may be among them.
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.ready_index.changed_circuits);
-        self.ready_index.work.routes += changed.len() as u64;
+        self.ready_index.work_counters.circuits_compared += changed.len() as u64;
         let change = |id: RouteId| CircuitChange {
             destination: id.destination,
             endpoint: id.endpoint,
@@ -43,7 +43,7 @@
             endpoint: id.endpoint,
             last_success_at: route.circuit.last_success_at(),
             failure_score: route.circuit.failure_score(),
-            calls_lost: route.circuit.calls_lost(),
+            has_lost_calls: route.circuit.has_lost_calls(),
             slow_start_since: route.slow_start.since(),
             baseline_per_sec: route.traffic.baseline_per_sec(),
         })
@@ -72,7 +72,7 @@
     }
 
     /// How much was visited so far.
-    pub fn work(&self) -> WorkCounters {
-        self.ready_index.work
+    pub fn work_counters(&self) -> WorkCounters {
+        self.ready_index.work_counters
     }
 }
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -6,7 +6,7 @@
 use super::rate_limit::RateLimit;
 use super::retry_after::RetryAfter;
 use super::slow_start::{overload_budget_per_sec, SlowStart};
-use super::state::{CallId, Latency};
+use super::state::{CallId, LatencyEstimate};
 use super::traffic::Traffic;
 use crate::model::{EndpointId, Settings, Time};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
     /// Demand, and calls served.
     pub traffic: Traffic,
     /// Latency of its calls.
-    pub latency: Latency,
+    pub latency: LatencyEstimate,
     /// Calls that may have run without success.
     pub losses: LossRatio,
     /// The rate at which it may be called.
@@ -50,18 +50,18 @@
 
     /// Calls a second that this gateway may send now.
     pub fn rate_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
-        match self.slow_start.warmth(now, settings) {
-            Some(warmth) => {
-                self.overload_budget_per_sec(now, settings, warmth).min(self.rate_limit.rate_per_sec())
+        match self.slow_start.warm_up_progress(now, settings) {
+            Some(progress) => {
+                self.overload_budget_per_sec(now, settings, progress).min(self.rate_limit.rate_per_sec())
             }
             None => self.rate_limit.rate_per_sec(),
         }
     }
 
     /// This gateway's share of what the destination may get at some point of its recovery, in calls a second.
-    pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
+    pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
         let limit_per_sec = self.rate_limit.limit_per_sec();
-        overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warmth)
+        overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warm_up_progress)
     }
 
     /// Sets when the next half-open probe may be sent, if the circuit is open; `chance` is a random number in
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -79,7 +79,7 @@
 }
 
 fn test_settings() -> Settings {
-    let ordered = Class { ordered: true, ..non_idempotent() };
+    let ordered = Class { is_ordered: true, ..non_idempotent() };
     let by_zone = Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() };
     let base = settings(vec![idempotent_with_key(), non_idempotent(), idempotent(), ordered, by_zone]);
     Settings {
@@ -87,8 +87,8 @@
         max_pending_messages: 60,
         max_attempts: 5,
         destination_kinds: vec![
-            DestinationKind { batch: 1, per_endpoint_limits: false },
-            DestinationKind { batch: LARGEST_BATCH, per_endpoint_limits: false },
+            DestinationKind { max_batch_size: 1, has_per_endpoint_limits: false },
+            DestinationKind { max_batch_size: LARGEST_BATCH, has_per_endpoint_limits: false },
         ],
         limits: DeliveryLimits { ordering_key_hold: ms(120), ..base.limits.clone() },
         ..base
@@ -223,7 +223,7 @@
     }
 
     fn is_ordered(&self, message: &JudgedMessage) -> bool {
-        self.settings.classes[message.class].ordered
+        self.settings.classes[message.class].is_ordered
     }
 
     fn record_attempt(&mut self, now: Time, id: u32, endpoint: u32) {
@@ -250,7 +250,7 @@
         }
         let is_uncertain =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
-        if self.settings.classes[message.class].ordered && is_uncertain {
+        if self.settings.classes[message.class].is_ordered && is_uncertain {
             self.key_holds.insert(message.key, now + self.settings.limits.ordering_key_hold);
         }
         attempt
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -246,7 +246,7 @@
             endpoint: id.1,
             last_success_at: route.spell.as_ref().map_or(route.last_answer, |spell| spell.began),
             failure_score: route.failure_score,
-            calls_lost: route.spell.as_ref().map(|spell| spell.lost),
+            has_lost_calls: route.spell.as_ref().map(|spell| spell.lost),
             slow_start_since: route.returned,
             baseline_per_sec: route.share,
         })
@@ -364,8 +364,11 @@
             }
             let weight = self.weight_of(&entry);
             let usual = self.usual;
-            let batch =
-                self.settings.destination_kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
+            let batch = self
+                .settings
+                .destination_kinds
+                .get(usize::from(entry.kind.0))
+                .map_or(1, |k| k.max_batch_size.max(1));
             // Nor may the first calls of all come at once: each begins somewhere inside a call of its pace.
             // What is not told has to be tried, and what is told far too low must not hold messages back.
             let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
@@ -404,7 +407,7 @@
     /// Watches the list again once its gap has passed.
     fn watch_again(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_at.take_if(|at| *at <= now).is_some() {
-            self.actions.push(Action::WatchEndpoints { active: true });
+            self.actions.push(Action::WatchEndpoints { is_active: true });
         }
         earliest(next, self.watch_at);
     }
@@ -427,7 +430,7 @@
         let over_quota = self.is_over_share(now, taken.tenant);
         let Some(message) = self.new_message(now, taken, over_quota) else { return };
         let taken = &message.taken;
-        if let (true, Some(key)) = (self.class(&message).ordered, taken.key) {
+        if let (true, Some(key)) = (self.class(&message).is_ordered, taken.key) {
             self.keys.entry(key).or_default().push(taken.id);
         }
         self.deadlines.insert((taken.deadline, taken.id));
@@ -447,7 +450,7 @@
         let class = self.settings.classes.get(usize::from(taken.class.0))?;
         let born = taken.deadline - class.deadline;
         // A keyed message of a courier that died may have run there at any time since it was handed in.
-        let may_have_run = taken.redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let may_have_run = taken.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         Some(Message {
             born,
             over_quota,
@@ -472,7 +475,7 @@
         if let Some(SentAttempt { sent_at: sent, zone }) = restored.first_uncertain_attempt {
             message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent, Some(zone))));
         }
-        if restored.outcome_recorded {
+        if restored.has_final_outcome {
             message.unheard = true;
             self.close(id);
         } else if let Some(end) = self.messages.get(&id).and_then(|m| self.last_send(m)) {
@@ -488,7 +491,7 @@
         if route.returned.is_some() {
             route.tokens = 0.0;
         }
-        if let Some(lost) = outage.calls_lost {
+        if let Some(lost) = outage.has_lost_calls {
             route.spell =
                 Some(Spell { began: outage.last_success_at, failed: true, lost, ..Spell::default() });
             route.plan_trial(now, settings, chance);
@@ -572,7 +575,7 @@
         // A call that may still be running lets its key rest before the next message of the key.
         let unsettled = !was_not_processed
             && !matches!(finished.outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
-        if let (true, true, Some(key)) = (unsettled, class.ordered, message.taken.key) {
+        if let (true, true, Some(key)) = (unsettled, class.is_ordered, message.taken.key) {
             self.rests.retain(|_, until| *until > now);
             self.rests.insert(key, now + self.settings.limits.ordering_key_hold);
         }
@@ -583,7 +586,7 @@
                 self.end_call(now, call_id, call, &finished);
             }
         }
-        if finished.complete {
+        if finished.completes_message {
             self.close(finished.message);
         } else if let Some(end) = self.messages.get(&finished.message).and_then(|m| self.last_send(m)) {
             // What can never be sent again is answered at once: it would only fill what may be held and keep
@@ -1024,7 +1027,7 @@
         }
         let class = self.class(message);
         let mut at = message.not_before;
-        if let (true, Some(key)) = (class.ordered, message.taken.key) {
+        if let (true, Some(key)) = (class.is_ordered, message.taken.key) {
             if self.keys.get(&key).and_then(|turn| turn.first()) != Some(&message.taken.id) {
                 reached("key not in turn");
                 return None;
@@ -1304,7 +1307,7 @@
             .settings
             .destination_kinds
             .get(usize::from(entry.kind.0))
-            .is_some_and(|k| k.per_endpoint_limits);
+            .is_some_and(|k| k.has_per_endpoint_limits);
         RouteId(entry.destination, apart.then_some(entry.id))
     }
 
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -122,10 +122,10 @@
 
 /// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run at
 /// the endpoint that is returned.
-fn may_have_run_in_one_zone(per_endpoint_limits: bool) -> (TestBench, u32) {
+fn may_have_run_in_one_zone(has_per_endpoint_limits: bool) -> (TestBench, u32) {
     let base =
         settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
-    let destination_kinds = vec![DestinationKind { batch: 5, per_endpoint_limits }];
+    let destination_kinds = vec![DestinationKind { max_batch_size: 5, has_per_endpoint_limits }];
     let other = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
     let mut bench = TestBench::new(
         Settings { max_in_flight_calls: 1, destination_kinds, ..base },
@@ -141,8 +141,8 @@
 /// A call is sent to the endpoint of its first message; a message that must not be sent there must not share it.
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
-    for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
+    for has_per_endpoint_limits in [false, true] {
+        let (mut bench, first) = may_have_run_in_one_zone(has_per_endpoint_limits);
         let mut calls = [0, 0];
         for round in 0..40 {
             bench.now = bench.now + ms(100);
@@ -150,7 +150,7 @@
             for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                 calls[usize::from(to == first)] += 1;
                 if message == 1 {
-                    assert_eq!(to, first, "{per_endpoint_limits}");
+                    assert_eq!(to, first, "{has_per_endpoint_limits}");
                 }
                 // An endpoint that rejects is not preferred: calls go to both.
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
@@ -164,8 +164,8 @@
 /// elsewhere.
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
-    for per_endpoint_limits in [false, true] {
-        let (mut bench, first) = may_have_run_in_one_zone(per_endpoint_limits);
+    for has_per_endpoint_limits in [false, true] {
+        let (mut bench, first) = may_have_run_in_one_zone(has_per_endpoint_limits);
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
@@ -214,7 +214,7 @@
         destination: DestinationId(1),
         key: None,
         deadline: bench.now + (class.deadline - class.idempotency_window),
-        redelivered: true,
+        is_redelivered: true,
         tenant: TenantId(0),
     }));
     let actions = bench.advance_until_action(Duration::from_secs(30));
@@ -223,7 +223,7 @@
 
 #[test]
 fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
-    let class = Class { ordered: true, ..non_idempotent() };
+    let class = Class { is_ordered: true, ..non_idempotent() };
     let base = settings(vec![class]);
     let limits = DeliveryLimits { ordering_key_hold: ms(300), ..base.limits.clone() };
     let mut bench = TestBench::new(Settings { limits, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -246,7 +246,7 @@
 /// A message that can never be sent again must not keep its ordering key from the messages behind it.
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
-    let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { ordered: true, ..class });
+    let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { is_ordered: true, ..class });
     let mut bench = TestBench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
     // The one behind can be retried: a non-idempotent one would wait after a loss.
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -129,7 +129,10 @@
     Settings {
         classes: vec![class],
         fleet_size: scenario.fleet_size,
-        destination_kinds: vec![DestinationKind { batch: scenario.batch, per_endpoint_limits: false }],
+        destination_kinds: vec![DestinationKind {
+            max_batch_size: scenario.batch,
+            has_per_endpoint_limits: false,
+        }],
         limits,
         ..Settings::default()
     }
@@ -237,7 +240,7 @@
                     message: pending.message.clone(),
                     attempts: pending.attempts,
                     first_uncertain_attempt: None,
-                    outcome_recorded: false,
+                    has_final_outcome: false,
                 };
                 scheduler.handle(self.now, Event::MessageRestored(restored));
             }
@@ -272,7 +275,7 @@
         let is_out = self.is_out();
         while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
-            let complete = outcome == AttemptOutcome::Delivered;
+            let completes_message = outcome == AttemptOutcome::Delivered;
             let gateway = &mut self.gateways[gateway];
             gateway.scheduler.handle(
                 self.now,
@@ -282,13 +285,13 @@
                     attempt,
                     outcome,
                     latency: self.now - sent_at,
-                    complete,
+                    completes_message,
                     load_report: None,
                 }),
             );
-            gateway.saw_outage |= is_out && !complete;
+            gateway.saw_outage |= is_out && !completes_message;
             gateway.has_events = true;
-            if complete {
+            if completes_message {
                 gateway.pending.remove(&message);
             }
         }
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -27,7 +27,7 @@
             endpoint: None,
             last_success_at: bench.now - Duration::from_secs(5),
             failure_score: 6,
-            calls_lost: Some(true),
+            has_lost_calls: Some(true),
             slow_start_since: None,
             baseline_per_sec: 0.3,
         }));
@@ -49,7 +49,7 @@
             message,
             attempts: 0,
             first_uncertain_attempt: None,
-            outcome_recorded: false,
+            has_final_outcome: false,
         }));
     }
 }
