--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -1,4 +1,4 @@
-//! From an enqueue request to its reply. A message is in the journal before its client is told that it was accepted.
+//! Answers enqueue requests. A message is written to the journal before its client gets the reply that it was accepted.
 
 use delivery_gateway::{DestinationId, Event, Idempotency, MessageId, Time};
 use tokio::sync::oneshot;
@@ -10,7 +10,7 @@
 use crate::journal::{AcceptedRecord, JournalError};
 
 impl EventLoop {
-    /// Replies to a request. A message whose client left before the reply is withdrawn.
+    /// Replies to a request. A message is withdrawn if its client disconnected before the reply.
     pub(super) fn answer_enqueue(
         &mut self,
         now: Time,
@@ -58,10 +58,10 @@
         self.accept(now, destination, record)
     }
 
-    /// The reply to a request whose id is that of a pending or completed message; none if the id is new.
+    /// Returns the reply to a request whose id belongs to a pending or completed message; None if the id is new.
     fn reply_to_duplicate(&mut self, request: &EnqueueRequest) -> Option<EnqueueReply> {
         if let Some(number) = self.pending.number(&request.id) {
-            // Repeated on a new connection; or sent by another client, to whom the id does not belong.
+            // Either the client repeats its request on a new connection, or another client uses the same id.
             let pending = self.journal.state.pending.get(&number);
             if !pending.is_some_and(|pending| request.is_same(&pending.message)) {
                 return Some(EnqueueReply::Error("the id is in use for another message"));
@@ -106,7 +106,8 @@
                 let may_be_written = !matches!(error, JournalError::TornTail) && self.journal.has_torn_tail();
                 self.journal_errors.log_failure(Err(error));
                 if may_be_written {
-                    // The next process may find it accepted: a rejected client would enqueue it again.
+                    // The record may be whole on the disk, and the next process would deliver the message. A reply that
+                    // invites a retry could therefore lead to a second delivery.
                     return EnqueueReply::Error("the disk fails");
                 }
                 self.reject(now, destination)
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Drops a message whose client never got the acknowledgement: nobody waits for its outcome, unless another
-    /// request for it was acknowledged meanwhile.
+    /// Drops a message whose client disconnected before the reply that it was accepted. The message stays if another
+    /// request for it was acknowledged meanwhile, because that client expects its outcome.
     pub(super) fn withdraw_unacknowledged(&mut self, now: Time, message: MessageId) {
         let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
         if id.is_some_and(|id| self.pending.can_withdraw(id)) {
-            self.forget_message(message);
+            self.remove_message(message);
             self.scheduler.handle(now, Event::MessageAbandoned(message));
         }
     }
--- a/src/bin/delivery-gateway/event_loop/catalog.rs
+++ b/src/bin/delivery-gateway/event_loop/catalog.rs
@@ -1,4 +1,4 @@
-//! Classes and tenants: requests and the journal name them, the scheduler numbers them.
+//! Translates the names of classes and tenants, as requests and the journal have them, to the scheduler's ids.
 
 use delivery_gateway::{
     AcceptedMessage, Class, ClassId, DestinationId, MessageId, OrderingKey, ParsedSettings, TenantId,
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::journal::AcceptedRecord;
 
-/// The classes and tenants of the settings, by name and by number.
+/// The classes and tenants of the settings. An id is the index in its list.
 pub(super) struct Catalog {
     classes: Vec<Class>,
     class_names: Vec<String>,
@@ -23,22 +23,22 @@
         }
     }
 
-    /// The class of a name; none if the settings do not name it.
+    /// Returns the id of a class; None if the settings don't have it.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
-        self.class_names.iter().position(|known| known == name).map(|at| ClassId(at as u8))
+        self.class_names.iter().position(|class_name| class_name == name).map(|at| ClassId(at as u8))
     }
 
     pub(super) fn class(&self, id: ClassId) -> &Class {
         &self.classes[usize::from(id.0)]
     }
 
-    /// The tenant of a name. One that the settings do not name has no quota that it could exceed.
+    /// Returns the id of a tenant. A tenant that the settings don't have gets `u32::MAX`, which has no quota.
     fn tenant_id(&self, name: &str) -> TenantId {
-        let at = self.tenant_names.iter().position(|known| known == name);
+        let at = self.tenant_names.iter().position(|tenant_name| tenant_name == name);
         TenantId(at.and_then(|at| u32::try_from(at).ok()).unwrap_or(u32::MAX))
     }
 
-    /// An accepted message as the scheduler knows it; none if its class is unknown.
+    /// Translates an accepted message for the scheduler. None if the settings don't have its class.
     pub(super) fn accepted_message(
         &self,
         clock: &Clock,
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -1,7 +1,7 @@
-//! The attempts of messages: started as the scheduler decides, stopped or withdrawn, and their results recorded.
+//! Starts the attempts that the scheduler has decided on, and records their results.
 //!
-//! An attempt is in the journal before its call starts, so that the next process knows of it. The send guard checks
-//! each one first; what it forbids is not sent.
+//! The send guard checks each attempt first. An attempt that it blocks is not sent. Each attempt is recorded in the
+//! journal before its call starts, because the next process must treat it as possibly processed.
 
 use delivery_gateway::{
     Action, AttemptOutcome, EndpointId, Event, FinishedAttempt, Idempotency, MessageId, SentAttempt, Time,
@@ -20,24 +20,24 @@
 use crate::journal::{PendingMessage, SentRecord};
 use crate::send_guard::{Attempt, Breach, Receiver};
 
-/// Longest body of a call, in bytes.
+/// The maximum size of the body of a call that several messages share.
 const MAX_BATCH_BODY_BYTES: usize = 64 << 10;
 
-/// An attempt that was not made, as its time to leave had passed or a rule forbids it.
-const NOT_SENT: AttemptResult = not_made(AttemptOutcome::NotSent);
-/// An attempt that was not made, as it could not be recorded.
-const NOT_RECORDED: AttemptResult = not_made(AttemptOutcome::LocalFailure);
+/// The result of an attempt that was not sent: the latest time to send it had passed, or a delivery rule blocked it.
+const NOT_SENT: AttemptResult = unsent_result(AttemptOutcome::NotSent);
+/// The result of an attempt that was not sent because the journal could not record it.
+const NOT_RECORDED: AttemptResult = unsent_result(AttemptOutcome::LocalFailure);
 
-const fn not_made(outcome: AttemptOutcome) -> AttemptResult {
+const fn unsent_result(outcome: AttemptOutcome) -> AttemptResult {
     AttemptResult { outcome, latency: Duration::ZERO, completes_message: false, load_report: None }
 }
 
-/// Messages that are to share one call.
+/// Messages that share one call.
 #[derive(Default)]
 struct Batch {
     messages: Vec<OutgoingMessage>,
     body_bytes: usize,
-    /// One call waits as long as any of its messages may.
+    /// The longest attempt timeout of the messages.
     attempt_timeout: Duration,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl EventLoop {
-    /// Sends messages to an endpoint in one call; in more where their bodies are too long for one.
+    /// Sends messages to an endpoint in one call, or in several if their bodies exceed [`MAX_BATCH_BODY_BYTES`].
     pub(super) fn start_attempts(&mut self, now: Time, endpoint: EndpointId, attempts: &[Action]) {
         let address = self.directory.address(endpoint);
         let mut batch = Batch::default();
@@ -68,15 +68,15 @@
             };
             let outgoing = self.outgoing_message(now, message, send_within);
             if let Err(breach) = self.check_rules(now, message, endpoint) {
-                self.forbid(message, endpoint, breach);
+                self.block_attempt(message, endpoint, breach);
                 continue;
             }
             if !self.record_attempt(now, message, endpoint) {
-                self.report_not_made(message, endpoint, NOT_RECORDED);
+                self.report_unsent(message, endpoint, NOT_RECORDED);
                 continue;
             }
             let Some((outgoing, address)) = outgoing.zip(address) else {
-                self.report_not_made(message, endpoint, NOT_SENT);
+                self.report_unsent(message, endpoint, NOT_SENT);
                 continue;
             };
             if !batch.has_room_for(&outgoing) {
@@ -89,18 +89,18 @@
         }
     }
 
-    /// A pending message as its call needs it. The scheduler's times count from its decision, not from when the
-    /// call's task gets its turn.
+    /// Returns a pending message as its call needs it; None if it is not pending. `send_within` counts from the
+    /// scheduler's decision, not from the first poll of the call's task.
     fn outgoing_message(
         &self,
-        decided: Time,
+        decided_at: Time,
         message: MessageId,
         send_within: Duration,
     ) -> Option<OutgoingMessage> {
         let pending = self.journal.state.pending.get(&message.0)?;
         Some(OutgoingMessage {
             message,
-            send_by: self.clock.instant(decided) + send_within,
+            send_by: self.clock.instant(decided_at) + send_within,
             expires_at: self.clock.instant(self.clock.scheduler_time(pending.message.deadline_ms)),
             id: pending.message.id.clone(),
             idempotency_key: pending.message.idempotency_key.clone(),
@@ -108,8 +108,8 @@
         })
     }
 
-    /// Records an attempt before it is made; false if that failed. One that the next process would not know of is
-    /// not made.
+    /// Records an attempt before it is sent. Returns false if that failed; the attempt must not be sent then, because
+    /// the next process would not find it in the journal.
     fn record_attempt(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> bool {
         let zone = self.directory.zone(endpoint).0;
         let sent = SentRecord { sent_ms: self.clock.journal_ms(now), zone };
@@ -117,31 +117,32 @@
         self.journal_errors.log_failure(recorded)
     }
 
-    /// Whether an attempt may be made, by the rules of the protocol alone.
+    /// Checks an attempt with the send guard.
     fn check_rules(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> Result<(), Breach> {
-        // What the journal or the directory does not hold is not sent anyway.
+        // A message that is not in the journal, or an endpoint that is not in the directory, gets no call anyway.
         let Some(pending) = self.journal.state.pending.get(&message.0) else { return Ok(()) };
         let class = self.catalog.class_id(&pending.message.class);
         let Some((class, receiver)) = class.zip(self.receiver(endpoint)) else { return Ok(()) };
         let class = self.catalog.class(class);
         let deadline = self.clock.scheduler_time(pending.message.deadline_ms);
-        // A redelivered message may have run at another gateway at any time since it was first enqueued there.
-        let is_repeat = pending.message.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
-        let elsewhere =
-            is_repeat.then(|| SentAttempt { sent_at: deadline - class.deadline, zone: receiver.zone });
+        // Another gateway may have sent a redelivered message at any time since its client first enqueued it there.
+        let may_have_run_elsewhere =
+            pending.message.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+        let attempt_elsewhere = may_have_run_elsewhere
+            .then(|| SentAttempt { sent_at: deadline - class.deadline, zone: receiver.zone });
         let attempt = Attempt {
             class,
             is_in_flight: self.in_flight.contains(message),
             has_final_outcome: pending.final_outcome.is_some(),
             deadline,
             attempts: pending.attempts,
-            first_uncertain: elsewhere.or(self.first_uncertain_attempt(pending)),
+            first_uncertain: attempt_elsewhere.or(self.first_uncertain_attempt(pending)),
             receiver,
         };
         self.guard.check(now, &attempt)
     }
 
-    /// The first attempt that may have run, the one in flight included.
+    /// Returns the first attempt that an endpoint may have processed, including the attempt in flight.
     pub(super) fn first_uncertain_attempt(&self, pending: &PendingMessage) -> Option<SentAttempt> {
         let first = pending.first_uncertain_attempt.or(pending.in_flight)?;
         Some(SentAttempt { sent_at: self.clock.scheduler_time(first.sent_ms), zone: ZoneId(first.zone) })
@@ -157,27 +158,27 @@
         })
     }
 
-    /// Does not make an attempt that would break a rule.
-    fn forbid(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
+    /// Logs an attempt that would break a delivery rule, and reports it as not sent.
+    fn block_attempt(&mut self, message: MessageId, endpoint: EndpointId, breach: Breach) {
         if let Some(suppressed) = self.lines.breach.due() {
             let id = self.journal.state.pending.get(&message.0).map_or("", |pending| &pending.message.id);
             error!(id, endpoint = endpoint.0, %breach, suppressed, "attempt not sent: it would break a delivery rule");
         }
-        // The attempt that is in flight already will report its own result.
+        // The message's attempt in flight reports its own result.
         if breach != Breach::AlreadyInFlight {
-            self.report_not_made(message, endpoint, NOT_SENT);
+            self.report_unsent(message, endpoint, NOT_SENT);
         }
     }
 
-    /// Reports the result of an attempt that was not made, as if its call had ended.
-    fn report_not_made(&mut self, message: MessageId, endpoint: EndpointId, result: AttemptResult) {
+    /// Reports the result of an attempt that was not sent, as if its call had ended.
+    fn report_unsent(&mut self, message: MessageId, endpoint: EndpointId, result: AttemptResult) {
         self.track_attempt(message, endpoint, &CallHandle::not_started());
         let result = CallResult { attempts: vec![result], retry_after: None };
         let _ =
             self.channels.events.send(GatewayEvent::CallEnded { endpoint, messages: vec![message], result });
     }
 
-    /// Notes that a message is in flight.
+    /// Adds a message to the attempts in flight.
     pub(super) fn track_attempt(&mut self, message: MessageId, endpoint: EndpointId, call: &Rc<CallHandle>) {
         let attempts = self.journal.state.pending.get(&message.0).map_or(0, |pending| pending.attempts);
         let attempt = attempts.saturating_sub(1) as u16;
@@ -186,8 +187,8 @@
 
     fn start_call(&mut self, endpoint: EndpointId, address: SocketAddr, batch: Batch) {
         let Batch { messages, attempt_timeout, .. } = batch;
-        let sent = Rc::new(Cell::new(false));
-        let (handle, stopped) = CallHandle::new(sent.clone());
+        let is_sent = Rc::new(Cell::new(false));
+        let (handle, stopped) = CallHandle::new(is_sent.clone());
         messages.iter().for_each(|outgoing| self.track_attempt(outgoing.message, endpoint, &handle));
         self.counters.calls += 1;
         for outgoing in &messages {
@@ -203,18 +204,18 @@
         let pool = self.pool.clone();
         let events = self.channels.events.clone();
         tokio::task::spawn_local(async move {
-            let too_late = |messages: Vec<MessageId>| {
+            let report_expired = |messages: Vec<MessageId>| {
                 let result = CallResult { attempts: vec![NOT_SENT; messages.len()], retry_after: None };
                 let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
             };
-            let result = pool.call(&mut call, stopped, sent, too_late).await;
+            let result = pool.call(&mut call, stopped, is_sent, report_expired).await;
             let messages = call.messages.iter().map(|outgoing| outgoing.message).collect();
             let _ = events.send(GatewayEvent::CallEnded { endpoint, messages, result });
         });
     }
 
-    /// Records the results of a call, and lets the scheduler learn from them.
-    pub(super) fn call_ended(
+    /// Records the results of a call, and passes them to the scheduler.
+    pub(super) fn handle_call_ended(
         &mut self,
         now: Time,
         endpoint: EndpointId,
@@ -222,25 +223,26 @@
         result: &CallResult,
     ) {
         if let Some(delay) = result.retry_after {
-            self.note_retry_after(endpoint, delay);
+            self.apply_retry_after(endpoint, delay);
             self.scheduler.handle(now, Event::RetryAfter { endpoint, delay });
         }
-        // The scheduler judges an endpoint by the last outcome of a call: those that say nothing of it go first.
+        // The scheduler rates an endpoint by the last outcome of a call. The outcomes NotSent and AttemptsExhausted
+        // have no information about the endpoint and are passed first.
         let mut results: Vec<(MessageId, AttemptResult)> =
             messages.iter().copied().zip(result.attempts.iter().copied()).collect();
         results.sort_by_key(|(_, result)| {
             !matches!(result.outcome, AttemptOutcome::NotSent | AttemptOutcome::AttemptsExhausted)
         });
         for (message, result) in results {
-            self.attempt_ended(now, message, endpoint, result);
+            self.handle_attempt_ended(now, message, endpoint, result);
         }
     }
 
-    /// Heeds a `Retry-After` at once: it binds the guard, and the calls that are still connecting.
-    fn note_retry_after(&mut self, endpoint: EndpointId, delay: Duration) {
+    /// Passes a `Retry-After` to the send guard, and withdraws the calls to the destination that are still connecting.
+    fn apply_retry_after(&mut self, endpoint: EndpointId, delay: Duration) {
         let destination = self.directory.destination(endpoint);
         if let Some(receiver) = self.receiver(endpoint) {
-            self.guard.note_retry_after(self.clock.now(), &receiver, delay);
+            self.guard.apply_retry_after(self.clock.now(), &receiver, delay);
         }
         if let Some(suppressed) = self.lines.retry_after.due() {
             let destination = destination.map(|destination| destination.0);
@@ -249,7 +251,13 @@
         self.in_flight.withdraw(|other| self.directory.destination(other) == destination);
     }
 
-    fn attempt_ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, result: AttemptResult) {
+    fn handle_attempt_ended(
+        &mut self,
+        now: Time,
+        message: MessageId,
+        endpoint: EndpointId,
+        result: AttemptResult,
+    ) {
         let Some(InFlightAttempt { attempt, .. }) = self.in_flight.remove(message) else { return };
         let AttemptResult { outcome, latency, completes_message, load_report } = result;
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
@@ -257,7 +265,7 @@
             debug!(id, attempt, endpoint = endpoint.0, ?outcome, ?latency, "attempt finished");
         }
         if let AttemptOutcome::Rejected(Some(delay)) = outcome {
-            self.note_retry_after(endpoint, delay);
+            self.apply_retry_after(endpoint, delay);
         }
         if completes_message {
             self.counters.delivered += u32::from(outcome == AttemptOutcome::Delivered);
--- a/src/bin/delivery-gateway/event_loop/endpoints.rs
+++ b/src/bin/delivery-gateway/event_loop/endpoints.rs
@@ -1,5 +1,5 @@
-//! Changes of the endpoint list, and of the endpoints that operators disable: to the directory, the scheduler, the
-//! journal, the connection pool, and the calls that are still connecting.
+//! Applies changes of the endpoint list, and of the endpoints that operators disable, to the directory, the scheduler,
+//! the journal, the connection pool, and the calls that are still connecting.
 
 use delivery_gateway::discovery::{DiscoveryUpdate, WatchEvent};
 use delivery_gateway::{Event, Time};
@@ -8,7 +8,7 @@
 use super::EventLoop;
 
 impl EventLoop {
-    pub(super) fn discovery_changed(&mut self, now: Time, event: WatchEvent) {
+    pub(super) fn handle_watch_event(&mut self, now: Time, event: WatchEvent) {
         match event {
             WatchEvent::Updated(update) => self.apply_discovery_update(now, update),
             WatchEvent::Established => self.scheduler.handle(now, Event::WatchEstablished),
@@ -17,7 +17,7 @@
     }
 
     fn apply_discovery_update(&mut self, now: Time, update: DiscoveryUpdate) {
-        // A watch that is established again often brings nothing new.
+        // A watch that is established again often reports an empty delta.
         if update.endpoints.is_empty() && !update.is_snapshot {
             return;
         }
@@ -33,7 +33,7 @@
         self.forget_removed_endpoints();
     }
 
-    /// Gives an endpoint nothing new from now on, whatever the list says.
+    /// Starts no more calls to an endpoint, whatever its state in the list.
     pub(super) fn disable_endpoint(&mut self, now: Time, uid: &str) {
         let endpoint = self.directory.set_disabled(uid, true);
         self.scheduler.handle(now, Event::EndpointDisabled(endpoint));
@@ -41,14 +41,14 @@
         self.forget_removed_endpoints();
     }
 
-    /// Uses a disabled endpoint again, as far as the list allows.
+    /// Allows calls to a disabled endpoint again, unless its state in the list forbids them.
     pub(super) fn enable_endpoint(&mut self, now: Time, uid: &str) {
         let endpoint = self.directory.set_disabled(uid, false);
         self.scheduler.handle(now, Event::EndpointEnabled(endpoint));
         self.forget_removed_endpoints();
     }
 
-    /// Forgets the endpoints that were removed from the list, once no call to them is in flight.
+    /// Removes endpoints that are no longer listed from the directory, except those with calls in flight.
     pub(super) fn forget_removed_endpoints(&mut self) {
         if self.directory.has_unlisted_endpoints() {
             let called = self.in_flight.endpoints();
--- a/src/bin/delivery-gateway/event_loop/in_flight.rs
+++ b/src/bin/delivery-gateway/event_loop/in_flight.rs
@@ -1,7 +1,7 @@
-//! The attempts in flight: which message is in which call, where that call went, and how to stop it.
+//! Tracks the attempts in flight: the call and the endpoint of each message, and the handle that stops the call.
 //!
-//! Several messages can share one call; stopping it ends the attempt of each. Nothing here starts a call or judges
-//! its result.
+//! Several messages can share one call; stopping it ends the attempt of each. This module neither starts calls nor
+//! handles their results.
 
 use delivery_gateway::{EndpointId, MessageId};
 use serde::{Deserialize, Serialize};
@@ -16,48 +16,49 @@
 /// A call in flight, as a successor process needs it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct InFlightCall {
-    /// Where it went.
     pub endpoint: EndpointId,
-    /// The messages that share it.
+    /// The messages that share the call.
     pub messages: Vec<MessageId>,
-    /// Its first byte has left.
-    pub(super) sent: bool,
+    /// Whether the first byte of the request has been sent.
+    pub(super) is_sent: bool,
 }
 
-/// A call that its messages share, as far as it can be stopped.
+/// A handle that stops a call. The messages of the call share it.
 pub(super) struct CallHandle {
     stop: Cell<Option<oneshot::Sender<StopReason>>>,
-    /// Its first byte has left.
-    sent: Rc<Cell<bool>>,
-    /// For a call of the predecessor process: stands for the descriptor that it holds there.
+    /// Whether the first byte of the request has been sent.
+    is_sent: Rc<Cell<bool>>,
+    /// For a call of the predecessor process: counts the descriptor that the call uses there.
     _remote_descriptor: Option<Descriptor>,
 }
 
 impl CallHandle {
-    /// A call of this process, which sets `sent` and listens to the receiver.
-    pub(super) fn new(sent: Rc<Cell<bool>>) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
-        CallHandle::stoppable(sent, None)
+    /// Creates the handle of a call of this process. The call sets `is_sent`, and stops when the receiver gets a reason
+    /// or is closed.
+    pub(super) fn new(is_sent: Rc<Cell<bool>>) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
+        CallHandle::stoppable(is_sent, None)
     }
 
-    /// A call that the predecessor process makes. The receiver gets the reason to stop it there.
+    /// Creates the handle of a call of the predecessor process. The receiver gets the reason to stop the call there.
     pub(super) fn of_predecessor(
-        sent: bool,
+        is_sent: bool,
         descriptor: Descriptor,
     ) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
-        CallHandle::stoppable(Rc::new(Cell::new(sent)), Some(descriptor))
+        CallHandle::stoppable(Rc::new(Cell::new(is_sent)), Some(descriptor))
     }
 
-    /// Stands for an attempt that was not made, until its result has been handled.
+    /// Creates the handle of an attempt that was not sent. It is used until the attempt's result has been handled.
     pub(super) fn not_started() -> Rc<Self> {
-        Rc::new(CallHandle { stop: Cell::default(), sent: Rc::default(), _remote_descriptor: None })
+        Rc::new(CallHandle { stop: Cell::default(), is_sent: Rc::default(), _remote_descriptor: None })
     }
 
     fn stoppable(
-        sent: Rc<Cell<bool>>,
+        is_sent: Rc<Cell<bool>>,
         remote_descriptor: Option<Descriptor>,
     ) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
         let (stop, stopped) = oneshot::channel();
-        let handle = CallHandle { stop: Cell::new(Some(stop)), sent, _remote_descriptor: remote_descriptor };
+        let handle =
+            CallHandle { stop: Cell::new(Some(stop)), is_sent, _remote_descriptor: remote_descriptor };
         (Rc::new(handle), stopped)
     }
 
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Gives the call up, whatever became of it.
+    /// Aborts the call, whether or not its request has been sent.
     fn abort(&self) {
         drop(self.stop.take());
     }
@@ -76,12 +77,12 @@
 /// The attempt of one message.
 pub(super) struct InFlightAttempt {
     pub(super) endpoint: EndpointId,
-    /// Which attempt of the message, from 0.
+    /// The index of the attempt among those of its message, from 0.
     pub(super) attempt: u16,
     pub(super) call: Rc<CallHandle>,
 }
 
-/// All attempts in flight. A message has one at most.
+/// All attempts in flight. A message has at most one.
 #[derive(Default)]
 pub(super) struct InFlightCalls {
     attempts: HashMap<MessageId, InFlightAttempt>,
@@ -104,7 +105,7 @@
         self.attempts.is_empty()
     }
 
-    /// Messages in flight.
+    /// Returns the number of messages in flight.
     pub(super) fn len(&self) -> usize {
         self.attempts.len()
     }
@@ -113,36 +114,36 @@
         self.attempts.keys().copied().collect()
     }
 
-    /// Endpoints that are being called.
+    /// Returns the endpoints with calls in flight.
     pub(super) fn endpoints(&self) -> HashSet<EndpointId> {
         self.attempts.values().map(|attempt| attempt.endpoint).collect()
     }
 
-    /// Stops the call of a message, and with it the attempts of all messages that share it. A call can be withdrawn
-    /// only until its first byte has left.
+    /// Stops the call of a message, which ends the attempts of all messages that share the call. A call whose first
+    /// byte has been sent can be cancelled, but no longer withdrawn.
     pub(super) fn stop(&self, message: MessageId, reason: StopReason) {
         if let Some(attempt) = self.attempts.get(&message) {
-            if reason == StopReason::Cancelled || !attempt.call.sent.get() {
+            if reason == StopReason::Cancelled || !attempt.call.is_sent.get() {
                 attempt.call.stop(reason);
             }
         }
     }
 
-    /// Withdraws the calls to some endpoints that are still connecting: once connected, they would be new work for
-    /// an endpoint that is draining, or calls before its `Retry-After` has passed.
+    /// Withdraws the calls that are still connecting to the selected endpoints. Once connected, they would be new work
+    /// for an endpoint that is draining, or calls before its `Retry-After` has passed.
     pub(super) fn withdraw(&self, which: impl Fn(EndpointId) -> bool) {
-        let unsent = self.attempts.values().filter(|attempt| !attempt.call.sent.get());
+        let unsent = self.attempts.values().filter(|attempt| !attempt.call.is_sent.get());
         for attempt in unsent.filter(|attempt| which(attempt.endpoint)) {
             attempt.call.stop(StopReason::Withdrawn);
         }
     }
 
-    /// Gives up all calls.
+    /// Aborts all calls.
     pub(super) fn abort_all(&self) {
         self.attempts.values().for_each(|attempt| attempt.call.abort());
     }
 
-    /// The calls, each with all of its messages.
+    /// Returns the calls in flight, each with all of its messages.
     pub(super) fn calls(&self) -> Vec<InFlightCall> {
         let mut calls: Vec<(&Rc<CallHandle>, InFlightCall)> = Vec::new();
         for (message, attempt) in &self.attempts {
@@ -152,7 +153,7 @@
                     let call = InFlightCall {
                         endpoint: attempt.endpoint,
                         messages: vec![*message],
-                        sent: attempt.call.sent.get(),
+                        is_sent: attempt.call.is_sent.get(),
                     };
                     calls.push((&attempt.call, call));
                 }
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -1,16 +1,16 @@
-//! The event loop: the one owner of the gateway's state. It takes in the events of all other parts, lets the scheduler
-//! decide, and carries out its actions. It waits for nothing but events and its timers.
+//! The event loop: the single owner of the gateway's state. It handles the events of all other parts, asks the
+//! scheduler for decisions, and executes its actions. It waits only for events and timers.
 //!
-//! This module has the loop itself, the dispatch of events and of actions, and the shutdown. Beside it:
+//! This module has the loop itself, the dispatch of events and of actions, and the shutdown. Its submodules:
 //!
-//! - [`admission`]: from an enqueue request to its reply.
-//! - [`delivery`]: the attempts of messages, from start to recorded result; [`in_flight`] keeps track of them.
-//! - [`outcomes`]: final outcomes, recorded and then notified.
-//! - [`endpoints`]: changes of the endpoint list; [`operations`]: requests of operators.
-//! - [`persisted_circuits`]: what the journal remembers of open circuits.
-//! - [`recovery`]: the start from the journal; [`takeover`]: the handover between processes.
+//! - [`admission`]: answers enqueue requests.
+//! - [`delivery`]: starts attempts and records their results; [`in_flight`]: tracks attempts in flight.
+//! - [`outcomes`]: records final outcomes and sends their notifications.
+//! - [`endpoints`]: applies changes of the endpoint list; [`operations`]: executes requests of operators.
+//! - [`persisted_circuits`]: writes open circuits and recovering destinations to the journal.
+//! - [`recovery`]: restores the state from the journal; [`takeover`]: passes the state between processes.
 //! - [`reporting`]: counters and log lines.
-//! - [`catalog`], [`pending_index`]: classes, tenants and pending messages by name.
+//! - [`catalog`], [`pending_index`]: look up classes, tenants and pending messages by name.
 
 mod admission;
 mod catalog;
@@ -48,30 +48,31 @@
 use crate::journal::{FinalOutcome, Journal};
 use crate::send_guard::SendGuard;
 
-/// Events that one decision takes in at most.
+/// The maximum number of events handled before the next decision of the scheduler.
 const MAX_EVENTS_PER_STEP: usize = 256;
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
-/// From SIGTERM until the process ends at the latest: SIGKILL comes after 3.7 s.
-const MAX_SHUTDOWN: Duration = Duration::from_millis(3200);
-/// From SIGTERM until the process ends at the earliest: new connections go on arriving for 0.4 s.
-const MIN_SHUTDOWN: Duration = Duration::from_millis(600);
-/// Rounds in which requests that were read before the end are still answered.
-const FINAL_ROUNDS: usize = 8;
+/// The interval between sweeps. Each closes expired idle connections; every [`REPORT_SWEEPS`]th logs the load.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The maximum time from SIGTERM to the end of the process. The platform sends SIGKILL after 3.7 s.
+const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3200);
+/// The minimum time from SIGTERM to the end of the process. New connections continue to arrive for 0.4 s.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(600);
+/// The number of rounds at the end of the process in which requests that have been read are still answered.
+const FINAL_REPLY_ROUNDS: usize = 8;
 
-/// Idle connections that are kept for each call slot: most endpoints have few calls in flight at a time, so that a
-/// gateway needs far more connections than slots to keep one ready at each.
+/// The number of idle connections kept per call slot. Most endpoints have few calls in flight at a time, so the gateway
+/// needs far more connections than slots to keep one ready at each endpoint.
 pub const IDLE_CONNECTIONS_PER_SLOT: usize = 4;
 
-/// When the process ends, once shutdown was requested.
+/// The time window in which the process ends after a shutdown request.
 #[derive(Clone, Copy)]
 struct Shutdown {
-    /// From here on it ends as soon as nothing is pending.
+    /// The process ends at this time or, if messages are pending then, as soon as none is.
     earliest: Instant,
+    /// The process ends at this time even if messages are pending.
     latest: Instant,
 }
 
-/// The timer that the scheduler has set.
+/// A timer set by the scheduler.
 #[derive(Clone, Copy)]
 struct Timer {
     due: Instant,
@@ -91,15 +92,15 @@
     pending: PendingIndex,
     completed: CompletedMessages,
     in_flight: InFlightCalls,
-    /// Checks each attempt once more before it is made.
+    /// Checks each attempt against the delivery rules before it is sent.
     guard: SendGuard,
     persisted_circuits: PersistedCircuitWriter,
     deferred_outcomes: DeferredOutcomes,
-    /// When writing what could not be written is tried next.
+    /// The time of the next attempt to write deferred records. None if there are none.
     flush_retry_at: Option<Instant>,
     timer: Option<Timer>,
     shutdown: Option<Shutdown>,
-    /// Kept for its buffer.
+    /// Empty between decisions; kept to reuse its allocation.
     actions: Vec<Action>,
     channels: Channels,
     counters: LoadCounters,
@@ -107,26 +108,26 @@
     lines: RateLimitedLines,
 }
 
-/// Idle connections that the pool keeps. Some descriptors are left for calls, so that these need not wait for idle
-/// connections to close.
+/// Returns the maximum number of idle connections in the pool. It leaves descriptors for calls, so that these need not
+/// wait for idle connections to close.
 fn max_idle_connections(settings: &Settings, endpoint_sockets: usize) -> usize {
     let slots = settings.max_in_flight_calls;
     (IDLE_CONNECTIONS_PER_SLOT * slots).min(endpoint_sockets.saturating_sub(slots)).max(1)
 }
 
-/// The clock goes on from the journal's last reading, or begins anew and is recorded.
+/// Starts the clock from the journal's last reading if it can be continued. Otherwise records a new reading.
 fn start_clock(journal: &mut Journal) -> Clock {
     let clock = Clock::new(journal.clock_reading());
     if !journal.clock_reading().is_some_and(|last| clock.continues(last)) {
-        // Where it cannot be written now it is written later; its errors are those of the next records.
+        // A failed write is retried later. The next record to be written reports the same error.
         let _ = journal.record_clock(clock.reading());
     }
     clock
 }
 
 impl EventLoop {
-    /// An event loop that has yet to [`recover`](Self::recover) or to [`resume_from`](Self::resume_from) a snapshot.
-    /// `endpoint_sockets` is the number of descriptors for calls and idle connections to endpoints.
+    /// Creates an event loop. Call [`recover`](Self::recover) or [`resume_from`](Self::resume_from) before
+    /// [`run`](Self::run). `endpoint_sockets` is the number of descriptors for calls and idle connections to endpoints.
     pub fn new(
         mut parsed: ParsedSettings,
         seed: u64,
@@ -174,32 +175,33 @@
         }
     }
 
-    /// How long to wait before the endpoint list is watched for the first time.
+    /// Returns the delay before the endpoint list is first watched.
     pub fn initial_watch_delay(&mut self) -> Duration {
         self.scheduler.initial_watch_delay()
     }
 
-    /// The revision of the endpoint list that the gateway has.
+    /// Returns the revision of the gateway's endpoint list.
     pub fn endpoints_revision(&self) -> u64 {
         self.journal.state.endpoints_revision
     }
 
-    /// Runs until the process is to end.
+    /// Runs until the process may exit after a shutdown request.
     pub async fn run(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        let mut sweep = interval(SWEEP);
+        let mut sweep = interval(SWEEP_INTERVAL);
         let mut sweeps = 0;
         let mut batch = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         self.decide();
         loop {
             let timer = self.timer.map(|timer| timer.due);
-            let never = Instant::now() + SWEEP;
+            // Disabled branches of `select!` need a time, which is never waited for.
+            let unused = Instant::now() + SWEEP_INTERVAL;
             let end = self.exit_deadline();
             tokio::select! {
                 biased;
                 _ = events.recv_many(&mut batch, MAX_EVENTS_PER_STEP) => {}
-                () = sleep_until(timer.unwrap_or(never)), if timer.is_some() => {}
-                () = sleep_until(end.unwrap_or(never)), if end.is_some() => {}
-                () = sleep_until(self.flush_retry_at.unwrap_or(never)), if self.flush_retry_at.is_some() => {}
+                () = sleep_until(timer.unwrap_or(unused)), if timer.is_some() => {}
+                () = sleep_until(end.unwrap_or(unused)), if end.is_some() => {}
+                () = sleep_until(self.flush_retry_at.unwrap_or(unused)), if self.flush_retry_at.is_some() => {}
                 _ = sweep.tick() => {
                     self.pool.close_expired();
                     sweeps += 1;
@@ -209,39 +211,40 @@
                 }
             }
             self.step(batch.drain(..));
-            if self.may_end() {
-                return self.finish(events).await;
+            if self.can_exit() {
+                return self.answer_remaining_requests(events).await;
             }
         }
     }
 
-    /// Handles events and a timer that is due, decides, and retries what could not be written.
+    /// Handles events and a due timer, executes the scheduler's decisions, and retries failed writes.
     fn step(&mut self, events: impl Iterator<Item = GatewayEvent>) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         events.for_each(|event| self.handle(event));
-        if let Some(Timer { due, token }) = self.timer.filter(|timer| timer.due <= begun) {
+        if let Some(Timer { due, token }) = self.timer.filter(|timer| timer.due <= started_at) {
             self.timer = None;
-            self.note_lateness(begun - due, "a timer was late");
+            self.record_lateness(started_at - due, "a timer of the event loop fired late");
             self.scheduler.handle(self.clock.now(), Event::TimerFired(token));
         }
         self.decide();
         self.retry_unwritten_records();
-        self.note_lateness(begun.elapsed(), "a step took long");
+        self.record_lateness(started_at.elapsed(), "a step of the event loop took too long");
     }
 
-    /// Handles one event. What it leads to is decided later, save for the reply to a client or an operator.
+    /// Handles one event. A client or an operator gets its reply at once; other actions follow with the scheduler's
+    /// next decision.
     pub fn handle(&mut self, event: GatewayEvent) {
         let now = self.clock.now();
         match event {
             GatewayEvent::Enqueue(request, reply) => self.answer_enqueue(now, request, reply),
             GatewayEvent::AcceptanceNotReceived(message) => self.withdraw_unacknowledged(now, message),
-            GatewayEvent::Discovery(event) => self.discovery_changed(now, event),
+            GatewayEvent::Discovery(event) => self.handle_watch_event(now, event),
             GatewayEvent::CallEnded { endpoint, messages, result } => {
-                self.call_ended(now, endpoint, &messages, &result)
+                self.handle_call_ended(now, endpoint, &messages, &result)
             }
-            GatewayEvent::OutcomesAcknowledged(messages) => self.outcomes_acknowledged(now, messages),
+            GatewayEvent::OutcomesAcknowledged(messages) => self.complete_acknowledged(now, messages),
             GatewayEvent::Admin(operation, reply) => {
-                let _ = reply.send(self.operate(now, &operation));
+                let _ = reply.send(self.execute_operation(now, &operation));
             }
             GatewayEvent::Terminate => self.request_shutdown(now),
         }
@@ -259,7 +262,7 @@
         for group in actions.chunk_by(|a, b| target(a).is_some() && target(a) == target(b)) {
             match target(&group[0]) {
                 Some(endpoint) => self.start_calls(now, endpoint, group),
-                None => self.act(now, &group[0]),
+                None => self.execute(now, &group[0]),
             }
         }
         actions.clear();
@@ -273,9 +276,9 @@
         }
     }
 
-    fn act(&mut self, now: Time, action: &Action) {
+    fn execute(&mut self, now: Time, action: &Action) {
         match *action {
-            // A message has one attempt in flight at most.
+            // The message identifies the attempt: it has at most one in flight.
             Action::CancelAttempt { message, .. } => self.in_flight.stop(message, StopReason::Cancelled),
             Action::Reject { message, retry_after } => {
                 self.counters.returned += 1;
@@ -291,7 +294,7 @@
             }
             Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
             Action::WatchEndpoints { .. } => self.channels.watch.send_replace(()),
-            // These have been started as calls.
+            // `decide` starts these as calls.
             Action::StartAttempt { .. } => {}
         }
     }
@@ -300,35 +303,38 @@
         if self.shutdown.is_some() {
             return;
         }
-        let begun = Instant::now();
+        let requested_at = Instant::now();
         info!(
             pending = self.journal.state.pending.len(),
             in_flight = self.in_flight.len(),
             "shutdown requested"
         );
-        self.shutdown = Some(Shutdown { earliest: begun + MIN_SHUTDOWN, latest: begun + MAX_SHUTDOWN });
-        self.scheduler.handle(now, Event::ShutdownScheduled(now + MAX_SHUTDOWN));
-        // Connections that move to another process are served there.
+        self.shutdown = Some(Shutdown {
+            earliest: requested_at + MIN_SHUTDOWN_TIME,
+            latest: requested_at + MAX_SHUTDOWN_TIME,
+        });
+        self.scheduler.handle(now, Event::ShutdownScheduled(now + MAX_SHUTDOWN_TIME));
+        // During a handover, the connections move to the successor, which continues to serve them.
         if *self.channels.phase.borrow() != ServicePhase::HandingOver {
             self.channels.phase.send_replace(ServicePhase::ShuttingDown);
         }
     }
 
-    fn may_end(&self) -> bool {
+    fn can_exit(&self) -> bool {
         let Some(Shutdown { earliest, latest }) = self.shutdown else { return false };
         let now = Instant::now();
-        // The next process is to know all that this one does.
+        // The next process needs all records in the journal.
         let is_idle =
             self.in_flight.is_empty() && self.journal.state.pending.is_empty() && self.journal.is_flushed();
         now >= latest || (now >= earliest && is_idle)
     }
 
-    /// Answers the requests that have been read but not answered: ending a connection before would lose their
-    /// messages. The next process finds them in the journal.
-    async fn finish(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        for _ in 0..FINAL_ROUNDS {
+    /// Answers the requests that have been read but not answered. Closing their connections first would lose the
+    /// messages. The next process finds the accepted ones in the journal.
+    async fn answer_remaining_requests(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
+        for _ in 0..FINAL_REPLY_ROUNDS {
             self.process_queued(events);
-            // The tasks of the connections write what they were given.
+            // Lets the tasks of the connections write their replies.
             tokio::task::yield_now().await;
         }
         let flushed = self.journal.flush();
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -1,5 +1,7 @@
-//! What operators ask at the admin endpoint. A disabled endpoint is in the journal before the request succeeds, and
-//! stays disabled after a restart. The lame duck lasts until the process ends, or is handed over.
+//! Executes the requests of operators at the admin endpoint.
+//!
+//! Disabling an endpoint is recorded in the journal before the request succeeds, and lasts beyond a restart. Lame duck
+//! mode lasts until the process ends; a handover passes it on to the successor.
 
 use delivery_gateway::{Event, Time};
 use tracing::info;
@@ -7,7 +9,6 @@
 use super::EventLoop;
 use crate::events::{AdminOperation, AdminResult, ServicePhase};
 
-/// What operators do to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndpointSwitch {
     Disable,
@@ -15,7 +16,7 @@
 }
 
 impl EventLoop {
-    pub(super) fn operate(&mut self, now: Time, operation: &AdminOperation) -> AdminResult {
+    pub(super) fn execute_operation(&mut self, now: Time, operation: &AdminOperation) -> AdminResult {
         match operation {
             AdminOperation::DisableEndpoint(uid) => self.switch_endpoint(now, uid, EndpointSwitch::Disable),
             AdminOperation::EnableEndpoint(uid) => self.switch_endpoint(now, uid, EndpointSwitch::Enable),
@@ -27,15 +28,15 @@
     }
 
     fn switch_endpoint(&mut self, now: Time, uid: &str, switch: EndpointSwitch) -> AdminResult {
-        let disable = switch == EndpointSwitch::Disable;
+        let disables = switch == EndpointSwitch::Disable;
         let is_disabled = self.journal.state.disabled_endpoints.contains(uid);
         if !is_disabled && !self.journal.state.endpoints.contains_key(uid) {
             return AdminResult::UnknownEndpoint;
         }
-        if disable == is_disabled {
+        if disables == is_disabled {
             return AdminResult::Done;
         }
-        let recorded = self.journal.record_endpoint_disabled(uid, disable);
+        let recorded = self.journal.record_endpoint_disabled(uid, disables);
         if !self.journal_errors.log_failure(recorded) {
             return AdminResult::NotRecorded;
         }
@@ -52,13 +53,13 @@
         self.scheduler.handle(now, Event::LameDuck(on));
         let phase = ServicePhase::in_service(on);
         self.channels.phase.send_if_modified(|current| {
-            // Neither a shutdown nor a handover is interrupted.
-            let may_change = !matches!(*current, ServicePhase::ShuttingDown | ServicePhase::HandingOver);
-            let changed = may_change && *current != phase;
-            if changed {
+            // Lame duck mode doesn't interrupt a shutdown or a handover.
+            let can_change = !matches!(*current, ServicePhase::ShuttingDown | ServicePhase::HandingOver);
+            let has_changed = can_change && *current != phase;
+            if has_changed {
                 *current = phase;
             }
-            changed
+            has_changed
         });
     }
 }
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -1,29 +1,29 @@
-//! Final outcomes: each is recorded, then notified to the platform, and its message forgotten once the notification
-//! is acknowledged.
+//! Records final outcomes, sends their notifications to the platform, and removes each message once its notification is
+//! acknowledged.
 //!
-//! An outcome is in the journal before it is notified: a client that was notified of a returned message may
-//! enqueue it again, and nothing may be sent for the first one after that. While the journal cannot be written,
-//! notifications wait.
+//! An outcome is written to the journal before its notification is sent: the client of a returned message may enqueue
+//! it again after the notification, and no attempt of the first message may follow. While the journal cannot be
+//! written, notifications are deferred.
 
 use delivery_gateway::{Event, MessageId, Time};
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::debug;
 
-use super::{EventLoop, SWEEP};
+use super::{EventLoop, SWEEP_INTERVAL};
 use crate::events::OutcomeNotification;
 use crate::journal::FinalOutcome;
 
-/// Between tries to write records that could not be written.
+/// The interval between attempts to write deferred records.
 const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 struct DeferredOutcome {
     notification: OutcomeNotification,
-    /// The end of the message's time: from then on no process sends it, whatever the journal says.
+    /// The deadline of the message. No process sends it after that, whether or not the outcome is recorded.
     notify_at: Instant,
 }
 
-/// Notifications of outcomes that are not in the journal yet.
+/// Notifications of outcomes that are not yet in the journal.
 #[derive(Default)]
 pub(super) struct DeferredOutcomes {
     waiting: Vec<DeferredOutcome>,
@@ -34,7 +34,8 @@
         self.waiting.push(DeferredOutcome { notification, notify_at });
     }
 
-    /// Takes out what may be sent: all once everything is recorded, else what has reached its deadline.
+    /// Removes and returns the notifications that may be sent: all of them if the journal has all records, else those
+    /// whose message has reached its deadline.
     fn take_due(
         &mut self,
         now: Instant,
@@ -46,7 +47,8 @@
 }
 
 impl EventLoop {
-    /// Gives a message its final outcome: records it, then notifies the platform.
+    /// Records the final outcome of a message, and sends its notification. If it cannot be recorded, the notification
+    /// is deferred.
     pub(super) fn record_final_outcome(&mut self, message: MessageId, final_outcome: FinalOutcome) {
         let recorded = self.journal.record_final_outcome(message.0, final_outcome);
         let is_recorded = self.journal_errors.log_failure(recorded);
@@ -61,8 +63,8 @@
         }
     }
 
-    /// The platform has the notifications of these messages.
-    pub(super) fn outcomes_acknowledged(&mut self, now: Time, messages: Vec<MessageId>) {
+    /// Completes messages whose notifications the platform has acknowledged.
+    pub(super) fn complete_acknowledged(&mut self, now: Time, messages: Vec<MessageId>) {
         for message in messages {
             let id = self.journal.state.pending.get(&message.0).map_or("", |pending| &pending.message.id);
             debug!(id, "notification acknowledged");
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Retries to write what could not be written, and sends the notifications that waited for that.
+    /// Retries the writes that failed, and sends the notifications that no longer have to wait for them.
     pub(super) fn retry_unwritten_records(&mut self) {
         let now = Instant::now();
         if self.journal.is_flushed() {
@@ -79,8 +81,9 @@
         } else if self.flush_retry_at.is_none_or(|at| at <= now) {
             let flushed = self.journal.flush();
             self.journal_errors.log_failure(flushed);
-            // Nothing waits for the endpoint list, and a long one takes its time to write.
-            let interval = if self.journal.has_all_records() { SWEEP } else { FLUSH_RETRY_INTERVAL };
+            // No notification waits for the endpoint list or the clock, and a long list is slow to write: retry less
+            // often.
+            let interval = if self.journal.has_all_records() { SWEEP_INTERVAL } else { FLUSH_RETRY_INTERVAL };
             self.flush_retry_at = (!self.journal.is_flushed()).then_some(now + interval);
         }
         let all_recorded = self.journal.has_all_records();
@@ -89,16 +92,16 @@
         }
     }
 
-    /// Forgets a message that is done, except for its id, which no other message may take.
+    /// Removes a completed message, and keeps a tombstone so that no other message takes its id.
     pub(super) fn complete_message(&mut self, message: MessageId) {
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             self.completed.insert(&pending.message);
         }
-        self.forget_message(message);
+        self.remove_message(message);
     }
 
-    /// Forgets a message as if it had never been accepted.
-    pub(super) fn forget_message(&mut self, message: MessageId) {
+    /// Removes a message from the journal and from the index of pending messages. Adds no tombstone.
+    pub(super) fn remove_message(&mut self, message: MessageId) {
         if let Some(pending) = self.journal.state.pending.get(&message.0) {
             self.pending.remove(&pending.message.id);
             let removed = self.journal.complete(message.0);
--- a/src/bin/delivery-gateway/event_loop/pending_index.rs
+++ b/src/bin/delivery-gateway/event_loop/pending_index.rs
@@ -1,30 +1,31 @@
-//! Pending messages by the ids that clients gave them, and whether their first request may still withdraw them.
+//! Looks up pending messages by the ids that their clients chose, and tracks which may still be withdrawn.
 
 use delivery_gateway::MessageId;
 use std::collections::HashMap;
 
 struct PendingEntry {
     number: u32,
-    /// A later request for the same message was acknowledged: the first one can no longer withdraw it.
-    shared: bool,
+    /// Whether a later request for the same message was acknowledged. The first request can't withdraw the message
+    /// then.
+    is_shared: bool,
 }
 
-/// The numbers of pending messages, by their ids. The messages themselves are in the journal's state.
+/// The numbers of pending messages by their ids. The messages themselves are in the journal's state.
 #[derive(Default)]
 pub(super) struct PendingIndex {
     entries: HashMap<String, PendingEntry>,
 }
 
 impl PendingIndex {
-    /// Adds a message that one request alone was acknowledged for.
+    /// Adds a message that only one request was acknowledged for.
     pub(super) fn insert(&mut self, id: String, number: u32) {
-        self.entries.insert(id, PendingEntry { number, shared: false });
+        self.entries.insert(id, PendingEntry { number, is_shared: false });
     }
 
-    /// A later request for this message is acknowledged.
+    /// Records that a later request for a message was acknowledged.
     pub(super) fn mark_shared(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.shared = true;
+            entry.is_shared = true;
         }
     }
 
@@ -32,19 +33,19 @@
         self.entries.remove(id);
     }
 
-    /// The number of the pending message of this id.
+    /// Returns the number of the pending message with this id.
     pub(super) fn number(&self, id: &str) -> Option<u32> {
         self.entries.get(id).map(|entry| entry.number)
     }
 
-    /// Whether the first request for this message may still withdraw it.
+    /// Returns whether the first request for a message may still withdraw it.
     pub(super) fn can_withdraw(&self, id: &str) -> bool {
-        self.entries.get(id).is_some_and(|entry| !entry.shared)
+        self.entries.get(id).is_some_and(|entry| !entry.is_shared)
     }
 
-    /// Messages that more than one request was acknowledged for.
+    /// Returns the messages that more than one request was acknowledged for.
     pub(super) fn shared_messages(&self) -> Vec<MessageId> {
-        let shared = self.entries.values().filter(|entry| entry.shared);
+        let shared = self.entries.values().filter(|entry| entry.is_shared);
         shared.map(|entry| MessageId(entry.number)).collect()
     }
 
--- a/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
+++ b/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
@@ -1,5 +1,5 @@
-//! What the journal remembers of open circuits and recovering destinations, so that the next process goes on
-//! with it.
+//! Writes open circuits and recovering destinations to the journal, so that the next process continues with the same
+//! limits.
 
 use delivery_gateway::discovery::EndpointDirectory;
 use delivery_gateway::{CircuitChange, CircuitRecord, DestinationId, EndpointId};
@@ -12,25 +12,25 @@
 use crate::journal::{CircuitKey, Journal, PersistedCircuit, PersistedCircuitChange};
 use crate::rate_limited_log::RateLimitedLog;
 
-/// The changes of circuits that are yet to be written to the journal.
+/// Collects the changes of circuits, and writes them to the journal.
 #[derive(Default)]
 pub(super) struct PersistedCircuitWriter {
-    /// What each key is to stand for; none where nothing is to be remembered any more.
+    /// The circuit to be recorded for each key; None where the recorded one is to be removed.
     unwritten: BTreeMap<CircuitKey, Option<PersistedCircuit>>,
-    /// Uids of the endpoints with a persisted circuit: its end can come after the directory has forgotten the endpoint.
+    /// Uids of the endpoints with a persisted circuit. A circuit can end after the directory has removed its endpoint.
     uids: HashMap<EndpointId, String>,
     lines: RateLimitedLog,
 }
 
 impl PersistedCircuitWriter {
-    /// Removes what was persisted before the start, save what is changed before the next write.
-    fn supersede<'a>(&mut self, persisted: impl Iterator<Item = &'a CircuitKey>) {
+    /// Marks all persisted circuits for removal. Those changed before the next write are kept.
+    fn mark_all_removed<'a>(&mut self, persisted: impl Iterator<Item = &'a CircuitKey>) {
         self.unwritten = persisted.map(|key| (key.clone(), None)).collect();
     }
 
     fn change(&mut self, change: &CircuitChange, directory: &EndpointDirectory, clock: &Clock) {
         let CircuitChange { destination, endpoint, record } = change;
-        // An endpoint that has no uid any more had nothing persisted.
+        // An endpoint without a known uid has no persisted circuit.
         let Some(key) = self.key(*destination, *endpoint, directory) else { return };
         if let Some((id, uid)) = endpoint.zip(key.uid.as_ref()) {
             match record {
@@ -44,7 +44,7 @@
         self.unwritten.insert(key, circuit);
     }
 
-    /// Names a route in the journal's terms; none if it is an endpoint whose uid is unknown.
+    /// Returns the journal's key of a route; None if the route is an endpoint whose uid is unknown.
     fn key(
         &self,
         destination: DestinationId,
@@ -61,7 +61,7 @@
         Some(CircuitKey { destination: destination.0, uid })
     }
 
-    /// Writes the changes. Those that cannot be written stay until the next call.
+    /// Writes the changes. Changes that cannot be written are kept until the next call.
     fn write(&mut self, journal: &mut Journal, errors: &mut JournalErrorLog) {
         let persisted = &journal.state.circuits;
         self.unwritten.retain(|key, circuit| persisted.get(key) != circuit.as_ref());
@@ -88,9 +88,9 @@
 }
 
 impl EventLoop {
-    /// Persists all circuits anew, in place of what was persisted before the start.
+    /// Persists all circuits of the scheduler, in place of those persisted before the start.
     pub(super) fn persist_all_circuits(&mut self) {
-        self.persisted_circuits.supersede(self.journal.state.circuits.keys());
+        self.persisted_circuits.mark_all_removed(self.journal.state.circuits.keys());
         let records: Vec<CircuitRecord> = self.scheduler.circuit_records().collect();
         for record in records {
             let change = CircuitChange {
--- a/src/bin/delivery-gateway/event_loop/recovery.rs
+++ b/src/bin/delivery-gateway/event_loop/recovery.rs
@@ -1,4 +1,5 @@
-//! Start from the journal: its endpoints, circuits and pending messages go to the scheduler, in this order.
+//! Restores the state from the journal: passes its endpoints, circuits and pending messages to the scheduler, in this
+//! order.
 
 use delivery_gateway::discovery::DiscoveryUpdate;
 use delivery_gateway::{CircuitRecord, DestinationId, Event, MessageId, RestoredMessage, Time};
@@ -9,7 +10,7 @@
 use crate::journal::{FinalOutcome, PersistedCircuit};
 
 impl EventLoop {
-    /// Restores all that the journal holds. `configured` are the endpoints of the configuration.
+    /// Restores the state from the journal. `configured` is the endpoint list of the configuration.
     pub fn recover(&mut self, configured: &DiscoveryUpdate) {
         let now = self.clock.now();
         self.restore_endpoints(now, configured);
@@ -24,7 +25,7 @@
         info!(pending = numbers.len(), revision = self.endpoints_revision(), "journal replayed");
     }
 
-    /// The journal's endpoint list applies unless the configured one is newer.
+    /// Applies the journal's endpoint list, or the configured one if the journal has none or an older revision.
     fn restore_endpoints(&mut self, now: Time, configured: &DiscoveryUpdate) {
         let destinations = configured.endpoints.iter().map(|endpoint| endpoint.destination);
         self.journal.state.destinations.extend(destinations);
@@ -50,7 +51,7 @@
         self.persist_all_circuits();
     }
 
-    /// A persisted circuit in the scheduler's terms; none if its endpoint is no longer listed.
+    /// Translates a persisted circuit for the scheduler. None if its endpoint is no longer listed.
     fn circuit_record(&self, circuit: &PersistedCircuit) -> Option<CircuitRecord> {
         let endpoint = match &circuit.uid {
             Some(uid) => Some(self.directory.endpoint_id(uid)?),
@@ -74,7 +75,7 @@
         self.pending.insert(id.clone(), number);
         let Some(accepted) = self.catalog.accepted_message(&self.clock, number, &pending.message) else {
             let class = &pending.message.class;
-            warn!(id, class, "message failed: the settings no longer have its class");
+            warn!(id, class, "message failed: its class is missing from the settings");
             self.record_final_outcome(message, FinalOutcome::Failed);
             return;
         };
@@ -85,7 +86,8 @@
             first_uncertain_attempt: self.first_uncertain_attempt(pending),
             has_final_outcome: final_outcome.is_some(),
         };
-        // An attempt without an outcome may have run, also if its process died before the first byte.
+        // An endpoint may have processed an attempt without a recorded outcome. The journal doesn't show whether its
+        // first byte was sent before the process ended.
         if pending.in_flight.is_some() {
             let recorded = self.journal.record_attempt_outcome(number, true);
             self.journal_errors.log_failure(recorded);
--- a/src/bin/delivery-gateway/event_loop/reporting.rs
+++ b/src/bin/delivery-gateway/event_loop/reporting.rs
@@ -1,5 +1,4 @@
-//! What the log says of the event loop: a line of the load every [`REPORT_SWEEPS`] sweeps, late steps, and journal
-//! errors.
+//! Logs the load every [`REPORT_SWEEPS`] sweeps, and logs late or long steps and journal errors at a limited rate.
 
 use std::time::Duration;
 use tracing::{error, info, warn};
@@ -8,12 +7,12 @@
 use crate::journal::JournalError;
 use crate::rate_limited_log::RateLimitedLog;
 
-/// Sweeps between two lines of the load.
+/// The number of sweeps between two `load` lines.
 pub(super) const REPORT_SWEEPS: u32 = 10;
-/// Lateness above this is logged.
-const LATENESS_LIMIT: Duration = Duration::from_millis(25);
+/// A timer or step that is later or longer than this is logged.
+const LATENESS_LOG_THRESHOLD: Duration = Duration::from_millis(25);
 
-/// What has happened since the last line of the load.
+/// Counters since the last `load` line.
 #[derive(Default)]
 pub(super) struct LoadCounters {
     pub(super) accepted: u32,
@@ -23,26 +22,27 @@
     pub(super) failed: u32,
     pub(super) returned: u32,
     pub(super) calls: u32,
+    /// The longest delay of a timer or duration of a step.
     max_lateness: Duration,
 }
 
-/// The rate-limited lines of the event loop.
+/// The rate limits of the event loop's log lines.
 #[derive(Default)]
 pub(super) struct RateLimitedLines {
     pub(super) lateness: RateLimitedLog,
     pub(super) retry_after: RateLimitedLog,
-    /// Attempts that the send guard forbids.
+    /// For attempts that the send guard blocks.
     pub(super) breach: RateLimitedLog,
 }
 
-/// Logs journal errors at a bounded rate.
+/// Logs journal errors at a limited rate.
 #[derive(Default)]
 pub(super) struct JournalErrorLog {
     lines: RateLimitedLog,
 }
 
 impl JournalErrorLog {
-    /// Logs the error, if there is one; true if there is none. What could not be written is retried later.
+    /// Logs the error of a failed write. Returns true if the write succeeded.
     pub(super) fn log_failure(&mut self, written: Result<(), JournalError>) -> bool {
         let Err(error) = written else { return true };
         if let Some(suppressed) = self.lines.due() {
@@ -53,17 +53,17 @@
 }
 
 impl EventLoop {
-    /// Notes by how much a step was late, or how long it took.
-    pub(super) fn note_lateness(&mut self, late: Duration, what: &str) {
+    /// Records how late a timer fired or how long a step took, and logs it above [`LATENESS_LOG_THRESHOLD`].
+    pub(super) fn record_lateness(&mut self, late: Duration, what: &str) {
         self.counters.max_lateness = self.counters.max_lateness.max(late);
-        if late > LATENESS_LIMIT {
+        if late > LATENESS_LOG_THRESHOLD {
             if let Some(suppressed) = self.lines.lateness.due() {
                 warn!(?late, suppressed, "{what}");
             }
         }
     }
 
-    /// Logs the load since the last report, and the longest queue.
+    /// Logs the load since the last report, and the destination with the longest queue.
     pub(super) fn report(&mut self) {
         let counters = std::mem::take(&mut self.counters);
         let pending = self.journal.state.pending.len();
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -1,8 +1,8 @@
-//! What the event loop passes to its successor process, and how it continues from what its predecessor has passed on.
+//! Passes the event loop's state to a successor process, and continues from the state of a predecessor.
 //!
-//! A successor of the same fingerprint gets a [`HandoverSnapshot`], and the predecessor finishes the calls in flight.
-//! Any other continues from the journal, with [`CarriedOverConstraints`] for what the journal does not hold. The
-//! protocol between the processes is the `handover` module's.
+//! A successor with the same fingerprint gets a [`HandoverSnapshot`], and the predecessor finishes its calls in flight.
+//! Any other successor continues from the journal, and gets [`CarriedOverConstraints`] for what the journal doesn't
+//! hold. The `handover` module has the protocol between the processes.
 
 use delivery_gateway::discovery::EndpointIdTable;
 use delivery_gateway::{EndpointId, Event, MessageId, Scheduler, Time};
@@ -19,47 +19,49 @@
 use crate::events::{EnqueueReply, GatewayEvent, OutcomeNotification, ServicePhase, StopReason};
 use crate::journal::ClockReading;
 
-/// How long aborted calls may take to end.
+/// The maximum time to wait for aborted calls to end.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What binds a successor that cannot read a [`HandoverSnapshot`]. The order of fields is the wire between two builds.
+/// Constraints for a successor that cannot read a [`HandoverSnapshot`]. The order of fields is the wire format between
+/// two builds.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CarriedOverConstraints {
     retry_after_delays: Vec<RetryAfterDelay>,
     is_lame_duck: bool,
 }
 
-/// What is left of a `Retry-After`.
+/// A `Retry-After` in force.
 #[derive(Debug, Serialize, Deserialize)]
 struct RetryAfterDelay {
-    /// The uid of an endpoint that it binds.
+    /// The uid of an endpoint that it applies to.
     uid: String,
+    /// The time until it ends.
     delay: Duration,
 }
 
-/// All that a successor needs beside the journal to continue as the same gateway.
+/// The state that a successor with the same fingerprint needs, in addition to the journal, to continue.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverSnapshot {
     scheduler: Scheduler,
-    /// Time since the scheduler's clock began, when the clock was read.
+    /// The time from the start of the scheduler's clock to the reading `clock`.
     elapsed: Duration,
     clock: ClockReading,
     endpoint_ids: EndpointIdTable,
-    /// Messages of which more than one request was acknowledged.
+    /// Messages that more than one request was acknowledged for.
     shared_messages: Vec<MessageId>,
-    /// Calls that the predecessor finishes.
+    /// Calls in flight, which the predecessor finishes.
     calls: Vec<InFlightCall>,
 }
 
 impl HandoverSnapshot {
-    /// The calls that the predecessor finishes.
+    /// Returns the calls that the predecessor finishes.
     pub fn calls(&self) -> &[InFlightCall] {
         &self.calls
     }
 }
 
 impl EventLoop {
-    /// Continues where the predecessor stopped, with the calls that it finishes. `stop` asks it to stop one.
+    /// Continues from the predecessor's snapshot. The predecessor finishes its calls; `stop` asks it to stop one.
     pub fn resume_from(
         &mut self,
         snapshot: HandoverSnapshot,
@@ -98,7 +100,7 @@
                 self.pending.mark_shared(id);
             }
             if let Some(final_outcome) = pending.final_outcome {
-                // The predecessor may have sent it; a notification may arrive twice.
+                // The predecessor may have sent the notification already. It may arrive twice.
                 let message = MessageId(*number);
                 let _ = self.channels.notifications.send(OutcomeNotification {
                     message,
@@ -110,8 +112,8 @@
     }
 
     fn resume_call(&mut self, call: InFlightCall, stop: impl Fn(MessageId, StopReason) + 'static) {
-        let InFlightCall { endpoint, messages, sent } = call;
-        let (handle, stopped) = CallHandle::of_predecessor(sent, self.pool.reserve_descriptor());
+        let InFlightCall { endpoint, messages, is_sent } = call;
+        let (handle, stopped) = CallHandle::of_predecessor(is_sent, self.pool.reserve_descriptor());
         messages.iter().for_each(|message| self.track_attempt(*message, endpoint, &handle));
         let Some(first) = messages.first().copied() else { return };
         tokio::task::spawn_local(async move {
@@ -121,10 +123,11 @@
         });
     }
 
-    /// The snapshot for a successor, as bytes. This process must decide nothing as long as the successor may.
+    /// Encodes the snapshot for a successor. This process must make no decisions while the successor owns the state
+    /// folder.
     ///
     /// # Errors
-    /// It cannot be encoded.
+    /// The snapshot cannot be encoded.
     pub fn handover_snapshot(&mut self) -> Result<Vec<u8>, postcard::Error> {
         let snapshot = HandoverSnapshot {
             elapsed: self.clock.elapsed(),
@@ -139,7 +142,7 @@
         bytes
     }
 
-    /// What a successor of another fingerprint must observe beside the journal.
+    /// Returns the constraints for a successor with another fingerprint.
     pub fn carried_over_constraints(&self) -> CarriedOverConstraints {
         let by_uid = |(id, delay): (EndpointId, Duration)| {
             Some(RetryAfterDelay { uid: self.directory.uid(id)?.to_owned(), delay })
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Continues where a predecessor of another fingerprint stopped: from the journal, which has been replayed, and
-    /// under these constraints. It has no calls in flight any more.
+    /// Applies the constraints of a predecessor with another fingerprint, after [`recover`](Self::recover). The
+    /// predecessor has no calls in flight any more.
     pub fn apply_constraints(&mut self, constraints: CarriedOverConstraints) {
         let now = self.clock.now();
         for RetryAfterDelay { uid, delay } in constraints.retry_after_delays {
@@ -163,7 +166,7 @@
         self.resume_phase(ServicePhase::in_service(constraints.is_lame_duck));
     }
 
-    /// Continues in the phase before the handover.
+    /// Restores the phase before the handover, and allows calls again.
     pub fn resume_phase(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
         self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
@@ -177,12 +180,12 @@
         self.scheduler.handle(now, Event::ShutdownScheduled(now));
     }
 
-    /// Whether calls are in flight.
+    /// Returns whether calls are in flight.
     pub fn has_calls_in_flight(&self) -> bool {
         !self.in_flight.is_empty()
     }
 
-    /// Aborts the calls in flight, and handles events until all have ended, for [`ABORT_TIMEOUT`] at most.
+    /// Aborts the calls in flight, and handles events until all calls have ended, for at most [`ABORT_TIMEOUT`].
     pub async fn abort_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         self.drop_calls();
         let end = Instant::now() + ABORT_TIMEOUT;
@@ -192,8 +195,8 @@
         }
     }
 
-    /// Aborts the calls in flight, and waits until their connections have been let go of, for [`ABORT_TIMEOUT`] at
-    /// most. The journal is another process's: nothing is recorded or accepted.
+    /// Aborts the calls in flight, and waits until their connections have been released, for at most
+    /// [`ABORT_TIMEOUT`]. Records nothing and accepts no message, because another process has written to the journal.
     pub async fn abandon_calls(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
         self.drop_calls();
         let mut remaining = self.in_flight_messages();
@@ -212,34 +215,34 @@
         let _ = timeout(ABORT_TIMEOUT, all_ended).await;
     }
 
-    /// Handles the events that have arrived, without deciding anything.
+    /// Handles the events that have arrived, without a decision of the scheduler.
     pub fn process_queued(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
         while let Ok(event) = events.try_recv() {
             self.handle(event);
         }
     }
 
-    /// Stops a call of this process for the one that decides, as far as that is still wanted.
+    /// Stops a call of this process at the successor's request, unless it has ended or can no longer be withdrawn.
     pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
         self.in_flight.stop(message, reason);
     }
 
-    /// Aborts all calls.
+    /// Aborts all calls, and doesn't wait for their ends.
     pub fn drop_calls(&self) {
         self.in_flight.abort_all();
     }
 
-    /// The messages that are in flight.
+    /// Returns the messages in flight.
     pub fn in_flight_messages(&self) -> HashSet<MessageId> {
         self.in_flight.messages()
     }
 
-    /// When the process ends at the latest, once shutdown was requested.
+    /// Returns the latest time at which the process ends. None if no shutdown was requested.
     pub fn exit_deadline(&self) -> Option<Instant> {
         self.shutdown.map(|shutdown| shutdown.latest)
     }
 
-    /// Closes idle connections, and keeps none, while another process makes the calls.
+    /// Closes idle connections and keeps no new ones, while another process makes the calls.
     pub fn pause_idle_connections(&self) {
         self.pool.set_max_idle(0);
     }
@@ -249,12 +252,12 @@
         self.pool.set_max_idle(self.max_idle_connections);
     }
 
-    /// Whether a successor would find in the journal all that this process knows.
+    /// Returns whether the journal's files hold all records of this process.
     pub fn journal_is_flushed(&self) -> bool {
         self.journal.is_flushed()
     }
 
-    /// Whether no other process has written to the journal.
+    /// Returns whether no other process has written to the journal.
     pub fn journal_is_untouched(&self) -> bool {
         self.journal.is_untouched()
     }
--- a/src/bin/delivery-gateway/journal/chunks.rs
+++ b/src/bin/delivery-gateway/journal/chunks.rs
@@ -1,4 +1,4 @@
-//! Lists of any length, cut into records that stay well below the longest one.
+//! Splits long lists into records that stay well below the maximum record size.
 
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
 use postcard::ser_flavors::Size;
@@ -6,10 +6,10 @@
 
 use super::record::Record;
 
-/// A record of a list holds about this many bytes.
+/// The approximate size of each record of a list.
 const CHUNK_BYTES: usize = 1 << 20;
 
-/// Cuts a list into chunks; an entry longer than a chunk makes one of its own.
+/// Splits a list into chunks of at most [`CHUNK_BYTES`]. An entry longer than that gets a chunk of its own.
 pub fn chunks<'a, T: Serialize + 'a>(
     list: impl IntoIterator<Item = &'a T>,
 ) -> postcard::Result<Vec<Vec<&'a T>>> {
@@ -31,8 +31,8 @@
     Ok(chunks)
 }
 
-/// The records that hold an endpoint update: one if it fits, else its parts. Each is made when it is asked for, so
-/// that a long list is not copied whole.
+/// Returns the records of an endpoint update: one if it fits, else its parts. The iterator creates each record when it
+/// is requested, so that a long list is not copied as a whole.
 pub fn endpoint_records<'a>(
     revision: u64,
     is_snapshot: bool,
@@ -46,7 +46,7 @@
     Ok((0..count).zip(chunks).map(move |(index, chunk)| {
         let update = DiscoveryUpdate {
             revision,
-            // Only the first part replaces what was listed before.
+            // Only the first part replaces the previous list.
             is_snapshot: is_snapshot && index == 0,
             endpoints: chunk.into_iter().cloned().collect(),
         };
@@ -58,7 +58,7 @@
     }))
 }
 
-/// The records that name destinations which have been listed.
+/// Returns the records of all destinations that have been listed.
 pub fn destination_records<'a>(
     destinations: impl IntoIterator<Item = &'a u32>,
 ) -> postcard::Result<impl Iterator<Item = Record> + 'a> {
--- a/src/bin/delivery-gateway/journal/clock_file.rs
+++ b/src/bin/delivery-gateway/journal/clock_file.rs
@@ -1,5 +1,5 @@
-//! The journal's clock: its last reading, in a file of its own beside the journal, as older builds do not know such a
-//! record.
+//! Stores the last reading of the journal's clock in a separate file beside the journal, because older builds can't
+//! read a journal record of this kind.
 
 use serde::{Deserialize, Serialize};
 use std::fs::{self, OpenOptions};
@@ -11,30 +11,30 @@
 use super::error::{FileOperation, JournalError};
 use super::frame::{encode_frame, read_frame};
 
-/// Disk space that the file may take, in bytes.
+/// The disk space reserved for the file.
 pub const CLOCK_FILE_BYTES: u64 = 512;
 
-/// Journal time at a moment, and the machine's monotonic clock then: the next process continues from it.
+/// Journal time and the machine's monotonic clock at the same moment. The next process continues journal time from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// Identifies the boot of the machine since which the monotonic clock runs.
+    /// The id of the machine's boot. The monotonic clock starts at each boot.
     pub boot_id: String,
-    /// The monotonic clock.
+    /// The time of the monotonic clock.
     pub monotonic: Duration,
     /// Journal time, in Unix milliseconds.
     pub journal_ms: u64,
 }
 
-/// The file of the clock, and what it holds or is to hold.
+/// The clock's file, and the last reading.
 pub struct ClockFile {
     path: PathBuf,
     reading: Option<ClockReading>,
-    /// The file holds this reading.
+    /// Whether the file holds `reading`.
     is_written: bool,
 }
 
 impl ClockFile {
-    /// Reads the file beside a journal. None there, or a damaged one, is as good as no reading.
+    /// Reads the clock's file beside a journal. A missing or damaged file counts as no reading.
     ///
     /// # Errors
     /// The file exists and cannot be read.
@@ -44,20 +44,20 @@
         Ok(ClockFile { path, reading, is_written: true })
     }
 
-    /// The last reading, written or not.
+    /// Returns the last reading, whether or not it has been written. None if there is none.
     pub fn reading(&self) -> Option<&ClockReading> {
         self.reading.as_ref()
     }
 
-    /// Whether the file holds the last reading.
+    /// Returns whether the file holds the last reading.
     pub fn is_written(&self) -> bool {
         self.is_written
     }
 
-    /// Replaces the reading.
+    /// Replaces the reading, and writes it to the file.
     ///
     /// # Errors
-    /// The file cannot be written; [`write`](Self::write) tries it again.
+    /// The file cannot be written. [`write`](Self::write) retries it.
     pub fn record(&mut self, reading: ClockReading) -> Result<(), JournalError> {
         self.reading = Some(reading);
         self.is_written = false;
--- a/src/bin/delivery-gateway/journal/compaction.rs
+++ b/src/bin/delivery-gateway/journal/compaction.rs
@@ -1,5 +1,6 @@
-//! Compaction: writes the state to a new file and renames it over the journal. Nothing else changes the journal's
-//! records; until the rename it stays as it is.
+//! Compaction: writes the state to a new file, and renames it over the journal.
+//!
+//! No other operation changes existing records. The journal stays unchanged until the rename.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter, Write};
@@ -11,16 +12,17 @@
 use super::record::{PersistedCircuitChange, Record};
 use super::state::JournalState;
 
-/// The file that is in the journal's place now.
+/// The file that has replaced the journal.
 pub struct CompactedFile {
     pub file: File,
+    /// In bytes.
     pub size: u64,
 }
 
 /// Writes the state to a new file of at most `available` bytes, and renames it over the journal.
 ///
 /// # Errors
-/// The file cannot be written or renamed, or is too large; the copy may be left over.
+/// The file cannot be written or renamed, or would be too large. The copy may be left behind; see [`remove_copy`].
 pub fn compact(state: &JournalState, journal: &Path, available: u64) -> Result<CompactedFile, JournalError> {
     let copy = copy_path(journal);
     let file = File::create(&copy).map_err(JournalError::file(FileOperation::Compact, &copy))?;
@@ -33,7 +35,7 @@
     Ok(CompactedFile { file, size })
 }
 
-/// Removes a copy that did not come into the journal's place. Returns the bytes that it still takes.
+/// Removes the copy of a compaction that failed. Returns the size in bytes of a copy that could not be removed, else 0.
 pub fn remove_copy(journal: &Path) -> u64 {
     let copy = copy_path(journal);
     match fs::remove_file(&copy) {
@@ -50,7 +52,9 @@
 struct Copy<'a> {
     path: &'a Path,
     file: BufWriter<File>,
+    /// In bytes.
     size: u64,
+    /// The maximum size in bytes.
     available: u64,
 }
 
@@ -76,7 +80,7 @@
             self.write(Record::CircuitChanges(changes.collect()))?;
         }
         for uid in &state.disabled_endpoints {
-            self.write(Record::EndpointDisabled { uid: uid.clone(), disabled: true })?;
+            self.write(Record::EndpointDisabled { uid: uid.clone(), is_disabled: true })?;
         }
         for (&number, pending) in &state.pending {
             self.write(Record::Pending { number, message: pending.clone() })?;
--- a/src/bin/delivery-gateway/journal/error.rs
+++ b/src/bin/delivery-gateway/journal/error.rs
@@ -1,10 +1,10 @@
-//! Why the journal could not be opened, read or written.
+//! The errors of the journal.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What was tried on one of the journal's files.
+/// A failed operation on one of the journal's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
     Open,
@@ -27,49 +27,49 @@
         }
     }
 
-    /// What happens next.
+    /// Says what happens after the error.
     fn consequence(self) -> &'static str {
         match self {
             FileOperation::Open | FileOperation::Replay | FileOperation::ReadClock => {
-                "nothing has been changed, and the gateway does not start without it"
+                "no file has been changed; the gateway does not start without its journal"
             }
-            FileOperation::Append => "the write is retried, or what depends on it is not done",
-            FileOperation::Compact => "the file stays as it is, and compaction is retried later",
+            FileOperation::Append => "the write is retried, or the step that depends on it is not taken",
+            FileOperation::Compact => "the journal stays as it is, and compaction is retried later",
             FileOperation::WriteClock => "the write is retried",
         }
     }
 }
 
-/// Why the journal could not be opened, read or written.
+/// A failure to open, read or write the journal.
 #[derive(Debug, Error)]
 pub enum JournalError {
     /// A system call on a file failed.
     #[error("cannot {} at {}: {source}; {}", .operation.name(), .path.display(), .operation.consequence())]
     File { operation: FileOperation, path: PathBuf, source: io::Error },
-    #[error("cannot encode a record: {0}; it is not written")]
+    #[error("cannot encode a journal record: {0}; it is not written")]
     Encode(#[from] postcard::Error),
-    #[error("a record of {bytes} bytes is longer than {limit}; it is not written")]
+    #[error("a journal record of {bytes} bytes exceeds the maximum of {limit}; it is not written")]
     RecordTooLong { bytes: usize, limit: usize },
-    #[error("live records would take {needed} of at most {limit} bytes; the message is not accepted")]
+    #[error("live records would take {needed} bytes, the maximum is {limit}; the message is not accepted")]
     LiveBytesExceeded { needed: u64, limit: u64 },
-    #[error("the journal would take {needed} of at most {limit} bytes; the record is not written now")]
+    #[error("the journal would take {needed} bytes, the maximum is {limit}; the record is not written now")]
     FileFull { needed: u64, limit: u64 },
-    #[error("the compacted journal does not fit into {available} bytes; the file stays as it is")]
+    #[error("the compacted journal exceeds the {available} bytes left for it; the journal stays as it is")]
     NoRoomToCompact { available: u64 },
-    /// Nothing was written.
+    /// Nothing was written, because an earlier failed write has left a torn tail.
     #[error(
-        "what a failed write left behind the journal's end cannot be truncated yet; no message is accepted"
+        "cannot truncate the torn tail that a failed write left in the journal; no message is accepted until then"
     )]
     TornTail,
 }
 
 impl JournalError {
-    /// For `map_err`: gives an I/O error its operation and file.
+    /// Returns a function for `map_err` that adds the operation and the file to an I/O error.
     pub(super) fn file(operation: FileOperation, path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         move |source| JournalError::File { operation, path: path.to_owned(), source }
     }
 
-    /// The I/O error behind this one, if there is one.
+    /// Returns the I/O error that caused this one, if any.
     pub fn io_error(&self) -> Option<&io::Error> {
         match self {
             JournalError::File { source, .. } => Some(source),
--- a/src/bin/delivery-gateway/journal/file.rs
+++ b/src/bin/delivery-gateway/journal/file.rs
@@ -1,4 +1,4 @@
-//! The journal's file: appends whole records behind the last one, and truncates what a failed append leaves.
+//! The journal's file. Appends whole records after the last one, and truncates the torn tail of a failed append.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::BufReader;
@@ -9,22 +9,22 @@
 use super::frame::{read_frame, END_OF_RECORDS};
 use super::record::Record;
 
-/// The journal's file, and where its records end.
+/// The journal's file, and the end of its records.
 pub struct JournalFile {
     path: PathBuf,
     file: File,
-    /// Where the next record goes, in bytes from the start.
+    /// The offset of the next record, in bytes.
     end: u64,
-    /// Bytes may lie behind the end, which the next process could take for a record.
+    /// Whether there may be bytes after `end`. The next process could read them as a record.
     has_torn_tail: bool,
 }
 
 impl JournalFile {
-    /// Opens a file, which is created where there is none, and passes on all its records. They end before the first
-    /// torn or damaged one.
+    /// Opens a file, or creates it, and passes its records to `apply`. The records end before the first torn or damaged
+    /// one.
     ///
     /// # Errors
-    /// The file cannot be opened or read. Its contents are as they were.
+    /// The file cannot be opened or read. Its contents are unchanged.
     pub fn replay(path: &Path, mut apply: impl FnMut(Record)) -> Result<Self, JournalError> {
         let file = OpenOptions::new()
             .read(true)
@@ -34,7 +34,7 @@
             .open(path)
             .map_err(JournalError::file(FileOperation::Open, path))?;
         let length = file.metadata().map_err(JournalError::file(FileOperation::Open, path))?.len();
-        // One record at a time: a file may be larger than the memory.
+        // Reads one record at a time, because a file may be larger than the memory.
         let mut reader = BufReader::new(&file);
         let mut end = 0;
         while let Some(frame) =
@@ -46,32 +46,32 @@
         Ok(JournalFile { path: path.to_owned(), file, end, has_torn_tail: length > end })
     }
 
-    /// Where the file is.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// How many bytes its records take.
+    /// Returns the size of the records in bytes.
     pub fn size(&self) -> u64 {
         self.end
     }
 
-    /// Whether bytes may lie behind the last record.
+    /// Returns whether there may be bytes after the last record.
     pub fn has_torn_tail(&self) -> bool {
         self.has_torn_tail
     }
 
-    /// Whether no other process has replaced the file or appended to it.
+    /// Returns whether no other process has replaced the file or appended to it. False if that cannot be checked.
     pub fn is_untouched(&self) -> bool {
         let Ok(at_path) = fs::metadata(&self.path) else { return false };
         let Ok(own) = self.file.metadata() else { return false };
         at_path.ino() == own.ino() && at_path.len() == self.end
     }
 
-    /// Writes whole records behind the last one, over what a failed write may have left there.
+    /// Writes whole records after the last one, over the torn tail of a failed write.
     ///
     /// # Errors
-    /// Not all could be written. None of it counts.
+    /// Not all bytes could be written. None of the records counts.
     pub fn append(&mut self, frames: &[u8]) -> Result<(), JournalError> {
         self.truncate_tail();
         if let Err(error) = self.file.write_all_at(frames, self.end) {
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Truncates a torn tail, or at least marks where records end. It stays torn if neither can be done.
+    /// Truncates a torn tail or, if that fails, writes [`END_OF_RECORDS`] over its start. It stays torn if both fail.
     pub fn truncate_tail(&mut self) {
         if self.has_torn_tail {
             let cleaned = self.file.set_len(self.end).is_ok()
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Goes on with a compacted file that has been put in this one's place.
-    pub fn replaced_by(&mut self, file: File, size: u64) {
+    /// Continues with the compacted file that has replaced this one.
+    pub fn replace_with(&mut self, file: File, size: u64) {
         self.file = file;
         self.end = size;
         self.has_torn_tail = false;
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -1,4 +1,5 @@
-//! The form of a record on disk: its length and checksum, each as four little-endian bytes, then its postcard encoding.
+//! The format of a record on disk: its length and its CRC-32 checksum, each as four little-endian bytes, then its
+//! postcard encoding.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -6,17 +7,18 @@
 
 use super::error::JournalError;
 
-/// Length and checksum before each record.
+/// The size of the length and the checksum before each record.
 pub const HEADER_BYTES: usize = 8;
-/// A longer record is taken for damage.
+/// The maximum size of a record's encoding. A longer one is treated as damaged.
 pub const MAX_PAYLOAD_BYTES: usize = 4 << 20;
-/// In the place of a header: no record starts here, and nothing that follows counts.
+/// Marks the end of the records, in place of a header. A reader ignores everything after it.
 pub const END_OF_RECORDS: [u8; HEADER_BYTES] = [0; HEADER_BYTES];
 
-/// A record as it is written.
+/// Encodes a record with its header.
 ///
 /// # Errors
-/// It cannot be encoded, or is so long that a reader would take it for damage and cut off all that follows.
+/// The record cannot be encoded, or exceeds [`MAX_PAYLOAD_BYTES`]. A reader would treat such a record as damaged, and
+/// truncate it and all records after it.
 pub fn encode_frame(record: &impl Serialize) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_stdvec(record)?;
     if payload.len() > MAX_PAYLOAD_BYTES {
@@ -29,14 +31,15 @@
     Ok(frame)
 }
 
-/// A record that was read, and how many bytes it takes with its header.
+/// A record that was read.
 pub struct Frame<T> {
     pub record: T,
+    /// The size of the record with its header.
     pub bytes: u64,
 }
 
-/// Reads the next record of a file that has `remaining` bytes left. None at the end, or where a record is torn or
-/// damaged.
+/// Reads the next record of a file that has `remaining` bytes left. None at the end of the file, or if the record is
+/// torn or damaged.
 ///
 /// # Errors
 /// The file cannot be read.
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -1,19 +1,19 @@
-//! The write-ahead journal: what outlasts the process. An append-only file of checksummed records in the state folder,
-//! the [`JournalState`] that they add up to, and the clock's last reading in a file beside it.
+//! The write-ahead journal, which keeps the gateway's state beyond the process. It consists of an append-only file of
+//! checksummed records in the state folder, the [`JournalState`] that results from these records, and a separate file
+//! with the clock's last reading.
 //!
-//! Every record is written before the step that it stands for takes effect. It need not reach the disk: the folder
-//! outlasts the process, not the machine. But the system call must have returned.
+//! A record is written before its step takes effect: the write call must have returned. No fsync is needed, because the
+//! state folder has to outlast the process, but not the machine.
 //!
-//! Writes may fail for a while. A record that must come before its step (a message accepted, an attempt started) is
-//! refused then, and the step is not taken. A record of what has happened already is applied to the state at once and
-//! deferred: the file gets it, in order and before any other record, as soon as it can be written
+//! Writes may fail for a while. A record that must precede its step (a message accepted, an attempt started) is refused
+//! then, and the step is not taken. A record of a step that has already happened is applied to the state at once and
+//! deferred. Deferred records are written in order, before any other record, as soon as writes succeed again
 //! ([`Journal::flush`]).
 //!
-//! - [`record`]: what the records say. A new kind goes to the end, so that older journals are still read.
-//! - [`state`]: what they add up to; [`compaction`]: the records that a state is written as.
-//! - [`frame`] and [`mod@chunks`]: the form of records on disk, and of lists too long for one record.
-//! - [`mod@file`], [`clock_file`], [`space`] and [`error`]: the two files, the disk space that they may take, and what
-//!   can fail.
+//! - [`record`]: the kinds of records. A new kind is added at the end, so that older journals can still be read.
+//! - [`state`]: the state that results from the records; [`compaction`]: rewrites the journal from the state.
+//! - [`frame`] and [`mod@chunks`]: the format of records on disk, and of lists too long for one record.
+//! - [`mod@file`], [`clock_file`], [`space`] and [`error`]: the two files, their disk space, and their errors.
 
 mod chunks;
 mod clock_file;
@@ -46,34 +46,34 @@
     SentRecord,
 };
 
-/// The shortest time between a compaction that failed and the next one.
+/// The minimum time between a failed compaction and the next one.
 const COMPACTION_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The journal of one state folder. One process at a time owns it, by the folder's lock.
+/// The journal of one state folder. Only the process that holds the folder's lock may open it.
 pub struct Journal {
     file: JournalFile,
     space: DiskSpace,
-    /// What the file's records and the deferred ones add up to.
+    /// The state that results from the file's records and the deferred ones.
     pub state: JournalState,
-    /// Bytes that the pending messages would take in a compacted file, at most.
+    /// The maximum number of bytes that the pending messages would take in a compacted file.
     live_bytes: u64,
-    /// Records that the state has and the file does not, the oldest first.
+    /// Records that are applied to the state but not yet written to the file, the oldest first.
     deferred: VecDeque<Record>,
-    /// The file's endpoint list is older than the state's.
+    /// Whether the file's endpoint list is older than the state's.
     endpoints_deferred: bool,
-    /// Bytes of a compacted copy that could not be removed.
+    /// The size of a compacted copy that could not be removed; 0 if there is none.
     leftover_copy_bytes: u64,
-    /// When a compaction failed, unless one has succeeded since.
+    /// The time of the last failed compaction. None if a later one has succeeded.
     compaction_failed_at: Option<Instant>,
     clock: ClockFile,
 }
 
 impl Journal {
-    /// Opens the journal of a folder, with `disk_bytes` for all its files, and replays it. A torn tail is truncated:
-    /// the step that it was to come before was not taken.
+    /// Opens the journal of a folder, and replays it. `disk_bytes` is the disk space for all its files. A torn tail is
+    /// truncated: its record was not written completely, so its step was not taken.
     ///
     /// # Errors
-    /// A file cannot be opened or read. Nothing has been changed then, and it may be tried again.
+    /// A file cannot be opened or read. No file has been changed, and the call may be retried.
     pub fn open(folder: &Path, disk_bytes: u64) -> Result<Self, JournalError> {
         let path = folder.join("journal");
         let mut state = JournalState::default();
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Whether the files hold all that the state does, and no more.
+    /// Returns whether the files hold all of the state, and no torn tail.
     pub fn is_flushed(&self) -> bool {
         self.has_all_records()
             && !self.endpoints_deferred
@@ -102,25 +102,25 @@
             && !self.file.has_torn_tail()
     }
 
-    /// Whether a failed write may have left a whole record behind the end, which the next process would apply.
+    /// Returns whether a failed write may have left a whole record after the end, which the next process would apply.
     pub fn has_torn_tail(&self) -> bool {
         self.file.has_torn_tail()
     }
 
-    /// Whether the file has all records of messages. The endpoint list and the clock are deferred apart from these.
+    /// Returns whether no record of a message is deferred. The endpoint list and the clock are deferred separately.
     pub fn has_all_records(&self) -> bool {
         self.deferred.is_empty()
     }
 
-    /// Whether the file is as this process left it.
+    /// Returns whether the file is unchanged since this process last wrote to it.
     pub fn is_untouched(&self) -> bool {
         self.file.is_untouched()
     }
 
-    /// Writes what was deferred.
+    /// Writes the deferred records, the endpoint list and the clock's reading if they are deferred.
     ///
     /// # Errors
-    /// Something still cannot be written; it stays deferred.
+    /// A write still fails; its record stays deferred.
     pub fn flush(&mut self) -> Result<(), JournalError> {
         self.flush_records()?;
         if self.endpoints_deferred {
@@ -133,12 +133,12 @@
         Ok(())
     }
 
-    /// Accepts a message and returns its number. From then on it outlasts the process.
+    /// Accepts a message, and returns its number. The message then outlasts the process.
     ///
     /// # Errors
-    /// It is not accepted: it cannot be written, or there is no room for it. After
-    /// [`TornTail`](JournalError::TornTail) nothing was written; after other errors see
-    /// [`has_torn_tail`](Self::has_torn_tail).
+    /// The message is not accepted: it cannot be written, or would exceed the disk space. After
+    /// [`TornTail`](JournalError::TornTail), nothing was written. After other errors, the message's record may be in
+    /// the file if [`has_torn_tail`](Self::has_torn_tail) returns true.
     pub fn accept(&mut self, message: AcceptedRecord) -> Result<u32, JournalError> {
         self.file.truncate_tail();
         if self.file.has_torn_tail() {
@@ -151,21 +151,21 @@
         self.write_ahead(Record::Accepted { number, message })?;
         self.live_bytes += message_bytes;
         if !tenant.is_empty() {
-            // The message is accepted: a failure here defers the record only.
+            // The message is accepted already. A failure here only defers the tenant's record.
             let _ = self.write_or_defer(Record::Tenant { number, tenant });
         }
         Ok(number)
     }
 
-    /// An attempt is about to be made.
+    /// Records an attempt that is about to be sent.
     ///
     /// # Errors
-    /// It is not recorded, and must not be made.
+    /// The attempt is not recorded, and must not be sent.
     pub fn record_attempt_started(&mut self, number: u32, attempt: SentRecord) -> Result<(), JournalError> {
         self.write_ahead(Record::AttemptStarted { number, attempt })
     }
 
-    /// The attempt in flight has finished; whether the endpoint may have processed it.
+    /// Records the end of the attempt in flight, and whether the endpoint may have processed it.
     ///
     /// # Errors
     /// The record is deferred.
@@ -173,7 +173,7 @@
         self.end_attempt(number, Record::AttemptFinished { number, may_have_run })
     }
 
-    /// The attempt in flight was not sent after all, and does not count as one.
+    /// Records that the attempt in flight was not sent, and removes it from the message's number of attempts.
     ///
     /// # Errors
     /// The record is deferred.
@@ -181,7 +181,7 @@
         self.end_attempt(number, Record::AttemptUndone { number })
     }
 
-    /// A message has its final outcome, of which nobody has been notified.
+    /// Records the final outcome of a message, before its notification is sent.
     ///
     /// # Errors
     /// The record is deferred. The client must not be notified before it is written.
@@ -193,7 +193,8 @@
         self.write_or_defer(Record::OutcomeDecided { number, final_outcome })
     }
 
-    /// A message is completed: delivered, its notification acknowledged, or abandoned by its client.
+    /// Records that a message is completed: it was delivered, its notification was acknowledged, or its client withdrew
+    /// it.
     ///
     /// # Errors
     /// The record is deferred.
@@ -203,10 +204,10 @@
         self.write_or_defer(Record::Completed { number })
     }
 
-    /// Applies an update of the endpoint list. The next process sees all of it or nothing.
+    /// Applies an update of the endpoint list, and records it. The next process reads either all of the update or none.
     ///
     /// # Errors
-    /// It is not written; the whole list is, later.
+    /// The update is not written. The whole list is deferred, and written later.
     pub fn record_endpoints(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
         if self.endpoints_deferred {
             self.state.apply_endpoints(update);
@@ -218,10 +219,10 @@
         written
     }
 
-    /// Records changes of the circuits.
+    /// Records changes of circuits.
     ///
     /// # Errors
-    /// Not all are recorded, in the state neither.
+    /// Not all changes are recorded. Those that are not are missing from the state as well.
     pub fn record_circuits(&mut self, changes: &[PersistedCircuitChange]) -> Result<(), JournalError> {
         for chunk in chunks(changes)? {
             self.write_ahead(Record::CircuitChanges(chunk.into_iter().cloned().collect()))?;
@@ -229,20 +230,20 @@
         Ok(())
     }
 
-    /// Operators disable an endpoint, or enable it again.
+    /// Records that operators disable an endpoint or enable it again.
     ///
     /// # Errors
-    /// It is not recorded, and must not take effect.
-    pub fn record_endpoint_disabled(&mut self, uid: &str, disabled: bool) -> Result<(), JournalError> {
-        self.write_ahead(Record::EndpointDisabled { uid: uid.to_owned(), disabled })
+    /// The change is not recorded, and must not take effect.
+    pub fn record_endpoint_disabled(&mut self, uid: &str, is_disabled: bool) -> Result<(), JournalError> {
+        self.write_ahead(Record::EndpointDisabled { uid: uid.to_owned(), is_disabled })
     }
 
-    /// The last reading of the clock. None in the folder of an older build, whose journal counts in wall time.
+    /// Returns the last reading of the clock. None in the folder of an older build, whose journal has wall-clock times.
     pub fn clock_reading(&self) -> Option<&ClockReading> {
         self.clock.reading()
     }
 
-    /// Records how journal time continues from now.
+    /// Records a reading of the clock, from which the next process continues journal time.
     ///
     /// # Errors
     /// The reading is deferred.
@@ -250,7 +251,8 @@
         self.clock.record(reading)
     }
 
-    /// Writes a record that must be in the file before its step is taken. If it cannot be, nothing changes.
+    /// Writes a record that must be in the file before its step is taken, and applies it. After an error, the state is
+    /// unchanged.
     fn write_ahead(&mut self, record: Record) -> Result<(), JournalError> {
         self.flush_records()?;
         self.append(&encode_frame(&record)?)?;
@@ -258,7 +260,7 @@
         Ok(())
     }
 
-    /// Applies a record of what has happened already. The file gets it now or, after an error, later.
+    /// Applies a record of a step that has already happened, and writes it. After an error, the record is deferred.
     fn write_or_defer(&mut self, record: Record) -> Result<(), JournalError> {
         let written = self.flush_records().and_then(|()| self.append(&encode_frame(&record)?));
         if written.is_ok() {
@@ -270,7 +272,7 @@
         written
     }
 
-    /// The same for the end of an attempt, if its start was recorded.
+    /// Calls [`write_or_defer`](Self::write_or_defer) for the end of an attempt, if its start was recorded.
     fn end_attempt(&mut self, number: u32, record: Record) -> Result<(), JournalError> {
         if !self.state.has_attempt_in_flight(number) {
             return Ok(());
@@ -278,11 +280,11 @@
         self.write_or_defer(record)
     }
 
-    /// Writes the records that were deferred, the oldest first.
+    /// Writes the deferred records, the oldest first.
     fn flush_records(&mut self) -> Result<(), JournalError> {
         while let Some(record) = self.deferred.front() {
             self.append(&encode_frame(record)?)?;
-            // If the append compacted the journal, all were written, and none is left here.
+            // If `append` has compacted the journal, all records are written and the queue is already empty.
             self.deferred.pop_front();
         }
         Ok(())
@@ -293,11 +295,11 @@
         for record in endpoint_records(update.revision, update.is_snapshot, &update.endpoints)? {
             frames.extend(encode_frame(&record)?);
         }
-        // All parts at once: a compaction between two of them would lose the first.
+        // Appends all parts at once, because a compaction between two parts would lose the first.
         self.append(&frames)
     }
 
-    /// Writes the whole endpoint list, in the place of updates that could not be written.
+    /// Writes the whole endpoint list, in place of the updates that could not be written.
     fn write_all_endpoints(&mut self) -> Result<(), JournalError> {
         let mut frames = Vec::new();
         for record in destination_records(&self.state.destinations)? {
@@ -312,31 +314,31 @@
         Ok(())
     }
 
-    /// Appends whole frames, after a compaction where the file would grow too large.
+    /// Appends whole frames. Compacts the journal first if the file would grow too large.
     fn append(&mut self, frames: &[u8]) -> Result<(), JournalError> {
         let added = frames.len() as u64;
         let mut compacted = Ok(());
-        if self.space.needs_compaction(self.file.size() + added) && self.may_compact() {
+        if self.space.needs_compaction(self.file.size() + added) && self.can_compact() {
             compacted = self.compact();
         }
         let size = self.file.size() + added + self.leftover_copy_bytes;
         if let Err(full) = self.space.check_file(size) {
-            // Where a compaction has failed as well, its error is the cause.
+            // If the compaction has failed as well, its error is the cause.
             return compacted.and(Err(full));
         }
         self.file.append(frames)
     }
 
-    fn may_compact(&self) -> bool {
+    fn can_compact(&self) -> bool {
         self.compaction_failed_at.is_none_or(|at| at.elapsed() >= COMPACTION_RETRY_DELAY)
     }
 
-    /// Writes the state, deferred records included, to a new file in the journal's place.
+    /// Writes the state, including the deferred records, to a new file that replaces the journal.
     fn compact(&mut self) -> Result<(), JournalError> {
         let available = self.space.bytes().saturating_sub(self.file.size());
         match compact(&self.state, self.file.path(), available) {
             Ok(CompactedFile { file, size }) => {
-                self.file.replaced_by(file, size);
+                self.file.replace_with(file, size);
                 self.leftover_copy_bytes = 0;
                 self.endpoints_deferred = false;
                 self.compaction_failed_at = None;
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -1,4 +1,4 @@
-//! What the journal's records say. The order of variants and of fields is the format on disk.
+//! The journal's records. The order of variants and of fields is the format on disk.
 
 use bytes::Bytes;
 use delivery_gateway::discovery::DiscoveryUpdate;
@@ -10,61 +10,62 @@
 pub enum Record {
     /// A message was accepted under this number.
     Accepted { number: u32, message: AcceptedRecord },
-    /// An attempt is about to be made.
+    /// An attempt is about to be sent.
     AttemptStarted { number: u32, attempt: SentRecord },
-    /// The attempt in flight has finished; whether the endpoint may have processed it.
+    /// The attempt in flight has ended. `may_have_run`: the endpoint may have processed it.
     AttemptFinished { number: u32, may_have_run: bool },
-    /// The message has its final outcome, of which its client is still to be notified.
+    /// The message has its final outcome, and its client has not been notified yet.
     OutcomeDecided { number: u32, final_outcome: FinalOutcome },
-    /// Tombstone: nothing more happens to the message.
+    /// The message is completed and removed from the state.
     Completed { number: u32 },
-    /// A message with all that is recorded of it; written by compaction.
+    /// A message with its whole recorded state; written by compaction.
     Pending { number: u32, message: PendingMessage },
-    /// The endpoint list, or what has changed in it.
+    /// A snapshot or a delta of the endpoint list.
     Endpoints(DiscoveryUpdate),
-    /// All circuits that are remembered. Older builds wrote them whole at each change.
+    /// All persisted circuits. Older builds wrote this record at each change; it is still read.
     AllCircuits(Vec<PersistedCircuit>),
-    /// Destinations that have been listed at some time.
+    /// Destinations that are or were listed.
     Destinations(Vec<u32>),
-    /// The tenant of a message, where it has one.
+    /// The tenant of a message. Written only for messages that have one.
     Tenant { number: u32, tenant: String },
-    /// Operators disable an endpoint, or enable it again.
-    EndpointDisabled { uid: String, disabled: bool },
-    /// What has changed of the circuits.
+    /// Operators have disabled an endpoint, or enabled it again.
+    EndpointDisabled { uid: String, is_disabled: bool },
+    /// Changes of the persisted circuits.
     CircuitChanges(Vec<PersistedCircuitChange>),
-    /// One part of an endpoint update too long for one record: its index from 0, and how many there are. No part
-    /// counts until the last one has been read.
+    /// One part of an endpoint update that is too long for one record. `index` counts from 0, `count` is the number of
+    /// parts. No part is applied until the last one has been read.
     EndpointsPart { index: u32, count: u32, update: DiscoveryUpdate },
-    /// The attempt that was started last was not sent, for a reason on this machine.
+    /// The attempt in flight was not sent because of a local failure, and doesn't count as an attempt.
     AttemptUndone { number: u32 },
 }
 
 /// A message as it was accepted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AcceptedRecord {
-    /// The client's id of the message.
+    /// The id that the client chose.
     pub id: String,
-    /// Zero in classes without order.
+    /// 0 in classes without ordering.
     pub ordering_key: u64,
-    /// By name: its index in the settings may differ after a restart.
+    /// The name of the class. Its index in the settings may differ after a restart.
     pub class: String,
     /// The destination's number.
     pub destination: u32,
-    /// What an endpoint recognizes a repeated attempt by.
+    /// The key by which an endpoint recognizes a repeated attempt.
     pub idempotency_key: Option<String>,
-    /// Journal time in milliseconds.
+    /// The deadline, in journal time.
     pub deadline_ms: u64,
-    /// The client may have given the message to another gateway before.
+    /// Whether the client may have enqueued the message at another gateway before.
     pub is_redelivered: bool,
-    /// What is delivered.
+    /// The body that is delivered to the endpoint.
     pub body: Bytes,
-    /// By name; empty where there is none. In a [record of its own](Record::Tenant), as older journals have none.
+    /// The name of the tenant; empty if the message has none. It has its [own record](Record::Tenant), because older
+    /// journals have no tenants.
     #[serde(skip)]
     pub tenant: String,
 }
 
 impl AcceptedRecord {
-    /// Bytes of its texts and its body.
+    /// Returns the size of the texts and the body, in bytes.
     pub fn content_bytes(&self) -> usize {
         let key = self.idempotency_key.as_ref().map_or(0, String::len);
         self.body.len() + self.id.len() + self.class.len() + self.tenant.len() + key
@@ -74,34 +75,33 @@
 /// The final outcome of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalOutcome {
-    /// It may have been delivered, or can not be any more.
+    /// The message may have been delivered, or can no longer be delivered.
     Failed,
-    /// It was not delivered: the client may enqueue it again after this many milliseconds.
+    /// The message was not delivered. The client may enqueue it again after `after_ms` milliseconds.
     Returned { after_ms: u64 },
 }
 
-/// When an attempt was sent, and to which zone.
+/// The time and the zone of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentRecord {
-    /// Journal time in milliseconds.
+    /// The time at which the attempt was sent, in journal time.
     pub sent_ms: u64,
-    /// The number of the zone in the endpoint directory; it means the same after a restart as long as the zones of the
-    /// settings do not change.
+    /// The number of the endpoint's zone in the endpoint directory. It stays valid after a restart if the zones of the
+    /// settings are unchanged.
     pub zone: u8,
 }
 
-/// An accepted message that is not completed, and what is recorded of it.
+/// An accepted message that is not completed, with its recorded state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PendingMessage {
-    /// The message as it was accepted.
     pub message: AcceptedRecord,
-    /// Attempts that were started, but for those that were not sent.
+    /// The number of attempts started, except those that were not sent because of a local failure.
     pub attempts: u32,
-    /// The first attempt that an endpoint may have processed.
+    /// The first attempt that an endpoint may have processed. None if there is none.
     pub first_uncertain_attempt: Option<SentRecord>,
-    /// The attempt that has not finished: after a restart an endpoint may have processed it.
+    /// The attempt in flight. After a restart, it counts as possibly processed.
     pub in_flight: Option<SentRecord>,
-    /// The final outcome, of which the client is still to be notified.
+    /// The final outcome, whose notification has not been acknowledged yet.
     pub final_outcome: Option<FinalOutcome>,
 }
 
@@ -117,36 +117,36 @@
     }
 }
 
-/// Whose calls a circuit breaker stops: a destination's, or one endpoint's where endpoints have their own limits.
+/// The route of a circuit breaker: a destination, or one endpoint if its endpoints have their own limits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CircuitKey {
     /// The destination's number.
     pub destination: u32,
-    /// The endpoint's uid; none where the circuit is the whole destination's.
+    /// The endpoint's uid. None if the circuit belongs to the whole destination.
     pub uid: Option<String>,
 }
 
-/// A [`CircuitRecord`] in terms that mean the same to the next process: uids in the place of ids, and journal time.
+/// A [`CircuitRecord`] that the next process can read: it has uids instead of ids, and journal time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedCircuit {
     /// The destination's number.
     pub destination: u32,
-    /// The endpoint's uid; none where the circuit is the whole destination's.
+    /// The endpoint's uid. None if the circuit belongs to the whole destination.
     pub uid: Option<String>,
-    /// Journal time in milliseconds.
+    /// The time of the last success, in journal time.
     pub last_success_ms: u64,
     /// See [`CircuitRecord::failure_score`].
     pub failure_score: u32,
     /// None while the circuit is closed; see [`CircuitRecord::has_lost_calls`].
     pub has_lost_calls: Option<bool>,
-    /// Since when slow start limits calls, in journal time in milliseconds.
+    /// The start of slow start, in journal time. None if slow start doesn't limit calls.
     pub slow_start_ms: Option<u64>,
     /// See [`CircuitRecord::baseline_per_sec`].
     pub baseline_per_sec: f64,
 }
 
 impl PersistedCircuit {
-    /// Translates a record of the scheduler; `journal_ms` turns scheduler time into journal time.
+    /// Translates a record of the scheduler. `journal_ms` converts scheduler time to journal time.
     pub fn new(circuit: &CircuitRecord, uid: Option<String>, journal_ms: impl Fn(Time) -> u64) -> Self {
         PersistedCircuit {
             destination: circuit.destination.0,
@@ -159,22 +159,22 @@
         }
     }
 
-    /// Whose circuit it is.
+    /// Returns the route of the circuit.
     pub fn key(&self) -> CircuitKey {
         CircuitKey { destination: self.destination, uid: self.uid.clone() }
     }
 
-    /// Whether calls are stopped, but for probes.
+    /// Returns whether the circuit stops all calls except probes.
     pub fn is_open(&self) -> bool {
         self.has_lost_calls.is_some()
     }
 }
 
-/// A change of the circuits that are remembered.
+/// A change of the persisted circuits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PersistedCircuitChange {
-    /// In the place of what was recorded for the same key.
+    /// Replaces the circuit with the same key.
     Updated(PersistedCircuit),
-    /// The circuit is in its initial state again.
+    /// The circuit is in its initial state again, and is no longer persisted.
     Removed(CircuitKey),
 }
--- a/src/bin/delivery-gateway/journal/space.rs
+++ b/src/bin/delivery-gateway/journal/space.rs
@@ -1,23 +1,24 @@
-//! How the disk space of the journal is divided: live bytes, the file, and room to compact it in.
+//! Divides the disk space of the journal between live records, the file, and the copy that compaction writes.
 
 use super::error::JournalError;
 use super::record::AcceptedRecord;
 
-/// Messages are accepted only while the live bytes fit into this fraction of the disk.
+/// The maximum fraction of the disk space for live bytes. A message that would exceed it is not accepted.
 const LIVE_FRACTION: f64 = 0.43;
-/// The file is compacted before it exceeds this fraction, so that the old and the new one fit side by side.
+/// The file is compacted before it exceeds this fraction of the disk space, so that the old and the new file fit side
+/// by side.
 const COMPACTION_FRACTION: f64 = 0.54;
-/// Nothing is appended beyond this fraction, also if compaction fails.
+/// The maximum fraction of the disk space for the file. Nothing is appended beyond it, even if compaction fails.
 const FILE_FRACTION: f64 = 0.95;
-/// Live bytes of each message for its later records.
+/// The live bytes reserved for each message, in addition to its content, for its later records.
 const OVERHEAD_BYTES_PER_MESSAGE: u64 = 128;
 
-/// Bytes that a message takes in a compacted file, at most.
+/// Returns the maximum number of bytes that a message takes in a compacted file.
 pub fn live_bytes(message: &AcceptedRecord) -> u64 {
     message.content_bytes() as u64 + OVERHEAD_BYTES_PER_MESSAGE
 }
 
-/// The disk space that the journal may take.
+/// The disk space of the journal's records.
 #[derive(Clone, Copy)]
 pub struct DiskSpace {
     bytes: u64,
@@ -32,13 +33,15 @@
         self.bytes
     }
 
-    /// Whether a file of this size is compacted first.
+    /// Returns whether the journal has to be compacted before its file grows to `size` bytes.
     pub fn needs_compaction(self, size: u64) -> bool {
         size > self.fraction(COMPACTION_FRACTION)
     }
 
+    /// Checks that the live bytes may grow to `needed`.
+    ///
     /// # Errors
-    /// So many live bytes are too many: no message is accepted that leads to them.
+    /// `needed` exceeds the maximum; the message must not be accepted.
     pub fn check_live(self, needed: u64) -> Result<(), JournalError> {
         let limit = self.fraction(LIVE_FRACTION);
         if needed > limit {
@@ -47,8 +50,10 @@
         Ok(())
     }
 
+    /// Checks that the file, together with a leftover copy of a failed compaction, may grow to `needed` bytes.
+    ///
     /// # Errors
-    /// A file of this size, with what else lies on the disk, is too large.
+    /// `needed` exceeds the maximum.
     pub fn check_file(self, needed: u64) -> Result<(), JournalError> {
         let limit = self.fraction(FILE_FRACTION);
         if needed > limit {
--- a/src/bin/delivery-gateway/journal/state.rs
+++ b/src/bin/delivery-gateway/journal/state.rs
@@ -1,4 +1,4 @@
-//! What the journal's records add up to. It reads and writes no file.
+//! The state that results from the journal's records. This module reads and writes no files.
 
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,29 +7,29 @@
     CircuitKey, PendingMessage, PersistedCircuit, PersistedCircuitChange, Record, SentRecord,
 };
 
-/// What the records add up to.
+/// The state that results from applying the journal's records in order.
 #[derive(Default)]
 pub struct JournalState {
-    /// Messages by their numbers, which are given in the order of acceptance.
+    /// Pending messages by their numbers. Messages are numbered in the order of acceptance.
     pub pending: BTreeMap<u32, PendingMessage>,
-    /// The number of the message accepted last.
+    /// The number of the last accepted message. 0 if there was none.
     pub last_number: u32,
-    /// The version of the endpoint list.
+    /// The revision of the endpoint list. 0 if no list was recorded.
     pub endpoints_revision: u64,
-    /// The endpoint list, by uids.
+    /// The endpoint list, by uid.
     pub endpoints: BTreeMap<String, DiscoveredEndpoint>,
-    /// Destinations that have been listed. One without endpoints stays: it may get others.
+    /// Destinations that are or were listed. A destination without endpoints stays, because it may get new ones.
     pub destinations: BTreeSet<u32>,
     /// Circuits that are not in their initial state.
     pub circuits: PersistedCircuits,
-    /// Endpoints that operators have disabled, by their uids, listed or not.
+    /// The uids of the endpoints that operators have disabled, whether or not they are listed.
     pub disabled_endpoints: BTreeSet<String>,
-    /// The parts so far of an endpoint update that is not complete yet.
+    /// The parts of an incomplete endpoint update.
     endpoint_parts: Vec<DiscoveryUpdate>,
 }
 
 impl JournalState {
-    /// Applies one record. One of a message that is not pending changes nothing.
+    /// Applies one record. A record of a message that is not pending changes nothing.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Accepted { number, message } => self.insert(number, message.into()),
@@ -56,10 +56,10 @@
             }
             Record::EndpointsPart { index, count, update } => self.apply_endpoints_part(index, count, update),
             Record::Destinations(destinations) => self.destinations.extend(destinations),
-            Record::EndpointDisabled { uid, disabled: true } => {
+            Record::EndpointDisabled { uid, is_disabled: true } => {
                 self.disabled_endpoints.insert(uid);
             }
-            Record::EndpointDisabled { uid, disabled: false } => {
+            Record::EndpointDisabled { uid, is_disabled: false } => {
                 self.disabled_endpoints.remove(&uid);
             }
             Record::AllCircuits(circuits) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether an attempt of a message is recorded that has not finished.
+    /// Returns whether a message has an attempt in flight.
     pub fn has_attempt_in_flight(&self, number: u32) -> bool {
         self.pending.get(&number).is_some_and(|pending| pending.in_flight.is_some())
     }
@@ -105,7 +105,7 @@
     fn start_attempt(&mut self, number: u32, attempt: SentRecord) {
         let Some(pending) = self.pending.get_mut(&number) else { return };
         pending.attempts += 1;
-        // One that has not finished may have been processed, also if another one was started after it.
+        // A previous attempt without a recorded end may have been processed.
         let unfinished = pending.in_flight.replace(attempt);
         pending.first_uncertain_attempt = pending.first_uncertain_attempt.or(unfinished);
     }
@@ -124,7 +124,7 @@
     }
 
     fn apply_endpoints_part(&mut self, index: u32, count: u32, update: DiscoveryUpdate) {
-        // A first part ends an update that its writer could not complete.
+        // A first part discards an update that its writer could not complete.
         if index == 0 {
             self.endpoint_parts.clear();
         }
@@ -139,7 +139,7 @@
     }
 }
 
-/// The circuits that are remembered: those that are not in their initial state.
+/// The circuits that are not in their initial state.
 #[derive(Default)]
 pub struct PersistedCircuits {
     circuits: BTreeMap<CircuitKey, PersistedCircuit>,
@@ -147,22 +147,22 @@
 }
 
 impl PersistedCircuits {
-    /// What is recorded for a key.
+    /// Returns the circuit of a route; None if it is in its initial state.
     pub fn get(&self, key: &CircuitKey) -> Option<&PersistedCircuit> {
         self.circuits.get(key)
     }
 
-    /// All keys, in order.
+    /// Returns all keys, in order.
     pub fn keys(&self) -> impl Iterator<Item = &CircuitKey> {
         self.circuits.keys()
     }
 
-    /// All circuits, in the order of their keys.
+    /// Returns all circuits, in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = &PersistedCircuit> {
         self.circuits.values()
     }
 
-    /// How many circuits are open.
+    /// Returns the number of open circuits.
     pub fn open_count(&self) -> usize {
         self.open_count
     }
--- a/src/bin/delivery-gateway/send_guard.rs
+++ b/src/bin/delivery-gateway/send_guard.rs
@@ -1,9 +1,8 @@
-//! The last check before an attempt: whether the message may be sent to the endpoint now, by the rules of the protocol
-//! alone.
+//! Checks each attempt against the delivery rules of the protocol, right before the attempt is recorded and sent.
 //!
-//! The scheduler keeps to the rules by itself. The guard checks again, from the journal's facts and the directory
-//! rather than from the scheduler's state, right before an attempt is recorded; what it forbids is not sent, counted,
-//! and logged. It knows no rate limit, priority or health.
+//! The scheduler follows the same rules. The guard is a second, independent check: it uses the journal and the endpoint
+//! directory instead of the scheduler's state. An attempt that would break a rule is not sent; it is counted and
+//! logged. The guard doesn't check rate limits, priorities or the health of endpoints.
 
 use delivery_gateway::{
     Class, DeduplicationScope, DestinationId, EndpointId, Idempotency, SentAttempt, Settings, Time, ZoneId,
@@ -12,7 +11,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The rule that an attempt would break.
+/// A delivery rule that an attempt would break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Breach {
     #[error("another attempt of the message is in flight")]
@@ -35,40 +34,37 @@
     RetryAfterPending,
 }
 
-/// What is known of a message that is about to be sent.
+/// An attempt to be checked, with the state of its message.
 pub struct Attempt<'a> {
-    /// The class of the message.
     pub class: &'a Class,
-    /// Another attempt of it is in flight.
+    /// Whether another attempt of the message is in flight.
     pub is_in_flight: bool,
-    /// It must not be sent any more.
+    /// Whether the final outcome is recorded. The message must not be sent after that.
     pub has_final_outcome: bool,
-    /// The message must not be sent from then on.
+    /// The message must not be sent at or after this time.
     pub deadline: Time,
-    /// Attempts started so far.
+    /// The number of attempts started before this one.
     pub attempts: u32,
-    /// The first of the attempts that may have been processed.
+    /// The first attempt that an endpoint may have processed. None if no attempt may have been.
     pub first_uncertain: Option<SentAttempt>,
-    /// Where it is to go.
     pub receiver: Receiver,
 }
 
-/// Where a message is to go.
+/// The endpoint of an attempt, as the endpoint directory lists it.
 #[derive(Clone, Copy, Debug)]
 pub struct Receiver {
-    /// The endpoint itself.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// The zone that it is in.
+    /// The zone of the endpoint.
     pub zone: ZoneId,
-    /// It may be given new work.
+    /// Whether the endpoint accepts new calls: it is not draining, removed or disabled.
     pub is_open: bool,
-    /// Its `Retry-After` binds itself alone, and not its whole destination.
+    /// Whether a `Retry-After` applies to this endpoint alone. Otherwise it applies to the whole destination.
     pub has_own_limits: bool,
 }
 
-/// What a `Retry-After` binds: a destination, or one endpoint of it.
+/// The scope of a `Retry-After`: a whole destination (None), or one endpoint of it.
 type RetryAfterScope = (DestinationId, Option<EndpointId>);
 
 impl Receiver {
@@ -77,36 +73,37 @@
     }
 }
 
-/// The rules, and the `Retry-After` delays in force.
+/// Checks attempts, and holds the `Retry-After` delays in force.
 pub struct SendGuard {
     max_attempts: u32,
-    /// When each delay is over.
+    /// The end of each delay.
     retry_after: HashMap<RetryAfterScope, Time>,
+    /// The number of blocked attempts since [`take_breaches`](Self::take_breaches) was last called.
     breaches: u32,
 }
 
 impl SendGuard {
-    /// A guard under these settings, with no delay in force.
+    /// Creates a guard with no delay in force.
     pub fn new(settings: &Settings) -> Self {
         SendGuard { max_attempts: settings.max_attempts, retry_after: HashMap::new(), breaches: 0 }
     }
 
-    /// An endpoint has asked for a delay from now on. A longer one in force stays.
-    pub fn note_retry_after(&mut self, now: Time, receiver: &Receiver, delay: Duration) {
+    /// Applies a `Retry-After` from now on. A delay in force that ends later is kept.
+    pub fn apply_retry_after(&mut self, now: Time, receiver: &Receiver, delay: Duration) {
         self.retry_after.retain(|_, until| *until > now);
         let until = self.retry_after.entry(receiver.retry_after_scope()).or_insert(now);
         *until = (*until).max(now + delay);
     }
 
-    /// Attempts that were forbidden since the last call.
+    /// Returns and resets the number of blocked attempts.
     pub fn take_breaches(&mut self) -> u32 {
         std::mem::take(&mut self.breaches)
     }
 
-    /// Whether an attempt may be made now.
+    /// Checks whether an attempt may be made now.
     ///
     /// # Errors
-    /// The first rule that it would break.
+    /// Returns the first rule that the attempt would break, and counts the attempt as blocked.
     pub fn check(&mut self, now: Time, attempt: &Attempt) -> Result<(), Breach> {
         let checked =
             self.check_message(now, attempt).and_then(|()| self.check_receiver(now, &attempt.receiver));
@@ -144,7 +141,7 @@
     }
 }
 
-/// Whether a message may be sent to a zone though its attempt `first` may have been processed.
+/// Checks whether a message may be sent to a zone although its attempt `first` may have been processed.
 fn check_retry(now: Time, class: &Class, first: SentAttempt, zone: ZoneId) -> Result<(), Breach> {
     match class.idempotency {
         Idempotency::Idempotent => Ok(()),
