--- a/src/bin/delivery-gateway/background.rs
+++ b/src/bin/delivery-gateway/background.rs
@@ -1,5 +1,5 @@
-//! The tasks that run beside the service from its start to the end of the process: notifications go out, signals and
-//! operators' calls come in.
+//! The background tasks, which run from the start of the service to the end of the process. They send notifications,
+//! and handle signals and the requests of operators.
 
 use delivery_gateway::discovery::AgentAddress;
 use std::path::PathBuf;
@@ -15,24 +15,24 @@
 use crate::notifications;
 use crate::signals::Signals;
 
-/// What the tasks work with.
+/// The channels and the shared state of the background tasks.
 pub struct BackgroundTasks {
-    /// Goes to the event loop.
+    /// Sends events to the event loop.
     pub events: UnboundedSender<GatewayEvent>,
-    /// The notifications to be sent.
+    /// Receives the notifications to be sent.
     pub notifications: UnboundedReceiver<OutcomeNotification>,
-    /// Notifications are sent while its one permit is free.
+    /// Notifications are sent only while its single permit is free.
     pub notification_gate: Arc<Semaphore>,
-    /// Tells the admin endpoint whether the gateway is ready.
+    /// The service phase, from which the admin endpoint derives whether the gateway is ready.
     pub phase: watch::Receiver<ServicePhase>,
-    /// The address of the discovery agent in force.
+    /// The current address of the discovery agent.
     pub agent: AgentAddress,
-    /// Changes `agent`.
+    /// Sets the address in `agent`.
     pub discovery_address: watch::Sender<String>,
 }
 
 impl BackgroundTasks {
-    /// Spawns the tasks on the current `LocalSet`, and lets operators in.
+    /// Spawns the tasks on the current `LocalSet`, and connects the admin endpoint to the event loop.
     pub fn spawn(self, signals: Signals, config_path: PathBuf, admin: &AdminEndpoint) {
         let BackgroundTasks { events, notifications, notification_gate, phase, agent, discovery_address } =
             self;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP. Only the address of discovery may change in service; a file that
-/// cannot be read changes nothing.
+/// Reads the configuration again at each SIGHUP. Only the address of the discovery agent can change while the process
+/// runs. A file that cannot be read changes nothing.
 async fn reload_config(
     mut hang_up: UnboundedReceiver<()>,
     path: PathBuf,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Passes each SIGTERM on to the event loop.
+/// Passes each SIGTERM to the event loop.
 async fn request_shutdown(mut terminate: UnboundedReceiver<()>, events: UnboundedSender<GatewayEvent>) {
     while terminate.recv().await.is_some() {
         let _ = events.send(GatewayEvent::Terminate);
--- a/src/bin/delivery-gateway/budget.rs
+++ b/src/bin/delivery-gateway/budget.rs
@@ -1,26 +1,29 @@
-//! How the process's limits are shared out: each part keeps to its own share, and evicts idle connections inside it.
+//! Divides the process's resource limits between its parts. Each part stays within its share, and closes its own idle
+//! connections to do so.
 
 use crate::config::ResourceLimits;
 use crate::event_loop::IDLE_CONNECTIONS_PER_SLOT;
 use crate::resp2::ClientLimits;
 
-/// Descriptors for files, the runtime, the listener, discovery and notifications.
+/// The descriptors reserved for files, the runtime, the listener, discovery and notifications.
 const OTHER_DESCRIPTORS: usize = 32;
-/// Clients hold a third of the descriptors at most: half of that may be idle.
+/// The number of descriptors per idle client connection. Clients hold at most a third of the descriptors, and half of
+/// those may be idle.
 const DESCRIPTORS_PER_IDLE_CLIENT: usize = 6;
-/// Requests of more than a few KiB, of 68 KiB at most, that are read at a time: an eighth of the memory.
+/// The maximum number of long requests that are read at the same time, per MB of memory. A long request has more than a
+/// few KiB and at most 68 KiB, so that they take up to an eighth of the memory.
 const LONG_REQUESTS_PER_MB: f64 = 2.0;
 
-/// The shares of the parts.
+/// The shares of the gateway's parts.
 pub struct ResourceBudget {
-    /// What clients' connections may take.
+    /// The limits of clients' connections.
     pub clients: ClientLimits,
-    /// Descriptors for endpoints: calls in flight, calls that are ending, and idle connections.
+    /// The maximum number of descriptors for endpoints: calls in flight, calls that are ending, and idle connections.
     pub endpoint_sockets: usize,
 }
 
 impl ResourceBudget {
-    /// At most half of the descriptors goes to endpoints.
+    /// Divides the limits. Endpoints get at most half of the descriptors that are not reserved.
     pub fn new(limits: &ResourceLimits, call_slots: usize) -> Self {
         let shared = limits.descriptors.saturating_sub(OTHER_DESCRIPTORS);
         let endpoint_sockets = ((2 + IDLE_CONNECTIONS_PER_SLOT) * call_slots).min(shared / 2).max(1);
--- a/src/bin/delivery-gateway/completed_messages/mod.rs
+++ b/src/bin/delivery-gateway/completed_messages/mod.rs
@@ -1,7 +1,8 @@
-//! Tombstones of completed messages: their ids, for as long as a client may still repeat a request for one.
+//! Tombstones of completed messages. They keep the ids of these messages while a client may still repeat a request for
+//! one.
 //!
-//! No other message may take such an id: an endpoint that deduplicates by it would take the new message for a repeat
-//! of the old one, and answer without processing it.
+//! No other message may take such an id: an endpoint that deduplicates by it would treat the new message as a repeat of
+//! the old one, and answer without processing it.
 
 #[cfg(test)]
 mod tests;
@@ -15,15 +16,15 @@
 use crate::events::EnqueueRequest;
 use crate::journal::AcceptedRecord;
 
-/// Most tombstones, of some 50 bytes each. Beyond, the oldest go first.
+/// The maximum number of tombstones, of about 50 bytes each. The oldest ones are removed first.
 const MAX_TOMBSTONES: usize = 8192;
 
-/// What the id of a request means, if a message of this id was completed.
+/// The relation of a request to the completed message with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletedId {
-    /// The request repeats that message.
+    /// The request repeats the completed message.
     SameMessage,
-    /// The request is for another message, which cannot have this id.
+    /// The request is for another message, which can't use this id.
     OtherMessage,
 }
 
@@ -32,19 +33,19 @@
     id_hash: u64,
 }
 
-/// Tombstones of completed messages.
+/// The tombstones of completed messages, of which only hashes are kept.
 pub struct CompletedMessages {
-    /// How long a tombstone is kept.
+    /// The time for which a tombstone is kept.
     retention: Duration,
     hasher: RandomState,
     /// The oldest first.
     tombstones: VecDeque<Tombstone>,
-    /// What each message was, as a hash, by the hash of its id.
+    /// The hash of each message's content, by the hash of its id.
     fingerprints: HashMap<u64, u64>,
 }
 
 impl CompletedMessages {
-    /// Keeps each tombstone for this long, which should be the longest time that a message may live.
+    /// Creates an empty set of tombstones. `retention` should be the longest deadline of any class.
     pub fn new(retention: Duration) -> Self {
         CompletedMessages {
             retention,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Adds the tombstone of a message that was completed now.
+    /// Adds a tombstone for a message that has just been completed.
     pub fn insert(&mut self, message: &AcceptedRecord) {
         self.remove_expired();
         let AcceptedRecord { id, ordering_key, class, destination, idempotency_key, body, .. } = message;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Removes what is too old, and makes room for one more.
+    /// Removes expired tombstones and, if the maximum is reached, the oldest one.
     fn remove_expired(&mut self) {
         while let Some(oldest) = self.tombstones.front() {
             let is_full = self.tombstones.len() >= MAX_TOMBSTONES;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether the request's id is that of a completed message, and of which.
+    /// Compares a request with the completed message that has the same id. None if there is no such message.
     pub fn find(&self, request: &EnqueueRequest) -> Option<CompletedId> {
         let EnqueueRequest { id, ordering_key, class, destination, idempotency_key, body, .. } = request;
         let completed = self.fingerprints.get(&self.hasher.hash_one(id))?;
--- a/src/bin/delivery-gateway/completed_messages/tests.rs
+++ b/src/bin/delivery-gateway/completed_messages/tests.rs
@@ -15,6 +15,7 @@
     }
 }
 
+/// Guards against memory that grows with each completed message.
 #[test]
 fn tombstones_are_bounded_in_number_and_time() {
     let mut completed = CompletedMessages::new(Duration::from_secs(3600));
--- a/src/bin/delivery-gateway/config.rs
+++ b/src/bin/delivery-gateway/config.rs
@@ -1,5 +1,5 @@
-//! The environment and the configuration file: where the gateway finds its state and its neighbours, and what it may
-//! use. The file's keys are mapped to the program's terms here, once.
+//! Reads the environment and the configuration file: the paths and addresses that the gateway uses, and its resource
+//! limits. This is the only module that maps the file's keys to the program's terms.
 
 use delivery_gateway::discovery::DiscoveryUpdate;
 use delivery_gateway::socket::retry_transient;
@@ -10,12 +10,12 @@
 
 use crate::start_error::StartError;
 
-/// Overrides `admin_addr` of the configuration, as it is meant for one process.
+/// The variable that overrides `admin_addr` of the configuration for one process.
 const ADMIN_ADDRESS_VARIABLE: &str = "BALANCER_ADMIN_ADDR";
 
-/// What the environment says.
+/// The paths that the environment variables set.
 pub struct Environment {
-    /// The folder of what outlasts the process.
+    /// The folder of the journal and the lock, which outlast the process.
     pub state_folder: PathBuf,
     /// The configuration file.
     pub config_path: PathBuf,
@@ -41,42 +41,42 @@
 /// The configuration file.
 #[derive(Deserialize)]
 pub struct Config {
-    /// What the gateway calls itself in the log.
+    /// The name of the gateway in the log.
     pub name: String,
-    /// Where clients connect, as `IP:port`.
+    /// The address at which clients connect, as `IP:port`.
     #[serde(rename = "listen")]
     pub listen_address: String,
-    /// Where the endpoint list is watched and outcomes are notified. It alone may change in service.
+    /// The address of the discovery agent, which serves the endpoint list and receives notifications. Only this setting
+    /// can change while the process runs.
     #[serde(rename = "discovery")]
     pub discovery_address: String,
     #[serde(rename = "admin_addr")]
     admin_address: Option<String>,
     seed: String,
-    /// What the process may use of its machine.
     pub limits: ResourceLimits,
-    /// The endpoint list to start with, unless the journal has a later one.
+    /// The initial endpoint list. It is used if the journal has none, or one with an older revision.
     #[serde(rename = "known")]
     pub endpoints: DiscoveryUpdate,
     settings: serde_json::Value,
 }
 
-/// What the process may use of its machine.
+/// The resource limits of the process.
 #[derive(Deserialize)]
 pub struct ResourceLimits {
-    /// In units of 10⁶ bytes.
+    /// The memory, in units of 10⁶ bytes.
     pub memory_mb: f64,
-    /// Open descriptors, sockets and files alike.
+    /// The maximum number of open descriptors of sockets and files.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
-    /// For the journal's files, in units of 10⁶ bytes.
+    /// The disk space for the journal's files, in units of 10⁶ bytes.
     pub disk_mb: f64,
 }
 
 impl Config {
-    /// Reads the file; what fails for a moment is tried again.
+    /// Reads the file. Retries transient errors.
     ///
     /// # Errors
-    /// The file cannot be read, or is not of this form.
+    /// The file cannot be read, or is not valid JSON with the expected keys.
     pub async fn read(path: &Path) -> Result<Self, StartError> {
         retry_transient("reading the configuration", || async {
             let text = std::fs::read(path)
@@ -87,21 +87,22 @@
         .await
     }
 
-    /// Where operators call, if anywhere.
+    /// Returns the address of the admin endpoint. None if it is not set or empty.
     pub fn admin_address(&self) -> Option<String> {
         let address = std::env::var(ADMIN_ADDRESS_VARIABLE).ok().or_else(|| self.admin_address.clone());
         address.filter(|address| !address.is_empty())
     }
 
-    /// The settings, as the scheduler takes them.
+    /// Parses the settings.
     ///
     /// # Errors
-    /// A setting cannot be read.
+    /// A setting is invalid.
     pub fn settings(&self) -> Result<ParsedSettings, StartError> {
         Ok(settings_from_json(&self.settings)?)
     }
 
-    /// The seed of the scheduler's randomness. Any text serves as one, but two gateways must not act alike.
+    /// Returns the seed of the scheduler's random numbers. Any text is a valid seed, but each gateway needs its
+    /// own, so that no two gateways make the same random decisions.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| u64::from(crc32fast::hash(self.seed.as_bytes())))
@@ -109,7 +110,7 @@
 }
 
 impl ResourceLimits {
-    /// The limit of the journal's files.
+    /// Returns the disk space for the journal's files, in bytes.
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * 1e6) as u64
     }
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -1,8 +1,8 @@
-//! The messages that the gateway's tasks exchange. The event loop owns all state; every other part sends it a
-//! [`GatewayEvent`] and is answered over the channel that the event carries, or by what the event loop sends it.
+//! The types that the gateway's tasks exchange. The event loop owns all state. Every other part sends it a
+//! [`GatewayEvent`], and gets the result over the channel in the event or over one of the event loop's [`Channels`].
 //!
-//! Types only. The parts that accept connections, and the tasks that make calls, import this module and not the event
-//! loop, which owns the journal and the connection pool and calls these directly.
+//! The parts that accept connections and the tasks that make calls import this module instead of the event loop. The
+//! event loop owns the journal and the connection pool, and calls them directly.
 
 use bytes::Bytes;
 use delivery_gateway::discovery::WatchEvent;
@@ -14,38 +14,38 @@
 
 use crate::journal::FinalOutcome;
 
-/// What happens in the parts around the event loop.
+/// An event that another part sends to the event loop.
 pub enum GatewayEvent {
-    /// A client's request, and where its reply goes.
+    /// A client's request, and the channel for its reply.
     Enqueue(EnqueueRequest, oneshot::Sender<EnqueueReply>),
-    /// A client left before the reply that its request was accepted reached it.
+    /// A client disconnected before it received the reply that its message was accepted.
     AcceptanceNotReceived(MessageId),
     /// The endpoint list, or the watch on it, has changed.
     Discovery(WatchEvent),
     /// A call has ended, for all of its messages.
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
-    /// The platform has the notifications of these messages.
+    /// The platform has acknowledged the notifications of these messages.
     OutcomesAcknowledged(Vec<MessageId>),
-    /// An operator's request, and where its result goes.
+    /// An operator's request, and the channel for its result.
     Admin(AdminOperation, oneshot::Sender<AdminResult>),
-    /// The process is to end (SIGTERM).
+    /// A shutdown was requested (SIGTERM).
     Terminate,
 }
 
-/// What the gateway does with its clients' connections.
+/// The phase of the service, which decides how clients' connections are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServicePhase {
     Serving,
-    /// Operators are draining it: `PING` is refused, and connections are closed between two requests.
+    /// Operators drain the gateway: `PING` is refused, and connections are closed between two requests.
     LameDuck,
-    /// The process is about to end: connections are closed between two requests.
+    /// The process shuts down: connections are closed between two requests.
     ShuttingDown,
-    /// Another process takes over: connections move there between two bytes.
+    /// Another process takes over: connections are transferred to it, even with a partly received request.
     HandingOver,
 }
 
 impl ServicePhase {
-    /// The phase of a gateway that is neither ending nor handed over.
+    /// Returns the phase of a gateway that neither shuts down nor hands over.
     pub fn in_service(is_lame_duck: bool) -> Self {
         if is_lame_duck {
             ServicePhase::LameDuck
@@ -55,14 +55,14 @@
     }
 }
 
-/// What the event loop sends to.
+/// The channels to which the event loop sends.
 #[derive(Clone)]
 pub struct Channels {
-    /// To the event loop itself, for the tasks that it spawns.
+    /// To the event loop itself; cloned for the tasks that it spawns.
     pub events: UnboundedSender<GatewayEvent>,
     /// To the task that sends notifications.
     pub notifications: UnboundedSender<OutcomeNotification>,
-    /// Asks for the endpoint list to be watched again.
+    /// Requests to watch the endpoint list again.
     pub watch: watch::Sender<()>,
     /// To the tasks that serve clients and operators.
     pub phase: watch::Sender<ServicePhase>,
@@ -73,96 +73,94 @@
 pub struct EnqueueRequest {
     /// Chosen by the client, and unique to the message.
     pub id: String,
-    /// Messages of one key are delivered in order; zero where the class has no order.
+    /// Messages with the same key are delivered in order. 0 in classes without ordering.
     pub ordering_key: u64,
-    /// By name.
+    /// The name of the class.
     pub class: String,
-    /// By name; empty where the client names none.
+    /// The name of the tenant; empty if the client names none.
     pub tenant: String,
     /// The destination's number.
     pub destination: u32,
-    /// How long it may still be delivered.
+    /// The time until the message's deadline, as the client requests it.
     pub time_left: Duration,
-    /// What endpoints recognize a retry by.
+    /// The key by which endpoints recognize a retry.
     pub idempotency_key: Option<String>,
-    /// The client may have given the message to another gateway before.
+    /// Whether the client may have enqueued the message at another gateway before.
     pub is_redelivered: bool,
-    /// What is delivered.
+    /// The body that is delivered to the endpoint.
     pub body: Bytes,
 }
 
 /// The reply to an [`EnqueueRequest`].
 #[derive(Debug)]
 pub enum EnqueueReply {
-    /// The message is accepted for this request, which alone may withdraw it.
+    /// The message was accepted for this request. Only this request may withdraw it.
     Accepted(MessageId),
     /// The same message was accepted for an earlier request.
     AlreadyAccepted,
-    /// Not accepted; the client should wait this long before it tries again, if given.
+    /// The message was not accepted. The client may retry after this delay, or at once if there is none.
     Rejected(Option<Duration>),
-    /// Not accepted, and it is no use to ask again.
+    /// The message was not accepted, and a retry would fail as well. Contains the error text.
     Error(&'static str),
 }
 
-/// The final outcome of a message that was not delivered, for the platform.
+/// A notification to the platform of the final outcome of a message that was not delivered.
 #[derive(Debug)]
 pub struct OutcomeNotification {
-    /// The gateway's number of the message.
+    /// The number that the gateway gave to the message.
     pub message: MessageId,
-    /// The client's id of it.
+    /// The id that the client chose.
     pub id: String,
-    /// What the platform is told.
     pub final_outcome: FinalOutcome,
 }
 
-/// Why a call is stopped.
+/// The reason to stop a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReason {
-    /// The scheduler wants no more of it.
+    /// The scheduler has cancelled the attempt.
     Cancelled,
-    /// It must not be sent any more, and has not been.
+    /// The call must not be sent any more, and its first byte has not been sent yet.
     Withdrawn,
 }
 
-/// How a call ended for one of its messages.
+/// The result of a call for one of its messages.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
-    /// What became of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time since the attempt was sent.
+    /// The time from the start of the attempt to its result.
     pub latency: Duration,
-    /// The message is completed, and needs no notification.
+    /// Whether the message is completed and needs no notification.
     pub completes_message: bool,
-    /// What the endpoint reported of its capacity.
+    /// The endpoint's report of its capacity. None if the response has none.
     pub load_report: Option<LoadReport>,
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallResult {
-    /// For each of its messages, in their order.
+    /// The result for each of its messages, in the order of the messages.
     pub attempts: Vec<AttemptResult>,
-    /// The `Retry-After` of a response that answered the messages all the same.
+    /// The `Retry-After` of a response that also has a result for each message. None if there is none.
     pub retry_after: Option<Duration>,
 }
 
-/// What operators ask for.
+/// A request of an operator at the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminOperation {
-    /// Give an endpoint, named by its uid, nothing new.
+    /// Starts no more calls to an endpoint, which is identified by its uid.
     DisableEndpoint(String),
-    /// Use it again.
+    /// Allows calls to an endpoint again, which is identified by its uid.
     EnableEndpoint(String),
-    /// Drain the gateway, or put it back into service.
+    /// Switches lame duck mode on (true) or off (false).
     LameDuck(bool),
 }
 
-/// What became of an [`AdminOperation`].
+/// The result of an [`AdminOperation`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
     Done,
     /// No endpoint has that uid.
     UnknownEndpoint,
-    /// It could not be recorded, and is not in force.
+    /// The operation could not be recorded in the journal, and has no effect.
     NotRecorded,
 }
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway's service: its parts are put together, its state is restored, and it serves until the process is to
-//! end or another process has taken over.
+//! The gateway's service: creates its parts, restores its state, and serves until the process exits or another process
+//! has taken over.
 
 use delivery_gateway::discovery::{AgentAddress, DiscoveryUpdate, EndpointWatch};
 use delivery_gateway::socket::retry_transient;
@@ -29,14 +29,14 @@
 use crate::resp2::{ClientServer, TransferredConnection};
 use crate::start_error::StartError;
 
-/// How long clients' connections and notifications may take to come to a point at which they can be handed over.
-/// Clients wait 400 ms for a reply; one that takes longer does not read.
+/// The maximum time to wait until clients' connections and notifications can be handed over. Clients wait 400 ms for a
+/// reply; a connection that takes longer than this has a client that doesn't read.
 const PAUSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often it is looked whether the last call has ended.
+/// The interval between checks whether the last call has ended.
 const CALLS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an event loop is made of that the journal and the endpoint list do not tell.
-struct EventLoopPlan {
+/// The parameters of an event loop, except for the state in the journal and the endpoint list.
+struct EventLoopParameters {
     parsed: ParsedSettings,
     seed: u64,
     endpoint_sockets: usize,
@@ -45,27 +45,28 @@
     channels: Channels,
 }
 
-impl EventLoopPlan {
-    async fn make(&self) -> Result<EventLoop, StartError> {
-        let open = || async { Ok::<_, StartError>(Journal::open(&self.state_folder, self.disk_bytes)?) };
-        let journal = retry_transient("opening the journal", open).await?;
+impl EventLoopParameters {
+    async fn create_event_loop(&self) -> Result<EventLoop, StartError> {
+        let open_journal =
+            || async { Ok::<_, StartError>(Journal::open(&self.state_folder, self.disk_bytes)?) };
+        let journal = retry_transient("opening the journal", open_journal).await?;
         let channels = self.channels.clone();
         Ok(EventLoop::new(self.parsed.clone(), self.seed, journal, self.endpoint_sockets, channels))
     }
 }
 
-/// The parts that a handover concerns, and what they are made of.
+/// The gateway's service: the parts that a handover passes to another process.
 pub struct Gateway {
     event_loop: EventLoop,
     events: UnboundedReceiver<GatewayEvent>,
-    plan: EventLoopPlan,
+    parameters: EventLoopParameters,
     clients: ClientServer,
-    /// Clients' connections that another process is to serve.
+    /// Clients' connections to be transferred to the successor.
     transferred: UnboundedReceiver<TransferredConnection>,
-    /// Notifications are sent while its one permit is free.
+    /// Notifications are sent only while its single permit is free.
     notification_gate: Arc<Semaphore>,
     agent: AgentAddress,
-    /// Asks for the endpoint list to be watched again.
+    /// Requests to watch the endpoint list again.
     watch_requests: watch::Receiver<()>,
     configured_endpoints: DiscoveryUpdate,
     initial_watch_delay: Duration,
@@ -78,15 +79,15 @@
     watching: JoinHandle<()>,
 }
 
-/// The service while it is handed over: no connections are accepted and no notifications sent.
+/// The service during a handover: it accepts no connections and sends no notifications.
 struct Paused {
     listener: TcpListener,
-    /// The phase before.
+    /// The phase before the handover.
     phase: ServicePhase,
     _gate: ClosedGate,
 }
 
-/// Keeps notifications from being sent until it is dropped, once the one on its way is answered.
+/// Blocks further notifications until it is dropped. The notification in flight is still answered.
 struct ClosedGate {
     closing: JoinHandle<Result<OwnedSemaphorePermit, AcquireError>>,
     _permit: Option<OwnedSemaphorePermit>,
@@ -99,8 +100,8 @@
 }
 
 impl Gateway {
-    /// Puts the parts together; the state folder must be this process's own. Gives the tasks that run beside them,
-    /// which are yet to be spawned.
+    /// Creates the parts. This process must own the state folder. Also returns the background tasks, which the caller
+    /// has to spawn.
     ///
     /// # Errors
     /// The journal cannot be opened.
@@ -118,7 +119,7 @@
         let (discovery_address, agent) = watch::channel(config.discovery_address.clone());
         let notification_gate = Arc::new(Semaphore::new(1));
         let budget = ResourceBudget::new(&config.limits, parsed.settings.max_in_flight_calls);
-        let plan = EventLoopPlan {
+        let parameters = EventLoopParameters {
             parsed,
             seed: config.seed(),
             endpoint_sockets: budget.endpoint_sockets,
@@ -132,10 +133,10 @@
             },
         };
         let gateway = Gateway {
-            event_loop: plan.make().await?,
+            event_loop: parameters.create_event_loop().await?,
             events,
             clients: ClientServer::new(budget.clients, events_in.clone(), phase.clone(), transferred_in),
-            plan,
+            parameters,
             transferred,
             notification_gate: notification_gate.clone(),
             agent: agent.clone(),
@@ -155,8 +156,8 @@
         Ok((gateway, background))
     }
 
-    /// Restores the state, from the journal or from what another process has handed over, and gives the listener for
-    /// clients. They connect only once all that was accepted before has been restored.
+    /// Restores the state from the journal or from the predecessor, and returns the listener for clients. Clients can
+    /// connect only after all accepted messages have been restored.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -180,28 +181,28 @@
                 self.event_loop.apply_constraints(constraints);
             }
         }
-        spawn_local(predecessor.follow(self.plan.channels.events.clone(), self.clients.clone()));
+        spawn_local(predecessor.follow(self.parameters.channels.events.clone(), self.clients.clone()));
         Ok(listener)
     }
 
-    /// Serves until the process is to end, or another process has taken over.
+    /// Serves until the process exits after a shutdown request, or another process has taken over.
     ///
     /// # Errors
     /// The state could not be restored after a handover that failed.
     pub async fn serve(mut self, mut listener: TcpListener) -> Result<(), StartError> {
         loop {
             let intake = self.start_intake(listener);
-            let offer = self.ownership.offer();
-            let Some(successor) = self.run_until_asked(&offer).await else { return Ok(()) };
-            if !successor.shares_state && self.finish_calls().await.is_none() {
+            let handovers = self.ownership.listen_for_successor();
+            let Some(successor) = self.run_until_handover_request(&handovers).await else { return Ok(()) };
+            if !successor.shares_state && self.drain_calls().await.is_none() {
                 return Ok(());
             }
             let Some(paused) = self.pause(intake).await? else { return Ok(()) };
             match self.hand_over(successor, &paused.listener).await {
                 HandoverResult::Completed => return Ok(()),
                 HandoverResult::Refused => self.event_loop.resume_phase(paused.phase),
-                HandoverResult::Reverted(missed) => {
-                    self.take_back(missed).await?;
+                HandoverResult::Reverted(missed_events) => {
+                    self.resume_service(missed_events).await?;
                     self.event_loop.resume_phase(paused.phase);
                 }
             }
@@ -220,19 +221,23 @@
             reconnect: self.watch_requests.clone(),
         };
         let delay = std::mem::take(&mut self.initial_watch_delay);
-        let events = self.plan.channels.events.clone();
+        let events = self.parameters.channels.events.clone();
         let report = move |event| drop(events.send(GatewayEvent::Discovery(event)));
         Intake { accepting, watching: spawn_local(watch.run(delay, report)) }
     }
 
-    /// Runs until a process that may have it asks for the service; none once the process is to end.
-    async fn run_until_asked(&mut self, offer: &HandoverListener) -> Option<SuccessorConnection> {
+    /// Runs until another process asks for the handover and may get it. None if this process exits first. Refuses the
+    /// handover while this process shuts down, or while the journal is not flushed.
+    async fn run_until_handover_request(
+        &mut self,
+        handovers: &HandoverListener,
+    ) -> Option<SuccessorConnection> {
         loop {
             let successor = tokio::select! {
                 () = self.event_loop.run(&mut self.events) => return None,
-                successor = offer.next_successor(self.ownership.fingerprint) => successor,
+                successor = handovers.next_successor(self.ownership.fingerprint) => successor,
             };
-            let is_ending = *self.plan.channels.phase.borrow() == ServicePhase::ShuttingDown;
+            let is_ending = *self.parameters.channels.phase.borrow() == ServicePhase::ShuttingDown;
             if !is_ending && self.event_loop.journal_is_flushed() {
                 return Some(successor);
             }
@@ -240,8 +245,8 @@
         }
     }
 
-    /// Runs until no call is in flight, for [`CALL_DRAIN_TIMEOUT`] at most; none if the process is to end meanwhile.
-    async fn finish_calls(&mut self) -> Option<()> {
+    /// Runs until no call is in flight, for at most [`CALL_DRAIN_TIMEOUT`]. None if the process exits first.
+    async fn drain_calls(&mut self) -> Option<()> {
         info!("finishing calls before the handover: the successor cannot continue them");
         self.event_loop.stop_starting_calls();
         let end = Instant::now() + CALL_DRAIN_TIMEOUT;
@@ -254,10 +259,10 @@
         Some(())
     }
 
-    /// Stops the intake. Connections go to be transferred once the request that each may have open is answered. None if
-    /// the process is to end meanwhile.
+    /// Stops the intake. Each connection is transferred once its open request, if any, has been answered. None if the
+    /// process exits first.
     async fn pause(&mut self, intake: Intake) -> Result<Option<Paused>, StartError> {
-        let phase = self.plan.channels.phase.send_replace(ServicePhase::HandingOver);
+        let phase = self.parameters.channels.phase.send_replace(ServicePhase::HandingOver);
         intake.watching.abort();
         let mut closing = spawn_local(self.notification_gate.clone().acquire_owned());
         let paused = async {
@@ -275,8 +280,8 @@
         Ok(Some(Paused { listener, phase, _gate: ClosedGate { closing, _permit: permit } }))
     }
 
-    /// Hands the service over, unless the journal lacks what the successor would need. Calls in flight are finished
-    /// here for a successor of the same fingerprint, and aborted before for any other.
+    /// Hands the service over, unless the journal lacks records that the successor needs. For a successor with the same
+    /// fingerprint, this process finishes the calls in flight. For any other successor, it aborts them first.
     async fn hand_over(&mut self, successor: SuccessorConnection, listener: &TcpListener) -> HandoverResult {
         self.event_loop.process_queued(&mut self.events);
         if !successor.shares_state {
@@ -290,18 +295,17 @@
         successor.hand_over(event_loop, events, transferred, listener, &ownership.lock).await
     }
 
-    /// Takes the service back from a successor that ended before it was in service. `missed` is what happened here
-    /// meanwhile.
-    async fn take_back(&mut self, missed: Vec<GatewayEvent>) -> Result<(), StartError> {
+    /// Resumes service after the successor ended early. `missed_events` are the events that arrived meanwhile.
+    async fn resume_service(&mut self, missed_events: Vec<GatewayEvent>) -> Result<(), StartError> {
         let journal_untouched = self.event_loop.journal_is_untouched();
         warn!(journal_untouched, "the successor ended before it was in service: resuming service");
         if journal_untouched {
             self.event_loop.resume_idle_connections();
-            missed.into_iter().for_each(|event| self.event_loop.handle(event));
+            missed_events.into_iter().for_each(|event| self.event_loop.handle(event));
         } else {
-            // What the other process did is in the journal alone, and so is what may have run there.
+            // The successor's decisions and attempts are only in the journal.
             self.event_loop.abandon_calls(&mut self.events).await;
-            self.event_loop = self.plan.make().await?;
+            self.event_loop = self.parameters.create_event_loop().await?;
             self.event_loop.recover(&self.configured_endpoints);
         }
         Ok(())
--- a/src/bin/delivery-gateway/handover/codec.rs
+++ b/src/bin/delivery-gateway/handover/codec.rs
@@ -1,7 +1,7 @@
-//! Messages and descriptors over the local socket between two processes.
+//! Sends messages and descriptors over the local socket between two processes.
 //!
-//! A frame is the length of its message (four little-endian bytes), the number of its descriptors (one byte) and the
-//! message in postcard. The descriptors travel with the first byte of their frame.
+//! A frame consists of the length of its message (four little-endian bytes), the number of its descriptors (one byte)
+//! and the message's postcard encoding. The descriptors are attached to the first byte of their frame.
 
 use delivery_gateway::socket::is_transient;
 use rustix::io::retry_on_intr;
@@ -24,35 +24,37 @@
 
 use super::timing::{FLUSH_TIMEOUT, RETRY_DELAY};
 
-/// Length and number of descriptors before each message.
+/// The size of the message length and the number of descriptors before each message.
 const HEADER_BYTES: usize = 5;
-/// A longer message is an error; the scheduler's state takes a few hundred bytes a message.
+/// The maximum size of a message; a longer one counts as malformed. The scheduler's state takes a few hundred bytes for
+/// each pending message.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Bytes read at a time.
+/// The maximum number of bytes per read.
 const READ_BYTES: usize = 64 << 10;
-/// Descriptors that one frame may carry.
+/// The maximum number of descriptors of a frame.
 const MAX_FRAME_DESCRIPTORS: usize = 2;
-/// Descriptors that one read may bring: those of two frames.
+/// The maximum number of descriptors per read: those of two frames.
 const MAX_READ_DESCRIPTORS: usize = 4;
 
-/// Divides a socket into its two directions.
+/// Splits a socket into a reader and a writer of frames.
 pub fn split(stream: UnixStream) -> (FrameReader, FrameWriter) {
     let stream = Rc::new(stream);
     (FrameReader::new(stream.clone()), FrameWriter::new(stream))
 }
 
-/// A message that has arrived, and its descriptors.
+/// A message that was received, and its descriptors.
 pub struct Received<M> {
     pub message: M,
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// Reads frames. Dropping a pending read loses nothing.
+/// Reads frames. Cancelling a pending read loses no data.
 pub struct FrameReader {
     stream: Rc<UnixStream>,
     buffer: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
-    /// Some descriptors were dropped on arrival, as this process may open no more: they are not waited for.
+    /// Whether the kernel has dropped descriptors because this process reached its limit of open descriptors. Frames
+    /// then don't wait for missing descriptors.
     has_lost_descriptors: bool,
 }
 
@@ -61,7 +63,7 @@
         FrameReader { stream, buffer: Vec::new(), descriptors: VecDeque::new(), has_lost_descriptors: false }
     }
 
-    /// The next message. None once the other process has ended or closed its side, or after a malformed frame.
+    /// Returns the next message. None if the other process has ended or closed its side, or after a malformed frame.
     pub async fn next<M: DeserializeOwned>(&mut self) -> Option<Received<M>> {
         loop {
             match self.take_frame() {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Takes a frame off the buffer, if all of it has arrived.
+    /// Removes a frame from the buffer. None if it has not arrived completely.
     fn take_frame<M: DeserializeOwned>(&mut self) -> Result<Option<Received<M>>, Malformed> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
         let [a, b, c, d, descriptors] = *header;
@@ -99,7 +101,7 @@
         Ok(Some(Received { message, descriptors }))
     }
 
-    /// Waits for more bytes and descriptors, and returns how many bytes came: 0 at the end.
+    /// Reads more bytes and descriptors. Returns the number of bytes: 0 at the end of the stream.
     async fn read(&mut self) -> io::Result<usize> {
         let FrameReader { stream, buffer, descriptors, has_lost_descriptors } = self;
         let stream = &**stream;
@@ -123,7 +125,7 @@
     }
 }
 
-/// What was read is no frame of this format.
+/// The bytes read are not a valid frame.
 struct Malformed;
 
 struct Frame {
@@ -131,8 +133,8 @@
     descriptors: Vec<OwnedFd>,
 }
 
-/// Writes frames in their order, in a task of its own: two processes that each wait for the other to read would wait
-/// for ever.
+/// Writes frames in order, in a separate task. Without that task, two processes that each wait for the other to read
+/// would deadlock.
 pub struct FrameWriter {
     sender: FrameSender,
     task: JoinHandle<()>,
@@ -144,8 +146,8 @@
         let task = tokio::task::spawn_local(async move {
             while let Some(frame) = frames.recv().await {
                 if let Err(error) = write(&stream, frame).await {
-                    warn!(%error, "cannot write to the other process: the handover connection is shut down");
-                    // The readers on both sides see the end.
+                    warn!(%error, "cannot write to the other process: shutting down the handover connection");
+                    // Ends the stream for the readers on both sides.
                     let _ = shutdown(&stream, Shutdown::Both);
                     return;
                 }
@@ -154,19 +156,19 @@
         FrameWriter { sender: FrameSender(sender), task }
     }
 
-    /// A handle to send messages by.
+    /// Returns a handle that sends messages.
     pub fn sender(&self) -> FrameSender {
         self.sender.clone()
     }
 
-    /// Waits until all is written, for [`FLUSH_TIMEOUT`] at most. Other senders must have been dropped.
+    /// Waits until all frames are written, for at most [`FLUSH_TIMEOUT`]. All other senders must have been dropped.
     pub async fn finish(self) {
         drop(self.sender);
         let _ = timeout(FLUSH_TIMEOUT, self.task).await;
     }
 }
 
-/// Sends messages to the other process. Once the connection is shut down they are dropped.
+/// Sends messages to the other process. Messages are dropped once the connection is shut down.
 #[derive(Clone)]
 pub struct FrameSender(UnboundedSender<Frame>);
 
@@ -176,7 +178,7 @@
         self.send_with(message, Vec::new());
     }
 
-    /// Sends a message with descriptors, [`MAX_FRAME_DESCRIPTORS`] at most.
+    /// Sends a message with at most [`MAX_FRAME_DESCRIPTORS`] descriptors.
     pub fn send_with(&self, message: &impl Serialize, descriptors: Vec<OwnedFd>) {
         match postcard::to_stdvec(message) {
             Ok(payload) => {
@@ -186,7 +188,7 @@
                 bytes.extend(payload);
                 let _ = self.0.send(Frame { bytes, descriptors });
             }
-            Err(error) => warn!(%error, "cannot encode a message to the other process: it is not sent"),
+            Err(error) => warn!(%error, "cannot encode a message to the other process; it is not sent"),
         }
     }
 }
@@ -202,7 +204,7 @@
                 descriptors.clear();
                 unwritten = &unwritten[count..];
             }
-            // Short of memory: nothing was sent.
+            // The system is short of memory, and nothing was sent.
             Err(error) if is_transient(&error) => sleep(RETRY_DELAY).await,
             Err(error) => return Err(error),
         }
@@ -210,7 +212,7 @@
     Ok(())
 }
 
-/// Writes some bytes, and with the first of them all descriptors.
+/// Writes as many bytes as the socket accepts. Attaches all descriptors to the first byte.
 fn write_some(stream: &UnixStream, bytes: &[u8], descriptors: &[OwnedFd]) -> io::Result<usize> {
     let borrowed: Vec<_> = descriptors.iter().map(AsFd::as_fd).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_FRAME_DESCRIPTORS))];
--- a/src/bin/delivery-gateway/handover/error.rs
+++ b/src/bin/delivery-gateway/handover/error.rs
@@ -1,26 +1,26 @@
-//! Why a process does not get the state folder handed over.
+//! The errors of a handover, on the successor's side.
 
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a process does not get the state folder handed over.
+/// The reason why a process doesn't get ownership of the state folder.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     #[error("cannot lock the state folder: {0}; this process ends")]
     Lock(io::Error),
-    #[error("cannot connect to the owner at {}: {source}; it is asked again", .path.display())]
+    #[error("cannot connect to the owner at {}: {source}; this process asks again", .path.display())]
     Connect { path: PathBuf, source: io::Error },
-    #[error("the owner has not answered in time; it is asked again")]
+    #[error("the owner has not answered in time; this process asks again")]
     NoAnswer,
-    #[error("the owner has closed the connection without an answer; it is asked again")]
+    #[error("the owner has closed the connection without an answer; this process asks again")]
     ConnectionClosed,
-    #[error("the owner refuses a handover for now; it is asked again")]
+    #[error("the owner refuses a handover for now; this process asks again")]
     Refused,
-    #[error("the owner's listener and lock did not arrive; this process ends, and the owner continues")]
+    #[error("expected the descriptors of the owner's listener and lock; this process ends, and the owner continues")]
     MissingDescriptors,
     #[error("cannot decode the handover snapshot: {0}; this process ends, and the owner continues")]
     Snapshot(#[from] postcard::Error),
-    #[error("cannot use the listener that was handed over: {0}; this process ends, and the owner continues")]
+    #[error("cannot use the owner's listener: {0}; this process ends, and the owner continues")]
     Listener(io::Error),
 }
--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -1,10 +1,11 @@
-//! The fingerprint of what handed-over state looks like and means. A handover snapshot is passed on only between
-//! processes of the same fingerprint; all others continue from the journal.
+//! Computes the fingerprint of a build, which covers the format and the meaning of a handover snapshot. A snapshot is
+//! passed only between processes with the same fingerprint; others continue from the journal.
 
 use delivery_gateway::ParsedSettings;
 
-/// A source file: its path from the package's root, and its text.
+/// A source file.
 pub struct SourceFile {
+    /// The path from the package's root.
     pub path: &'static str,
     pub text: &'static str,
 }
@@ -15,9 +16,9 @@
     };
 }
 
-/// The files whose text says what a handover snapshot looks like and means: all of the scheduler and of the model, and
-/// every other one that defines a type of the snapshot or translates its times. `tests/handover_fingerprint.rs` fails
-/// where one is missing.
+/// The files that define the format and the meaning of a handover snapshot: all files of the scheduler and of the
+/// model, and every other file that defines a type of the snapshot or translates its times.
+/// `tests/handover_fingerprint.rs` fails if one is missing.
 pub const STATE_SOURCES: &[SourceFile] = source_files![
     "src/bin/delivery-gateway/clock.rs",
     "src/bin/delivery-gateway/event_loop/in_flight.rs",
@@ -78,13 +79,13 @@
     "src/scheduler/watch_backoff.rs",
 ];
 
-/// The fingerprint of this build under these settings: both processes must mean the same by each number of a class, a
-/// tenant, a destination kind and a zone.
+/// Returns the fingerprint of this build with these settings. It covers the names in the settings, because the ids of
+/// classes, tenants, destination kinds and zones must have the same meaning in both processes.
 pub fn state_fingerprint(parsed: &ParsedSettings) -> u32 {
     fingerprint(STATE_SOURCES, parsed)
 }
 
-/// The fingerprint of a build whose state is defined by these files.
+/// Returns the fingerprint of a build whose snapshot is defined by `sources`.
 pub fn fingerprint(sources: &[SourceFile], parsed: &ParsedSettings) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for source in sources {
--- a/src/bin/delivery-gateway/handover/messages.rs
+++ b/src/bin/delivery-gateway/handover/messages.rs
@@ -1,5 +1,5 @@
-//! What the two processes of a handover say to each other. The order of variants and of fields is the wire between two
-//! builds: what is added goes to the end, and all else raises [`FORMAT`].
+//! The messages between the two processes of a handover. The order of variants and of fields is the wire format between
+//! two builds. A new variant goes to the end; any other change has to raise [`FORMAT`].
 
 use bytes::Bytes;
 use delivery_gateway::{EndpointId, MessageId};
@@ -9,49 +9,49 @@
 use crate::event_loop::CarriedOverConstraints;
 use crate::events::{AdminOperation, AdminResult, CallResult, StopReason};
 
-/// The version of these messages.
+/// The version of the message format.
 pub const FORMAT: u32 = 1;
 
-/// What the successor, the new process, says.
+/// Messages from the successor, which is the new process.
 #[derive(Serialize, Deserialize)]
 pub enum ToPredecessor {
-    /// It asks for the handover. Processes of the same fingerprint mean the same by a handover snapshot.
+    /// Asks for the handover. Processes with the same fingerprint can exchange a handover snapshot.
     Hello { format: u32, fingerprint: u32 },
-    /// An in-flight call is to be cancelled, named by one of its messages.
+    /// Stops an in-flight call, which is identified by one of its messages.
     CancelCall { message: MessageId, reason: StopReason },
     /// The result of an [`AdminRequest`](ToSuccessor::AdminRequest).
     AdminResult { request: u64, result: AdminResult },
 }
 
-/// What the predecessor, the old process, says.
+/// Messages from the predecessor, which is the old process.
 #[derive(Serialize, Deserialize)]
 pub enum ToSuccessor {
-    /// There is no handover now.
+    /// Refuses the handover for now. The successor may ask again.
     Refused,
-    /// The successor owns the state folder from now on. The descriptors are the listener and the lock.
+    /// Makes the successor the owner of the state folder. The descriptors are the listener and the lock, in this order.
     Begin(BeginState),
-    /// A client's connection; the descriptor is its socket.
+    /// Transfers a client's connection. The descriptor is its socket.
     ClientConnection {
-        /// What was read of its next request.
+        /// The bytes read of its next request.
         buffer: Bytes,
-        /// It has had a request answered.
+        /// Whether a request on it has been answered.
         served: bool,
-        /// What is left of the time in which more must arrive.
-        left: Duration,
+        /// The time that is left for more bytes to arrive.
+        time_left: Duration,
     },
     /// An in-flight call has ended.
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
-    /// A client disconnected before it was answered that its message was accepted.
+    /// A client disconnected before it received the reply that its message was accepted.
     AcceptanceNotReceived(MessageId),
-    /// A request that operators have sent to the predecessor's admin endpoint.
+    /// A request of an operator at the predecessor's admin endpoint. `request` identifies it in the result.
     AdminRequest { request: u64, operation: AdminOperation },
 }
 
-/// The state that the successor continues from, beside the journal.
+/// The state that the successor needs in addition to the journal.
 #[derive(Serialize, Deserialize)]
 pub enum BeginState {
-    /// An encoded handover snapshot, for a process of the same fingerprint.
+    /// An encoded handover snapshot, for a process with the same fingerprint.
     Snapshot(Vec<u8>),
-    /// What else binds a process of another fingerprint.
+    /// Constraints for a process with another fingerprint.
     Constraints(CarriedOverConstraints),
 }
--- a/src/bin/delivery-gateway/handover/predecessor.rs
+++ b/src/bin/delivery-gateway/handover/predecessor.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side: the owner of the state folder listens for a successor, hands over to it, and relays what
-//! happens to its clients and in-flight calls until it ends.
+//! The predecessor's side of a handover: the owner of the state folder listens for a successor, hands over to it, and
+//! relays the events of its clients and its calls in flight until it ends.
 
 use std::cell::OnceCell;
 use std::collections::{HashMap, HashSet};
@@ -22,24 +22,25 @@
 use crate::events::{AdminResult, EnqueueReply, GatewayEvent};
 use crate::resp2::TransferredConnection;
 
-/// Where another process may ask for the handover.
+/// The socket on which a successor asks for the handover.
 pub struct HandoverListener {
     path: PathBuf,
-    /// Empty until it could be bound.
+    /// Empty until the path is bound.
     listener: OnceCell<UnixListener>,
 }
 
 impl HandoverListener {
-    /// Listens at a path. Where that fails the gateway serves all the same, and it is tried again.
+    /// Listens at a path. If that fails, the gateway serves without it, and [`next_successor`](Self::next_successor)
+    /// retries.
     pub fn new(path: &Path) -> Self {
         let listener = HandoverListener { path: path.to_owned(), listener: OnceCell::new() };
         if let Err(error) = listener.bind() {
-            warn!(%error, ?path, "no handover is possible: cannot listen for a successor, and it is tried again");
+            warn!(%error, ?path, "no handover is possible: cannot listen for a successor; retrying");
         }
         listener
     }
 
-    /// Waits for a process that asks for the handover.
+    /// Waits for a process that asks for the handover. Refuses processes with another message format.
     pub async fn next_successor(&self, fingerprint: u32) -> SuccessorConnection {
         let listener = self.bound_listener().await;
         loop {
@@ -55,7 +56,7 @@
                     return SuccessorConnection { shares_state: theirs == fingerprint, reader, writer };
                 }
                 _ => {
-                    warn!("refused to hand over to a process that speaks another format");
+                    warn!("refused a handover: the other process uses another message format");
                     SuccessorConnection { shares_state: false, reader, writer }.refuse().await;
                 }
             }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Binds the path, in the place of a socket that an earlier owner has left there.
+    /// Binds the path. Replaces a socket that an earlier owner has left there.
     fn bind(&self) -> io::Result<()> {
         match fs::remove_file(&self.path) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -85,32 +86,33 @@
 
 /// The connection to a process that has asked for the handover.
 pub struct SuccessorConnection {
-    /// It can continue from a handover snapshot, with the calls that are in flight here.
+    /// Whether it has the same fingerprint. It then continues from a handover snapshot, and this process finishes its
+    /// calls in flight.
     pub shares_state: bool,
     reader: FrameReader,
     writer: FrameWriter,
 }
 
-/// How a handover ended for the predecessor.
+/// The result of a handover for the predecessor.
 pub enum HandoverResult {
-    /// Nothing was handed over: this process continues, and the other one asks again.
+    /// Nothing was handed over. This process continues, and the other one asks again.
     Refused,
-    /// This process is done.
+    /// The successor owns the state folder. This process exits.
     Completed,
-    /// The successor has ended, and this process had no order to: it continues, and handles these events, which have
-    /// arrived meanwhile.
+    /// The handover failed, or the successor has ended although this process had no shutdown request. This process
+    /// continues, and handles these events, which arrived meanwhile.
     Reverted(Vec<GatewayEvent>),
 }
 
 impl SuccessorConnection {
-    /// Says no.
+    /// Refuses the handover.
     pub async fn refuse(self) {
         self.writer.sender().send(&ToSuccessor::Refused);
         self.writer.finish().await;
     }
 
-    /// Hands over, and serves the successor with the calls that are in flight here until this process ends. All events
-    /// so far must have been handled. The event loop decides nothing meanwhile.
+    /// Hands over, and relays the results of the calls in flight until this process ends. All events that have arrived
+    /// must have been handled before. The event loop makes no decisions meanwhile.
     pub async fn hand_over(
         self,
         event_loop: &mut EventLoop,
@@ -120,7 +122,7 @@
         lock: &File,
     ) -> HandoverResult {
         if let Err(error) = self.begin(event_loop, listener, lock) {
-            warn!(%error, "cannot hand over: this process continues");
+            warn!(%error, "cannot hand over: this process continues to serve");
             return HandoverResult::Reverted(Vec::new());
         }
         event_loop.pause_idle_connections();
@@ -137,12 +139,12 @@
             RelayEnd::SuccessorEndedInShutdown => HandoverResult::Completed,
             RelayEnd::SuccessorEnded => {
                 sleep(CLOSE_GRACE).await;
-                HandoverResult::Reverted(relay.kept)
+                HandoverResult::Reverted(relay.retained_events)
             }
         }
     }
 
-    /// Sends the state, the listener and the lock. From then on the successor owns the state folder.
+    /// Sends the state, the listener and the lock. The successor then owns the state folder.
     fn begin(&self, event_loop: &mut EventLoop, listener: &TcpListener, lock: &File) -> io::Result<()> {
         let state = if self.shares_state {
             BeginState::Snapshot(event_loop.handover_snapshot().map_err(io::Error::other)?)
@@ -155,28 +157,28 @@
     }
 }
 
-/// Why there is nothing more to relay.
+/// The reason why the relay has ended.
 enum RelayEnd {
-    /// This process is to end, and its calls have.
+    /// This process has a shutdown request, and its calls have ended or were dropped at the exit deadline.
     ShutDown,
-    /// The successor has ended, and this process is to end as well.
+    /// The successor has ended, and this process has a shutdown request as well.
     SuccessorEndedInShutdown,
-    /// The successor has ended.
+    /// The successor has ended, and this process has no shutdown request.
     SuccessorEnded,
 }
 
-/// What the predecessor does after it has handed over.
+/// Relays events between this process and the successor after the handover.
 struct Relay<'a> {
     event_loop: &'a mut EventLoop,
     successor: FrameSender,
-    /// The messages of the calls that are in flight here.
+    /// The messages of the calls in flight in this process.
     in_flight: HashSet<MessageId>,
-    /// Events to be handled here if the successor ends early.
-    kept: Vec<GatewayEvent>,
-    /// Requests of operators that the successor has not answered.
+    /// Events that this process handles if the successor ends early.
+    retained_events: Vec<GatewayEvent>,
+    /// Requests of operators that the successor has not answered yet, by request number.
     admin_requests: HashMap<u64, oneshot::Sender<AdminResult>>,
     last_admin_request: u64,
-    /// The calls that were in flight at the exit deadline have been dropped.
+    /// Whether the calls that were in flight at the exit deadline have been dropped.
     has_dropped_calls: bool,
 }
 
@@ -186,7 +188,7 @@
             in_flight: event_loop.in_flight_messages(),
             event_loop,
             successor,
-            kept: Vec::new(),
+            retained_events: Vec::new(),
             admin_requests: HashMap::new(),
             last_admin_request: 0,
             has_dropped_calls: false,
@@ -201,11 +203,11 @@
     ) -> RelayEnd {
         loop {
             let deadline = self.event_loop.exit_deadline();
-            if deadline.is_some_and(|deadline| self.may_exit(deadline)) {
+            if deadline.is_some_and(|deadline| self.can_exit(deadline)) {
                 return RelayEnd::ShutDown;
             }
             let wake = deadline.map(|at| if self.has_dropped_calls { at + FLUSH_TIMEOUT } else { at });
-            // Never waited for: a timer needs some time where there is no deadline.
+            // The disabled branch of `select!` needs a time, which is never waited for.
             let unused = Instant::now() + ANSWER_TIMEOUT;
             tokio::select! {
                 biased;
@@ -224,7 +226,7 @@
         }
     }
 
-    fn may_exit(&self, deadline: Instant) -> bool {
+    fn can_exit(&self, deadline: Instant) -> bool {
         self.in_flight.is_empty() || Instant::now() > deadline + FLUSH_TIMEOUT
     }
 
@@ -241,38 +243,39 @@
     }
 
     fn send_client(&self, connection: TransferredConnection) {
-        let TransferredConnection { stream, buffer, served, time_left: left, .. } = connection;
+        let TransferredConnection { stream, buffer, served, time_left, .. } = connection;
         match stream.into_std() {
             Ok(stream) => {
-                let message = ToSuccessor::ClientConnection { buffer, served, left };
+                let message = ToSuccessor::ClientConnection { buffer, served, time_left };
                 self.successor.send_with(&message, vec![stream.into()]);
             }
-            Err(error) => warn!(%error, "cannot hand over a client connection: closed"),
+            Err(error) => warn!(%error, "cannot hand over a client connection; it is closed"),
         }
     }
 
     fn handle_event(&mut self, event: GatewayEvent) {
         match event {
-            // Its connection could not move in time. Nothing was accepted: it may be sent again at once.
+            // The client's connection was not transferred in time. Nothing was accepted, so the client may retry at
+            // once.
             GatewayEvent::Enqueue(_, reply) => {
                 let _ = reply.send(EnqueueReply::Rejected(None));
             }
             GatewayEvent::CallEnded { endpoint, messages, result } => {
                 self.in_flight.retain(|message| !messages.contains(message));
-                let (kept_messages, kept_result) = (messages.clone(), result.clone());
+                let (retained_messages, retained_result) = (messages.clone(), result.clone());
                 self.successor.send(&ToSuccessor::CallEnded { endpoint, messages, result });
-                self.kept.push(GatewayEvent::CallEnded {
+                self.retained_events.push(GatewayEvent::CallEnded {
                     endpoint,
-                    messages: kept_messages,
-                    result: kept_result,
+                    messages: retained_messages,
+                    result: retained_result,
                 });
             }
             GatewayEvent::AcceptanceNotReceived(message) => {
                 self.successor.send(&ToSuccessor::AcceptanceNotReceived(message));
-                self.kept.push(GatewayEvent::AcceptanceNotReceived(message));
+                self.retained_events.push(GatewayEvent::AcceptanceNotReceived(message));
             }
             GatewayEvent::OutcomesAcknowledged(messages) => {
-                self.kept.push(GatewayEvent::OutcomesAcknowledged(messages));
+                self.retained_events.push(GatewayEvent::OutcomesAcknowledged(messages));
             }
             GatewayEvent::Admin(operation, reply) => {
                 self.last_admin_request += 1;
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -1,5 +1,5 @@
-//! The successor's side: a new process becomes the owner of the state folder, and follows the predecessor until that
-//! has ended.
+//! The successor's side of a handover: a new process becomes the owner of the state folder, and handles the
+//! predecessor's messages until the predecessor has ended.
 
 use bytes::Bytes;
 use delivery_gateway::socket::is_transient;
@@ -23,32 +23,31 @@
 use crate::events::{AdminOperation, AttemptResult, CallResult, GatewayEvent, StopReason};
 use crate::resp2::{ClientServer, TransferredConnection};
 
-/// What the predecessor has handed over.
+/// The state and the resources that the predecessor has handed over.
 pub struct HandedOver {
-    /// What to continue from, beside the journal.
     pub state: HandedOverState,
-    /// The socket at which clients connect.
+    /// The socket on which clients connect.
     pub listener: TcpListener,
-    /// The file whose lock the owner holds; it is locked.
+    /// The lock file of the state folder, which is locked.
     pub lock: File,
-    /// The process that may still have calls in flight.
+    /// The connection to the predecessor, which may still have calls in flight.
     pub predecessor: PredecessorConnection,
 }
 
-/// What the successor continues from, beside the journal.
+/// The state that the successor continues from, in addition to the journal.
 pub enum HandedOverState {
-    /// The predecessor's state: both processes have the same fingerprint.
+    /// The predecessor's state. Both processes have the same fingerprint.
     Snapshot(Box<HandoverSnapshot>),
-    /// What binds a process of another fingerprint. The predecessor has no calls in flight.
+    /// Constraints from a predecessor with another fingerprint, which has no calls in flight.
     Constraints(CarriedOverConstraints),
 }
 
-/// Becomes the owner of a state folder: at once if it has none, else as soon as the owner hands over or ends.
-/// `socket` is where the owner can be asked. None if the predecessor has ended and left nothing but the journal.
+/// Becomes the owner of a state folder: at once if it has no owner, else as soon as the owner hands over or ends.
+/// `socket` is the path on which the owner listens. Returns None if there is no owner; only the journal is left then.
 ///
 /// # Errors
-/// The lock cannot be asked for, or what was handed over cannot be used: the next try would fail as well. The owner
-/// sees this process end, and continues.
+/// The lock cannot be requested, or the state handed over cannot be used. A retry would fail as well, so this process
+/// has to end. The owner detects that and continues.
 pub async fn become_owner(
     lock: &File,
     socket: &Path,
@@ -65,8 +64,8 @@
             }
             Err(TryLockError::Error(error)) => return Err(HandoverError::Lock(error)),
         }
-        match ask(socket, fingerprint).await {
-            Ok(begun) => return begun.into_handed_over().map(Some),
+        match request_handover(socket, fingerprint).await {
+            Ok(handover) => return handover.into_handed_over().map(Some),
             Err(error) if !has_logged => {
                 info!(%error, "another process owns the state folder and does not hand it over yet");
                 has_logged = true;
@@ -77,15 +76,15 @@
     }
 }
 
-/// The predecessor's yes.
-struct Begun {
+/// A handover that the predecessor has agreed to.
+struct AcceptedHandover {
     state: BeginState,
     descriptors: Vec<OwnedFd>,
     reader: FrameReader,
     writer: FrameWriter,
 }
 
-async fn ask(socket: &Path, fingerprint: u32) -> Result<Begun, HandoverError> {
+async fn request_handover(socket: &Path, fingerprint: u32) -> Result<AcceptedHandover, HandoverError> {
     let stream = UnixStream::connect(socket)
         .await
         .map_err(|source| HandoverError::Connect { path: socket.to_owned(), source })?;
@@ -94,14 +93,14 @@
     let answer = timeout(CALL_DRAIN_TIMEOUT + ANSWER_TIMEOUT, reader.next()).await;
     match answer.map_err(|_| HandoverError::NoAnswer)? {
         Some(Received { message: ToSuccessor::Begin(state), descriptors }) => {
-            Ok(Begun { state, descriptors, reader, writer })
+            Ok(AcceptedHandover { state, descriptors, reader, writer })
         }
         Some(_) => Err(HandoverError::Refused),
         None => Err(HandoverError::ConnectionClosed),
     }
 }
 
-impl Begun {
+impl AcceptedHandover {
     fn into_handed_over(self) -> Result<HandedOver, HandoverError> {
         let mut descriptors = self.descriptors.into_iter();
         let (Some(listener), Some(lock)) = (descriptors.next(), descriptors.next()) else {
@@ -123,28 +122,28 @@
     }
 }
 
-/// The connection to the process that owned the folder before, as long as that has calls in flight.
+/// The connection to the predecessor. It is open until the predecessor ends.
 pub struct PredecessorConnection {
     reader: FrameReader,
     writer: FrameWriter,
-    /// The messages of its in-flight calls, and the endpoints that they went to.
+    /// The messages of the predecessor's calls in flight, and their endpoints.
     in_flight: HashMap<MessageId, EndpointId>,
 }
 
 impl PredecessorConnection {
-    /// A function that cancels one of its calls, named by one of its messages.
+    /// Returns a function that stops a call of the predecessor, which is identified by one of its messages.
     pub fn call_canceller(&self) -> impl Fn(MessageId, StopReason) + Clone + 'static {
         let sender = self.writer.sender();
         move |message, reason| sender.send(&ToPredecessor::CancelCall { message, reason })
     }
 
-    /// Takes over the predecessor's clients and the results of its calls until it has ended. Calls that are in flight
-    /// then count as reset: an endpoint may have processed them.
+    /// Takes over the predecessor's clients and the results of its calls until it has ended. Calls that are still in
+    /// flight then count as reset, because an endpoint may have processed them.
     pub async fn follow(mut self, events: UnboundedSender<GatewayEvent>, clients: ClientServer) {
         while let Some(Received { message, descriptors }) = self.reader.next().await {
             match message {
-                ToSuccessor::ClientConnection { buffer, served, left } => {
-                    adopt_clients(&clients, descriptors, &buffer, served, left);
+                ToSuccessor::ClientConnection { buffer, served, time_left } => {
+                    adopt_clients(&clients, descriptors, &buffer, served, time_left);
                 }
                 ToSuccessor::CallEnded { endpoint, messages, result } => {
                     self.in_flight.retain(|message, _| !messages.contains(message));
@@ -172,7 +171,7 @@
     descriptors: Vec<OwnedFd>,
     buffer: &Bytes,
     served: bool,
-    left: Duration,
+    time_left: Duration,
 ) {
     for descriptor in descriptors {
         match TcpStream::from_std(descriptor.into()) {
@@ -180,15 +179,17 @@
                 stream,
                 buffer: buffer.clone(),
                 served,
-                time_left: left,
+                time_left,
                 unread_for: Duration::ZERO,
             }),
-            Err(error) => warn!(%error, "cannot adopt a client connection of the previous process: closed"),
+            Err(error) => {
+                warn!(%error, "cannot take over a client connection of the previous process; it is closed")
+            }
         }
     }
 }
 
-/// Passes a request on to the event loop, and its result back when there is one.
+/// Passes an operator's request to the event loop, and sends the result to the predecessor.
 fn answer_admin_request(
     events: &UnboundedSender<GatewayEvent>,
     predecessor: FrameSender,
@@ -204,7 +205,7 @@
     });
 }
 
-/// A call that ended with the process that had made it.
+/// Returns the end of a call that was in flight when its process ended.
 fn broken_call(message: MessageId, endpoint: EndpointId) -> GatewayEvent {
     let attempt = AttemptResult {
         outcome: AttemptOutcome::Reset,
--- a/src/bin/delivery-gateway/handover/tests.rs
+++ b/src/bin/delivery-gateway/handover/tests.rs
@@ -1,5 +1,5 @@
-//! The messages as they stand on the socket. Both builds of a handover read these bytes: they change only with
-//! [`FORMAT`].
+//! Guards the wire format of the handover messages. Two builds exchange these bytes, so a change of them without a
+//! change of [`FORMAT`] would break a handover between the builds.
 
 use bytes::Bytes;
 use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
@@ -14,7 +14,7 @@
     assert_reencoded::<M>(bytes);
 }
 
-/// Bytes are read, and written again as they were.
+/// Asserts that bytes are decoded, and encoded to the same bytes again.
 fn assert_reencoded<M: Serialize + DeserializeOwned>(bytes: &[u8]) {
     let message: M = postcard::from_bytes(bytes).unwrap();
     assert_eq!(postcard::to_stdvec(&message).unwrap(), bytes);
@@ -35,12 +35,12 @@
 fn messages_to_the_successor_keep_their_bytes() {
     assert_bytes(&ToSuccessor::Refused, b"\x00");
     assert_bytes(&ToSuccessor::Begin(BeginState::Snapshot(vec![9, 8])), b"\x01\x00\x02\x09\x08");
-    // Constraints: an endpoint with a Retry-After of 2.5 s, and a lame duck.
+    // Constraints: an endpoint with a Retry-After of 2.5 s, and lame duck mode.
     assert_reencoded::<ToSuccessor>(b"\x01\x01\x01\x03s-1\x02\x80\xca\xb5\xee\x01\x01");
     let client = ToSuccessor::ClientConnection {
         buffer: Bytes::from_static(b"PI"),
         served: true,
-        left: Duration::from_millis(1500),
+        time_left: Duration::from_millis(1500),
     };
     assert_bytes(&client, b"\x02\x02PI\x01\x01\x80\xca\xb5\xee\x01");
     let attempt = AttemptResult {
--- a/src/bin/delivery-gateway/handover/timing.rs
+++ b/src/bin/delivery-gateway/handover/timing.rs
@@ -1,17 +1,17 @@
-//! How long the two processes of a handover wait for each other. Both are on this machine.
+//! The timeouts of a handover. Both processes are on the same machine.
 
 use std::time::Duration;
 
-/// The other process answers within this time, or not at all.
+/// The maximum time to wait for an answer of the other process.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long calls may take to finish before a handover to a process that cannot continue them. That process must be
-/// ready within 6 s of its start.
+/// The maximum time to wait for calls in flight before a handover to a process that cannot continue them. That process
+/// must be ready within 6 s of its start.
 pub const CALL_DRAIN_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a process that ends may go on sending to the other one.
+/// The maximum time that a process continues to send to the other one before it ends.
 pub const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// From the end of the other process until all its connections are closed.
+/// The time to wait after the other process has ended, until all its connections are closed.
 pub const CLOSE_GRACE: Duration = Duration::from_millis(50);
-/// Between two tries of a system call, or of becoming the owner.
+/// The delay before a system call, or the attempt to become the owner, is retried.
 pub const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Between two tries to listen for a successor.
+/// The delay before the attempt to listen for a successor is retried.
 pub const LISTEN_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/src/bin/delivery-gateway/listener.rs
+++ b/src/bin/delivery-gateway/listener.rs
@@ -1,4 +1,4 @@
-//! The addresses at which the gateway listens: for clients, and for operators.
+//! Binds the addresses at which the gateway listens for clients and for operators.
 
 use delivery_gateway::socket::retry_transient;
 use std::cell::Cell;
@@ -13,11 +13,11 @@
 use crate::admin::{self, AdminEndpoint};
 use crate::start_error::StartError;
 
-/// Between tries to listen at the operators' address.
+/// The delay before the bind of the admin endpoint's address is retried.
 const ADMIN_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Listens at an address, and gives the one that was bound. A process that has just ended may hold it for a moment
-/// longer than the lock: what fails for a moment is tried again.
+/// Listens at an address, and returns the listener and the bound address. Transient errors are retried: a process that
+/// has just ended may hold the address for a moment longer than the lock.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -37,12 +37,13 @@
     Ok((listener, bound))
 }
 
-/// The address that a listener is bound to.
+/// Returns the address that a listener is bound to.
 pub async fn local_address(listener: &TcpListener) -> io::Result<SocketAddr> {
-    retry_transient("asking for the own address", || async { listener.local_addr() }).await
+    retry_transient("getting the address of the listener", || async { listener.local_addr() }).await
 }
 
-/// Serves operators as soon as the address can be bound: a gateway without an admin endpoint delivers all the same.
+/// Serves the admin endpoint. Retries until the address can be bound, because the gateway delivers messages even
+/// without an admin endpoint.
 pub async fn serve_admin(address: String, endpoint: Rc<AdminEndpoint>) {
     loop {
         match bind(&address).await {
--- a/src/bin/delivery-gateway/log.rs
+++ b/src/bin/delivery-gateway/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error. Their reader may fail, exit or stop reading: a line is lost then, and the gateway
-//! goes on serving.
+//! Writes the log to standard error. If its reader fails, exits or stops reading, lines are lost, and the gateway
+//! continues to serve.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::retry_on_intr;
@@ -7,24 +7,25 @@
 use tracing::Level;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The lowest level that is logged: `error`, `warn`, `info` (if absent), or `debug`, which adds a line for each step of
-/// each message and the reason of each close.
+/// The variable with the lowest level that is logged: `error`, `warn`, `info` (the default) or `debug`. Level `debug`
+/// adds a line for each step of each message, and the reason for each closed connection.
 const LEVEL_VARIABLE: &str = "DELIVERY_GATEWAY_LOG";
-/// The variable's former name, read where the other one is absent.
+/// The former name of the variable. It is read if [`LEVEL_VARIABLE`] is not set.
 const FORMER_LEVEL_VARIABLE: &str = "GULLCART_LOG";
-/// What a pipe that is ready takes at once (`PIPE_BUF` on Linux); a longer line is cut.
+/// The maximum length of a line; a longer line is cut. A pipe that is ready takes this many bytes without blocking
+/// (`PIPE_BUF` on Linux).
 const MAX_LINE_BYTES: usize = 4096;
 
-/// Starts the log. To be called once, before the first line.
+/// Starts the log. Must be called once, before the first line.
 pub fn start() {
     let variable = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
     let level = variable.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
     let lines = tracing_subscriber::fmt().with_writer(StandardError).with_ansi(false).with_target(false);
-    // The library would report what it cannot write to standard error, and panic where that fails.
+    // The library would report a failed write to standard error, and panic if that fails as well.
     lines.with_max_level(level).log_internal_errors(false).init();
 }
 
-/// Standard error, whose failures are ignored.
+/// A writer to standard error that ignores failures.
 #[derive(Clone, Copy)]
 struct StandardError;
 
@@ -50,11 +51,11 @@
     }
 }
 
-/// Whether a line can be written now, without waiting for its reader.
+/// Returns whether a line can be written now, without waiting for its reader.
 fn is_ready() -> bool {
     let stderr = io::stderr();
     let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // Where polling fails, the line may be written all the same.
-    retry_on_intr(|| poll(&mut polled, Some(&at_once))).map_or(true, |ready| ready > 0)
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    // If polling fails, the line is written anyway.
+    retry_on_intr(|| poll(&mut polled, Some(&no_wait))).map_or(true, |ready| ready > 0)
 }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -1,6 +1,6 @@
 //! delivery-gateway: accepts messages from clients and delivers them to the endpoints of their destinations.
 //!
-//! Here the parts are wired together, in the order of a process's life.
+//! This module creates the parts of the gateway and connects them, in the order in which a process starts.
 
 mod admin;
 mod background;
@@ -46,23 +46,24 @@
     match result.and_then(|(handlers, runtime)| LocalSet::new().block_on(&runtime, run(handlers))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!(%error, "cannot start");
+            error!(%error, "cannot start or continue: the process exits");
             ExitCode::FAILURE
         }
     }
 }
 
-/// The signals first: without a handler a signal would end the process.
+/// Installs the signal handlers, then creates the runtime. The handlers come first because a signal without a handler
+/// would end the process.
 fn prepare_process() -> io::Result<(Handlers, Runtime)> {
-    let handlers = retry_transient_blocking("handling signals", Handlers::install)?;
-    let build = || Builder::new_current_thread().enable_all().build();
-    let runtime = retry_transient_blocking("making the event loop", build)?;
+    let handlers = retry_transient_blocking("installing the signal handlers", Handlers::install)?;
+    let build_runtime = || Builder::new_current_thread().enable_all().build();
+    let runtime = retry_transient_blocking("creating the runtime", build_runtime)?;
     Ok((handlers, runtime))
 }
 
-/// Runs until the process is to end, or another process has taken over.
+/// Runs until the process exits after a shutdown request, or another process has taken over.
 async fn run(handlers: Handlers) -> Result<(), StartError> {
-    let mut signals = handlers.listen().await.map_err(StartError::system("listen to signals"))?;
+    let mut signals = handlers.listen().await.map_err(StartError::system("listen for signals"))?;
     let environment = Environment::read()?;
     let config = Config::read(&environment.config_path).await?;
     let admin = start_admin_endpoint(&config);
@@ -80,14 +81,16 @@
     let (mut gateway, background) =
         Gateway::assemble(config, parsed, environment.state_folder, ownership).await?;
     let listener = gateway.restore(handed_over, &listen_address).await?;
-    let address =
-        listener::local_address(&listener).await.map_err(StartError::system("ask for the address"))?;
+    let address = listener::local_address(&listener)
+        .await
+        .map_err(StartError::system("get the address of the listener"))?;
     info!(name, %address, "listening");
     background.spawn(signals, environment.config_path, &admin);
     gateway.serve(listener).await
 }
 
-/// Before anything that takes time: the endpoint says that the gateway is not ready yet.
+/// Starts the admin endpoint. It starts before anything that takes time, so that it can report that the gateway is not
+/// ready yet.
 fn start_admin_endpoint(config: &Config) -> Rc<AdminEndpoint> {
     let admin = Rc::new(AdminEndpoint::default());
     if let Some(address) = config.admin_address() {
--- a/src/bin/delivery-gateway/ownership.rs
+++ b/src/bin/delivery-gateway/ownership.rs
@@ -1,4 +1,5 @@
-//! Who may touch the state folder: the one process that has its lock, or the one that it is handed over to.
+//! The ownership of the state folder. Only one process may use the folder: the one that holds its lock, which it got
+//! from the system or from the previous owner.
 
 use delivery_gateway::socket::retry_transient;
 use delivery_gateway::ParsedSettings;
@@ -8,12 +9,13 @@
 use crate::handover::{self, HandedOver, HandoverListener};
 use crate::start_error::StartError;
 
-/// The state folder's lock, and how it changes hands.
+/// The lock of the state folder, and the socket path and fingerprint for its handover.
 pub struct Ownership {
-    /// The lock file; locked by whoever owns the folder.
+    /// The lock file. The owner of the folder holds its lock.
     pub lock: File,
     socket: PathBuf,
-    /// What a handover snapshot looks like: it means the same only to a process of the same fingerprint.
+    /// The fingerprint of this build and its settings. Only processes with the same fingerprint can exchange a handover
+    /// snapshot.
     pub fingerprint: u32,
 }
 
@@ -23,8 +25,8 @@
     /// # Errors
     /// The file cannot be opened.
     pub async fn open(state_folder: &Path, parsed: &ParsedSettings) -> Result<Self, StartError> {
-        let open = || async { handover::open_lock_file(state_folder) };
-        let lock = retry_transient("opening the lock", open).await;
+        let open_lock = || async { handover::open_lock_file(state_folder) };
+        let lock = retry_transient("opening the lock of the state folder", open_lock).await;
         Ok(Ownership {
             lock: lock.map_err(StartError::system("open the lock of the state folder"))?,
             socket: handover::socket_path(state_folder),
@@ -32,17 +34,17 @@
         })
     }
 
-    /// Waits until this process is the owner: none if no other process was, or what the owner has handed over.
-    /// No file of the folder may be touched before.
+    /// Waits until this process is the owner. Returns the state that the previous owner has handed over, or None if
+    /// there is no previous owner. No file of the folder may be read or written before.
     ///
     /// # Errors
-    /// The lock cannot be taken, or what was handed over cannot be used.
+    /// The lock cannot be taken, or the state handed over cannot be used.
     pub async fn acquire(&self) -> Result<Option<HandedOver>, StartError> {
         Ok(handover::become_owner(&self.lock, &self.socket, self.fingerprint).await?)
     }
 
-    /// Offers the ownership to other processes.
-    pub fn offer(&self) -> HandoverListener {
+    /// Listens for a process that asks for the handover.
+    pub fn listen_for_successor(&self) -> HandoverListener {
         HandoverListener::new(&self.socket)
     }
 }
--- a/src/bin/delivery-gateway/rate_limited_log.rs
+++ b/src/bin/delivery-gateway/rate_limited_log.rs
@@ -1,11 +1,11 @@
-//! Bounds the rate of a log line that the outside can cause at any rate.
+//! Limits the rate of log lines for events that clients, endpoints or the system can cause at any rate.
 
 use std::time::{Duration, Instant};
 
-/// The shortest time between two lines.
+/// The minimum time between two lines.
 const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one of many similar events be logged at a time, with the number of those that were suppressed.
+/// Limits the log lines for one kind of event, and counts the suppressed ones.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last_line: Option<Instant>,
@@ -13,7 +13,8 @@
 }
 
 impl RateLimitedLog {
-    /// The number of events suppressed since the last line, if a line is due; else this event is suppressed.
+    /// Returns the number of events suppressed since the last line if this event may be logged. Otherwise counts the
+    /// event as suppressed, and returns None.
     pub fn due(&mut self) -> Option<u32> {
         if self.last_line.is_some_and(|last| last.elapsed() < MIN_INTERVAL) {
             self.suppressed += 1;
--- a/src/bin/delivery-gateway/signals.rs
+++ b/src/bin/delivery-gateway/signals.rs
@@ -1,5 +1,5 @@
-//! Signals of the platform, as messages. A handler raises a flag and writes to a pipe that wakes the runtime. A failed
-//! read or write of that pipe neither ends the process nor loses a signal.
+//! Receives SIGHUP and SIGTERM, and passes them on over channels. A signal handler sets a flag, and writes to a pipe
+//! that wakes the runtime. If a read or write of that pipe fails, the process continues and no signal is lost.
 
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level};
@@ -14,22 +14,22 @@
 
 use delivery_gateway::socket::{memory_backoff, retry_transient, try_transfer, Transfer};
 
-/// How often the flags are read even if no write to the pipe arrives.
+/// The interval at which the flags are read if the pipe doesn't become readable.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Installed handlers: from here on neither signal ends the process by itself.
+/// The installed signal handlers. While they are installed, neither signal ends the process by itself.
 pub struct Handlers {
     hang_up: Arc<AtomicBool>,
     terminate: Arc<AtomicBool>,
-    /// Readable once a signal has arrived.
+    /// Becomes readable when a signal arrives.
     wakeups: Pipe,
 }
 
-/// Where the signals arrive. Signals of one kind that arrive together count once.
+/// The channels of the signals. Several signals of one kind that arrive together are received once.
 pub struct Signals {
-    /// SIGHUP: the configuration is to be read again.
+    /// Receives SIGHUP, a request to read the configuration again.
     pub hang_up: UnboundedReceiver<()>,
-    /// SIGTERM: the process is to end.
+    /// Receives SIGTERM, a request to shut down.
     pub terminate: UnboundedReceiver<()>,
 }
 
@@ -37,13 +37,13 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// The pipe cannot be made, or a handler not installed.
+    /// The pipe cannot be created, or a handler cannot be installed.
     pub fn install() -> io::Result<Self> {
         let (wakeups, wakeup) = Pipe::pair()?;
         wakeups.set_nonblocking(true)?;
         let install = |signal, wakeup| -> io::Result<Arc<AtomicBool>> {
             let raised = Arc::new(AtomicBool::new(false));
-            // The flag first: the woken task reads it.
+            // The flag must be set before the write to the pipe, because the woken task reads it.
             flag::register(signal, raised.clone())?;
             low_level::pipe::register(signal, wakeup)?;
             Ok(raised)
@@ -59,7 +59,7 @@
     /// The pipe cannot be registered with the runtime.
     pub async fn listen(self) -> io::Result<Signals> {
         let Handlers { hang_up, terminate, wakeups } = self;
-        let wakeups = retry_transient("waiting for signals", || async {
+        let wakeups = retry_transient("registering the signal pipe with the runtime", || async {
             let wakeups = wakeups.try_clone()?;
             UnixStream::from_std(wakeups)
         })
@@ -78,14 +78,14 @@
     }
 }
 
-/// Empties the pipe: the flags say which signals have arrived.
+/// Reads and drops all bytes in the pipe. The flags show which signals have arrived.
 async fn drain(wakeups: &UnixStream) {
     let mut bytes = [0; 64];
     loop {
         match try_transfer(|| wakeups.try_read(&mut bytes)) {
             Ok(Transfer::Bytes(1..)) => {}
             Ok(Transfer::WouldBlock) => return,
-            // What stays unread would wake the task again at once.
+            // The pipe may still be readable and would wake the task again at once. The delay avoids a busy loop.
             Ok(Transfer::Bytes(0) | Transfer::OutOfMemory) | Err(_) => return memory_backoff().await,
         }
     }
--- a/src/bin/delivery-gateway/start_error.rs
+++ b/src/bin/delivery-gateway/start_error.rs
@@ -1,5 +1,5 @@
-//! Why the gateway could not start. Each error ends the process, unless it was met when the configuration was read
-//! again: then the configuration stays as it was.
+//! The errors that prevent the gateway from starting. Each ends the process, except when the configuration is read
+//! again after the start: then the previous configuration stays in force.
 
 use delivery_gateway::socket::AsIoError;
 use delivery_gateway::SettingError;
@@ -10,10 +10,10 @@
 use crate::handover::HandoverError;
 use crate::journal::JournalError;
 
-/// Why the gateway could not start.
+/// The reason why the gateway cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    #[error("the environment variable {0} is not set; it must name a path")]
+    #[error("the environment variable {0} is not set; expected a path")]
     MissingVariable(&'static str),
     #[error("cannot read the configuration at {}: {source}", .path.display())]
     ReadConfig { path: PathBuf, source: io::Error },
@@ -25,17 +25,17 @@
     Journal(#[from] JournalError),
     #[error(transparent)]
     Handover(#[from] HandoverError),
-    /// A system call that is not tried again.
-    #[error("cannot {attempt}: {source}")]
-    System { attempt: &'static str, source: io::Error },
+    /// A system call failed with an error that is not retried.
+    #[error("cannot {operation}: {source}")]
+    System { operation: &'static str, source: io::Error },
     #[error("cannot listen at {address}: {source}")]
     Listen { address: String, source: io::Error },
 }
 
 impl StartError {
-    /// For `map_err`: says what was tried when a system call failed.
-    pub fn system(attempt: &'static str) -> impl FnOnce(io::Error) -> Self {
-        move |source| StartError::System { attempt, source }
+    /// Returns a function for `map_err` that adds the failed operation to an I/O error.
+    pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> Self {
+        move |source| StartError::System { operation, source }
     }
 }
 
