--- a/src/bin/delivery-gateway/handover/messages.rs
+++ b/src/bin/delivery-gateway/handover/messages.rs
@@ -1,5 +1,5 @@
 //! The messages between the two processes of a handover. The order of variants and of fields is the wire format between
-//! two builds. A new variant goes to the end; any other change has to raise [`FORMAT`].
+//! two builds. Additions go to the end; any other change has to raise [`FORMAT`].
 
 use bytes::Bytes;
 use delivery_gateway::{EndpointId, MessageId};
