--- a/src/bin/delivery-gateway/http_client/batch.rs
+++ b/src/bin/delivery-gateway/http_client/batch.rs
@@ -1,4 +1,4 @@
-//! Messages on their way, and the body of a call that carries several of them.
+//! Messages to be sent, and the request body of a call that carries several of them.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
@@ -6,28 +6,28 @@
 use serde_json::{json, Value};
 use tokio::time::Instant;
 
-/// Bytes of a message in a batch for the names, quotes and commas around its id, key and body.
+/// The bytes that the JSON names, quotes and commas around a message's id, key and body take up in a batch.
 const FRAMING_BYTES_PER_MESSAGE: usize = 40;
 
-/// A message on its way.
+/// A message that a call carries.
 #[derive(Clone)]
 pub struct OutgoingMessage {
-    /// Its number in this process.
+    /// The message's number in this process.
     pub message: MessageId,
-    /// Its first byte leaves before this, or it is not sent.
+    /// The message is not sent unless the first byte of its call is written before this time.
     pub send_by: Instant,
-    /// From here on no response delivers it any more.
+    /// A response at or after this time no longer delivers the message.
     pub expires_at: Instant,
-    /// The id that its client gave it.
+    /// The id that the client gave the message.
     pub id: String,
-    /// The same for all attempts to deliver it.
+    /// The same for all attempts to deliver the message; None if the client gave none.
     pub idempotency_key: Option<String>,
-    /// What its client sent.
+    /// The body that the client sent, unchanged.
     pub body: Bytes,
 }
 
 impl OutgoingMessage {
-    /// Bytes that it adds to the body of a call for several messages, at most.
+    /// Returns the maximum number of bytes that the message adds to the body of a batch.
     pub fn batched_size(&self) -> usize {
         let key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
         let body_bytes = self.body.len().div_ceil(3) * 4;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Several messages in one body: a JSON array, each message with its body in Base64.
+/// Encodes several messages as one request body: a JSON array of objects, each with the message's body in Base64.
 pub fn batch_body(messages: &[OutgoingMessage]) -> Bytes {
     let items = messages.iter().map(|message| {
         let mut item = json!({"id": message.id, "body": BASE64_STANDARD.encode(&message.body)});
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -1,7 +1,7 @@
-//! One call: acquires a connection, sends the messages of the call, and reports the outcome of each.
+//! Makes one call: acquires a connection, sends the messages of the call, and reports the outcome of each.
 //!
-//! What may have run at the endpoint is never reported as not sent: only a call of which no byte was written, or one
-//! whose complete response says so, has not run.
+//! A call that may have run at the endpoint is never reported as not sent. A call has not run only if no byte of it was
+//! written, or if a complete response says so.
 
 use bytes::Bytes;
 use delivery_gateway::{AttemptOutcome, EndpointId, MessageId};
@@ -24,16 +24,18 @@
 use super::wire::Wire;
 use crate::events::{AttemptResult, CallResult, StopReason};
 
-/// From the first byte of a response to the end of its head: one that takes longer is broken.
+/// The time limit from the first byte of a response to the end of its head. After it the connection counts as broken.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
-/// The body of a response for one message means nothing; a longer one, or a longer wait for its end, is not worth the
-/// connection.
+/// The longest response body that is read. The body carries no information where the call has one message: closing the
+/// connection is cheaper than reading a longer body.
 const MAX_RESPONSE_BODY_BYTES: u64 = 64 << 10;
+/// The time limit for reading a response body. After it the connection is closed rather than reused.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Pool {
-    /// Makes one call. `sent` turns true with its first byte. Messages that may not be sent any more before that go
-    /// to `too_late` and are no part of the call from then on: nothing may be sent that has had its final outcome.
+    /// Makes one call and returns the result of each of its messages. `stop` cancels the call. `sent` becomes true just
+    /// before the call is written. Messages that pass their `send_by` before that are removed from the call and passed
+    /// to `too_late`: a message that has had its final outcome must not be sent.
     pub async fn call(
         self: &Rc<Self>,
         call: &mut Call,
@@ -56,7 +58,7 @@
     }
 }
 
-/// A call that is being made.
+/// A call in progress.
 struct OngoingCall<'a> {
     pool: &'a Rc<Pool>,
     call: &'a mut Call,
@@ -66,24 +68,24 @@
     deadline: Instant,
 }
 
-/// What happened first after the request was handed to the connection.
+/// The first event after the request was passed to the connection.
 enum CallEvent {
-    /// The head of a response.
+    /// The head of a response has arrived.
     Head(Response<Incoming>),
     Ended(EndWithoutHead),
 }
 
-/// How a call ended without the head of a response.
+/// Why a call ended without the head of a response.
 #[derive(Clone, Copy)]
 enum EndWithoutHead {
     Broken,
     TimedOut,
-    /// For a reason, or as nobody waits for its result any more.
+    /// The call was stopped. None if the `stop` sender was dropped, so that no one waits for the result.
     Stopped(Option<StopReason>),
 }
 
 impl OngoingCall<'_> {
-    /// Waits for a connection, and meanwhile removes messages from the call that may not be sent any more.
+    /// Waits for a connection, and meanwhile removes messages whose `send_by` passes from the call.
     async fn connect(
         &mut self,
         too_late: &impl Fn(Vec<MessageId>),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Removes the messages that may not be sent any more.
+    /// Removes the messages whose `send_by` has passed, and returns them.
     fn remove_too_late(&mut self) -> Vec<MessageId> {
         let waited = self.started.elapsed();
         let now = Instant::now();
@@ -130,11 +132,12 @@
         late
     }
 
-    /// Sends the call on a connection; continues where the connection was stale and the call needs another one.
+    /// Sends the call on a connection. Returns `Continue` if the connection was stale, so that the call has to be sent
+    /// on another one.
     async fn send(&mut self, acquired: AcquiredConnection) -> ControlFlow<CallResult> {
         let AcquiredConnection { mut connection, origin } = acquired;
-        // The call ends for all of its messages when one of them expires: the endpoint may consider the whole of it
-        // expired by then, and what it still responds delivers nothing.
+        // The call ends for all of its messages when the first of them expires: from then on the endpoint may treat the
+        // whole call as expired, and its response delivers nothing.
         let expiries = self.call.messages.iter().map(|message| message.expires_at);
         let deadline = expiries.fold(self.deadline, Instant::min);
         let time_budget = deadline.saturating_duration_since(Instant::now());
@@ -156,7 +159,7 @@
                 Ok(response) => CallEvent::Head(response),
                 Err(_) => CallEvent::Ended(EndWithoutHead::Broken),
             },
-            () = one_turn_after(deadline) => CallEvent::Ended(EndWithoutHead::TimedOut),
+            () = sleep_until_and_yield(deadline) => CallEvent::Ended(EndWithoutHead::TimedOut),
             () = wire.head_timeout(HEAD_TIMEOUT) => CallEvent::Ended(EndWithoutHead::Broken),
             reason = &mut self.stop => CallEvent::Ended(EndWithoutHead::Stopped(reason.ok())),
         };
@@ -168,9 +171,9 @@
             CallEvent::Ended(end) => end,
         };
         let is_broken = matches!(end, EndWithoutHead::Broken);
-        if is_broken && wire.is_untouched() && origin == ConnectionOrigin::Reused {
-            // The reused connection turned out to be closed, or to hold bytes that belong to no call. The call has
-            // not run, and is sent on another connection.
+        if is_broken && wire.is_call_unwritten() && origin == ConnectionOrigin::Reused {
+            // The reused connection was closed already, or held bytes that belong to no call. The call has not run, and
+            // is sent on another connection.
             self.sent.set(false);
             return ControlFlow::Continue(());
         }
@@ -188,17 +191,18 @@
         idle_time: Option<Duration>,
     ) -> AttemptOutcome {
         match end {
-            // Not a byte of it was written: it has never run.
-            EndWithoutHead::Stopped(reason) if wire.is_untouched() => outcome_if_stopped_unsent(reason),
-            EndWithoutHead::Broken | EndWithoutHead::TimedOut if wire.is_untouched() => {
+            // No byte of the call was written, so that it has not run.
+            EndWithoutHead::Stopped(reason) if wire.is_call_unwritten() => outcome_if_stopped_unsent(reason),
+            EndWithoutHead::Broken | EndWithoutHead::TimedOut if wire.is_call_unwritten() => {
                 AttemptOutcome::ConnectFailed
             }
-            // The status line holds, whatever follows it; for several messages only the body has their states.
+            // The status line counts even if the rest of the response is broken or missing. A batch needs the body,
+            // which alone has the states of its messages.
             _ if matches!(self.call.messages.as_slice(), [one] if wire.was_served_before(one.expires_at)) => {
                 AttemptOutcome::Delivered
             }
             EndWithoutHead::Broken if wire.has_response_begun() => AttemptOutcome::MalformedResponse,
-            // Some bytes were written, and how many of them arrived cannot be known: the call may have run.
+            // Some bytes were written, and it is unknown how many of them arrived: the call may have run.
             EndWithoutHead::Broken => {
                 self.pool.count_reset(self.call.endpoint, idle_time, self.started.elapsed());
                 AttemptOutcome::Reset
@@ -208,8 +212,8 @@
         }
     }
 
-    /// Reads a response. That a call has not run is believed only of a complete response; of others the status line
-    /// is enough.
+    /// Reads the rest of a response. A response that says that the call has not run counts only if it is complete; for
+    /// other responses the status line is enough.
     async fn read_response(
         &self,
         acquired: AcquiredConnection,
@@ -221,8 +225,8 @@
         let head = read_head(&response, self.started.elapsed(), kind, origin);
         let is_delivered = head.outcome == AttemptOutcome::Delivered;
         let retry_after = Headers::of(&response).retry_after();
-        // Where a step took long, the response may have arrived after the deadline, and delivers nothing. That a call
-        // has not run, and Retry-After, hold all the same.
+        // If this thread was blocked for long, the response may have arrived after the deadline, and delivers nothing.
+        // Its Retry-After, and a statement that the call has not run, are still valid.
         let timed_out = AttemptResult { outcome: AttemptOutcome::Timeout, completes_message: false, ..head };
         let in_time =
             self.call.messages.iter().all(|message| connection.wire.was_served_before(message.expires_at));
@@ -231,7 +235,7 @@
             tokio::task::spawn_local(rest);
             return self.same_for_all(if is_delivered && !in_time { timed_out } else { head }, None);
         }
-        // For several messages only the complete response has their states.
+        // Only a complete response has the states of a batch's messages.
         let body_by = if is_delivered { deadline } else { Instant::now() + BODY_TIMEOUT };
         match timeout_at(body_by, rest).await {
             Ok(Some(_)) | Err(_) if is_delivered && Instant::now() >= deadline => {
@@ -251,7 +255,7 @@
         }
     }
 
-    /// The result of a batch, by the states in the body of its response.
+    /// Returns the result of a batch by the states in the body of its response.
     fn batch_result(&self, head: AttemptResult, body: &[u8], retry_after: Option<Duration>) -> CallResult {
         let states = BatchStates::parse(body);
         let results = self.call.messages.iter().map(|message| {
@@ -261,7 +265,7 @@
         CallResult { attempts: results.collect(), retry_after }
     }
 
-    /// The result of a call that ends here, with the same outcome for each of its messages.
+    /// Returns the result of a call that ends now, with the same outcome for each of its messages.
     fn result(&self, outcome: AttemptOutcome) -> CallResult {
         let result = AttemptResult {
             outcome,
@@ -277,7 +281,7 @@
     }
 }
 
-/// The outcome of a call that was stopped before its first byte, and so has not run.
+/// Returns the outcome of a call that was stopped before its first byte, and so has not run.
 fn outcome_if_stopped_unsent(reason: Option<StopReason>) -> AttemptOutcome {
     match reason {
         Some(StopReason::Cancelled) => AttemptOutcome::ConnectFailed,
@@ -285,14 +289,15 @@
     }
 }
 
-/// Ends at a time, after one turn for the connections: what has arrived by then is read first.
-async fn one_turn_after(time: Instant) {
+/// Sleeps until a time, and then lets the tasks of the connections run once, so that bytes that arrived before the time
+/// are read first.
+async fn sleep_until_and_yield(time: Instant) {
     sleep_until(time).await;
     yield_now().await;
 }
 
-/// Reads the rest of a response, and returns its connection to the pool where nothing followed it. Returns the body;
-/// none where it is incomplete or too long.
+/// Reads the rest of a response, and returns its connection to the pool if nothing follows the response. Returns the
+/// body; None if it is incomplete, too long, or not read within [`BODY_TIMEOUT`].
 async fn finish_response(
     pool: Rc<Pool>,
     endpoint: EndpointId,
@@ -311,12 +316,12 @@
     Some(body)
 }
 
-/// Returns a connection to the pool once all of its response is read, unless other bytes followed that.
+/// Returns a connection to the pool once its response has been read completely. It is closed if other bytes follow.
 async fn return_connection(pool: Rc<Pool>, endpoint: EndpointId, mut connection: Connection) {
-    // By the time that it is ready again, the connection's own task has closed it where other bytes followed.
+    // By the time that the connection is ready again, its own task has closed it if other bytes followed.
     if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.ready()).await {
         yield_now().await;
-        if connection.wire.is_quiet() {
+        if connection.wire.is_open_without_unread_bytes() {
             pool.put_back(endpoint, connection);
         }
     }
--- a/src/bin/delivery-gateway/http_client/connection.rs
+++ b/src/bin/delivery-gateway/http_client/connection.rs
@@ -1,4 +1,4 @@
-//! Opens a connection to an endpoint, and closes it with a call still on it.
+//! Opens a connection to an endpoint, sends requests on it, and aborts it with a call in flight.
 
 use bytes::Bytes;
 use delivery_gateway::socket;
@@ -17,9 +17,9 @@
 use super::descriptors::Descriptor;
 use super::wire::{Wire, WireStream};
 
-/// How long an aborted connection may take to be closed by the endpoint before it is dropped.
+/// The time that the endpoint has to close an aborted connection before it is dropped.
 const ABORT_TIMEOUT: Duration = Duration::from_millis(40);
-/// Bytes of the longest head of a response.
+/// The maximum length of a response's head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Whether a connection was opened for a call, or has carried an earlier one.
@@ -27,30 +27,30 @@
 pub enum ConnectionOrigin {
     /// Opened for this call.
     New,
-    /// Idle in the pool before.
+    /// Taken from the idle connections of the pool.
     Reused,
 }
 
 /// An open connection. Dropping it closes it.
 pub struct Connection {
-    /// Where it leads.
+    /// The address of the endpoint.
     pub address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    /// Its bytes, as seen beside the HTTP library.
+    /// Observes the connection's bytes below the HTTP library.
     pub wire: Rc<Wire>,
-    /// Asks the connection's own task to close it, and to say when that is done.
+    /// Requests the connection's own task to close it, and to send on the enclosed channel when that is done.
     abort: oneshot::Sender<oneshot::Sender<()>>,
-    /// When its last call ended, or it was opened.
+    /// When the last call ended; when the connection was opened if it has carried none.
     pub idle_since: Instant,
-    /// When its last call began.
+    /// When the last call began; when the connection was opened if it has carried none.
     pub call_began: Instant,
 }
 
 impl Connection {
-    /// Connects, and has a task of its own drive the connection.
+    /// Connects to an endpoint, and spawns the local task that drives the connection.
     ///
     /// # Errors
-    /// The endpoint refuses, or this machine cannot connect just now.
+    /// The endpoint refuses the connection, or this machine cannot open one at the moment.
     pub async fn open(address: SocketAddr, descriptor: Descriptor) -> io::Result<Self> {
         let stream = socket::connect(address).await?;
         let wire = Rc::new(Wire::new(stream, descriptor));
@@ -64,12 +64,13 @@
         Ok(Connection { address, sender, wire, abort, idle_since: now, call_began: now })
     }
 
-    /// Whether it can carry no further call.
+    /// Returns whether the connection is closed and can carry no further call.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Waits until it can carry a call: the last response is read, and the connection's task has looked behind it.
+    /// Waits until the connection can carry a call: the last response has been read, and the connection's task has
+    /// checked for bytes behind it.
     ///
     /// # Errors
     /// The connection is closed.
@@ -80,14 +81,15 @@
     /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// The connection is broken, or the response is no HTTP.
+    /// The connection is broken, or the response is not valid HTTP.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
         self.sender.ready().await?;
         self.sender.send_request(request).await
     }
 
-    /// Aborts the call on it: ends the sending side and waits, for a moment, until the endpoint has closed too. Only
-    /// then has it let go of the call, so that the slot is free and another attempt is no second copy.
+    /// Aborts the call on the connection: shuts down the sending side and waits up to [`ABORT_TIMEOUT`] until the
+    /// endpoint has closed it too. Only then has the endpoint ended the call, so that its slot is free there and
+    /// another attempt does not run beside it.
     pub async fn abort(self) {
         let (done, closed) = oneshot::channel();
         if self.abort.send(done).is_ok() {
@@ -102,7 +104,8 @@
     aborted: oneshot::Receiver<oneshot::Sender<()>>,
 ) {
     let aborted = tokio::select! {
-        // First, as an aborted response would also end the connection, without the wait for the endpoint.
+        // The abort is polled first: dropping a response also ends the connection, but without waiting for the
+        // endpoint.
         biased;
         aborted = aborted => aborted,
         _ = &mut driver => return,
--- a/src/bin/delivery-gateway/http_client/descriptors.rs
+++ b/src/bin/delivery-gateway/http_client/descriptors.rs
@@ -1,10 +1,10 @@
-//! Bounds the descriptors that connections to endpoints hold.
+//! Limits the file descriptors that connections to endpoints hold.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A bounded number of descriptors.
+/// Counts the file descriptors in use, of which there are `max`.
 pub struct Descriptors {
     max: usize,
     open: Rc<Cell<usize>>,
@@ -12,12 +12,12 @@
 }
 
 impl Descriptors {
-    /// None of `max` descriptors is in use.
+    /// Creates a counter for `max` descriptors, none of them in use.
     pub fn new(max: usize) -> Self {
         Descriptors { max, open: Rc::default(), released: Rc::default() }
     }
 
-    /// Whether all descriptors are in use.
+    /// Returns whether all descriptors are in use.
     pub fn are_exhausted(&self) -> bool {
         self.open.get() >= self.max
     }
@@ -27,14 +27,15 @@
         self.released.notified().await;
     }
 
-    /// Takes a descriptor, beyond the bound if need be.
+    /// Counts one more descriptor as in use, even beyond the maximum. Callers that must stay within it check
+    /// [`Self::are_exhausted`] first.
     pub fn take(&self) -> Descriptor {
         self.open.set(self.open.get() + 1);
         Descriptor { open: self.open.clone(), released: self.released.clone() }
     }
 }
 
-/// A descriptor in use, free again when dropped.
+/// A descriptor in use. Dropping it releases it.
 pub struct Descriptor {
     open: Rc<Cell<usize>>,
     released: Rc<Notify>,
--- a/src/bin/delivery-gateway/http_client/pool.rs
+++ b/src/bin/delivery-gateway/http_client/pool.rs
@@ -1,4 +1,5 @@
-//! The connections to endpoints between calls: which ones stay open, for how long, and on how many descriptors.
+//! The pool of connections to endpoints. It decides which idle connections stay open and for how long, and limits the
+//! descriptors of all connections.
 
 use delivery_gateway::{socket, AttemptOutcome, EndpointId};
 use std::cell::{Cell, RefCell};
@@ -12,13 +13,14 @@
 use super::descriptors::{Descriptor, Descriptors};
 use crate::rate_limited_log::RateLimitedLog;
 
-/// Part of an endpoint's own idle limit after which idle connections are closed, so that no call meets its closing.
+/// The ratio of an endpoint's own idle timeout after which an idle connection is closed here, so that no call is sent
+/// on a connection that the endpoint is closing.
 const IDLE_LIMIT_RATIO: f64 = 0.7;
-/// How long a connection rests before it is used again, so that bytes right behind a response are seen before they
-/// could be taken for the next one. Opening a new connection would take longer.
-const REST_BEFORE_REUSE: Duration = Duration::from_millis(5);
+/// The time that a connection must be idle before it is reused, so that bytes right behind a response are detected
+/// before they could be taken for the next response. Opening a new connection would take longer.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(5);
 
-/// What happened on connections since the last report.
+/// Counts calls by their connections since the last report.
 #[derive(Debug, Default)]
 pub struct ConnectionCounters {
     /// Calls on connections opened for them.
@@ -33,23 +35,25 @@
 
 /// A connection that a call may use.
 pub struct AcquiredConnection {
-    /// Open, with no call on it.
+    /// The open connection, with no call on it.
     pub connection: Connection,
-    /// Where it is from.
+    /// Whether the connection was opened for the call or reused.
     pub origin: ConnectionOrigin,
 }
 
-/// The connections to endpoints. Idle ones are grouped by endpoint, the newest last: an address may belong to another
-/// endpoint by now, which must not be given what is left of the one before.
+/// The pool of connections to endpoints.
 pub struct Pool {
+    /// The idle connections, by endpoint, the newest last. They are not grouped by address: an address may now belong
+    /// to another endpoint, which must not get a connection to the previous one.
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
-    /// When the idle connections of an endpoint were closed last: one with a call then is closed after it.
+    /// When the idle connections of an endpoint were last closed. A connection with a call in flight at that time is
+    /// closed after the call.
     idle_closed_at: RefCell<HashMap<EndpointId, Instant>>,
-    /// Of connections that are idle, with a call, ending a response, or being aborted.
+    /// The descriptors of all connections: idle, with a call, ending a response, or being aborted.
     descriptors: Descriptors,
     connect_timeout: Duration,
     max_idle_time: Duration,
-    /// None while another process makes the calls.
+    /// The maximum number of idle connections. 0 while another process makes the calls.
     max_idle: Cell<usize>,
     counters: RefCell<ConnectionCounters>,
     reset_log: RefCell<RateLimitedLog>,
@@ -57,8 +61,9 @@
 }
 
 impl Pool {
-    /// At most `max_connections` are open at a time, and `max_idle` of them idle. Connecting takes `connect_timeout` at
-    /// most; endpoints close connections that have been idle for `connection_idle_timeout`.
+    /// Creates an empty pool with at most `max_connections` open connections, of which at most `max_idle` are idle.
+    /// Connecting fails after `connect_timeout`. Endpoints close connections that have been idle for
+    /// `connection_idle_timeout`; the pool closes them earlier.
     pub fn new(
         connect_timeout: Duration,
         connection_idle_timeout: Duration,
@@ -78,23 +83,23 @@
         }
     }
 
-    /// What happened since this was called last.
+    /// Returns the counters since the last call of this function, and resets them.
     pub fn take_counters(&self) -> ConnectionCounters {
         self.counters.take()
     }
 
-    /// Closes the idle connections to an endpoint, and those with a call as soon as it ends.
+    /// Closes the idle connections to an endpoint now, and those with a call in flight as soon as it ends.
     pub fn close_idle(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
         self.idle_closed_at.borrow_mut().insert(endpoint, Instant::now());
     }
 
-    /// Closes the idle connections to endpoints that `retained` does not name.
+    /// Closes the idle connections to endpoints for which `retained` is false.
     pub fn retain_endpoints(&self, retained: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|endpoint, _| retained(*endpoint));
     }
 
-    /// Closes connections that have been idle for too long or were closed by the endpoint.
+    /// Closes connections that have been idle for too long, and drops those that the endpoint has closed.
     pub fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
@@ -105,7 +110,8 @@
         idle_closed_at.retain(|_, closed_at| closed_at.elapsed() < self.max_idle_time);
     }
 
-    /// Keeps at most so many idle connections from now on; none closes those that are idle.
+    /// Sets the maximum number of idle connections. 0 closes those that are idle now; another number closes none of
+    /// them.
     pub fn set_max_idle(&self, max_idle: usize) {
         if max_idle == 0 {
             self.retain_endpoints(|_| false);
@@ -113,21 +119,21 @@
         self.max_idle.set(max_idle);
     }
 
-    /// Stands for a descriptor that another process holds for a call of this gateway.
+    /// Counts a descriptor that another process holds for a call of this gateway, until the returned value is dropped.
     pub fn reserve_descriptor(&self) -> Descriptor {
         self.descriptors.take()
     }
 
-    /// How long connecting may take.
+    /// Returns the time limit for opening a connection.
     pub(super) fn connect_timeout(&self) -> Duration {
         self.connect_timeout
     }
 
-    /// A connection for a call: an idle one if there is one, else a new one.
+    /// Acquires a connection for a call: an idle one if there is one, else a new one.
     ///
     /// # Errors
-    /// `LocalFailure` where this machine could not connect, which says nothing of the endpoint; `ConnectFailed` where
-    /// the endpoint refused or did not accept in time. Nothing was sent.
+    /// `LocalFailure` if the cause lies on this machine and not with the endpoint; `ConnectFailed` if the endpoint
+    /// refused or did not accept in time. Nothing was sent.
     pub(super) async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -141,22 +147,23 @@
         Ok(AcquiredConnection { connection, origin: ConnectionOrigin::New })
     }
 
-    /// An idle connection, once one has rested; none if there is none.
+    /// Takes the idle connection that was used last among those that have been idle for [`MIN_IDLE_BEFORE_REUSE`], and
+    /// waits until there is one. Returns None if the endpoint has no idle connection.
     async fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
-            let rested_at = {
+            let reusable_at = {
                 let mut idle = self.idle.borrow_mut();
                 let connections = idle.get_mut(&endpoint)?;
                 connections.retain(|connection| connection.address == address && self.is_usable(connection));
                 let oldest_idle_since = connections.first()?.idle_since;
-                let has_rested =
-                    |connection: &Connection| connection.idle_since.elapsed() >= REST_BEFORE_REUSE;
-                if let Some(newest_rested) = connections.iter().rposition(has_rested) {
-                    return Some(connections.remove(newest_rested));
+                let is_reusable =
+                    |connection: &Connection| connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE;
+                if let Some(newest_reusable) = connections.iter().rposition(is_reusable) {
+                    return Some(connections.remove(newest_reusable));
                 }
-                oldest_idle_since + REST_BEFORE_REUSE
+                oldest_idle_since + MIN_IDLE_BEFORE_REUSE
             };
-            sleep_until(rested_at).await;
+            sleep_until(reusable_at).await;
         }
     }
 
@@ -171,7 +178,7 @@
         }
     }
 
-    /// A descriptor for one more connection; idle ones are closed for it.
+    /// Waits for a descriptor for one more connection, and closes idle connections for it.
     async fn descriptor(&self) -> Descriptor {
         while self.descriptors.are_exhausted() {
             self.close_oldest_idle();
@@ -180,7 +187,7 @@
         self.descriptors.take()
     }
 
-    /// Takes back a connection whose call has ended, or closes it where it is not to be reused.
+    /// Returns a connection whose call has ended to the pool, or closes it if it must not be reused.
     pub(super) fn put_back(&self, endpoint: EndpointId, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let closed_at = self.idle_closed_at.borrow().get(&endpoint).copied();
@@ -193,7 +200,8 @@
         self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
     }
 
-    /// Closes the connection that has been idle for longest; each endpoint's are ordered, the oldest first.
+    /// Closes the connection that has been idle for longest. The connections of each endpoint are ordered, the oldest
+    /// first.
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest_of_each = idle.iter().filter_map(|(endpoint, connections)| {
@@ -209,7 +217,7 @@
         connection.idle_since.elapsed() < self.max_idle_time && !connection.is_closed()
     }
 
-    /// Counts a call on a connection.
+    /// Counts a call by the origin of its connection.
     pub(super) fn count_call(&self, origin: ConnectionOrigin) {
         let mut counters = self.counters.borrow_mut();
         match origin {
@@ -218,7 +226,8 @@
         }
     }
 
-    /// Counts and logs a call that was reset, on a connection that had been idle for so long, or on a new one.
+    /// Counts and logs a call that was reset after `latency`. `idle_time` is how long its connection had been idle
+    /// before; None for a new connection.
     pub(super) fn count_reset(&self, endpoint: EndpointId, idle_time: Option<Duration>, latency: Duration) {
         let mut counters = self.counters.borrow_mut();
         match idle_time {
@@ -226,11 +235,17 @@
             None => counters.resets_on_new += 1,
         }
         if let Some(suppressed) = self.reset_log.borrow_mut().due() {
-            info!(endpoint = endpoint.0, ?idle_time, ?latency, suppressed, "a call was reset");
+            info!(
+                endpoint = endpoint.0,
+                ?idle_time,
+                ?latency,
+                suppressed,
+                "call reset by the endpoint; it may have run"
+            );
         }
     }
 
-    /// Logs messages that could not be sent in time for want of a connection.
+    /// Logs messages that could not be sent in time because no connection was available.
     pub(super) fn log_too_late(&self, endpoint: EndpointId, messages: usize, waited: Duration) {
         if let Some(suppressed) = self.too_late_log.borrow_mut().due() {
             let endpoint = endpoint.0;
--- a/src/bin/delivery-gateway/http_client/request.rs
+++ b/src/bin/delivery-gateway/http_client/request.rs
@@ -1,4 +1,4 @@
-//! A call to an endpoint, and its HTTP request.
+//! Builds the HTTP request of a call to an endpoint.
 
 use bytes::Bytes;
 use delivery_gateway::EndpointId;
@@ -10,41 +10,42 @@
 
 use super::batch::{batch_body, OutgoingMessage};
 
-/// Paths of a call for one message and for several.
+/// Path of a call that carries one message.
 const MESSAGE_PATH: &str = "/hook";
+/// Path of a call that carries several messages.
 const BATCH_PATH: &str = "/hook/batch";
 
-/// Names of the headers on the wire.
+/// Names of the request headers on the wire.
 mod header {
-    /// Seconds that the endpoint has for the call.
+    /// The time that the endpoint has for the call, in seconds with three decimal places.
     pub const TIME_BUDGET: &str = "X-Budget";
     pub const MESSAGE_ID: &str = "X-Call-Id";
     pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 }
 
-/// What a call carries: one message, or several for an endpoint that takes them together.
+/// A call to be made: one message, or several for an endpoint that accepts batches.
 pub struct Call {
-    /// Whom it goes to.
+    /// The endpoint that the call goes to.
     pub endpoint: EndpointId,
-    /// Where that is.
+    /// The address of the endpoint.
     pub address: SocketAddr,
-    /// At least one.
+    /// The messages of the call, at least one.
     pub messages: Vec<OutgoingMessage>,
-    /// From the decision to make the call until its response.
+    /// The time limit from the decision to make the call until its response.
     pub attempt_timeout: Duration,
 }
 
-/// Whether a call carries one message or several, which decides what its response says of each.
+/// Whether a call carries one message or several, which determines how the outcome of each is read from the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// One message.
+    /// One message, whose outcome is in the status and headers.
     Single,
-    /// Several messages.
+    /// Several messages, whose states are in the body of a 200 response.
     Batch,
 }
 
 impl Call {
-    /// Whether it carries one message or several.
+    /// Returns whether the call carries one message or several.
     pub fn kind(&self) -> CallKind {
         if self.messages.len() > 1 {
             CallKind::Batch
@@ -53,10 +54,10 @@
         }
     }
 
-    /// The request for it, with the time that the endpoint has.
+    /// Builds the HTTP request of the call. `time_budget` is the time that the endpoint has for it.
     ///
     /// # Errors
-    /// A header cannot hold the id or the key of a message.
+    /// The message's id or idempotency key is no valid header value.
     pub fn request(&self, time_budget: Duration) -> hyper::http::Result<Request<Full<Bytes>>> {
         let [message] = self.messages.as_slice() else {
             let request = self.post(BATCH_PATH, time_budget).header("Content-Type", "application/json");
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -1,5 +1,6 @@
-//! What a response says: its status and headers, and the states of the messages that one call carried. The themed
-//! names on the wire are mapped here, once, to the terms of [`AttemptOutcome`].
+//! Maps a response to outcomes: its status and headers, and the states of the messages that a batch carried.
+//!
+//! Only this module has the names that the wire uses for them; the rest of the gateway uses [`AttemptOutcome`].
 
 use delivery_gateway::{AttemptOutcome, LoadReport};
 use hyper::body::Incoming;
@@ -11,51 +12,53 @@
 use super::request::CallKind;
 use crate::events::AttemptResult;
 
-/// Names of the headers on the wire.
+/// Names of the response headers on the wire.
 mod header {
-    /// Milliseconds for which the endpoint is to be left alone.
+    /// Retry-After in milliseconds: the endpoint requests no calls for this time.
     pub const RETRY_AFTER_MS: &str = "X-Come-Back-Ms";
-    /// `1` where the destination has no capacity for the call, which has not run.
+    /// `1` on a 503 if the destination had no capacity for the call, which has not run.
     pub const NOT_STARTED: &str = "X-Line-Busy";
-    /// How much of its rate limit the endpoint has left, as `x0=headroom,x1=limit`.
+    /// The endpoint's load report, as `x0=headroom,x1=limit`: the ratio of its rate limit that is left, and the limit
+    /// in calls per second.
     pub const LOAD_REPORT: &str = "X-Load-Report";
     pub const CONNECTION: &str = "Connection";
 }
 
-/// Names of the fields of a load report on the wire.
+/// Names of the fields in the load report header.
 mod load_report_field {
     pub const HEADROOM: &str = "x0";
     pub const LIMIT_PER_SEC: &str = "x1";
 }
 
-/// Longer waits are cut to this.
+/// A longer Retry-After is cut to this.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
-/// A load report beyond these figures is ignored.
+/// A load report with a headroom or a limit above these is ignored.
 const MAX_HEADROOM: f64 = 2.0;
 const MAX_LIMIT_PER_SEC: f64 = 1e6;
 
-/// The headers of a response, as text.
+/// Reads the headers of a response as text.
 #[derive(Clone, Copy)]
 pub struct Headers<'a>(&'a Response<Incoming>);
 
 impl<'a> Headers<'a> {
-    /// The headers of this response.
+    /// Borrows the headers of this response.
     pub fn of(response: &'a Response<Incoming>) -> Self {
         Headers(response)
     }
 
-    /// The first header of this name; none if it is not text.
+    /// Returns the first header of this name; None if there is none or it is not text.
     fn get(self, name: &str) -> Option<&'a str> {
         self.0.headers().get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// How long the endpoint is to be left alone, if the response says so.
+    /// Returns the Retry-After of the response, at most [`MAX_RETRY_AFTER`]; None if it is absent, zero or no number.
     pub fn retry_after(self) -> Option<Duration> {
         let ms: u64 = self.get(header::RETRY_AFTER_MS)?.trim().parse().ok()?;
         (ms > 0).then(|| Duration::from_millis(ms).min(MAX_RETRY_AFTER))
     }
 
-    /// Whether the end of the body is given in two ways, of which one may be wrong.
+    /// Returns whether both Content-Length and Transfer-Encoding are present. One of them may be wrong, so that the end
+    /// of the body is uncertain and the connection must not be reused.
     pub fn has_ambiguous_length(self) -> bool {
         let headers = self.0.headers();
         headers.contains_key("content-length") && headers.contains_key("transfer-encoding")
@@ -65,7 +68,7 @@
         self.get(header::LOAD_REPORT).and_then(parse_load_report)
     }
 
-    fn says_not_started(self) -> bool {
+    fn is_not_started(self) -> bool {
         self.get(header::NOT_STARTED).is_some_and(|text| text.trim() == "1")
     }
 
@@ -74,12 +77,12 @@
     }
 }
 
-/// The outcome of one message, as the endpoint reports it.
+/// The outcome of one message as the endpoint reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageOutcome {
-    /// The outcome of the attempt.
+    /// The outcome of the attempt to deliver the message.
     pub outcome: AttemptOutcome,
-    /// Whether the message is completed, so that no further attempt is made.
+    /// Whether the message is completed and gets no further attempt.
     pub completes_message: bool,
 }
 
@@ -93,7 +96,8 @@
     }
 }
 
-/// Reads status and headers: the result for each message of the call, unless the body says otherwise.
+/// Maps status and headers to the result of each message of the call. For a batch with status 200 the states in the
+/// body replace it.
 pub fn read_head(
     response: &Response<Incoming>,
     latency: Duration,
@@ -115,24 +119,24 @@
     match status {
         200 => MessageOutcome::completed(AttemptOutcome::Delivered),
         429 => MessageOutcome::open(AttemptOutcome::Rejected(headers.retry_after())),
-        // The call was not understood, or too large: none of it has run.
+        // The endpoint could not parse the batch, or it was too large: none of it has run.
         400 | 413 if kind == CallKind::Batch => MessageOutcome::open(AttemptOutcome::NotSent),
-        503 if headers.says_not_started() => MessageOutcome::open(AttemptOutcome::NotSent),
-        // The connection is refused rather than the call, where it was opened for the call and is closed with it.
+        503 if headers.is_not_started() => MessageOutcome::open(AttemptOutcome::NotSent),
+        // A 503 that closes a connection opened for this call refuses the connection rather than the call.
         503 if origin == ConnectionOrigin::New && headers.closes_connection() => {
             MessageOutcome::open(AttemptOutcome::TooManyConnections)
         }
         503 => MessageOutcome::open(AttemptOutcome::Rejected(None)),
-        // The endpoint counts the attempts of the message as used up.
+        // By the endpoint's count, the message has no attempts left.
         504 => MessageOutcome::open(AttemptOutcome::AttemptsExhausted),
-        // The endpoint no longer wants the message: no final outcome is owed.
+        // The endpoint no longer accepts the message, which is completed without a final outcome.
         410 => MessageOutcome::completed(AttemptOutcome::NotSent),
-        // An error, or an unknown status: the call may have run.
+        // An error or an unknown status: the call may have run.
         _ => MessageOutcome::open(AttemptOutcome::ErrorResponse),
     }
 }
 
-/// Reads a load report; none where a figure is missing or out of range.
+/// Parses a load report. Returns None if a value is missing, no number or out of range.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let value = |name: &str| -> Option<f64> {
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
@@ -140,16 +144,16 @@
     };
     let headroom = value(load_report_field::HEADROOM)?;
     let limit_per_sec = value(load_report_field::LIMIT_PER_SEC)?;
-    let is_sound =
+    let is_in_range =
         (0.0..=MAX_HEADROOM).contains(&headroom) && (0.0..=MAX_LIMIT_PER_SEC).contains(&limit_per_sec);
-    is_sound.then_some(LoadReport { headroom, limit_per_sec })
+    is_in_range.then_some(LoadReport { headroom, limit_per_sec })
 }
 
-/// The states of the messages of a batch, from the body of its response.
+/// The states of a batch's messages, from the body of its response.
 pub struct BatchStates(Vec<MessageState>);
 
-/// One message in the body of a response to a batch. Its state stays text: an unknown one does not invalidate the
-/// others.
+/// The state of one message in the response to a batch. The state is kept as text, so that an unknown one does not
+/// invalidate the others.
 #[derive(Deserialize)]
 struct MessageState {
     id: String,
@@ -157,13 +161,13 @@
 }
 
 impl BatchStates {
-    /// Reads a body; one that cannot be read has a state for no message.
+    /// Parses the body of a response. A body that cannot be parsed counts as one without any states.
     pub fn parse(body: &[u8]) -> Self {
         BatchStates(serde_json::from_slice(body).unwrap_or_default())
     }
 
-    /// The outcome of the message with this id. A message without a state, with an unknown one, or with two may have
-    /// run. `retry_after` is that of the response.
+    /// Returns the outcome of the message with this id. A message without a state, with an unknown state, or with two
+    /// states may have run. `retry_after` is the Retry-After of the response.
     pub fn outcome_of(&self, id: &str, retry_after: Option<Duration>) -> MessageOutcome {
         let mut states = self.0.iter().filter(|state| state.id == id).map(|state| state.state.as_str());
         let (Some(state), None) = (states.next(), states.next()) else {
--- a/src/bin/delivery-gateway/http_client/status_line.rs
+++ b/src/bin/delivery-gateway/http_client/status_line.rs
@@ -1,33 +1,33 @@
-//! Reads the status of a response from its bytes as they arrive, before the HTTP library has the whole head.
+//! Reads the status of a response from its bytes as they arrive, before the HTTP library has parsed the whole head.
 
 use std::io;
 
-/// Characters up to the one that ends the status: `HTTP/1.1 200` and a space.
+/// The length in bytes of a status line up to and including the space behind the status: `HTTP/1.1 200 `.
 const STATUS_END: usize = 13;
-/// More interim responses (1xx) than this before the response itself break the connection.
+/// The maximum number of interim responses (1xx) before the response itself. The connection fails on a further one.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// Finds the status of one response.
+/// Parses the status line of one response, and skips interim responses before it.
 #[derive(Default)]
 pub struct StatusLineReader {
     status: Option<u16>,
-    /// The start of the line that is being read.
+    /// The first [`STATUS_END`] bytes of the current line.
     line: Vec<u8>,
-    /// In the rest of an interim head, which an empty line ends.
+    /// Whether the current line belongs to the head of an interim response, which an empty line ends.
     in_interim_head: bool,
     interim_responses: u32,
 }
 
 impl StatusLineReader {
-    /// The status once its line has been read; 0 if that is no status line.
+    /// Returns the status; None until it has been read, 0 if the line is no status line.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// Reads further bytes. Those behind the status are ignored.
+    /// Parses further bytes of the response. Bytes behind the status are ignored.
     ///
     /// # Errors
-    /// There were too many interim responses.
+    /// More than [`MAX_INTERIM_RESPONSES`] interim responses precede the response.
     pub fn feed(&mut self, bytes: &[u8]) -> io::Result<()> {
         for &byte in bytes {
             if self.status.is_some() {
@@ -49,14 +49,15 @@
         if self.in_interim_head && self.line.is_empty() {
             self.in_interim_head = false;
         } else if !self.in_interim_head {
-            // A line that ends right behind its status has one all the same.
+            // The line may end right behind the status, without a space and a reason phrase.
             self.read_status(b' ')?;
         }
         self.line.clear();
         Ok(())
     }
 
-    /// Reads the status of a line, which `terminator` follows; that of an interim response is skipped.
+    /// Parses the status of the current line. `terminator` is the byte behind the status. The status of an interim
+    /// response is skipped.
     fn read_status(&mut self, terminator: u8) -> io::Result<()> {
         match parse_status(&self.line).filter(|_| terminator == b' ') {
             Some(100..=199) => {
@@ -67,7 +68,7 @@
                 }
             }
             Some(status) => self.status = Some(status),
-            // No status line: nothing that follows can be one.
+            // The response does not begin with a status line, so that no later line is taken for one.
             None => self.status = Some(0),
         }
         Ok(())
--- a/src/bin/delivery-gateway/http_client/tests.rs
+++ b/src/bin/delivery-gateway/http_client/tests.rs
@@ -1,4 +1,4 @@
-//! One call against an endpoint of the test's own: messages whose time runs out before or during the call, and load
+//! Tests one call against a stub endpoint, with messages that expire before or during the call, and the parsing of load
 //! reports.
 
 use super::response::parse_load_report;
@@ -23,8 +23,8 @@
     }
 }
 
-/// Makes a call to an endpoint that sends this response, and blocks this thread until some time after. Returns the
-/// request, the messages that were too late to be sent, and the outcome of each message of the call.
+/// Makes a call to a stub endpoint that sends this response, and then blocks the thread until `blocked_until`. Returns
+/// the request, the messages that were too late to be sent, and the outcome of each message of the call.
 async fn call_with_response(
     messages: Vec<OutgoingMessage>,
     response: &'static [u8],
@@ -41,7 +41,7 @@
             std::thread::sleep(until.saturating_duration_since(Instant::now()));
         }
         request.truncate(length);
-        // Open for as long as the client wants it.
+        // Keeps the connection open until the client closes it.
         while stream.read(&mut [0; 64]).await.is_ok_and(|count| count > 0) {}
         String::from_utf8(request).unwrap()
     });
@@ -65,8 +65,8 @@
 
 const DELIVERED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The time of a message runs on while its call waits for its turn: a message that is too late by then is not sent, and
-/// one that shares its call is.
+/// Guards against sending a message whose `send_by` passed while its call waited to be sent. The other message of the
+/// call must still be sent.
 #[test]
 fn a_message_too_late_before_its_call_is_sent_is_left_out() {
     run(async {
@@ -78,8 +78,8 @@
     });
 }
 
-/// A response that comes after a message has expired delivers nothing, also when it and the deadline are seen in one
-/// step: a step may take long.
+/// Guards against a late response that counts as a delivery. If the thread is blocked across the deadline, the response
+/// and the deadline are seen in the same step of the event loop.
 #[test]
 fn a_response_after_the_deadline_delivers_nothing() {
     run(async {
@@ -94,13 +94,13 @@
         let (_, late, each) = call_with_response(messages, each_ok, Some(soon)).await;
         let timed_out = |number| (MessageId(number), AttemptOutcome::Timeout);
         assert_eq!((late, each), (vec![], vec![timed_out(1), timed_out(2)]));
-        // Retry-After holds all the same, and a rejected call has not run.
+        // A late rejection still counts, with its Retry-After: the call has not run.
         let soon = Instant::now() + Duration::from_millis(500);
         let refused = b"HTTP/1.1 429 Later\r\nX-Come-Back-Ms: 900\r\nContent-Length: 0\r\n\r\n";
         let (_, late, each) = call_with_response(vec![outgoing(1, far, soon)], refused, Some(soon)).await;
         let rejected = AttemptOutcome::Rejected(Some(Duration::from_millis(900)));
         assert_eq!((late, each), (vec![], vec![(MessageId(1), rejected)]));
-        // In time, the same answer delivers both.
+        // The same response delivers both messages if it arrives in time.
         let (_, _, each) =
             call_with_response(vec![outgoing(1, far, far), outgoing(2, far, far)], each_ok, None).await;
         assert_eq!(
--- a/src/bin/delivery-gateway/http_client/wire.rs
+++ b/src/bin/delivery-gateway/http_client/wire.rs
@@ -1,5 +1,5 @@
-//! What is seen of a connection's bytes on their way to and from the HTTP library: whether any byte of a call was
-//! written, what the status line of its response says, and whether bytes have arrived that belong to no call.
+//! Observes a connection's bytes between the socket and the HTTP library: whether any byte of a call was written, which
+//! status its response has, and whether bytes have arrived that belong to no call.
 
 use delivery_gateway::socket::{self, Transfer};
 use socket2::SockRef;
@@ -19,23 +19,24 @@
 use super::descriptors::Descriptor;
 use super::status_line::StatusLineReader;
 
-/// A connection as its owner sees it, beside the library that speaks HTTP on it.
+/// A connection's socket and what was observed on it. It is shared by the owner of the connection and, as a
+/// [`WireStream`], by the HTTP library.
 pub struct Wire {
     stream: TcpStream,
-    /// Bytes written since the call began.
+    /// Bytes written since the current call began.
     written_bytes: Cell<u64>,
-    /// Bytes read since then.
+    /// Bytes read since the current call began.
     read_bytes: Cell<u64>,
     status_line: RefCell<StatusLineReader>,
     /// When the status of the response was read.
     status_read_at: Cell<Option<Instant>>,
     response_begun: Notify,
-    /// Declared after the stream: the descriptor is closed by the time that it counts as free.
+    /// Declared after the stream, so that the file descriptor is closed before it counts as free.
     _descriptor: Descriptor,
 }
 
 impl Wire {
-    /// A connection on which no call has begun.
+    /// Wraps a connection on which no call has begun.
     pub fn new(stream: TcpStream, descriptor: Descriptor) -> Self {
         Wire {
             stream,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A call is about to be written.
+    /// Resets the counters and the status for a call that is about to be written.
     pub fn begin_call(&self) {
         self.written_bytes.set(0);
         self.read_bytes.set(0);
@@ -56,30 +57,30 @@
         self.status_read_at.take();
     }
 
-    /// Whether no byte of the call was written.
-    pub fn is_untouched(&self) -> bool {
+    /// Returns whether no byte of the current call was written.
+    pub fn is_call_unwritten(&self) -> bool {
         self.written_bytes.get() == 0
     }
 
-    /// Whether a byte of a response has been read.
+    /// Returns whether at least one byte of the response has been read.
     pub fn has_response_begun(&self) -> bool {
         self.read_bytes.get() > 0
     }
 
-    /// Whether the status line of the response was read before `deadline`, and says that the call was served.
+    /// Returns whether the status line of the response was read before `deadline` and has the status 200.
     pub fn was_served_before(&self, deadline: Instant) -> bool {
         self.status_line.borrow().status() == Some(200)
             && self.status_read_at.get().is_some_and(|read_at| read_at < deadline)
     }
 
-    /// Whether the connection is open and holds no unread bytes.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether the connection is open and holds no unread bytes.
+    pub fn is_open_without_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = socket::retry_interrupted(|| SockRef::from(&self.stream).peek(&mut byte));
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends `limit` after the first byte of a response.
+    /// Waits for the first byte of the response, and then for `limit`.
     pub async fn head_timeout(&self, limit: Duration) {
         while !self.has_response_begun() {
             self.response_begun.notified().await;
@@ -87,7 +88,7 @@
         sleep(limit).await;
     }
 
-    /// Ends the sending side and waits until the endpoint has closed too.
+    /// Shuts down the sending side, and discards what arrives until the endpoint has closed the connection too.
     async fn close(&self) -> io::Result<()> {
         SockRef::from(&self.stream).shutdown(Shutdown::Write)?;
         let mut discarded = [0; 1024];
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Notes bytes that have been read.
-    fn note_read(&self, bytes: &[u8]) -> io::Result<()> {
+    /// Records bytes that have been read. Fails on too many interim responses.
+    fn record_read(&self, bytes: &[u8]) -> io::Result<()> {
         let mut status_line = self.status_line.borrow_mut();
         let was_unknown = status_line.status().is_none();
         status_line.feed(bytes)?;
@@ -117,11 +118,11 @@
     }
 }
 
-/// The connection as the library sees it.
+/// The connection as the HTTP library reads and writes it.
 pub struct WireStream(pub Rc<Wire>);
 
 impl WireStream {
-    /// Ends the sending side and waits until the endpoint has closed too.
+    /// Shuts down the sending side, and discards what arrives until the endpoint has closed the connection too.
     ///
     /// # Errors
     /// The connection is broken.
@@ -135,11 +136,11 @@
         write: impl FnMut(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         let wire = &self.0;
-        // Bytes that arrived before the call is written are no response to it, and must not be mistaken for one.
-        if wire.is_untouched() && !wire.is_quiet() {
+        // Bytes that arrived before the call is written are not its response, and must not be mistaken for it.
+        if wire.is_call_unwritten() && !wire.is_open_without_unread_bytes() {
             return Poll::Ready(Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "closed, or bytes between calls",
+                "the endpoint closed the connection or sent bytes between calls",
             )));
         }
         let count = ready!(socket::poll_write(&wire.stream, cx, write))?;
@@ -152,7 +153,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let wire = &self.0;
         let count = ready!(socket::poll_read(&wire.stream, cx, buf.initialize_unfilled()))?;
-        wire.note_read(&buf.initialize_unfilled()[..count])?;
+        wire.record_read(&buf.initialize_unfilled()[..count])?;
         buf.advance(count);
         Poll::Ready(Ok(()))
     }
