--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -63,7 +63,7 @@
         if let Some(number) = self.pending.number(&request.id) {
             // Repeated on a new connection; or sent by another client, to whom the id does not belong.
             let pending = self.journal.state.pending.get(&number);
-            if !pending.is_some_and(|pending| request.is_same(&pending.message)) {
+            if !pending.is_some_and(|pending| request.matches_pending(&pending.message)) {
                 return Some(EnqueueReply::Error("the id is in use for another message"));
             }
             self.pending.mark_shared(&request.id);
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -113,7 +113,7 @@
 
 impl EnqueueRequest {
     /// Whether it enqueues a message that is pending already. The time left differs from request to request.
-    pub fn is_same(&self, pending: &AcceptedRecord) -> bool {
+    pub fn matches_pending(&self, pending: &AcceptedRecord) -> bool {
         self.ordering_key == pending.ordering_key
             && self.class == pending.class
             && self.destination == pending.destination
