--- a/src/bin/delivery-gateway/resp2/codec.rs
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -1,4 +1,5 @@
-//! RESP2 on the wire: requests as arrays of bulk strings, bounded before anything is stored, and replies.
+//! Decodes RESP2 requests, which are arrays of bulk strings, and encodes replies. The size of a request is checked
+//! before anything is stored.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
@@ -6,23 +7,25 @@
 
 use crate::events::EnqueueReply;
 
-/// Words of one request.
+/// The maximum number of words in a request.
 const MAX_WORDS: usize = 16;
-/// Bytes of the longest word of a request, which is the body of a message.
+/// The maximum length of a word. The longest word of a request is the body of a message.
 pub const MAX_MESSAGE_BODY_BYTES: usize = 64 << 10;
-/// Bytes of a request besides its longest word: a key, an id, fields and their lengths.
+/// The maximum number of bytes in a request besides its longest word: a key, an id, fields and the lines with the
+/// lengths.
 pub const MAX_BYTES_BESIDE_BODY: usize = 4 << 10;
-/// Bytes of a line that announces a count or a length.
+/// The maximum length of a line that holds a count or a length.
 const MAX_LENGTH_LINE_BYTES: usize = 32;
 const LINE_END: &[u8; 2] = b"\r\n";
 
-/// Why bytes are no request. Where the next request would begin is unknown then, so that the connection ends.
+/// Why bytes cannot be decoded as a request. The start of the next request is then unknown, so that the connection has
+/// to be closed. The client gets the text.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RespError {
     /// The bytes are not an array of bulk strings.
     #[error("Protocol error: expected an array of bulk strings")]
     Malformed,
-    /// The request has more words or bytes than it may have.
+    /// The request has more words or bytes than the limits allow.
     #[error("Protocol error: too long")]
     TooLong,
 }
@@ -30,18 +33,18 @@
 /// A reply to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
-    /// The message is accepted, by this request or an earlier one.
+    /// The message was accepted, by this request or an earlier one.
     Ok,
-    /// The gateway serves.
+    /// The gateway is serving.
     Pong,
-    /// The message is rejected, and may be enqueued again after the time given, if any.
+    /// The message was rejected. The duration, if any, is the time after which to enqueue it again.
     Busy(Option<Duration>),
-    /// The request is in error.
+    /// The request is invalid, or cannot be served; with the text for the client.
     Error(&'a str),
 }
 
 impl Reply<'_> {
-    /// Appends the reply to what is to be written.
+    /// Appends the encoded reply to the bytes to be written.
     pub fn encode(self, output: &mut Vec<u8>) {
         match self {
             Reply::Ok => output.extend_from_slice(b"+OK\r\n"),
@@ -65,13 +68,13 @@
     }
 }
 
-/// Removes the first complete request from the buffer, and returns its words; none while it is incomplete.
+/// Removes the first complete request from the buffer and returns its words; None while the request is incomplete.
 ///
-/// Requests are arrays of bulk strings and nothing else, so that depth and size are bounded before anything is stored.
-/// General RESP decoders recurse as deep as their input says.
+/// Only arrays of bulk strings are accepted, so that depth and size are limited before anything is stored. General RESP
+/// decoders recurse as deeply as their input nests.
 ///
 /// # Errors
-/// The bytes are no request, or the request is too long. The buffer stays as it was.
+/// The bytes are not a request, or the request is too long. The buffer is unchanged.
 pub fn decode_request(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let Some(header) = length_line(buffer, 0, b'*')? else { return Ok(None) };
     if header.value > MAX_WORDS {
@@ -102,14 +105,14 @@
     Ok(Some(spans.into_iter().map(|span| frame.slice(span)).collect()))
 }
 
-/// A line that announces a count or a length.
+/// A line that holds a count or a length.
 struct LengthLine {
     value: usize,
-    /// Where the line has ended, counted from the start of the buffer.
+    /// The offset in the buffer of the first byte behind the line.
     end: usize,
 }
 
-/// Reads the line that starts with `prefix` at a position of the buffer; none while it is incomplete.
+/// Parses the line at offset `start` of the buffer, which must begin with `prefix`; None while the line is incomplete.
 fn length_line(buffer: &BytesMut, start: usize, prefix: u8) -> Result<Option<LengthLine>, RespError> {
     let mut line = &buffer[start..];
     match line.first() {
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -1,5 +1,6 @@
-//! One client's connection: reads requests, replies to them in their order, and closes when its client is late, its
-//! slot is needed, or the process shuts down. While the process is replaced, the connection is transferred instead.
+//! Serves one client connection: reads requests and replies to them in order. It closes the connection when the client
+//! exceeds a timeout, when another connection needs the slot, and when the process shuts down. During a handover it
+//! transfers the connection to the successor instead.
 
 use bytes::{Bytes, BytesMut};
 use delivery_gateway::socket::{disable_nagle, memory_backoff, try_transfer, write_all, Transfer};
@@ -18,60 +19,60 @@
 use super::drain::drain;
 use crate::events::{EnqueueReply, EnqueueRequest, GatewayEvent, ServicePhase};
 
-/// Bytes of one read at most. A request that needs more waits for a permit for long requests.
+/// The maximum size of one read. A longer request waits for a permit for long requests.
 const READ_BYTES: usize = 4 << 10;
-/// How long a connection may stay with a part of a request. Clients wait 400 ms for a reply.
+/// The time limit for the rest of a request. Clients wait 400 ms for a reply.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a connection may stay between two requests.
+/// The time limit between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that does not read its reply for this long is not waiting for it.
+/// The time limit for writing replies. A client that does not read for this long has stopped waiting for its reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// While the process shuts down or is a lame duck, a new connection may take this long to bring its first request.
+/// The time limit for the first request of a new connection while the process shuts down or is a lame duck.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Replies to pipelined requests are written together up to this size.
+/// The size from which buffered replies to pipelined requests are written.
 const MAX_BUFFERED_REPLY_BYTES: usize = 4 << 10;
-/// Requests of one connection that are served before the other connections get their turn.
+/// The number of requests of one connection that are served before other connections get their turn.
 const REQUESTS_PER_TURN: u32 = 16;
 
-/// A client's connection on its way to the next process: between two bytes, with nothing left to write.
+/// A client connection to be served from the state that it is in: a new one, or one transferred by the predecessor. No
+/// reply is left to be written.
 pub struct TransferredConnection {
-    /// The connection itself.
     pub stream: TcpStream,
-    /// What was read of its next request.
+    /// The bytes of the next request that have been read.
     pub buffer: Bytes,
-    /// Whether a request on it has had its reply.
+    /// Whether at least one request on the connection has had its reply.
     pub served: bool,
-    /// What is left of the time within which the client must send more.
+    /// The time within which the client must send more.
     pub time_left: Duration,
-    /// How long it may have waited to be accepted, with its first request unread.
+    /// The maximum time for which the first request may have waited unread before the connection was accepted.
     pub unread_for: Duration,
 }
 
-/// A client's connection in this process.
+/// A client connection in this process.
 pub struct ClientConnection {
     transfers: UnboundedSender<TransferredConnection>,
-    /// Requests that have had their reply.
+    /// The number of requests that have had their reply.
     answered: u32,
-    /// How long its next request may have waited unread before the connection was accepted.
+    /// The maximum time for which the next request may have waited unread before the connection was accepted.
     unread_for: Duration,
-    // Declared before the slot: the descriptor is closed by the time that the slot is free.
+    // Declared before the slot, so that the file descriptor is closed before the slot counts as free.
     stream: TcpStream,
     events: UnboundedSender<GatewayEvent>,
     phase: watch::Receiver<ServicePhase>,
-    /// What was read and not decoded yet.
+    /// Bytes that have been read and not decoded yet.
     input: BytesMut,
-    /// Replies not written yet.
+    /// Encoded replies that have not been written yet.
     output: Vec<u8>,
     slot: ConnectionSlot,
 }
 
 /// The result of reading more of a request.
 enum ReadOutcome {
-    /// More bytes are in the buffer.
+    /// Bytes were added to the buffer.
     Data,
-    /// The client has closed its side, or its connection may be closed.
+    /// The client has closed its side, or has sent nothing more on a connection that is to be closed.
     Closed,
-    /// The request was not complete in time.
+    /// The request was not complete when its time limit passed or its connection was evicted.
     Incomplete,
     /// The service phase has changed.
     PhaseChanged,
@@ -80,13 +81,14 @@
 /// The result of serving a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ServeOutcome {
+    /// The reply was written or buffered.
     Answered,
-    /// The event loop has ended: there is no reply.
+    /// The event loop has ended, so that there is no reply.
     GatewayEnded,
 }
 
 impl ClientConnection {
-    /// Takes a connection up in the state that it is in.
+    /// Starts from the state of a new or transferred connection.
     pub fn new(
         transferred: TransferredConnection,
         events: UnboundedSender<GatewayEvent>,
@@ -107,16 +109,16 @@
         }
     }
 
-    /// Numbers it among the connections of the process, for the log.
+    /// Returns the number that identifies the connection in the log. It is unique within the process.
     pub fn number(&self) -> u64 {
         self.slot.number
     }
 
-    /// Serves the connection until it ends. `deadline` is when the client must have sent what is due next: its first
-    /// request, the rest of one, or another one.
+    /// Serves the connection until it ends. `deadline` is the time limit for the bytes that the client has to send
+    /// next: its first request, the rest of a request, or another request.
     ///
     /// # Errors
-    /// The connection is broken, or the client did not read a reply in time.
+    /// The connection is broken, or the client did not read a reply within [`WRITE_TIMEOUT`].
     pub async fn run(mut self, mut deadline: Instant) -> io::Result<()> {
         disable_nagle(&self.stream);
         let slots = self.slot.slots().clone();
@@ -133,7 +135,7 @@
                         return Ok(());
                     }
                     if self.input.is_empty() {
-                        // Gives back the memory of a long request, and then its permit.
+                        // Frees the memory of a long request before its permit is released.
                         self.input = BytesMut::new();
                         long_request = None;
                     }
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Enters the state after a reply, and returns the deadline of the next request, or of the rest of it.
+    /// Sets the state after a reply, and returns the deadline of the next request, or of the rest of it.
     fn await_next_request(&self) -> Instant {
         if !self.input.is_empty() {
             return self.await_rest_of_request();
@@ -174,14 +176,14 @@
         deadline
     }
 
-    /// Enters the state within a request, and returns the deadline of the rest of it.
+    /// Sets the state within a request, and returns the deadline of the rest of it.
     fn await_rest_of_request(&self) -> Instant {
         let deadline = Instant::now() + PARTIAL_REQUEST_TIMEOUT;
         self.slot.set_state(ConnectionState::PartialRequest);
         deadline
     }
 
-    /// Hands the connection to the next process.
+    /// Transfers the connection to the successor.
     fn transfer(self, deadline: Instant) {
         let ClientConnection { stream, transfers, input, answered, slot, unread_for, .. } = self;
         let connection = TransferredConnection {
@@ -191,13 +193,14 @@
             time_left: deadline.saturating_duration_since(Instant::now()),
             unread_for,
         };
-        // Sent before its slot is free, so that who waits for the last slot finds the connection there.
+        // Sent before the slot is freed: whoever waits for the last slot to be freed then finds the connection in the
+        // channel.
         let _ = transfers.send(connection);
         drop(slot);
     }
 
     /// Reads more of a request. While the process shuts down or is a lame duck, a connection is closed between two
-    /// requests, but never with a part of one read, and a new one may still bring its first.
+    /// requests but never within one, and a new connection may still send its first request.
     async fn read(&mut self, deadline: Instant) -> io::Result<ReadOutcome> {
         let is_between_requests = self.input.is_empty();
         let phase = *self.phase.borrow_and_update();
@@ -211,7 +214,7 @@
         loop {
             tokio::select! {
                 biased;
-                // The buffer grows only when there is something to read: idle connections hold no memory.
+                // The buffer grows only when there is something to read, so that idle connections hold no memory.
                 ready = self.stream.readable() => ready?,
                 () = eviction.notified() => {
                     self.log_closing("another connection needs its slot");
@@ -228,7 +231,7 @@
                     }
                     return Ok(ReadOutcome::Incomplete);
                 }
-                // The caller reads the new phase, and what has arrived meanwhile first.
+                // The caller first decodes what has arrived, and then reads the new phase.
                 Ok(()) = self.phase.changed() => return Ok(ReadOutcome::PhaseChanged),
             }
             if let Some(outcome) = self.try_read().await? {
@@ -237,7 +240,8 @@
         }
     }
 
-    /// What a connection between two requests still brings while the process shuts down or is a lame duck.
+    /// Reads what the client still sends between two requests while the process shuts down or is a lame duck. A new
+    /// connection has [`LAST_REQUEST_TIMEOUT`] for its first request; on others only what has arrived is read.
     async fn read_last_request(&mut self) -> io::Result<ReadOutcome> {
         if self.answered == 0 {
             if let Ok(outcome) = timeout(LAST_REQUEST_TIMEOUT, self.read_ready()).await {
@@ -248,8 +252,9 @@
         self.read_now().await
     }
 
-    /// The rest of a request that has begun may be on its way: the client gets an error rather than a close without a
-    /// word. Where more of the request has arrived, the connection stays.
+    /// Maps the last read of a connection evicted within a request. The rest of the request may be on its way: the
+    /// client gets an error rather than a connection closed without a reply. If more of the request has arrived, the
+    /// connection stays open.
     fn evicted_within_request(&self, outcome: ReadOutcome) -> ReadOutcome {
         match outcome {
             ReadOutcome::Closed => ReadOutcome::Incomplete,
@@ -261,7 +266,7 @@
         }
     }
 
-    /// Logs why the connection is about to be closed. A request that has arrived by then is still served.
+    /// Logs why the connection is about to be closed. A request that has already arrived is still served.
     fn log_closing(&self, reason: &str) {
         debug!(
             number = self.number(),
@@ -272,7 +277,7 @@
         );
     }
 
-    /// Waits for more bytes.
+    /// Waits for more bytes, and reads them.
     async fn read_ready(&mut self) -> io::Result<ReadOutcome> {
         loop {
             self.stream.readable().await?;
@@ -282,7 +287,7 @@
         }
     }
 
-    /// Reads what has arrived as far as the runtime knows; none where nothing has after all.
+    /// Reads without waiting. Returns None if there was nothing to read, contrary to the runtime's notification.
     async fn try_read(&mut self) -> io::Result<Option<ReadOutcome>> {
         self.input.reserve(READ_BYTES);
         let ClientConnection { stream, input, .. } = self;
@@ -297,8 +302,9 @@
         }
     }
 
-    /// Reads what has arrived, without waiting; closed if there is nothing. Reads past the runtime, which may not
-    /// know of the last bytes yet: they would be lost with the connection.
+    /// Reads what has arrived, without waiting. Returns `Closed` if there is nothing. Reads from the socket directly,
+    /// since the runtime may not have been notified of the last bytes yet, and they would be lost when the connection
+    /// is closed.
     async fn read_now(&mut self) -> io::Result<ReadOutcome> {
         loop {
             let mut bytes = [0; READ_BYTES];
@@ -313,8 +319,8 @@
         }
     }
 
-    /// Whether the client has closed its side. One that did so before its reply has stopped waiting, and may be
-    /// enqueuing the message elsewhere already. One with more requests on the way has not.
+    /// Returns whether the client has closed its side. A client that did so before its reply has stopped waiting, and
+    /// may already be enqueuing the message elsewhere. A client of which more bytes are buffered is still waiting.
     fn client_has_closed(&mut self) -> bool {
         let ClientConnection { stream, input, .. } = self;
         if !input.is_empty() {
@@ -326,7 +332,7 @@
         }
     }
 
-    /// Answers one request, and lets other connections have their turn after some.
+    /// Answers one request, and yields to other connections after every [`REQUESTS_PER_TURN`] requests.
     async fn serve(&mut self, words: &[Bytes]) -> io::Result<ServeOutcome> {
         self.slot.set_state(ConnectionState::Serving);
         if self.answer(words).await? == ServeOutcome::GatewayEnded {
@@ -350,7 +356,7 @@
                     if !self.client_has_closed() {
                         return self.enqueue(request).await;
                     }
-                    // A client that has closed its sending side alone still reads this.
+                    // The client still reads this if it has only shut down its sending side.
                     Reply::Busy(None)
                 }
                 Err(error) => return self.reply(Reply::Error(&error.to_string())).await,
@@ -368,7 +374,7 @@
         }
     }
 
-    /// Buffers a reply; replies to pipelined requests are written together.
+    /// Buffers a reply. Replies to pipelined requests are written together.
     async fn reply(&mut self, reply: Reply<'_>) -> io::Result<ServeOutcome> {
         reply.encode(&mut self.output);
         if self.output.len() >= MAX_BUFFERED_REPLY_BYTES {
@@ -377,9 +383,9 @@
         Ok(ServeOutcome::Answered)
     }
 
-    /// Has the event loop decide on a message, and writes its reply at once.
+    /// Passes a message to the event loop, waits for its decision, and writes the reply at once.
     async fn enqueue(&mut self, request: EnqueueRequest) -> io::Result<ServeOutcome> {
-        // Earlier replies must not be lost with this one, nor this one with those.
+        // Writes earlier replies separately, so that a failed write of one does not lose the other.
         self.flush().await?;
         let (reply_to, reply) = oneshot::channel();
         if self.events.send(GatewayEvent::Enqueue(request, reply_to)).is_err() {
@@ -389,7 +395,7 @@
         Reply::from(&reply).encode(&mut self.output);
         let written = self.flush().await;
         if let (Err(_), EnqueueReply::Accepted(message)) = (&written, reply) {
-            // The client never got the acceptance, and enqueues the message again under another id.
+            // The client did not receive the acceptance, and will enqueue the message again under another id.
             let _ = self.events.send(GatewayEvent::AcceptanceNotReceived(message));
         }
         written.map(|()| ServeOutcome::Answered)
@@ -403,8 +409,8 @@
         Ok(())
     }
 
-    /// Sends the client its error and closes: ends the sending side, and discards what still arrives until the client
-    /// closes too, so that the error is not lost.
+    /// Sends an error reply and closes the connection: shuts down the sending side, and discards what still arrives
+    /// until the client closes too, so that the error reply is not lost.
     async fn refuse(mut self, error: &str) -> io::Result<()> {
         debug!(number = self.number(), answered = self.answered, error, "refusing client connection");
         self.slot.set_state(ConnectionState::Refused);
--- a/src/bin/delivery-gateway/resp2/connection_slots.rs
+++ b/src/bin/delivery-gateway/resp2/connection_slots.rs
@@ -1,5 +1,5 @@
-//! The slots that clients' connections occupy: how many there are, what each connection is doing, and which one is
-//! evicted where another one needs its slot.
+//! The connection slots: limits the number of client connections, tracks the state of each, and selects the one to
+//! evict when another connection needs a slot.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,24 +8,25 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// While slots are short, a connection without its first request goes before the idle ones from this age on.
+/// While no slot is free, a connection that has waited this long for its first request is evicted before idle ones.
 const FIRST_REQUEST_UNDER_PRESSURE: Duration = Duration::from_millis(250);
-/// While slots are short, a partial request is given up from this age on: clients wait 400 ms for a reply.
+/// While no slot is free, a connection may be evicted within a request that has been incomplete for this long. Clients
+/// wait 400 ms for a reply.
 const PARTIAL_REQUEST_UNDER_PRESSURE: Duration = Duration::from_millis(400);
 
-/// What clients may occupy.
+/// The limits for client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Open connections.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// Connections between two requests. Clients bound their own number of connections: those that stay idle would
-    /// leave them none to send on.
+    /// The maximum number of connections between two requests. Clients limit their own number of connections: idle ones
+    /// that stayed open would leave them none to send on.
     pub idle: usize,
-    /// Requests longer than a few KiB that are read at a time.
+    /// The maximum number of requests longer than 4 KiB that are read at the same time.
     pub long_requests: usize,
 }
 
-/// What a connection is doing, which decides whether it may be evicted.
+/// The state of a connection, which determines whether it may be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// Nothing has been read yet.
@@ -36,20 +37,20 @@
     PartialRequest,
     /// A request is being served.
     Serving,
-    /// Its client gets an error; what the client still sends is discarded.
+    /// The client gets an error reply, and what it still sends is discarded.
     Refused,
-    /// It has been asked to close.
+    /// The connection has been notified to close.
     Evicted,
 }
 
 /// The order in which connections are evicted, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Nobody waits for it.
+    /// No further request is served on it.
     Refused,
-    /// Its first request is not to be expected any more.
+    /// Its first request is unlikely to follow: [`FIRST_REQUEST_UNDER_PRESSURE`] has passed.
     OverdueFirstRequest,
-    /// Its client has stopped waiting.
+    /// The client has stopped waiting for a reply: [`PARTIAL_REQUEST_UNDER_PRESSURE`] has passed.
     OverduePartialRequest,
     Idle,
     AwaitingFirstRequest,
@@ -62,7 +63,7 @@
 }
 
 impl Slot {
-    /// Where it stands in the order of eviction, the least first; none where it may not be evicted.
+    /// Returns the sort key for eviction, the least first; None if the connection must not be evicted.
     fn eviction_order(&self, now: Instant) -> Option<(EvictionRank, Instant)> {
         let age = now - self.since;
         let rank = match self.state {
@@ -99,14 +100,14 @@
     max_connections: usize,
     max_idle: usize,
     table: RefCell<SlotTable>,
-    /// A connection has closed or changed its state.
+    /// Notified when a connection has closed, or stays open after its eviction.
     changed: Notify,
-    /// One permit for each long request that may be read at a time.
+    /// One permit for each long request that may be read at the same time.
     pub long_requests: Semaphore,
 }
 
 impl ConnectionSlots {
-    /// Slots that are all free.
+    /// Creates slots that are all free.
     pub fn new(limits: ClientLimits) -> Self {
         ConnectionSlots {
             max_connections: limits.connections,
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Occupies a slot for a connection that has sent nothing yet. It is not refused where there are too many: who
-    /// accepts a connection has waited for [a free slot](Self::free_slot) before.
+    /// Occupies a slot for a connection that has sent nothing yet. Does not check the limit: before accepting a
+    /// connection, the caller has to wait for [a free slot](Self::free_slot).
     pub fn occupy(self: Rc<Self>) -> ConnectionSlot {
         let evict = Rc::new(Notify::new());
         let slot = Slot {
@@ -136,16 +137,16 @@
         ConnectionSlot { number, evict, slots: self }
     }
 
-    /// Waits until a slot is free, and evicts connections for it.
+    /// Waits until a slot is free, and evicts connections as needed.
     pub async fn free_slot(&self) {
         while self.table.borrow().occupied.len() >= self.max_connections {
             self.evict_one();
-            // Connections that may not be evicted now may be so later.
+            // Retries after a while: a connection that must not be evicted now may become evictable with its age.
             let _ = timeout(FIRST_REQUEST_UNDER_PRESSURE, self.changed.notified()).await;
         }
     }
 
-    /// Waits until no connection is left but refused ones.
+    /// Waits until only refused connections are left.
     pub async fn all_closed_but_refused(&self) {
         while self.has_unrefused() {
             self.changed.notified().await;
@@ -156,7 +157,7 @@
         self.table.borrow().occupied.values().any(|slot| slot.state != ConnectionState::Refused)
     }
 
-    /// Evicts the connection that can best be spared, unless one is closing already.
+    /// Evicts the connection that is first in the order of eviction, unless one is being evicted already.
     fn evict_one(&self) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Evicts the connection that has been idle for longest, where there are too many.
-    fn bound_idle(&self) {
+    /// Evicts the connection that has been idle for longest if there are too many idle ones.
+    fn limit_idle(&self) {
         let mut table = self.table.borrow_mut();
         let is_idle = |slot: &&mut Slot| slot.state == ConnectionState::Idle;
         let mut idle: Vec<_> = table.occupied.values_mut().filter(is_idle).collect();
@@ -184,37 +185,37 @@
     }
 }
 
-/// The slot of one connection, free again when dropped.
+/// The slot of one connection. Dropping it frees the slot.
 pub struct ConnectionSlot {
-    /// Numbers connections in the order in which they were accepted or adopted, from 1 on.
+    /// The number of the connection, counted from 1 in the order in which connections were accepted or adopted.
     pub number: u64,
     evict: Rc<Notify>,
     slots: Rc<ConnectionSlots>,
 }
 
 impl ConnectionSlot {
-    /// All slots, of which this is one.
+    /// Returns the slots that this one belongs to.
     pub fn slots(&self) -> &Rc<ConnectionSlots> {
         &self.slots
     }
 
-    /// Notified when the connection is to close for another one.
+    /// Returns the signal that is notified when the connection has to close for another one.
     pub fn eviction(&self) -> Rc<Notify> {
         self.evict.clone()
     }
 
-    /// Says what the connection is doing from now on.
+    /// Records the new state of the connection, and since when it has it.
     pub fn set_state(&self, state: ConnectionState) {
         if let Some(slot) = self.slots.table.borrow_mut().occupied.get_mut(&self.number) {
             if slot.state == ConnectionState::Evicted {
-                // It stays after all: another one has to be evicted.
+                // The evicted connection stays open, so that another one has to be evicted.
                 self.slots.changed.notify_one();
             }
             slot.state = state;
             slot.since = Instant::now();
         }
         if state == ConnectionState::Idle {
-            self.slots.bound_idle();
+            self.slots.limit_idle();
         }
     }
 }
--- a/src/bin/delivery-gateway/resp2/drain.rs
+++ b/src/bin/delivery-gateway/resp2/drain.rs
@@ -1,5 +1,5 @@
-//! Reads and discards what a refused client still sends: closing with bytes unread would reset the connection, and so
-//! destroy the error reply on its way.
+//! Reads and discards what a refused client still sends. Closing a connection with unread bytes would reset it, and the
+//! client would lose the error reply.
 
 use delivery_gateway::socket::{memory_backoff, try_transfer, Transfer};
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 const MAX_DRAINED_BYTES: usize = 80 << 20;
 const DISCARD_BUFFER_BYTES: usize = 64 << 10;
 
-/// Discards what arrives until the client closes its side, up to [`MAX_DRAINED_BYTES`] and [`DRAIN_TIMEOUT`].
+/// Discards what arrives until the client closes its side, for at most [`DRAIN_TIMEOUT`] and [`MAX_DRAINED_BYTES`].
 ///
 /// # Errors
 /// The connection is broken.
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Reads once into the one buffer that all connections share for that.
+/// Reads once into a buffer that all connections of this thread share.
 fn discard(stream: &TcpStream) -> io::Result<Transfer> {
     thread_local! {
         static DISCARDED: RefCell<Box<[u8]>> = RefCell::new(vec![0; DISCARD_BUFFER_BYTES].into());
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -1,4 +1,5 @@
-//! The words of an `ENQUEUE` request and its themed field names, mapped once to the terms of [`EnqueueRequest`].
+//! Parses the words of an `ENQUEUE` request into an [`EnqueueRequest`]. Only this module has the names that the wire
+//! uses for the fields.
 
 use bytes::Bytes;
 use std::time::Duration;
@@ -8,50 +9,52 @@
 use crate::events::EnqueueRequest;
 use crate::journal::AcceptedRecord;
 
-/// Characters of an id or an idempotency key.
+/// The maximum length of an id or an idempotency key.
 const MAX_TOKEN_CHARS: usize = 128;
 
-/// Names of the fields on the wire, in a list of `name=value` separated by commas.
+/// Names of the fields on the wire, where they form a list of `name=value` pairs separated by commas.
 mod field {
     pub const CLASS: &str = "c";
     /// Absent for messages without a tenant.
     pub const TENANT: &str = "t";
     pub const DESTINATION: &str = "dest";
-    /// How long the message may still be delivered, in milliseconds.
+    /// The time left until the deadline of the message, in milliseconds.
     pub const TIME_LEFT: &str = "d";
     pub const IDEMPOTENCY_KEY: &str = "k";
     /// `1` where another gateway may have accepted the message before.
     pub const REDELIVERED: &str = "again";
 }
 
-/// Why an `ENQUEUE` request is in error. The client gets the text; its connection goes on.
+/// Why an `ENQUEUE` request is invalid. The client gets the text, and its connection stays open.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EnqueueError {
-    /// A word is missing, or there is one too many.
+    /// The request does not have exactly five words.
     #[error("ENQUEUE takes a key, an id, fields and a body")]
     WordCount,
-    /// More than [`MAX_MESSAGE_BODY_BYTES`].
+    /// The body is longer than [`MAX_MESSAGE_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
-    /// The ordering key is no hexadecimal number of 64 bits.
+    /// The ordering key is not a hexadecimal number of up to 64 bits.
     #[error("the key is not hexadecimal")]
     OrderingKey,
-    /// The id cannot go into a header and a notification.
+    /// The id is empty, longer than [`MAX_TOKEN_CHARS`], or has other characters than letters, digits and `-_.:`, and so
+    /// cannot be put into a header and a notification.
     #[error("the id has other characters than an id may have")]
     Id,
     /// The fields are not UTF-8.
     #[error("the fields are not text")]
     Fields,
-    /// The idempotency key cannot go into a header.
+    /// The idempotency key is empty, longer than [`MAX_TOKEN_CHARS`], or has other characters than letters, digits and
+    /// `-_.:`, and so cannot be put into a header.
     #[error("k has other characters than a key may have")]
     IdempotencyKey,
-    /// The class is not given.
+    /// The class is missing.
     #[error("c is missing")]
     ClassMissing,
-    /// The destination is not given, or not as a number.
+    /// The destination is missing or not a number.
     #[error("dest is missing or no number")]
     Destination,
-    /// The time left is not given, or not as a number of milliseconds.
+    /// The time left is missing or not a whole number of milliseconds.
     #[error("d is missing or no number")]
     TimeLeft,
 }
@@ -60,7 +63,7 @@
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// The value of the first field of this name.
+    /// Returns the value of the first field of this name; None if there is none.
     fn get(&self, name: &str) -> Option<&'a str> {
         let mut pairs = self.0.split(',').filter_map(|pair| pair.split_once('='));
         pairs.find(|(found, _)| *found == name).map(|(_, value)| value)
@@ -70,7 +73,7 @@
 impl TryFrom<&[Bytes]> for EnqueueRequest {
     type Error = EnqueueError;
 
-    /// Reads `ENQUEUE ordering-key id fields body`.
+    /// Parses `ENQUEUE ordering-key id fields body`.
     fn try_from(words: &[Bytes]) -> Result<Self, EnqueueError> {
         let [_command, ordering_key, id, fields, body] = words else {
             return Err(EnqueueError::WordCount);
@@ -105,14 +108,15 @@
             time_left: Duration::from_millis(time_left_ms),
             idempotency_key: idempotency_key.map(str::to_owned),
             is_redelivered: fields.get(field::REDELIVERED) == Some("1"),
-            // A copy: a slice would keep all that was read with it in memory.
+            // Copied, since a slice would keep the whole buffer that it was read with in memory.
             body: Bytes::copy_from_slice(body),
         })
     }
 }
 
 impl EnqueueRequest {
-    /// Whether it enqueues a message that is pending already. The time left differs from request to request.
+    /// Returns whether the request enqueues this pending message once more. The time left is not compared, since it
+    /// differs from request to request.
     pub fn matches_pending(&self, pending: &AcceptedRecord) -> bool {
         self.ordering_key == pending.ordering_key
             && self.class == pending.class
@@ -126,7 +130,7 @@
     std::str::from_utf8(word).ok()
 }
 
-/// Whether a text can go into a header and a notification as it is.
+/// Returns whether a text can be put into a header and a notification unchanged.
 fn is_token(text: &str) -> bool {
     (1..=MAX_TOKEN_CHARS).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte))
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -1,9 +1,13 @@
-//! The server for clients: RESP2 requests in, one reply each, on a bounded number of connections.
+//! The RESP2 server for clients: reads requests and sends one reply to each, on a bounded number of connections.
 //!
-//! [`server`] accepts connections, [`connection`] serves one of them, [`connection_slots`] bounds their number and
-//! decides which one is evicted for another, [`codec`] reads requests and writes replies, [`enqueue`] maps the words of
-//! an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest), and [`drain`] closes refused connections
-//! without losing their error reply. Whether a message is accepted is decided by the event loop alone.
+//! - [`server`] accepts connections.
+//! - [`connection`] serves one connection.
+//! - [`connection_slots`] limits the number of connections and selects the one to evict for another.
+//! - [`codec`] decodes requests and encodes replies.
+//! - [`enqueue`] maps the words of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
+//! - [`drain`] discards what a refused client still sends, so that its error reply is not lost.
+//!
+//! The event loop alone decides whether a message is accepted. A malformed request ends its own connection only.
 
 mod codec;
 mod connection;
--- a/src/bin/delivery-gateway/resp2/server.rs
+++ b/src/bin/delivery-gateway/resp2/server.rs
@@ -1,5 +1,5 @@
-//! Accepts clients' connections while there are slots for them, and gives the listener back when the process is
-//! replaced.
+//! Accepts client connections while slots are free, and returns the listener when the process hands over to its
+//! successor.
 
 use bytes::Bytes;
 use std::io;
@@ -15,12 +15,12 @@
 use crate::events::{GatewayEvent, ServicePhase};
 use crate::rate_limited_log::RateLimitedLog;
 
-/// How long a connection may stay without its first request.
+/// The time limit for the first request of a connection.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connection that could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The clients of this process.
+/// The server of this process for clients. Clones share the connection slots.
 #[derive(Clone)]
 pub struct ClientServer {
     slots: Rc<ConnectionSlots>,
@@ -30,8 +30,8 @@
 }
 
 impl ClientServer {
-    /// A server without connections. Requests go to the event loop through `events`. While the process is replaced,
-    /// connections go to the next process through `transfers`.
+    /// Creates a server without connections. It sends requests to the event loop through `events` and, during a
+    /// handover, connections to the successor through `transfers`.
     pub fn new(
         limits: ClientLimits,
         events: UnboundedSender<GatewayEvent>,
@@ -41,8 +41,8 @@
         ClientServer { slots: Rc::new(ConnectionSlots::new(limits)), events, phase, transfers }
     }
 
-    /// Accepts connections until the process is replaced; then gives the listener back, with the connections in its
-    /// queue. A connection that cannot be accepted is logged, and accepting goes on.
+    /// Accepts connections until the process hands over, and then returns the listener with the connections in its
+    /// queue. A failed accept is logged and retried after [`ACCEPT_BACKOFF`].
     pub async fn serve(mut self, listener: TcpListener) -> TcpListener {
         let mut failures = RateLimitedLog::default();
         let slots = self.slots.clone();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Serves a connection from the state that it is in.
+    /// Spawns the local task that serves a connection from the state that it is in.
     pub fn adopt(&self, transferred: TransferredConnection) {
         let time_left = transferred.time_left;
         let connection = ClientConnection::new(
@@ -84,7 +84,7 @@
         );
         let number = connection.number();
         tokio::task::spawn_local(async move {
-            // A connection that breaks concerns its client alone: messages that were accepted on it stay accepted.
+            // Messages that were accepted on a broken connection stay accepted.
             match connection.run(Instant::now() + time_left).await {
                 Ok(()) => debug!(number, "client connection closed"),
                 Err(error) => debug!(number, %error, "client connection failed"),
@@ -92,18 +92,18 @@
         });
     }
 
-    /// Waits until all connections have been transferred that can be.
+    /// Waits until all connections but refused ones have been transferred or closed.
     pub async fn all_transferred(&self) {
         self.slots.all_closed_but_refused().await;
     }
 }
 
-/// Accepts one connection, and returns how long its first request may have waited unread. One slot is kept free, so
-/// that the next connection does not stay in the listener's queue.
+/// Accepts one connection, and returns the maximum time for which its first request may have waited unread. A slot is
+/// freed before the connection arrives, so that it does not stay in the listener's queue.
 async fn accept(listener: &TcpListener, slots: &ConnectionSlots) -> io::Result<(TcpStream, Duration)> {
-    let asked = Instant::now();
+    let started = Instant::now();
     slots.free_slot().await;
-    let unread_for = asked.elapsed();
+    let unread_for = started.elapsed();
     let (stream, _) = listener.accept().await?;
     Ok((stream, unread_for))
 }
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -1,5 +1,5 @@
-//! Decoding of RESP2 requests (round trip, bad input and bounds), the mapping of `ENQUEUE`, and the encoding of
-//! replies.
+//! Tests the decoding of RESP2 requests (round trip, malformed input and limits), the parsing of `ENQUEUE`, and the
+//! encoding of replies.
 
 use super::codec::{decode_request, Reply, RespError, MAX_BYTES_BESIDE_BODY, MAX_MESSAGE_BODY_BYTES};
 use bytes::{Bytes, BytesMut};
@@ -18,7 +18,7 @@
     bytes
 }
 
-/// Decodes bytes that come in two parts, as far as they are complete.
+/// Decodes all complete requests from bytes that arrive in two parts.
 fn decode_parts(parts: [&[u8]; 2]) -> Result<Vec<Vec<Bytes>>, RespError> {
     let mut buffer = BytesMut::new();
     let mut requests = Vec::new();
@@ -42,7 +42,7 @@
         prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|words| words.iter().map(|word| Bytes::copy_from_slice(word)).collect()).collect()));
     }
 
-    /// Neither a panic nor another result for bytes that are split elsewhere.
+    /// Guards against a panic on malformed input, and against a result that depends on how the bytes arrive.
     #[test]
     fn bad_input_fails_the_same_however_it_is_split(
         bytes in prop::collection::vec(prop::sample::select(b"*$-019\r\nPX".to_vec()), 0..60),
