--- a/src/bin/delivery-gateway/admin/http.rs
+++ b/src/bin/delivery-gateway/admin/http.rs
@@ -1,4 +1,4 @@
-//! Reads the head of an admin request, and writes its response.
+//! Reads the head of an admin request and writes its response.
 
 use delivery_gateway::socket::RetryingStream;
 use std::io;
@@ -9,42 +9,44 @@
 
 use super::response::AdminResponse;
 
-/// Bytes of the head of a request, and the headers in it.
+/// The maximum length of a request's head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
+/// The maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
-/// How long a response may take to be written.
+/// The time limit for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// What the operator still sends is read for so long: closing before would destroy the response on its way.
+/// The time limit for reading what the operator still sends after the response. Closing a connection with unread bytes
+/// would reset it, and the response would be lost.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The head of a request, as far as it is looked at.
+/// The parts of a request's head that are used. Headers are ignored.
 pub struct AdminRequest {
     pub method: String,
-    /// Path and query.
+    /// The path and the query.
     pub target: String,
 }
 
-/// Why there is no request to serve.
+/// Why a connection has no request to serve.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection is broken: there is no way to respond.
+    /// The connection is broken, so that no response can be sent.
     #[error("the connection broke before the request was complete: {0}")]
     Connection(#[from] io::Error),
     #[error("the request is malformed or ends early")]
     Malformed,
     #[error("the head of the request is too long")]
     TooLong,
-    #[error("the request did not become complete in time")]
+    #[error("the request was not complete in time")]
     TimedOut,
-    /// Another connection was accepted in its stead.
+    /// The connection was evicted for a new one.
     #[error("the connection was evicted before its request was complete")]
     Evicted,
 }
 
-/// Reads the head of a request. A body is not looked at.
+/// Reads the head of a request. A body is ignored.
 ///
 /// # Errors
-/// Any but [`RequestError::TimedOut`] and [`RequestError::Evicted`], which the caller sees to.
+/// Any but [`RequestError::TimedOut`] and [`RequestError::Evicted`], which the caller produces.
 pub async fn read_request(stream: &mut RetryingStream) -> Result<AdminRequest, RequestError> {
     let mut head = Vec::with_capacity(512);
     loop {
@@ -57,7 +59,7 @@
     }
 }
 
-/// Parses the head of a request; none while it is incomplete.
+/// Parses the head of a request; None while it is incomplete.
 fn parse_head(head: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -72,16 +74,16 @@
     }
 }
 
-/// Writes a response and ends the sending side.
+/// Writes a response and shuts down the sending side.
 ///
 /// # Errors
-/// The connection is broken, or the operator did not read in time.
+/// The connection is broken, or the operator did not read the response within [`WRITE_TIMEOUT`].
 pub async fn write_response(stream: &mut RetryingStream, response: AdminResponse) -> io::Result<()> {
     timeout(WRITE_TIMEOUT, stream.write_all(response.encode().as_bytes())).await??;
     stream.shutdown().await
 }
 
-/// Reads what the operator still sends, until it closes too.
+/// Discards what the operator still sends until it closes the connection, for at most [`DRAIN_TIMEOUT`].
 ///
 /// # Errors
 /// The connection is broken.
--- a/src/bin/delivery-gateway/admin/mod.rs
+++ b/src/bin/delivery-gateway/admin/mod.rs
@@ -1,8 +1,11 @@
-//! The admin endpoint for operators: HTTP/1.1 with one request a connection.
+//! The admin endpoint for operators: HTTP/1.1 with one request per connection.
 //!
-//! [`server`] accepts connections and bounds them, [`http`] reads a request and writes its response, [`routes`] maps a
-//! request to an operation, and [`response`] lists the responses. Nothing is decided here: operations go to the event
-//! loop.
+//! - [`server`] accepts connections and limits their number.
+//! - [`http`] reads a request and writes its response.
+//! - [`routes`] maps a request to an operation and sends that to the event loop, which carries it out.
+//! - [`response`] defines the responses.
+//!
+//! The admin endpoint owns no state of the gateway. A connection that fails affects its own request only.
 
 mod http;
 mod response;
--- a/src/bin/delivery-gateway/admin/response.rs
+++ b/src/bin/delivery-gateway/admin/response.rs
@@ -5,25 +5,25 @@
 pub enum AdminResponse {
     /// The gateway is ready, or the operation is done.
     Done,
-    /// Not HTTP/1.1.
+    /// The request is not valid HTTP/1.1, or ended early.
     MalformedRequest,
-    /// The operation takes exactly one `id`.
+    /// The query does not have exactly one `id`, which the operation requires.
     IdRequired,
     UnknownPath,
     /// No endpoint in the list has the id.
     UnknownEndpoint,
     MethodNotAllowed,
-    /// The request was not complete in time.
+    /// The request was not complete in time, or its connection was evicted.
     RequestTimeout,
     RequestTooLong,
-    /// The operation could not be written to the journal, so that it would not last.
+    /// The operation could not be written to the journal, and would be lost at a restart.
     NotRecorded,
-    /// The gateway does not serve, or did not carry out the operation in time.
+    /// The gateway is not serving, or did not complete the operation in time.
     NotReady,
 }
 
 impl AdminResponse {
-    /// Status code and reason.
+    /// Returns the status code and the reason phrase.
     fn status(self) -> &'static str {
         match self {
             AdminResponse::Done => "200 OK",
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The body, without its line end.
+    /// Returns the body without its line end.
     fn text(self) -> &'static str {
         match self {
             AdminResponse::Done => "yes",
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The response as it is sent.
+    /// Encodes the whole HTTP response.
     pub fn encode(self) -> String {
         let (status, text) = (self.status(), self.text());
         let length = text.len() + 1;
--- a/src/bin/delivery-gateway/admin/routes.rs
+++ b/src/bin/delivery-gateway/admin/routes.rs
@@ -1,4 +1,4 @@
-//! The requests that operators may make: whether the gateway is ready, and operations of the event loop.
+//! Maps operators' requests to the readiness check and to operations of the event loop.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -9,10 +9,11 @@
 use super::response::AdminResponse;
 use crate::events::{AdminOperation, AdminResult, GatewayEvent, ServicePhase};
 
-/// Operators get a response within 1 s. An operation that the event loop has not done by then is not confirmed.
+/// The time limit for an operation of the event loop, since operators get a response within 1 s. After it the response
+/// is [`AdminResponse::NotReady`], although the operation may still be carried out.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a request is for.
+/// The purpose of a request.
 enum Route {
     Ready,
     Operation(AdminOperation),
@@ -42,7 +43,7 @@
     }
 }
 
-/// The one endpoint that a query names.
+/// Returns the `id` of a query, which must have exactly one.
 fn endpoint_id(query: &str) -> Result<String, AdminResponse> {
     let fields = form_urlencoded::parse(query.as_bytes());
     let mut ids = fields.filter(|(name, _)| name == "id").map(|(_, id)| id.into_owned());
@@ -52,25 +53,26 @@
     }
 }
 
-/// The parts of the gateway that serve operators.
+/// The channels to the event loop.
 struct Backend {
     events: UnboundedSender<GatewayEvent>,
     phase: watch::Receiver<ServicePhase>,
 }
 
-/// Answers operators' requests. Until it is opened, the gateway is not ready.
+/// Answers operators' requests. Until [`Self::open`] is called, every valid request is answered with
+/// [`AdminResponse::NotReady`].
 #[derive(Default)]
 pub struct AdminEndpoint {
     backend: RefCell<Option<Backend>>,
 }
 
 impl AdminEndpoint {
-    /// The gateway is ready to serve; operations go to the event loop through `events` from now on.
+    /// Marks the gateway as ready to serve. From now on operations go to the event loop through `events`.
     pub fn open(&self, events: UnboundedSender<GatewayEvent>, phase: watch::Receiver<ServicePhase>) {
         self.backend.replace(Some(Backend { events, phase }));
     }
 
-    /// Answers a request, within [`OPERATION_TIMEOUT`].
+    /// Answers a request within [`OPERATION_TIMEOUT`].
     pub(super) async fn respond(&self, request: &AdminRequest) -> AdminResponse {
         match Route::try_from(request) {
             Ok(Route::Ready) if self.is_ready() => AdminResponse::Done,
--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' connections, a bounded number at a time, of which the slowest is evicted for a new one.
+//! Accepts operators' connections. Their number is limited, and the slowest one is evicted for a new one.
 
 use delivery_gateway::socket::{disable_nagle, RetryingStream};
 use std::cell::{Cell, RefCell};
@@ -17,26 +17,27 @@
 use super::routes::AdminEndpoint;
 use crate::rate_limited_log::RateLimitedLog;
 
-/// Connections from which on a new one evicts the one that has been without its request for longest.
+/// The number of open connections from which a new one evicts the connection that has waited longest for its request.
 const MAX_BEFORE_EVICTION: usize = 8;
-/// Connections in all, those that are closing counted.
+/// The maximum number of connections, including those that are closing.
 const MAX_CONNECTIONS: usize = 16;
-/// How long a request may take to become complete.
+/// The time limit for a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection that could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The open connections.
 #[derive(Default)]
 struct Connections {
-    /// Those whose request is not complete yet, the oldest first; each is notified when it is evicted.
+    /// The eviction signals of the connections whose request is not complete yet, the oldest first.
     incomplete: RefCell<VecDeque<Weak<Notify>>>,
     open: Cell<usize>,
 }
 
 impl Connections {
-    /// Counts one more connection, and evicts the slowest one where there are too many.
-    fn enter(self: Rc<Self>) -> (OpenConnection, Rc<Notify>) {
+    /// Counts one more connection, and evicts the slowest one if there are too many. Returns the guard that keeps the
+    /// connection counted, and its eviction signal, which is to be dropped once its request is complete.
+    fn register(self: Rc<Self>) -> (OpenConnection, Rc<Notify>) {
         let eviction = Rc::new(Notify::new());
         {
             let mut incomplete = self.incomplete.borrow_mut();
@@ -53,7 +54,7 @@
     }
 }
 
-/// Counts as an open connection until dropped.
+/// A guard that counts as an open connection until it is dropped.
 struct OpenConnection(Rc<Connections>);
 
 impl Drop for OpenConnection {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Answers requests until the task is dropped. A connection that cannot be accepted is logged, and accepting goes on.
+/// Answers requests until the task is dropped. A failed accept is logged and retried after [`ACCEPT_BACKOFF`].
 pub async fn serve(listener: TcpListener, endpoint: Rc<AdminEndpoint>) {
     let connections = Rc::new(Connections::default());
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
@@ -70,10 +71,10 @@
     while let Ok(permit) = permits.clone().acquire_owned().await {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (open, eviction) = connections.clone().enter();
+                let (open, eviction) = connections.clone().register();
                 let endpoint = endpoint.clone();
                 tokio::task::spawn_local(async move {
-                    // An operator that has closed does not get its response; the operation is done all the same.
+                    // An operator that has closed the connection gets no response, but its operation is carried out.
                     let _ = serve_connection(stream, &endpoint, eviction).await;
                     drop(open);
                     drop(permit);
@@ -102,7 +103,7 @@
         }
         () = eviction.notified() => Err(RequestError::Evicted),
     };
-    // From here on the connection takes little time, and is not evicted.
+    // The rest takes little time, so that the connection is no longer evicted.
     drop(eviction);
     let is_evicted = matches!(request, Err(RequestError::Evicted));
     let response = match request {
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -1,5 +1,7 @@
-//! Notifications of final outcomes, on their way to the platform: one request carries many, and each is sent until it
-//! is acknowledged. One that arrives twice does no harm, one that never arrives does.
+//! Sends notifications of final outcomes to the platform through discovery's agent. One request carries many, and each
+//! notification is sent until it is acknowledged: a duplicate does no harm, but a lost one does.
+//!
+//! A notification is dropped only if the platform rejects that one with 400. Any other failure is retried without end.
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{
@@ -18,16 +20,16 @@
 use crate::events::{GatewayEvent, OutcomeNotification};
 use crate::journal::FinalOutcome;
 
-/// The first time-out of a request. After it the batch goes again on another connection, as this one may be dead while
-/// the agent lives, and the time-out doubles up to [`AGENT_RESPONSE_TIMEOUT`].
+/// The initial timeout of a request. After it the batch is sent again on another connection, since the connection may
+/// be dead while the agent still works, and the timeout doubles up to [`AGENT_RESPONSE_TIMEOUT`].
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Between tries to connect to an agent.
+/// The pause after a failure on a new connection.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Notifications in one request at most.
+/// The maximum number of notifications in one request.
 const MAX_BATCH: usize = 200;
 
 impl OutcomeNotification {
-    /// The notification as a line of a request's body.
+    /// Encodes the notification as one line of a request's body.
     fn line(&self) -> String {
         let mut value = match self.final_outcome {
             FinalOutcome::Failed => serde_json::json!({"id": self.id, "state": "failed"}),
@@ -41,8 +43,9 @@
     }
 }
 
-/// Sends notifications until each is acknowledged; at a new address those that the old one has not acknowledged.
-/// While another task holds the gate, nothing is sent.
+/// Sends notifications until each is acknowledged, and ends when `queue` or `gate` is closed. When the agent's address
+/// changes, those that are not acknowledged yet go to the new address. Nothing is sent while another task holds the
+/// permit of `gate`.
 pub async fn send_all(
     agent: AgentAddress,
     mut queue: UnboundedReceiver<OutcomeNotification>,
@@ -64,7 +67,7 @@
                 Ok(SendResult::Acknowledged | SendResult::AgentChanged) => {}
                 Ok(SendResult::Failed { error, connection }) => {
                     sender.back_off(error, connection, batch.len()).await;
-                    // What has been queued meanwhile does not wait for these.
+                    // The next request also carries what has been queued meanwhile.
                     fill_up(&mut batch, &mut queue);
                 }
                 Err(AcquireError { .. }) => return,
@@ -80,7 +83,7 @@
     }
 }
 
-/// Which connection a request went out on.
+/// Whether a request was sent on a new connection or a reused one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionUse {
     New,
@@ -89,7 +92,7 @@
 
 enum SendResult {
     Acknowledged,
-    /// Nothing is known of the batch, which goes to the new address.
+    /// The agent's address changed before its response. The batch has to be sent to the new address.
     AgentChanged,
     Failed {
         error: DiscoveryError,
@@ -97,7 +100,7 @@
     },
 }
 
-/// The connection to the agent, and and its state.
+/// Sends batches to the agent, and owns the connection and the state of the retries.
 struct NotificationSender {
     agent: AgentAddress,
     events: UnboundedSender<GatewayEvent>,
@@ -108,10 +111,10 @@
 }
 
 impl NotificationSender {
-    /// Sends a batch once. What is acknowledged leaves it.
+    /// Sends a batch once, and removes what is acknowledged from it.
     ///
     /// # Errors
-    /// The gate was closed for good.
+    /// The gate was closed, and nothing is sent any more.
     async fn send(&mut self, batch: &mut Vec<OutcomeNotification>) -> Result<SendResult, AcquireError> {
         if self.agent.has_changed().unwrap_or_default() {
             self.connection = None;
@@ -141,11 +144,13 @@
         })
     }
 
-    /// Prepares for the next try, which goes out on a new connection.
+    /// Closes the connection, so that the next try uses a new one, and logs the first failure of a series. After a
+    /// timeout it doubles the timeout. After another failure on a new connection it pauses for
+    /// [`CONNECT_RETRY_INTERVAL`], or until the agent's address changes.
     async fn back_off(&mut self, reason: DiscoveryError, connection: ConnectionUse, waiting: usize) {
         self.connection = None;
         if !self.is_failing {
-            warn!(%reason, waiting, "notifications not acknowledged: retrying");
+            warn!(%reason, waiting, "the agent did not acknowledge notifications; retrying");
             self.is_failing = true;
         }
         if matches!(reason, DiscoveryError::TimedOut(_)) {
@@ -159,7 +164,7 @@
 /// The requests that send one batch.
 struct Exchange<'a> {
     agent: &'a str,
-    /// Taken while a request is on its way: one that broke is not used again.
+    /// Taken during a request, and put back only after its response, so that a broken connection is not reused.
     connection: &'a mut Option<Connection>,
     response_timeout: Duration,
 }
@@ -182,7 +187,8 @@
         self.send_one_by_one(batch, events).await
     }
 
-    /// One bad line must not hold up the others: that line is dropped.
+    /// Sends each notification in a request of its own, and drops those that are rejected with 400, so that one invalid
+    /// line does not block the others.
     async fn send_one_by_one(
         &mut self,
         batch: &mut Vec<OutcomeNotification>,
@@ -191,7 +197,7 @@
         while let Some(notification) = batch.last() {
             match self.post(notification.line()).await {
                 Err(refused @ DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {
-                    error!(id = notification.id, %refused, "notification dropped: the platform rejects it");
+                    error!(id = notification.id, %refused, "the platform rejected a notification; dropping it");
                 }
                 result => result?,
             }
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -225,7 +225,7 @@
                     return Ok(self.evicted_within_request(outcome));
                 }
                 () = sleep_until(deadline) => {
-                    self.log_closing("timed out");
+                    self.log_closing("timed out waiting for the client");
                     if is_between_requests {
                         return self.read_now().await;
                     }
