--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery's agent, for the endpoint watch and for outcome notifications.
+//! Connects to discovery's agent, for the endpoint watch and for outcome notifications.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,21 +13,22 @@
 use super::error::DiscoveryError;
 use crate::socket::{self, RetryingStream};
 
-/// Time within which the agent, which is on this machine, connects and answers a short request.
+/// The time limit for connecting to the agent, and for its response to a short request. The agent runs on this machine.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The present address of discovery's agent, as `host:port`. Whoever waits on it switches to a new address at once.
+/// The current address of discovery's agent, as `host:port`. Tasks that wait for a change switch to the new address at
+/// once.
 pub type AgentAddress = watch::Receiver<String>;
 
-/// A connection to the agent, for one request at a time.
+/// A connection to the agent, which carries one request at a time.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// Connects to the agent at an address. A task of its own drives the connection until it ends, so this must be called
-/// inside a runtime.
+/// Connects to the agent at `agent`, given as `host:port`. Spawns a task that drives the connection until it ends, and
+/// so must be called inside a runtime.
 ///
 /// # Errors
-/// [`DiscoveryError::TimedOut`] after [`AGENT_RESPONSE_TIMEOUT`]; [`DiscoveryError::Io`] or [`DiscoveryError::Http`]
-/// for what keeps the connection from coming up before.
+/// [`DiscoveryError::TimedOut`] after [`AGENT_RESPONSE_TIMEOUT`]; [`DiscoveryError::Io`] or [`DiscoveryError::Http`] if
+/// the connection or its HTTP handshake fails before that.
 pub async fn connect(agent: &str) -> Result<Connection, DiscoveryError> {
     let stream = timeout(AGENT_RESPONSE_TIMEOUT, connect_by_name(agent)).await??;
     let (sender, connection) = http1::handshake(TokioIo::new(RetryingStream(stream))).await?;
@@ -35,9 +36,9 @@
     Ok(sender)
 }
 
-/// Connects to the first address of a name that accepts.
+/// Connects to the first address of the name that accepts.
 async fn connect_by_name(agent: &str) -> io::Result<TcpStream> {
-    let mut last_error = io::Error::new(io::ErrorKind::NotFound, "the name has no address");
+    let mut last_error = io::Error::new(io::ErrorKind::NotFound, "the agent's name resolves to no address");
     for address in lookup_host(agent).await? {
         match socket::connect(address).await {
             Ok(stream) => return Ok(stream),
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -1,8 +1,8 @@
-//! The directory of endpoints: the number that stands for each name in the endpoint list, and where each endpoint is.
+//! The directory of endpoints: maps each name in the endpoint list to a number, and each endpoint to its address.
 //!
 //! It owns the mapping from the list's names to the scheduler's numbers, which stay the same for as long as a process
-//! or its successor needs them. It never fails: an entry that cannot be used becomes a draining endpoint, and a name
-//! that the settings do not have gets a number after theirs.
+//! or its successor needs them. It never fails: an entry with an invalid address becomes a draining endpoint, and a
+//! name that is not in the settings gets a number after theirs.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,8 +15,8 @@
     ParsedSettings, ZoneId,
 };
 
-/// The numbers that stand for names, for the next process: the scheduler's state refers to them. The order of the
-/// fields is the format of the hand-over.
+/// The numbers of all names, for the successor, since the scheduler's state refers to them. The order of the fields is
+/// the format of the handover.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndpointIdTable {
     zones: Vec<String>,
@@ -25,20 +25,21 @@
     ids: Vec<(String, EndpointId)>,
 }
 
-/// Numbers for the names in the endpoint list, and where each endpoint is.
+/// The numbers of the names in the endpoint list, and the address of each endpoint.
 pub struct EndpointDirectory {
     /// Names of zones, by [`ZoneId`].
     zones: Vec<String>,
     /// Names of kinds of destination, by [`DestinationKindId`].
     destination_kinds: Vec<String>,
-    /// What the settings say of the kinds; later ones have none.
+    /// The settings of the kinds of destination. Kinds that only the endpoint list has are not in it.
     kind_settings: Vec<DestinationKind>,
+    /// The last endpoint number that was assigned; 0 before the first.
     last_id: u32,
     ids: HashMap<String, EndpointId>,
     entries: BTreeMap<EndpointId, Entry>,
-    /// Endpoints that operators have disabled. They keep their numbers, listed or not.
+    /// Endpoints that operators have disabled. They keep their numbers, whether they are listed or not.
     disabled: BTreeSet<EndpointId>,
-    /// Endpoints that are not listed and not forgotten yet, with their names.
+    /// The names of endpoints that are not listed but still have a number.
     unlisted: BTreeMap<EndpointId, String>,
 }
 
@@ -46,7 +47,7 @@
     uid: String,
     zone: ZoneId,
     destination: DestinationId,
-    /// None where the list's text is no address.
+    /// None if the address in the list is not a valid `IP:port`.
     address: Option<SocketAddr>,
     availability: Availability,
     max_batch_size: usize,
@@ -54,7 +55,7 @@
 }
 
 impl EndpointDirectory {
-    /// A directory that knows the names of the settings, and no endpoint.
+    /// Creates a directory that has the names in the settings, and no endpoints.
     pub fn new(parsed: &ParsedSettings) -> Self {
         EndpointDirectory {
             zones: parsed.zone_names.clone(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// What the next process needs to go on with the same numbers.
+    /// Returns the numbers that the successor has to use as well.
     pub fn id_table(&self) -> EndpointIdTable {
         EndpointIdTable {
             zones: self.zones.clone(),
@@ -78,58 +79,60 @@
         }
     }
 
-    /// Goes on with the numbers of another process. A snapshot of the endpoint list has to follow.
+    /// Adopts the numbers of the predecessor. The caller has to apply a snapshot of the endpoint list next.
     pub fn adopt_ids(&mut self, table: EndpointIdTable) {
         self.zones = table.zones;
         self.destination_kinds = table.destination_kinds;
         self.last_id = table.last_id;
         self.ids = table.ids.into_iter().collect();
-        // The snapshot takes the listed ones out of this.
+        // The snapshot removes the listed endpoints from this map.
         self.unlisted = self.ids.iter().map(|(uid, id)| (*id, uid.clone())).collect();
     }
 
-    /// The address of an endpoint; none if it is unknown or its address is unreadable.
+    /// Returns the address of an endpoint; None if the endpoint is unknown or its address is invalid.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.entries.get(&id).and_then(|entry| entry.address)
     }
 
-    /// The zone of an endpoint; the first one if it is unknown.
+    /// Returns the zone of an endpoint; the first zone if the endpoint is unknown.
     pub fn zone(&self, id: EndpointId) -> ZoneId {
         self.entries.get(&id).map_or(ZoneId(0), |entry| entry.zone)
     }
 
-    /// Messages that one call to an endpoint may carry; one if it is unknown.
+    /// Returns the maximum number of messages in one call to an endpoint; 1 if the endpoint is unknown.
     pub fn max_batch_size(&self, id: EndpointId) -> usize {
         self.entries.get(&id).map_or(1, |entry| entry.max_batch_size)
     }
 
-    /// Whether an endpoint's rate limit and circuit breaker are its own and not its whole destination's.
+    /// Returns whether an endpoint has a rate limit and a circuit breaker of its own, rather than sharing those of its
+    /// destination; false if the endpoint is unknown.
     pub fn has_own_limits(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.has_per_endpoint_limits)
     }
 
-    /// The destination of an endpoint.
+    /// Returns the destination of an endpoint; None if the endpoint is unknown.
     pub fn destination(&self, id: EndpointId) -> Option<DestinationId> {
         self.entries.get(&id).map(|entry| entry.destination)
     }
 
-    /// The name of an endpoint.
+    /// Returns the name of an endpoint; None if the endpoint is unknown.
     pub fn uid(&self, id: EndpointId) -> Option<&str> {
         self.entries.get(&id).map(|entry| entry.uid.as_str())
     }
 
-    /// The number of a name, if it has one.
+    /// Returns the number of the endpoint with this name; None if it has none.
     pub fn endpoint_id(&self, uid: &str) -> Option<EndpointId> {
         self.ids.get(uid).copied()
     }
 
-    /// Whether an endpoint may be sent new calls.
+    /// Returns whether new calls may be sent to an endpoint: it is listed as serving, has a valid address, and is not
+    /// disabled.
     pub fn accepts_calls(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.availability == Availability::Ready)
             && !self.disabled.contains(&id)
     }
 
-    /// Disables or enables an endpoint for operators, and gives its number. It need not be listed.
+    /// Disables or enables an endpoint on behalf of operators, and returns its number. The endpoint need not be listed.
     pub fn set_disabled(&mut self, uid: &str, is_disabled: bool) -> EndpointId {
         let id = self.id_of(uid);
         if is_disabled {
@@ -143,18 +146,18 @@
         id
     }
 
-    /// Whether an endpoint has been removed from the list and is not forgotten yet.
+    /// Returns whether an endpoint was removed from the list and still has an entry here.
     pub fn is_removed(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.availability == Availability::Removed)
     }
 
-    /// Whether there are endpoints that are not listed and not forgotten yet.
+    /// Returns whether there are endpoints that are not listed but still have a number.
     pub fn has_unlisted_endpoints(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
-    /// Forgets the endpoints that are not listed, except those that are still needed. Disabled ones keep their numbers.
-    /// `is_needed` is asked of no listed endpoint.
+    /// Removes the endpoints that are not listed, except those for which `is_needed` returns true. Disabled ones keep
+    /// their numbers. `is_needed` is not called for listed endpoints.
     pub fn remove_unlisted_endpoints(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
         let EndpointDirectory { unlisted, entries, ids, disabled, .. } = self;
         unlisted.retain(|id, uid| {
@@ -170,7 +173,7 @@
         });
     }
 
-    /// Applies an update of the endpoint list, and translates it for the scheduler.
+    /// Applies an update of the endpoint list, and returns it in the scheduler's form.
     pub fn apply(&mut self, update: &DiscoveryUpdate) -> EndpointUpdate {
         if update.is_snapshot {
             self.apply_snapshot(&update.endpoints)
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Applies a complete endpoint list, and translates it for the scheduler.
+    /// Applies a complete endpoint list, and returns it in the scheduler's form.
     pub fn apply_snapshot<'a>(
         &mut self,
         endpoints: impl IntoIterator<Item = &'a DiscoveredEndpoint>,
@@ -200,7 +203,7 @@
         })
     }
 
-    /// Puts an endpoint in the place of what was known of it.
+    /// Inserts an endpoint, replacing its previous entry, and returns it in the scheduler's form.
     fn insert(&mut self, discovered: &DiscoveredEndpoint) -> Endpoint {
         let id = self.id_of(&discovered.uid);
         let address = discovered.address.parse().ok();
@@ -208,7 +211,7 @@
             warn!(
                 uid = discovered.uid,
                 address = discovered.address,
-                "an endpoint's address is unreadable: it counts as draining"
+                "the address of an endpoint is not a valid IP:port; treating the endpoint as draining"
             );
         }
         let availability = match discovered.state {
@@ -240,11 +243,12 @@
     }
 }
 
-/// The index of a name. Names that the settings do not have come after theirs; beyond 255 they share the last index.
+/// Returns the index of a name. Names that are not in the settings come after theirs; beyond 255 names they share the
+/// last index.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> u8 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         if names.len() < usize::from(u8::MAX) {
-            warn!(name, "the endpoint list has a name that the settings do not have");
+            warn!(name, "the endpoint list has a zone or kind that is not in the settings; adding it");
             names.push(name.to_owned());
             return names.len() - 1;
         }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,12 +1,14 @@
-//! Service discovery: a client of discovery's agent and what it learns from it.
+//! Service discovery: a client of discovery's agent, and the endpoint list that it delivers.
 //!
-//! - `client` connects to the agent, `error` says why that, or an exchange, failed.
-//! - `watch` follows the endpoint list: it connects, requests a snapshot where needed, and reads the open watch, whose
-//!   bytes `update_decoder` splits into updates.
-//! - `update` is the wire's and the journal's form of the endpoint list.
-//! - `directory` maps the list's names to the numbers that the scheduler knows, and to addresses.
+//! - `client` connects to the agent.
+//! - `error` defines why a connection or an exchange with the agent failed.
+//! - `watch` follows the endpoint list: it connects, requests a snapshot where needed, and reads the open watch.
+//! - `update_decoder` splits the bytes of a watch into updates.
+//! - `update` defines the form of the endpoint list on the wire and in the journal.
+//! - `directory` maps the list's names to the numbers that the scheduler uses, and to addresses.
 //!
-//! It decides nothing and stores nothing on disk, and no file of the scheduler depends on it.
+//! This module stores nothing on disk, and no file of the scheduler depends on it. The scheduler decides when a failed
+//! watch is started again.
 
 mod client;
 mod directory;
--- a/src/discovery/update.rs
+++ b/src/discovery/update.rs
@@ -1,27 +1,26 @@
-//! The endpoint list and its changes, as they stand on discovery's wire and in the journal. The wire's names are
-//! mapped to the code's terms here.
+//! The endpoint list and its changes, in the form that they have on the wire and in the journal.
 //!
-//! On the wire these are JSON objects with the names given by `serde(rename)`. The journal encodes them by postcard,
-//! where the order and the types of the fields are the format.
+//! On the wire they are JSON objects whose field names are given by `serde(rename)`. The journal encodes them by
+//! postcard, where the order and the types of the fields are the format.
 
 use serde::{Deserialize, Serialize, Serializer};
 
-/// What the endpoint list says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum EndpointState {
-    /// `SERVING`: it may be sent new calls.
+    /// `SERVING`: the endpoint accepts new calls.
     Serving,
-    /// `DRAINING`: it may be sent no new calls.
+    /// `DRAINING`: no new calls may be sent to the endpoint.
     Draining,
-    /// `DELETED`: the list holds it no more.
+    /// `DELETED`: the endpoint was removed from the list.
     Deleted,
-    /// Any other state; it counts as draining.
+    /// Any other state, with its name on the wire. It is treated as `DRAINING`.
     Other(String),
 }
 
 impl EndpointState {
-    /// The state's name on the wire.
+    /// Returns the state's name on the wire.
     pub fn as_str(&self) -> &str {
         match self {
             EndpointState::Serving => "SERVING",
@@ -58,28 +57,29 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// The endpoint's name. An endpoint that replaces it has another.
+    /// The endpoint's name, which is unique: an endpoint that replaces this one has another name.
     pub uid: String,
-    /// Its address, as `IP:port`.
+    /// The endpoint's address, as `IP:port`.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     #[serde(rename = "az")]
     pub zone: String,
-    /// The name of its kind of destination.
+    /// The name of the kind of destination.
     #[serde(rename = "model")]
     pub kind: String,
-    /// The number of its destination.
+    /// The number of the destination that the endpoint belongs to.
     #[serde(rename = "pod_group")]
     pub destination: u32,
-    /// Whether it may be sent new calls.
+    /// Whether the endpoint accepts new calls.
     pub state: EndpointState,
-    /// What its capacity is said to be; see [`CapacityHints`](crate::CapacityHints).
+    /// The capacity of the destination in calls per second, for the whole fleet. The setting
+    /// [`CapacityHints`](crate::CapacityHints) says whether it is used.
     pub capacity_hint: f64,
 }
 
 impl DiscoveredEndpoint {
-    /// Whether the endpoint list holds the endpoint no more.
+    /// Returns whether the endpoint was removed from the endpoint list.
     pub fn is_removed(&self) -> bool {
         self.state == EndpointState::Deleted
     }
@@ -88,13 +88,13 @@
 /// The complete endpoint list, or what has changed in it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DiscoveryUpdate {
-    /// The revision of the list once this is applied.
+    /// The revision of the endpoint list after this update.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether this is the complete list: an endpoint that it does not name is removed.
+    /// Whether this is the complete list. If so, an endpoint that is not in it has been removed.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
-    /// All entries of the list, or those that have changed.
+    /// All entries of the list for a snapshot, otherwise those that have changed.
     #[serde(rename = "targets")]
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
--- a/src/discovery/update_decoder/tests.rs
+++ b/src/discovery/update_decoder/tests.rs
@@ -2,7 +2,7 @@
 
 const DELTA: &str = r#"{"rev": 7, "all": false, "targets": []}"#;
 
-/// The revisions of all updates that a stream holds, and how it ends.
+/// Decodes a stream that arrives in parts, and returns the revisions of its updates and how the stream ended.
 fn revisions(parts: &[&str]) -> (Vec<u64>, Result<(), DiscoveryError>) {
     let mut decoder = UpdateDecoder::default();
     let mut revisions = Vec::new();
@@ -58,12 +58,13 @@
 }
 
 #[test]
-fn what_is_no_update_is_an_error() {
+fn an_invalid_update_is_an_error() {
     let (seen, end) = revisions(&[&format!("{DELTA}\nnonsense\n")]);
     assert_eq!(seen, [7]);
     assert!(matches!(end, Err(DiscoveryError::InvalidUpdate(_))), "{end:?}");
 }
 
+/// Guards against a buffer that grows without limit on a stream whose object never ends.
 #[test]
 fn an_update_without_end_is_an_error() {
     let mut decoder = UpdateDecoder::default();
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on the endpoint list: one long response of the agent, with a line for each change.
 //!
-//! It owns the revision of the list that was last seen, and reconnects when it is asked to, or when the agent's address
-//! changes. It never decides when to reconnect after a failure: the scheduler does.
+//! It owns the last revision of the list that was received. After a failure it reconnects when the scheduler signals it
+//! to, or when the agent's address changes.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,37 +18,38 @@
 use super::update_decoder::{UpdateDecoder, MAX_UPDATE_BYTES};
 use crate::{EndpointUpdate, WATCH_RESPONSE_TIMEOUT};
 
-/// Longest time without a byte on an open watch, which has a heartbeat every 2 s. A missed change has to be in force
-/// after 6 s, which leaves no time for a longer one.
+/// The maximum time without a byte on an open watch, on which the agent sends a heartbeat every 2 s. A missed change
+/// has to be in force after 6 s, which leaves no time for a longer timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Path of the endpoint list.
+/// The path of the endpoint list on the agent.
 const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
-/// What the watch announces.
+/// An event of the endpoint watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The complete endpoint list, or what has changed in it.
+    /// The complete endpoint list, or its changes, has arrived.
     Updated(DiscoveryUpdate),
-    /// The watch is up.
+    /// The first bytes of the watch have arrived, so that it is established.
     Established,
     /// The watch failed: [`EndpointUpdate::WatchFailed`], or [`EndpointUpdate::WatchRejected`] if the agent is
     /// overloaded.
     Broken(EndpointUpdate),
 }
 
-/// The watch on the endpoint list, from a revision on.
+/// The watch on the endpoint list.
 pub struct EndpointWatch {
-    /// The present address of the agent.
+    /// The current address of the agent.
     pub agent: AgentAddress,
-    /// The revision of the endpoint list that is known already.
+    /// The revision of the endpoint list that the gateway already has. The watch starts with the changes after it.
     pub revision: u64,
-    /// Signals that a watch that failed is to be begun again.
+    /// Signals that a failed watch is to be started again.
     pub reconnect: watch::Receiver<()>,
 }
 
 impl EndpointWatch {
-    /// Watches the endpoint list, for the first time after `initial_delay`, and passes what it sees to `notify`. Ends
-    /// when the sender of the agent's address is dropped.
+    /// Watches the endpoint list, starting after `initial_delay`, and passes each event to `notify`. Starts earlier,
+    /// with a snapshot, if the agent's address changes meanwhile. Ends when the sender of the agent's address is
+    /// dropped.
     pub async fn run(self, initial_delay: Duration, notify: impl Fn(WatchEvent)) {
         let EndpointWatch { mut agent, revision, mut reconnect } = self;
         let mut session =
@@ -70,7 +71,7 @@
                 }
             };
             session.log_failure(&error);
-            // A signal to reconnect counts only if it answers the failure that is announced now.
+            // A signal to reconnect counts only if it follows the failure that is announced now.
             reconnect.mark_unchanged();
             (session.notify)(WatchEvent::Broken(announcement(&error)));
             tokio::select! {
@@ -83,7 +84,7 @@
     }
 }
 
-/// How a failure is announced to the scheduler.
+/// Returns the event that announces a failure to the scheduler.
 fn announcement(error: &DiscoveryError) -> EndpointUpdate {
     match error {
         DiscoveryError::Status(StatusCode::SERVICE_UNAVAILABLE) | DiscoveryError::WatchNotServed => {
@@ -93,26 +94,26 @@
     }
 }
 
-/// What the next watch begins with.
+/// What the next watch starts with.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchStart {
-    /// The complete list: the agent is another one, which may know another list.
+    /// The complete list, since the agent is another one and may have another list.
     Snapshot,
-    /// The changes after the revision that was last seen.
+    /// The changes after the last revision that was received.
     LastRevision,
 }
 
-/// What outlasts a single watch.
+/// The state that is kept from one watch to the next.
 struct Session<N> {
     revision: u64,
     start: WatchStart,
-    /// Whether the present failure has been logged; repeated ones are not.
+    /// Whether the current series of failures has been logged. Only its first failure is.
     is_failure_logged: bool,
     notify: N,
 }
 
 impl<N: Fn(WatchEvent)> Session<N> {
-    /// Watches at one agent until that fails.
+    /// Watches the list at one agent until that fails, and returns the error.
     async fn watch(&mut self, agent: &str) -> DiscoveryError {
         match self.connect_and_follow(agent).await {
             Ok(()) => DiscoveryError::WatchEnded,
@@ -132,8 +133,8 @@
         self.follow(response.into_body()).await
     }
 
-    /// Requests the complete list, and announces it unless it is older than the one that is known: an agent that is
-    /// behind must not undo a drain.
+    /// Requests the complete list, and announces it unless its revision is older than the last one received: an agent
+    /// with an outdated list must not undo a drain.
     async fn fetch_snapshot(
         &mut self,
         connection: &mut Connection,
@@ -191,7 +192,7 @@
     }
 }
 
-/// Sends a request for a path; any status but 200 is an error.
+/// Sends a GET request for a path. Any status but 200 is an error.
 async fn get(
     connection: &mut Connection,
     agent: &str,
