--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -1,5 +1,5 @@
 //! The table of settings: the name of each on the wire and in the configuration file, its purpose, its unit and its
-//! default. Durations stand as whole nanoseconds; ratios are parts of one.
+//! default. Durations are whole numbers of nanoseconds. Ratios are numbers, where 1 is the whole.
 
 use std::time::Duration;
 
@@ -12,107 +12,117 @@
 
 // ---- The fleet and its capacity ----
 
-/// Gateways that share the destinations, this one included.
+/// The number of gateways that share the destinations, including this one. Default: 2.
 pub const FLEET_SIZE: Setting<u32> = setting("Balancers", 2);
-/// Calls that may be in flight at once.
+/// The maximum number of calls in flight. Default: 16.
 pub const MAX_IN_FLIGHT_CALLS: Setting<usize> = setting("FamilyInfo.CallsOut", 16);
-/// Messages that may be pending; further ones are rejected.
+/// The maximum number of pending messages. Further messages are rejected. Default: 400.
 pub const MAX_PENDING_MESSAGES: Setting<usize> = setting("Permissions.MostHeld", 400);
 
 // ---- Attempts ----
 
-/// Attempts that a message may have.
+/// The maximum number of attempts per message. Default: 8.
 pub const MAX_ATTEMPTS: Setting<u32> = setting("Permissions.SendCap", 8);
-/// Whether an attempt may be cancelled.
+/// Whether the scheduler may cancel an attempt in flight. Default: false.
 pub const ALLOW_CANCEL: Setting<bool> = setting("Permissions.Cancel", false);
-/// Whether a message may have two attempts in flight at once.
+/// Whether a message may have two attempts in flight at once. Default: false.
 pub const ALLOW_HEDGING: Setting<bool> = setting("Permissions.SecondCopies", false);
 
 // ---- Connections ----
 
-/// A connection that takes longer to come up has failed. Nanoseconds.
+/// The time limit for opening a connection to an endpoint. In nanoseconds. Default: 1 s.
 pub const CONNECT_TIMEOUT: Setting<Duration> = setting("Permissions.ConnectTimeout", Duration::from_secs(1));
-/// Endpoints close a connection that has been idle for this long. Nanoseconds.
+/// The idle time after which endpoints close a connection. In nanoseconds. Default: 15 s.
 pub const CONNECTION_IDLE_TIMEOUT: Setting<Duration> =
     setting("Permissions.ConnIdle", Duration::from_secs(15));
 
 // ---- The value of a message ----
 
-/// How the value of a message falls after its latency objective: `line` or `halves`.
+/// How the value of a message falls after its latency objective: `line` or `halves`. Default: `line`.
 pub const DECAY: Setting<Decay> = setting("FamilyInfo.Decay", Decay::Linear);
-/// Value of a message beyond its tenant's quota, relative to one within it.
+/// The value of a message beyond its tenant's quota, relative to one within the quota. Default: 1.
 pub const OVER_QUOTA_VALUE_RATIO: Setting<f64> = setting("OverShareWorth", 1.0);
-/// Cost of a message by zone of the endpoint, as a list of numbers; none where absent.
+/// The cost of a message by the zone of its endpoint, as a list of numbers in the order of [`ZONE_NAMES`]. Costs are
+/// only compared, so that any unit will do. Default: an empty list, and 0 for a zone beyond its end.
 pub const ZONE_COSTS: &str = "FamilyInfo.FeeByZone";
 
 // ---- Destinations ----
 
-/// What the capacity hint of an endpoint means: `silent`, `nominal`, `rough`, or `live` (the same as `silent`).
+/// The meaning of an endpoint's capacity hint: `silent` or `live` (ignored), `nominal` (exact) or `rough`
+/// (approximate). Default: `silent`.
 pub const CAPACITY_HINTS: Setting<CapacityHints> = setting("WeightSource", CapacityHints::Ignored);
-/// Messages that one call may carry, as a list by kind of destination; 1 where absent.
+/// The maximum number of messages per call, as a list by kind of destination in the order of [`KIND_NAMES`].
+/// Default: 1 for each kind that is not in the list.
 pub const BATCH_BY_KIND: &str = "FamilyInfo.KindBatch";
-/// Whether each endpoint of a destination has its own limits, as a list by kind of destination; `false` where absent.
+/// Whether each endpoint of a destination has its own rate limit and circuit breaker, as a list by kind of destination
+/// in the order of [`KIND_NAMES`]. Default: `false` for each kind that is not in the list.
 pub const PER_ENDPOINT_LIMITS_BY_KIND: &str = "FamilyInfo.OwnLimits";
-/// The names of the kinds of destination, as a list.
+/// The names of the kinds of destination, as a list. Default: an empty list.
 pub const KIND_NAMES: &str = "MachineTypes";
-/// The names of the zones, as a list.
+/// The names of the zones, as a list. Default: an empty list.
 pub const ZONE_NAMES: &str = "Zones";
 
 // ---- The load report of an endpoint ----
 
-/// The names of the values in a load report, in their order, as a list.
+/// The names of the values in a load report, in their order, as a list. Default: an empty list.
 pub const LOAD_REPORT_FIELDS: &str = "Report.Fields";
-/// The name in [`LOAD_REPORT_FIELDS`] of the ratio of the limit that is left.
+/// The name in [`LOAD_REPORT_FIELDS`] of the headroom: the ratio of the rate limit that is left.
 pub const LOAD_REPORT_HEADROOM: &str = "x0";
-/// The name in [`LOAD_REPORT_FIELDS`] of the limit, in calls a second.
+/// The name in [`LOAD_REPORT_FIELDS`] of the rate limit, in calls per second.
 pub const LOAD_REPORT_LIMIT: &str = "x1";
 
 // ---- The limits that the delivery protocol sets ----
 
-/// A final outcome is still in time this long after the deadline. Nanoseconds.
+/// The grace period after a message's deadline within which its final outcome is still in time. In nanoseconds.
+/// Default: 20 ms.
 pub const FINAL_OUTCOME_GRACE: Setting<Duration> = setting("Rules.AnswerSlack", Duration::from_millis(20));
-/// Ratio of its capacity that a destination has at least when it returns from an outage.
+/// The minimum capacity of a destination when it returns from an outage, as a ratio of its full capacity. Default: 0.2.
 pub const COLD_CAPACITY_RATIO: Setting<f64> = setting("Rules.ColdFrom", 0.2);
-/// After this long at most a returned destination has its full capacity. Nanoseconds.
+/// The maximum time until a returned destination has its full capacity. In nanoseconds. Default: 10 s.
 pub const WARM_UP: Setting<Duration> = setting("Rules.Cold", Duration::from_secs(10));
-/// A returning destination fails again if it gets more than this multiple of its present capacity over the overload
-/// window.
+/// A returning destination fails again if its load exceeds this multiple of its present capacity over the overload
+/// window. Default: 2.
 pub const OVERLOAD_MULTIPLE: Setting<f64> = setting("Rules.TipMultiple", 2.0);
-/// The overload window: how long a returning destination survives an overload. Nanoseconds.
+/// The overload window: how long a returning destination survives an overload. In nanoseconds. Default: 2 s.
 pub const OVERLOAD_WINDOW: Setting<Duration> = setting("Rules.Fall", Duration::from_secs(2));
-/// How soon after an endpoint is announced as draining or removed no new call may reach it. Nanoseconds.
+/// The grace period after an endpoint is announced as draining or removed. No new call may reach it afterwards. In
+/// nanoseconds. Default: 2 s.
 pub const DRAIN_GRACE: Setting<Duration> = setting("Rules.StopSendingWithin", Duration::from_secs(2));
-/// How long an ordering key is held back after an attempt that may still be running. Nanoseconds.
+/// How long an ordering key is held back after an attempt that may still be running. In nanoseconds. Default: 0.
 pub const ORDERING_KEY_HOLD: Setting<Duration> = setting("Rules.OrderSettle", Duration::ZERO);
 
 // ---- Classes of message and tenants: lists of objects ----
 
-/// The classes of message.
+/// The classes of message; see [`class`]. Default: an empty list.
 pub const CLASSES: &str = "Lanes";
-/// The tenants.
+/// The tenants; see [`tenant`]. Default: an empty list.
 pub const TENANTS: &str = "Projects";
-/// In an item of either list: its name; empty where absent.
+/// The name of an item in either list. Default: an empty name.
 pub const NAME: &str = "Name";
 
 /// The settings of one of the [`CLASSES`].
 pub mod class {
     use super::*;
 
-    /// A message delivered within this time has its full value. Nanoseconds.
+    /// The latency objective: a message delivered within this time has its full value. In nanoseconds. Default: 3 s.
     pub const LATENCY_OBJECTIVE: Setting<Duration> = setting("Aim", Duration::from_secs(3));
-    /// How long a message may be delivered at all. Nanoseconds.
+    /// The time from when a message is enqueued until its deadline, after which it is not delivered. In nanoseconds.
+    /// Default: 20 s.
     pub const DEADLINE: Setting<Duration> = setting("Deadline", Duration::from_secs(20));
-    /// What sending a message again does: `read_like`, `idempotency_key` or `non_idempotent`.
+    /// The effect of sending a message again: `read_like`, `idempotency_key` or `non_idempotent`. Default:
+    /// `non_idempotent`.
     pub const IDEMPOTENCY: Setting<Idempotency> = setting("Effect", Idempotency::NonIdempotent);
-    /// Which endpoints recognize a key that one of them has seen: `all`, `cell` (the same as `all`) or `zone`.
+    /// The endpoints that recognize an idempotency key that one of them has received: `all`, `cell` (the same as `all`)
+    /// or `zone`. Default: `zone`.
     pub const DEDUPLICATION_SCOPE: Setting<DeduplicationScope> = setting("Group", DeduplicationScope::Zone);
-    /// How long they recognize it. Nanoseconds.
+    /// How long endpoints recognize an idempotency key after the first attempt that may have run. In nanoseconds.
+    /// Default: 0.
     pub const IDEMPOTENCY_WINDOW: Setting<Duration> = setting("RepeatWindow", Duration::ZERO);
-    /// Whether messages with one ordering key are delivered one at a time.
+    /// Whether messages with the same ordering key are delivered one at a time. Default: false.
     pub const ORDERED: Setting<bool> = setting("OneAtATime", false);
-    /// Value of a message that is delivered within its latency objective.
+    /// The value of a message that is delivered within its latency objective. Default: 1.
     pub const PRIORITY_WEIGHT: Setting<f64> = setting("Worth", 1.0);
-    /// Ratio of that value which is left at the deadline.
+    /// The ratio of the value that is left at the deadline. Default: 0.
     pub const LATE_VALUE_RATIO: Setting<f64> = setting("LateShare", 0.0);
 }
 
@@ -120,11 +130,12 @@
 pub mod tenant {
     use super::*;
 
-    /// Messages a second, over the whole fleet, that have their full value; no quota where absent.
+    /// The quota: the number of messages per second, over the whole fleet, that have their full value. Default: no
+    /// quota.
     pub const QUOTA_PER_SEC: Setting<f64> = setting("QuotaPerS", f64::INFINITY);
 }
 
-// ---- The words that stand for a choice ----
+// ---- The values of settings that are a choice ----
 
 impl SettingValue for CapacityHints {
     const EXPECTED: &'static str = "silent, nominal, rough or live";
--- a/src/config/mapping.rs
+++ b/src/config/mapping.rs
@@ -1,30 +1,32 @@
-//! Puts the values of the table of settings into [`Settings`], under the terms that the code uses.
+//! Reads the settings of the table in `keys` into [`Settings`].
 
 use super::keys;
 use super::values::{Section, SettingError, Values};
 use crate::{Class, DeliveryLimits, DestinationKind, Settings, Tenant};
 
-/// All that the configuration says of deliveries: the settings, the layout of a load report, and the names that the
-/// protocol on sockets uses.
+/// The settings of deliveries as read from a configuration: those of the scheduler, the layout of a load report, and
+/// the names that clients, endpoint lists and operators use for items that are numbered in the scheduler.
 #[derive(Clone, Debug)]
 pub struct ParsedSettings {
-    /// What the scheduler is given.
+    /// The settings of the scheduler.
     pub settings: Settings,
-    /// Index of the ratio of the limit that is left among the values of a load report; none if they do not have it.
+    /// The index of the headroom, the ratio of the rate limit that is left, among the values of a load report; None if
+    /// load reports do not have it.
     pub headroom_index: Option<usize>,
-    /// Index of the limit among the values of a load report; none if they do not have it.
+    /// The index of the rate limit, in calls per second, among the values of a load report; None if load reports do not
+    /// have it.
     pub limit_index: Option<usize>,
-    /// Names of the classes, in the order of [`Settings::classes`].
+    /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// Names of the tenants, in the order of [`Settings::tenants`].
+    /// The names of the tenants, in the order of [`Settings::tenants`].
     pub tenant_names: Vec<String>,
-    /// Names of the kinds of destination, in the order of [`Settings::destination_kinds`].
+    /// The names of the kinds of destination, in the order of [`Settings::destination_kinds`].
     pub kind_names: Vec<String>,
-    /// Names of the zones, by [`ZoneId`](crate::ZoneId).
+    /// The names of the zones, by [`ZoneId`](crate::ZoneId).
     pub zone_names: Vec<String>,
 }
 
-/// Reads all settings. What is absent has its default; the first value that cannot be read ends the reading.
+/// Reads all settings. Absent ones have their defaults. Fails at the first invalid value.
 pub fn parsed_settings(values: &Values) -> Result<ParsedSettings, SettingError> {
     let root = values.root();
     let settings = settings(values, &root)?;
@@ -56,7 +58,7 @@
         max_attempts: root.get(keys::MAX_ATTEMPTS)?,
         allow_cancel: root.get(keys::ALLOW_CANCEL)?,
         allow_hedging: root.get(keys::ALLOW_HEDGING)?,
-        // Depends on the program that hosts the scheduler, not on the configuration.
+        // Set by the program that hosts the scheduler, not by the configuration.
         outcomes_need_acknowledgement: Settings::default().outcomes_need_acknowledgement,
         over_quota_value_ratio: root.get(keys::OVER_QUOTA_VALUE_RATIO)?,
         connect_timeout: root.get(keys::CONNECT_TIMEOUT)?,
@@ -94,7 +96,7 @@
     Ok(Tenant { quota_per_sec: item.get(keys::tenant::QUOTA_PER_SEC)? })
 }
 
-/// As many kinds as the longer of the two lists has entries.
+/// Reads the kinds of destination from two lists. There are as many kinds as the longer list has entries.
 fn destination_kinds(root: &Section) -> Result<Vec<DestinationKind>, SettingError> {
     let batches = root.entries(keys::BATCH_BY_KIND);
     let per_endpoint_limits = root.entries(keys::PER_ENDPOINT_LIMITS_BY_KIND);
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -1,47 +1,47 @@
-//! The flat map that both forms of the settings are read into, and the reading of single values from it.
+//! Flattens both forms of the settings into one map from path to text, and reads single values from it.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A setting that cannot be read. The configuration that holds it is not used.
+/// A setting that cannot be read. The whole configuration that contains it is rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingError {
-    /// A line without an equals sign.
+    /// A line has no equals sign.
     #[error("line {line}: '{text}' is not path=value")]
     Line {
-        /// Counted from 1.
+        /// The number of the line, counted from 1.
         line: usize,
         /// The whole line.
         text: String,
     },
-    /// A value of the wrong form.
+    /// A value does not have the form that its setting requires.
     #[error("setting {path}: '{value}' is not {expected}")]
     Value {
-        /// The setting's full path.
+        /// The full path of the setting.
         path: String,
-        /// The text found there; of a list, the entry that is wrong.
+        /// The text of the value; for a list of scalars, the invalid entry.
         value: String,
-        /// What it should be.
+        /// The form that was expected, in words.
         expected: &'static str,
     },
 }
 
-/// A setting: where it stands, and the value that it has where it is absent.
+/// A setting with its path and its default.
 pub struct Setting<T> {
-    /// Its path, relative to the [`Section`] that it belongs to.
+    /// The path, relative to the [`Section`] that the setting belongs to.
     pub path: &'static str,
-    /// Its value where the configuration does not have it.
+    /// The value if the configuration does not have the setting.
     pub default: T,
 }
 
-/// What the text of a setting can be read as.
+/// A type that a setting's text can be parsed as.
 pub trait SettingValue: Sized {
-    /// What the text should be, for the error message.
+    /// The form that the text must have, in words, for the error message.
     const EXPECTED: &'static str;
 
-    /// The value that a text stands for; none if it has the wrong form.
+    /// Parses a text; None if it does not have the expected form.
     fn from_text(text: &str) -> Option<Self>;
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Durations stand as whole nanoseconds.
+/// Durations are written as whole nanoseconds.
 impl SettingValue for Duration {
     const EXPECTED: &'static str = "a whole number of nanoseconds";
 
@@ -98,7 +98,7 @@
 pub struct Values(BTreeMap<String, String>);
 
 impl Values {
-    /// Reads one `path=value` from each line that is not blank; of a path that comes twice, the last counts.
+    /// Reads one `path=value` from each line that is not blank. If a path occurs twice, the last value counts.
     pub fn from_lines(text: &str) -> Result<Self, SettingError> {
         let mut values = BTreeMap::new();
         for (index, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
@@ -109,20 +109,20 @@
         Ok(Values(values))
     }
 
-    /// Spreads nested JSON into the paths of the line form: lists of scalars are joined by commas, lists of objects
-    /// get a `count` and numbered items.
+    /// Flattens nested JSON into the paths of the line form: a list of scalars is joined by commas, and a list of
+    /// objects becomes a `count` and items numbered from 0.
     pub fn from_json(value: &Value) -> Self {
         let mut values = BTreeMap::new();
         flatten(String::new(), value, &mut values);
         Values(values)
     }
 
-    /// The settings that are not items of a list of objects.
+    /// Returns the settings that are not items of a list of objects.
     pub fn root(&self) -> Section<'_> {
         Section { values: self, prefix: String::new() }
     }
 
-    /// The items of a list of objects, in their order.
+    /// Returns the items of a list of objects, in order; none if the list is absent.
     pub fn items(&self, list: &str) -> Result<impl Iterator<Item = Section<'_>>, SettingError> {
         let count: u16 = self.root().get_optional(&format!("{list}.count"))?.unwrap_or_default();
         let list = list.to_owned();
@@ -130,30 +130,30 @@
     }
 }
 
-/// The settings below one path.
+/// The settings whose paths have one prefix.
 pub struct Section<'a> {
     values: &'a Values,
-    /// Empty, or ends in a dot.
+    /// Empty for the root, otherwise a path that ends in a dot.
     prefix: String,
 }
 
 impl Section<'_> {
-    /// The value of a setting, or its default where it is absent.
+    /// Reads a setting; its default if it is absent.
     pub fn get<T: SettingValue>(&self, setting: Setting<T>) -> Result<T, SettingError> {
         Ok(self.get_optional(setting.path)?.unwrap_or(setting.default))
     }
 
-    /// The text of a setting; empty where it is absent.
+    /// Returns the text of a setting; an empty text if it is absent.
     pub fn text(&self, path: &str) -> &str {
         self.find(path).unwrap_or_default()
     }
 
-    /// The entries of a list of scalars that are not empty.
+    /// Returns the entries of a list of scalars without empty ones.
     pub fn entries(&self, path: &str) -> Vec<&str> {
         self.text(path).split(',').filter(|entry| !entry.is_empty()).collect()
     }
 
-    /// Reads one entry of a list of scalars.
+    /// Parses one entry of a list of scalars. `path` names the list in the error message.
     pub fn entry<T: SettingValue>(&self, path: &str, entry: &str) -> Result<T, SettingError> {
         T::from_text(entry).ok_or_else(|| SettingError::Value {
             path: self.full_path(path),
@@ -194,11 +194,11 @@
     }
 }
 
-/// The largest number below which a JSON number with a decimal point is taken for a whole one.
+/// A JSON number with a decimal point but no fraction is written as a whole number if it is below this.
 const MAX_WHOLE_FLOAT: f64 = 1e15;
 
-/// A scalar in the line form. A whole number may have a decimal point in JSON, but has none there; a comma, which
-/// separates entries there, becomes an underscore.
+/// Converts a JSON scalar to the line form. A whole number with a decimal point loses the decimal point. A comma, which
+/// separates entries in the line form, becomes an underscore.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace(',', "_"),
