--- a/src/socket/mod.rs
+++ b/src/socket/mod.rs
@@ -1,12 +1,14 @@
-//! Socket calls that survive what Linux documents: transfers that a signal interrupts or cuts short, and errors of
-//! this machine that pass by themselves. It knows no protocol, and decides nothing.
+//! Socket calls that handle the failures that Linux documents: transfers that a signal interrupts or shortens, and
+//! transient errors of this machine. They are independent of any protocol.
 //!
-//! `errors` tells which errors those are, `retry` retries system calls for them, `transfer` reads and writes
-//! without waiting, and `stream` opens connections.
+//! - `errors` classifies system errors.
+//! - `retry` retries system calls that fail with transient errors.
+//! - `transfer` reads and writes without waiting.
+//! - `stream` opens connections.
 //!
 //! The runtime treats a short read or write as a sign of an empty or full socket, as `epoll(7)` allows, and waits for
-//! the next edge; `read(2)` and `write(2)` allow short transfers for other reasons, after which there is no edge.
-//! Here only `EAGAIN` means that there is something to wait for.
+//! the next edge. `read(2)` and `write(2)` allow short transfers for other reasons too, after which there is no edge.
+//! Here only `EAGAIN` means that the caller has to wait.
 
 mod errors;
 mod retry;
@@ -20,5 +22,5 @@
 
 use std::time::Duration;
 
-/// Pause before a system call is retried that failed with a transient error.
+/// The pause before a system call that failed with a transient error is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/src/socket/retry.rs
+++ b/src/socket/retry.rs
@@ -1,4 +1,4 @@
-//! Retries system calls for as long as their errors are transient.
+//! Retries system calls while their errors are transient.
 
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -10,10 +10,10 @@
 use super::errors::{is_transient, AsIoError};
 use super::RETRY_DELAY;
 
-/// How long transient errors are retried before the operation fails.
+/// The time limit for retries of transient errors, after which the operation fails.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Retries a system call for as long as signals interrupt it.
+/// Retries a system call while signals interrupt it.
 ///
 /// # Errors
 /// Any error of the call but an interruption.
@@ -26,7 +26,7 @@
     }
 }
 
-/// Retries of one operation, for as long as its errors are [transient](is_transient).
+/// The state of the retries of one operation.
 struct TransientRetries<'a> {
     operation: &'a str,
     deadline: Instant,
@@ -38,7 +38,7 @@
         TransientRetries { operation, deadline: Instant::now() + RETRY_TIMEOUT, is_logged: false }
     }
 
-    /// Whether to retry after this error. The first one is logged.
+    /// Returns whether to retry after this error, and logs the first error that is retried.
     fn should_retry(&mut self, error: &io::Error) -> bool {
         let retries = is_transient(error) && Instant::now() < self.deadline;
         if retries && !self.is_logged {
@@ -49,8 +49,8 @@
     }
 }
 
-/// Retries an operation for as long as its errors are [transient](is_transient), for 20 s at most. `operation` names it
-/// in the log.
+/// Retries an operation every 20 ms while its errors are [transient](is_transient), for at most 20 s. `operation` names
+/// it in the log.
 ///
 /// # Errors
 /// The first error that is not transient, or the last one after 20 s.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Does the same as [`retry_transient`] where no event loop runs: this thread waits.
+/// Does the same as [`retry_transient`] where no event loop runs, and blocks the thread meanwhile.
 ///
 /// # Errors
 /// The first error that is not transient, or the last one after 20 s.
--- a/src/socket/stream.rs
+++ b/src/socket/stream.rs
@@ -1,4 +1,4 @@
-//! TCP connections: opening one, and one for libraries that do their own reading and writing.
+//! Opens TCP connections, and wraps them for libraries that do their own reading and writing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 use super::transfer::{poll_read, poll_write};
 use super::RETRY_DELAY;
 
-/// How long transient errors of a connect are retried before it fails.
+/// The time limit for retries of transient errors of a connect, after which it fails.
 const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Connects, and has small writes sent at once. Transient errors are retried for 250 ms.
+/// Opens a connection, and disables Nagle's algorithm on it. Transient errors are retried for 250 ms.
 ///
 /// # Errors
-/// The peer refuses or cannot be reached, or the last transient error after 250 ms.
+/// The peer refuses the connection or cannot be reached; or the last transient error after 250 ms.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let retry_until = Instant::now() + CONNECT_RETRY_TIMEOUT;
     loop {
@@ -37,14 +37,15 @@
     }
 }
 
-/// Has small writes sent at once. Failure is logged only: the connection works without it.
+/// Disables Nagle's algorithm, so that small writes are sent at once. A failure is only logged, since the connection
+/// works without it.
 pub fn disable_nagle(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         debug!(%error, "cannot disable Nagle's algorithm; small writes may be delayed");
     }
 }
 
-/// A connection for libraries that do their own reading and writing; interruptions and short transfers are hidden from
+/// A connection for libraries that do their own reading and writing. It hides interruptions and short transfers from
 /// them.
 #[derive(Debug)]
 pub struct RetryingStream(pub TcpStream);
--- a/src/socket/transfer.rs
+++ b/src/socket/transfer.rs
@@ -1,4 +1,4 @@
-//! Reads and writes that survive interruptions, short transfers and a shortage of memory.
+//! Reads and writes that handle interruptions, short transfers and a shortage of memory.
 
 use rustix::io::Errno;
 use std::io::{self, ErrorKind};
@@ -12,12 +12,12 @@
 /// The result of a read or write that does not wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transfer {
-    /// So many bytes were transferred; 0 by a read means that the peer has closed its side.
+    /// The number of bytes that were transferred. 0 from a read means that the peer has closed its side.
     Bytes(usize),
-    /// There is nothing to read, or no room to write: the runtime notifies when there is.
+    /// There is nothing to read, or no room to write. The runtime notifies when there is.
     WouldBlock,
-    /// The system is short of memory. The connection is intact, and nothing notifies when to retry: see
-    /// [`memory_backoff`].
+    /// The system is short of memory. The connection is intact, but there is no notification of when to retry; wait
+    /// with [`memory_backoff`].
     OutOfMemory,
 }
 
@@ -39,15 +39,15 @@
     raw == Some(Errno::NOMEM.raw_os_error()) || raw == Some(Errno::NOBUFS.raw_os_error())
 }
 
-/// Waits until a read or write may be retried that was [out of memory](Transfer::OutOfMemory).
+/// Waits until a read or write that was [out of memory](Transfer::OutOfMemory) may be retried.
 pub async fn memory_backoff() {
     sleep(RETRY_DELAY).await;
 }
 
-/// Writes all bytes, and waits for room as needed.
+/// Writes all bytes, and waits until there is room as needed.
 ///
 /// # Errors
-/// The connection is broken, or takes no more bytes.
+/// The connection is broken, or a write transfers no bytes.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Polls for a read: pending until there is something to read.
+/// Polls for a read. It is pending until there is something to read.
 ///
 /// # Errors
 /// The connection is broken.
@@ -76,7 +76,7 @@
     }
 }
 
-/// Polls for a write: pending until there is room.
+/// Polls for a write. It is pending until there is room.
 ///
 /// # Errors
 /// The connection is broken.
@@ -95,7 +95,7 @@
     }
 }
 
-/// Pending, and polled again once the other tasks have had their turn.
+/// Returns pending, and has the task polled again once other tasks have had their turn.
 fn yield_turn<T>(cx: &mut Context<'_>) -> Poll<T> {
     cx.waker().wake_by_ref();
     Poll::Pending
