--- a/src/bin/simulator-adapter/frames.rs
+++ b/src/bin/simulator-adapter/frames.rs
@@ -1,32 +1,32 @@
-//! Frames on a byte stream: a length of four bytes, big-endian, and so many bytes.
+//! Reads frames from a byte stream. A frame is a length of four bytes, big-endian, and a body of that length.
 
 use std::io::{self, ErrorKind, Read};
 use thiserror::Error;
 
-/// A frame that cannot be read. The stream is of no use after that.
+/// Why a frame cannot be read. No further frame can be read from the stream after that.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The stream ends inside the length.
+    /// The stream ends within the length.
     #[error("input ends after {have} of 4 bytes of a frame's length")]
     TruncatedLength { have: usize },
-    /// The stream ends inside the frame.
+    /// The stream ends within the body.
     #[error("input ends after {have} of {length} bytes of a frame")]
     Truncated { have: u64, length: u64 },
-    /// The stream fails inside, or before, the length.
+    /// Reading fails before or within the length.
     #[error("cannot read a frame's length: {0}")]
     Length(io::Error),
-    /// The stream fails inside the frame.
+    /// Reading fails within the body.
     #[error("cannot read a frame: {0}")]
     Body(io::Error),
 }
 
-/// Reads one frame's body; none at a clean end of the stream.
+/// Reads the body of one frame. Returns None if the stream ends before the frame.
 ///
 /// # Errors
 /// See [`FrameError`].
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
     let Some(length) = read_length(input)? else { return Ok(None) };
-    // Grows with what arrives, whatever the length says.
+    // The buffer grows with the bytes that arrive, so that a wrong length causes no large allocation.
     let mut body = Vec::new();
     input.take(length).read_to_end(&mut body).map_err(FrameError::Body)?;
     let have = body.len() as u64;
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -1,5 +1,5 @@
-//! The table of schedulers that this process runs, and of the endpoint lists that they refer to. It hands each record
-//! of a batch to the scheduler that it concerns, and lets those decide that had one.
+//! The table of instances, which are the schedulers that this process runs, and of the endpoint lists that they refer
+//! to. It passes each record of a batch to the instance that it concerns, and then has each such instance decide.
 
 use delivery_gateway::*;
 use std::collections::BTreeMap;
@@ -10,21 +10,22 @@
 use crate::translation::{attempt_outcome, reply, ListUpdateKind, UnknownValue};
 use crate::wire::{Batch, FinishedRecord, Record, Reply};
 
-/// A batch that was decoded and cannot be carried out. None of its replies are sent.
+/// Why a decoded batch cannot be carried out. None of its replies are sent.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// An instance cannot be started with its settings.
+    /// An instance cannot be started, because a setting is invalid.
     #[error("instance {instance}: {error}")]
     Settings { instance: u16, error: SettingError },
-    /// A record says something unknown.
+    /// A field of a record has an unknown value.
     #[error(transparent)]
     UnknownValue(#[from] UnknownValue),
 }
 
 struct Instance {
     scheduler: Scheduler,
-    /// Where a load report has its values.
+    /// The index of the headroom among the values of a load report; None if load reports do not have it.
     headroom_index: Option<usize>,
+    /// The index of the rate limit among the values of a load report; None if load reports do not have it.
     limit_index: Option<usize>,
 }
 
@@ -35,10 +36,10 @@
     }
 }
 
-/// What a record means to the instance that it concerns.
+/// The event that a record is for the instance that it concerns.
 struct InstanceEvent {
     instance: u16,
-    /// None where the scheduler ignores such records; it then decides all the same.
+    /// None if the scheduler ignores records of this type. The instance decides after them too.
     event: Option<Event>,
 }
 
@@ -60,11 +61,11 @@
 }
 
 impl InstanceTable {
-    /// Hands the records of a batch to their instances, lets each of these decide once, in the order in which they were
-    /// first concerned, and returns what they want done.
+    /// Passes the records of a batch to their instances, has each of these instances decide once, in the order of their
+    /// first records, and returns their actions as replies.
     ///
     /// # Errors
-    /// [`BatchError`] for the first record that cannot be carried out; those before it have been.
+    /// [`BatchError`] for the first record that cannot be carried out. Those before it have been carried out.
     pub fn run(&mut self, batch: Batch) -> Result<Vec<Reply>, BatchError> {
         let now = Time(batch.clock);
         let mut concerned = Vec::new();
@@ -88,7 +89,8 @@
         Ok(replies)
     }
 
-    /// Applies a record to the table; what it means to an instance is returned, and may concern one that is not there.
+    /// Applies a record to the table, and returns the event for the instance that it concerns, if any. That instance
+    /// may not exist.
     fn apply(&mut self, record: Record) -> Result<Option<InstanceEvent>, BatchError> {
         let event = match record {
             Record::NewInstance { instance, seed, settings } => {
@@ -130,7 +132,7 @@
         Ok(event)
     }
 
-    /// Starts an instance, in the place of one that has its number.
+    /// Starts an instance, and replaces an existing one with the same number.
     fn start(&mut self, id: u16, seed: u64, settings: &str) -> Result<(), BatchError> {
         let parsed =
             settings_from_lines(settings).map_err(|error| BatchError::Settings { instance: id, error })?;
@@ -143,7 +145,7 @@
         Ok(())
     }
 
-    /// A list that is not there counts as empty.
+    /// Builds an endpoint update from a list. A list that does not exist counts as empty.
     fn endpoint_update(&self, list: u16, kind: ListUpdateKind) -> EndpointUpdate {
         let endpoints = || self.lists.get(&list).cloned().unwrap_or_default();
         match kind {
@@ -167,7 +169,7 @@
     }
 }
 
-/// Runs a step of a scheduler; a panic in it becomes a reply with its text.
+/// Runs a step of a scheduler, and turns a panic in it into a reply with the panic's text.
 fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
     if let Err(cause) = catch_unwind(AssertUnwindSafe(step)) {
         let text = cause.downcast_ref::<&str>().map(|text| (*text).to_owned());
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,10 +1,10 @@
-//! The simulator's adapter: runs schedulers on the simulator's wire. Batches of records arrive on standard input, and
-//! each is answered by one reply on standard output, until the input ends. Bad input ends the program with an error.
+//! The simulator's adapter: runs schedulers for the simulator. Batches of records arrive on standard input, and each is
+//! answered by one reply on standard output, until the input ends. Invalid input ends the program with an error.
 //!
 //! - `frames` reads frames from the input.
 //! - `wire` decodes batches and encodes replies.
 //! - `translation` maps the wire's records to the scheduler's events, and its actions to the wire's replies.
-//! - `instances` has the schedulers, and hands each its events.
+//! - `instances` owns the schedulers, and passes each its events.
 
 mod frames;
 mod instances;
@@ -21,11 +21,11 @@
 
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter ends before its input does.
+/// Why the adapter exits before the end of its input.
 #[derive(Debug, Error)]
 #[error("batch {batch}: {cause}")]
 struct AdapterError {
-    /// Counted from 0.
+    /// The number of the batch, counted from 0.
     batch: u64,
     cause: Cause,
 }
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Answers one batch; false at the end of the input.
+/// Answers one batch. Returns false at the end of the input.
 fn serve_batch(
     instances: &mut InstanceTable,
     input: &mut impl Read,
--- a/src/bin/simulator-adapter/translation.rs
+++ b/src/bin/simulator-adapter/translation.rs
@@ -1,4 +1,4 @@
-//! The mapping between the wire's records and the scheduler's events and actions. It translates only.
+//! Maps the wire's records to the scheduler's events, and its actions to the wire's replies. It holds no state.
 
 use delivery_gateway::*;
 use std::time::Duration;
@@ -6,25 +6,25 @@
 
 use crate::wire::{AcceptRecord, ListEntry, Reply};
 
-/// A field of a record that was decoded, but says something unknown. The adapter ends on it.
+/// A field of a decoded record has an unknown value. The adapter exits with this error.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{field} has the unknown value {value}")]
 pub struct UnknownValue {
-    /// The field's name on the wire.
+    /// The name of the field on the wire.
     pub field: &'static str,
     pub value: u32,
 }
 
-/// Bit of [`AcceptRecord::options`]: a scheduler that has ended accepted the message before.
+/// The bit of [`AcceptRecord::options`] which is set if a scheduler that has ended had accepted the message before.
 const REDELIVERED: u8 = 1 << 4;
 
-/// What a list update says of its list.
+/// The kind of a list update.
 pub enum ListUpdateKind {
-    /// The list holds changed entries only.
+    /// The list has only the entries that have changed.
     Delta,
     /// The list is complete.
     Snapshot,
-    /// There is no list: discovery has failed.
+    /// Discovery has failed, and the list is not used.
     Failed,
 }
 
@@ -70,7 +70,7 @@
         AcceptedMessage {
             id: MessageId(record.message),
             class: ClassId(record.class),
-            // A whole number below 65,536, which the wire has as a float.
+            // The wire encodes the destination as a float, which is a whole number below 65,536.
             destination: DestinationId(u32::from(record.destination as u16)),
             key: (record.key != 0).then_some(OrderingKey(record.key)),
             deadline: Time(record.deadline),
@@ -80,10 +80,11 @@
     }
 }
 
-/// The outcome of an attempt or a probe. `detail` is a rejection's Retry-After in milliseconds, or zero for none.
+/// Maps the code of an attempt or a probe to its outcome. `detail` is the Retry-After of a rejection in milliseconds,
+/// or 0 for none.
 ///
 /// # Errors
-/// [`UnknownValue`] for a code that the wire does not have.
+/// [`UnknownValue`] for a code that the wire does not define.
 pub fn attempt_outcome(code: u16, detail: u32) -> Result<AttemptOutcome, UnknownValue> {
     match code {
         100 => Ok(AttemptOutcome::Delivered),
@@ -101,14 +102,14 @@
     }
 }
 
-/// The reply that carries an action of an instance.
+/// Converts an action of an instance to a reply.
 pub fn reply(instance: u16, action: Action) -> Reply {
     match action {
         Action::StartAttempt { message, endpoint, attempt_timeout, .. } => Reply::StartAttempt {
             instance,
             message: message.0,
             endpoint: endpoint.0,
-            // Zero would stand for no time-out.
+            // 0 would mean no timeout.
             attempt_timeout: nanoseconds(attempt_timeout).max(1),
         },
         Action::Reject { message, retry_after } => {
@@ -126,7 +127,7 @@
     }
 }
 
-/// Saturates after some 584 years.
+/// Converts a duration to nanoseconds, saturating at about 584 years.
 fn nanoseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/src/bin/simulator-adapter/wire/error.rs
+++ b/src/bin/simulator-adapter/wire/error.rs
@@ -1,20 +1,21 @@
-//! What can be wrong with a batch.
+//! The errors of decoding a batch.
 
 use thiserror::Error;
 
-/// What is wrong with a batch, and where in it: `at` counts bytes from the start of its body. The adapter ends on it.
+/// Why a batch cannot be decoded. `at` is the offset in bytes from the start of its body. The adapter exits with this
+/// error.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
-    /// The batch ends inside a field.
+    /// The batch ends within a field.
     #[error("byte {at}: {field} is cut short")]
     Truncated { at: usize, field: &'static str },
-    /// A record of no known type.
+    /// A record has an unknown type.
     #[error("byte {at}: record {index} has the unknown code {code}")]
     UnknownRecord { at: usize, index: u32, code: u8 },
-    /// Bytes after the last record.
+    /// Bytes follow the last record.
     #[error("byte {at}: {left} bytes left over after the last record")]
     TrailingBytes { at: usize, left: usize },
-    /// Settings that are not text.
+    /// The settings are not UTF-8.
     #[error("byte {at}: the settings are not UTF-8 text")]
     NotUtf8 { at: usize },
 }
--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire: batches of records come in, replies go out. Big-endian, without padding.
+//! The simulator's wire: decodes batches of records and encodes replies. Numbers are big-endian, without padding.
 //!
-//! The wire's own names are mapped to the code's terms here. Whatever arrives is checked: a batch that is cut short or
-//! says something unknown is an error, never a panic or a large allocation.
+//! Only this module and `translation` have the wire's own names for fields. All input is checked: a truncated batch or
+//! an unknown record is an error, never a panic or a large allocation.
 
 mod error;
 mod reader;
--- a/src/bin/simulator-adapter/wire/reader.rs
+++ b/src/bin/simulator-adapter/wire/reader.rs
@@ -2,7 +2,7 @@
 
 use super::error::WireError;
 
-/// Reads fields one after the other. Each names the field that it reads, for the error message.
+/// Reads fields one after the other. Each method takes the name of the field, for the error message.
 pub struct Reader<'a> {
     body: &'a [u8],
     at: usize,
@@ -13,12 +13,12 @@
         Reader { body, at: 0 }
     }
 
-    /// Bytes read so far.
+    /// Returns the number of bytes read so far.
     pub fn at(&self) -> usize {
         self.at
     }
 
-    /// Bytes that are left.
+    /// Returns the number of bytes that are left.
     pub fn left(&self) -> usize {
         self.body.len() - self.at
     }
--- a/src/bin/simulator-adapter/wire/records.rs
+++ b/src/bin/simulator-adapter/wire/records.rs
@@ -1,46 +1,46 @@
-//! The records of a batch, and their decoding. Times and durations are in nanoseconds.
+//! Defines and decodes the records of a batch. Times and durations are in nanoseconds.
 
 use super::error::WireError;
 use super::reader::Reader;
 
 /// The number of a scheduler among those that this process runs.
 pub type InstanceId = u16;
-/// The number under which an endpoint list is kept.
+/// The number of an endpoint list.
 pub type ListId = u16;
 
-/// A batch: what happened up to one moment.
+/// A batch: the events up to one point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The present time.
+    /// The current time.
     pub clock: u64,
-    /// What happened, in this order.
+    /// The events, in the order in which they happened.
     pub records: Vec<Record>,
 }
 
 /// A record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A scheduler starts, with settings in their line form.
+    /// Start a scheduler, with settings in their line form.
     NewInstance { instance: InstanceId, seed: u64, settings: String },
-    /// A scheduler is not needed any more.
+    /// Remove a scheduler.
     RemoveInstance { instance: InstanceId },
-    /// An endpoint list, kept under a number. It concerns no scheduler until a list update refers to it.
+    /// Store an endpoint list under a number. It is passed to no scheduler until a list update refers to it.
     EndpointList { list: ListId, entries: Vec<ListEntry> },
-    /// A scheduler hears of a list.
+    /// Pass a stored endpoint list to a scheduler.
     ListUpdate { instance: InstanceId, list: ListId, revision: u32, kind: u8 },
-    /// A message is accepted.
+    /// A message was accepted.
     Accept(AcceptRecord),
-    /// A probe has its result.
+    /// A probe has ended.
     ProbeFinished { instance: InstanceId, code: u16, latency: u64, endpoint: u32, report: Vec<f32> },
-    /// Nobody waits for a message any more.
+    /// No client waits for the message any more.
     MessageAbandoned { instance: InstanceId, message: u32 },
     /// The response of a streamed message has begun.
     ResponseStarted { instance: InstanceId, message: u32, endpoint: u32, attempt: u16, latency: u64 },
-    /// An attempt ended.
+    /// An attempt has ended.
     FinishedAttempt(FinishedRecord),
     /// A timer has fired.
     TimerFired { instance: InstanceId, token: u64 },
-    /// A note of another scheduler.
+    /// A note from another scheduler has arrived.
     PeerNote { instance: InstanceId, from: u32, text: Vec<u8> },
 }
 
@@ -56,14 +56,14 @@
     pub up_since: u64,
 }
 
-/// A message that is accepted.
+/// A message that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptRecord {
     pub instance: InstanceId,
     pub message: u32,
     pub class: u8,
     pub destination: f32,
-    /// The ordering key; zero stands for none.
+    /// The ordering key, or 0 for none.
     pub key: u64,
     pub deadline: u64,
     pub weight_hint: u64,
@@ -81,7 +81,7 @@
     pub complete: bool,
     pub endpoint: u32,
     pub attempt: u16,
-    /// For a rejection: its Retry-After in milliseconds, or zero for none.
+    /// The Retry-After of a rejection in milliseconds, or 0 for none.
     pub detail: u32,
     pub report: Vec<f32>,
 }
@@ -101,15 +101,15 @@
     pub const ENDPOINT_LIST: u8 = 110;
 }
 
-/// Decodes the body of a batch: what comes after its length.
+/// Decodes the body of a batch, without the length before it.
 ///
 /// # Errors
-/// Whatever is wrong with it; see [`WireError`].
+/// The first error in the body; see [`WireError`].
 pub fn read_batch(body: &[u8]) -> Result<Batch, WireError> {
     let mut reader = Reader::new(body);
     let clock = reader.u64("clock")?;
     let count = reader.u32("record count")?;
-    // Grown as records are read: a count that does not fit ends in an error, not in an allocation.
+    // The vector grows as records are read, so that a wrong count causes an error rather than a large allocation.
     let mut records = Vec::new();
     for index in 0..count {
         records.push(record(&mut reader, index)?);
@@ -228,7 +228,7 @@
 fn endpoint_list(reader: &mut Reader) -> Result<Record, WireError> {
     let list = reader.u16("Slot")?;
     let count = reader.u32("NodesList count")?;
-    // Grown as entries are read, as in `read_batch`.
+    // The vector grows as entries are read, as in `read_batch`.
     let entries = (0..count).map(|_| list_entry(reader)).collect::<Result<_, _>>()?;
     Ok(Record::EndpointList { list, entries })
 }
--- a/src/bin/simulator-adapter/wire/replies.rs
+++ b/src/bin/simulator-adapter/wire/replies.rs
@@ -1,20 +1,20 @@
-//! The records of a reply, and their encoding. Durations are in nanoseconds.
+//! Defines and encodes the records of a reply. Durations are in nanoseconds.
 
 use super::records::InstanceId;
 
-/// A record of a reply: what a scheduler wants done.
+/// A record of a reply: an action that a scheduler requests.
 #[derive(Clone, Debug, PartialEq)]
-#[allow(dead_code)] // The codec has all replies; probes, notes, log lines and fetches are never asked for.
+#[allow(dead_code)] // The codec has all replies; the scheduler requests no probes, notes, log lines or fetches.
 pub enum Reply {
-    /// Send a message to an endpoint; an attempt time-out of zero stands for none.
+    /// Send a message to an endpoint. An attempt timeout of 0 means none.
     StartAttempt { instance: InstanceId, message: u32, endpoint: u32, attempt_timeout: u64 },
-    /// Hand a message back to its client.
+    /// Return a message to its client.
     Reject { instance: InstanceId, message: u32, retry_after: u64 },
-    /// Give a message up.
+    /// Report that a message has failed.
     ReportFailure { instance: InstanceId, message: u32 },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     CancelAttempt { instance: InstanceId, message: u32, attempt: u16 },
-    /// Fire a timer after some time.
+    /// Fire a timer after a duration.
     SetTimer { instance: InstanceId, after: u64, token: u64 },
     /// Probe an endpoint.
     Probe { instance: InstanceId, endpoint: u32 },
@@ -22,13 +22,13 @@
     CloseIdleConnections { instance: InstanceId, endpoint: u32 },
     /// Send a note to another scheduler.
     SendNote { instance: InstanceId, peer: u16, text: Vec<u8> },
-    /// A line for the log.
+    /// Write a line to the log.
     Log { instance: InstanceId, text: String },
     /// The scheduler has panicked.
     Panic { instance: InstanceId, text: String },
-    /// Begin, or end, a watch on the endpoint list.
+    /// Start or end a watch on the endpoint list.
     WatchEndpoints { instance: InstanceId, active: bool },
-    /// Read the whole endpoint list once.
+    /// Fetch the whole endpoint list once.
     FetchEndpoints { instance: InstanceId },
 }
 
@@ -48,10 +48,10 @@
     pub const FETCH_ENDPOINTS: u8 = 120;
 }
 
-/// A reply's length, in front of it.
+/// The size of the length field before the records of a reply.
 const LENGTH_BYTES: usize = 4;
 
-/// Encodes a whole reply: its length and its records.
+/// Encodes a whole reply: the length and the records.
 pub fn write_frame(replies: &[Reply]) -> Vec<u8> {
     let mut out = vec![0; LENGTH_BYTES];
     for reply in replies {
@@ -124,7 +124,7 @@
     out.extend(instance.to_be_bytes());
 }
 
-/// Text has a length of two bytes; what is longer is cut off.
+/// Appends a text with its length in two bytes. A longer text is truncated.
 fn write_text(out: &mut Vec<u8>, text: &[u8]) {
     let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
     out.extend(length.to_be_bytes());
