--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -26,8 +26,8 @@
 
 /// The time limit from the first byte of a response to the end of its head. After it the connection counts as broken.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
-/// The longest response body that is read. The body carries no information where the call has one message: closing the
-/// connection is cheaper than reading a longer body.
+/// The longest response body that is read. The body of a response for one message carries no information, and reading a
+/// longer one only to reuse the connection is not worthwhile.
 const MAX_RESPONSE_BODY_BYTES: u64 = 64 << 10;
 /// The time limit for reading a response body. After it the connection is closed rather than reused.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
--- a/src/bin/delivery-gateway/http_client/tests.rs
+++ b/src/bin/delivery-gateway/http_client/tests.rs
@@ -110,6 +110,7 @@
     });
 }
 
+/// Guards against an implausible load report of an endpoint that would set the rate limit.
 #[test]
 fn load_reports_out_of_range_are_ignored() {
     assert_eq!(parse_load_report("x0=0.4,x1=25"), Some(LoadReport { headroom: 0.4, limit_per_sec: 25.0 }));
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -42,7 +42,7 @@
     pub buffer: Bytes,
     /// Whether at least one request on the connection has had its reply.
     pub served: bool,
-    /// The time within which the client must send more.
+    /// The time that is left for the client to send more.
     pub time_left: Duration,
     /// The maximum time for which the first request may have waited unread before the connection was accepted.
     pub unread_for: Duration,
@@ -231,7 +231,7 @@
                     }
                     return Ok(ReadOutcome::Incomplete);
                 }
-                // The caller first decodes what has arrived, and then reads the new phase.
+                // The caller reads the new phase, and reads what has arrived meanwhile before it closes the connection.
                 Ok(()) = self.phase.changed() => return Ok(ReadOutcome::PhaseChanged),
             }
             if let Some(outcome) = self.try_read().await? {
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -7,7 +7,8 @@
 //! - [`enqueue`] maps the words of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
 //! - [`drain`] discards what a refused client still sends, so that its error reply is not lost.
 //!
-//! The event loop alone decides whether a message is accepted. A malformed request ends its own connection only.
+//! The event loop alone decides whether a message is accepted. A connection that breaks or sends malformed RESP2 is
+//! closed, which does not affect others.
 
 mod codec;
 mod connection;
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// Guards against requests of many words that are each within their limit but take up too much memory together.
 #[test]
 fn a_request_is_bounded_in_total() {
     let body = vec![b'x'; MAX_MESSAGE_BODY_BYTES];
@@ -66,6 +67,7 @@
     EnqueueRequest::try_from(words.as_slice()).map_err(|error| error.to_string())
 }
 
+/// Guards against swapped fields, and against a second field of the same name that replaces the first.
 #[test]
 fn the_fields_of_an_enqueue_are_mapped() {
     let fields = b"c=notice,t=t-1,dest=7,d=1500,k=key-1,again=1,c=other";
@@ -86,6 +88,7 @@
     assert_eq!((request.tenant.as_str(), request.idempotency_key, request.is_redelivered), ("", None, false));
 }
 
+/// Guards against changed error texts, which clients receive, and against invalid requests that are accepted.
 #[test]
 fn each_enqueue_error_has_its_text() {
     let good = b"c=notice,dest=1,d=1000";
--- a/src/discovery/update.rs
+++ b/src/discovery/update.rs
@@ -57,7 +57,7 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// The endpoint's name, which is unique: an endpoint that replaces this one has another name.
+    /// The endpoint's name. An endpoint that replaces this one has another name.
     pub uid: String,
     /// The endpoint's address, as `IP:port`.
     #[serde(rename = "endpoint")]
--- a/src/discovery/update_decoder/tests.rs
+++ b/src/discovery/update_decoder/tests.rs
@@ -33,6 +33,7 @@
     assert!(end.is_ok());
 }
 
+/// Guards against bytes that are lost or decoded twice where an update arrives in many parts.
 #[test]
 fn an_update_may_arrive_byte_by_byte() {
     let text = format!("\n{DELTA}\n");
@@ -50,6 +51,7 @@
     assert!(end.is_ok());
 }
 
+/// Guards against a heartbeat that is taken for a part of an incomplete update, which would never end.
 #[test]
 fn a_blank_line_inside_an_update_is_an_error() {
     let (seen, end) = revisions(&[&format!("{DELTA}\n{{\n  \"rev\": 8,\n\n")]);
