--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The delivery gateway's scheduler, and what the programs around it share.
+//! The delivery gateway's scheduler, and the code that the programs around it share: the configuration parser, the
+//! client of the endpoint list ([`discovery`]) and socket helpers ([`socket`]).
 //!
-//! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and
-//! answers with what to do ([`Action`]). It opens no socket, reads no clock and shares nothing: its randomness comes
-//! from the seed, its time from the caller. Call [`Scheduler::handle`] for every event, then [`Scheduler::decide`]
-//! once.
+//! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and returns
+//! what to do ([`Action`]). It performs no I/O and has no shared state: the seed is its only source of randomness, and
+//! the caller passes the time. Call [`Scheduler::handle`] for every event of a step, then [`Scheduler::decide`] once.
 //!
 //! ```
 //! use delivery_gateway::{AcceptedMessage, Action, Availability, Class, Endpoint, EndpointUpdate, Event};
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -1,60 +1,61 @@
-//! What a scheduler asks for.
+//! The scheduler's output: the actions that the gateway carries out.
 
 use std::time::Duration;
 
 use super::ids::{EndpointId, MessageId};
 
-/// Something to do. Actions are carried out in the order given.
+/// An instruction of the scheduler. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to an endpoint. Attempts of one step to one endpoint share a call, as far as
-    /// [`DestinationKind::max_batch_size`](super::DestinationKind::max_batch_size) allows.
+    /// Sends a message to an endpoint. Attempts of one step to the same endpoint share a call, up to
+    /// [`DestinationKind::max_batch_size`](super::DestinationKind::max_batch_size) messages.
     StartAttempt {
-        /// The message.
+        /// The message to send.
         message: MessageId,
-        /// The endpoint.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// How long to wait for the response.
+        /// The attempt times out if there is no response within this time.
         attempt_timeout: Duration,
-        /// Its first byte has to leave within this time. If the connection takes longer, the attempt is not
-        /// made ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
+        /// The first byte has to be sent within this time. If the connection takes longer to open, the
+        /// attempt is not made ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
         send_within: Duration,
     },
-    /// Final outcome: rejected without effect; the client may safely enqueue the message again.
+    /// Reports the final outcome "rejected": the message was not processed, or is idempotent, so that the
+    /// client may safely enqueue it again.
     Reject {
-        /// The message.
+        /// The rejected message.
         message: MessageId,
-        /// How long the client should wait before that.
+        /// How long the client should wait before it enqueues the message again.
         retry_after: Duration,
     },
-    /// Final outcome: failed; whether it took effect is not known.
+    /// Reports the final outcome "failed": the message may have been processed.
     ReportFailure {
-        /// The message.
+        /// The failed message.
         message: MessageId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight. The endpoint may have processed the message all the same.
     CancelAttempt {
-        /// The message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Number of the attempt among those of the message, from 0.
+        /// Index of the attempt among those of the message, from 0.
         attempt: u16,
     },
-    /// Send an [`Event::TimerFired`](super::Event::TimerFired) after some time. There is one timer: a new one
-    /// replaces the one before.
+    /// Requests an [`Event::TimerFired`](super::Event::TimerFired) after some time. There is a single timer:
+    /// a new request replaces the previous one.
     SetTimer {
-        /// How long from now.
+        /// Delay from now.
         after: Duration,
-        /// Returned with the event.
+        /// Returned unchanged with the event.
         token: u64,
     },
-    /// Close the idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The endpoint at the other end of the connections.
         endpoint: EndpointId,
     },
-    /// Begin, or end, a watch on the endpoint list.
+    /// Starts or ends the watch on the endpoint list.
     WatchEndpoints {
-        /// Whether it begins.
+        /// True to start the watch, false to end it.
         is_active: bool,
     },
 }
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -1,44 +1,44 @@
-//! How attempts end.
+//! The outcomes of attempts, and load reports.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 use super::ids::{EndpointId, MessageId};
 
-/// How an attempt ended.
+/// The outcome of an attempt. "May have run" means that the endpoint may have processed the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// Delivered.
+    /// The endpoint accepted the message.
     Delivered,
-    /// Answered with an error; may have run.
+    /// The response was an error; the message may have run.
     ErrorResponse,
-    /// Rejected unprocessed: over the limit, queue full, closed or draining. With the Retry-After, if there
-    /// was one.
+    /// Rejected without being processed: over the rate limit, queue full, destination closed or draining.
+    /// Holds the Retry-After, if the response had one.
     Rejected(Option<Duration>),
-    /// No response in time; may have run, or may still run.
+    /// No response within the attempt timeout; the message may have run, or may still be running.
     Timeout,
-    /// No connection; did not run.
+    /// The connection could not be opened; the message did not run.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke before the response; the message may have run.
     Reset,
-    /// Answered with what cannot be read; may have run.
+    /// The response could not be parsed; the message may have run.
     MalformedResponse,
-    /// Cancelled by the scheduler; may have run.
+    /// Cancelled by [`Action::CancelAttempt`](super::Action::CancelAttempt); the message may have run.
     Cancelled,
-    /// Certainly not processed: not sent (no time left, or withdrawn), or refused by the endpoint before it
-    /// ran. It says nothing of the endpoint's health.
+    /// Not processed: the attempt was not sent (no time left, or withdrawn), or the endpoint refused the
+    /// message before running it. This outcome is not evidence about the endpoint's health.
     NotSent,
-    /// The endpoint says that the message has had all its attempts; this one did not run.
+    /// The endpoint reports that the message has had all its attempts; this one did not run.
     AttemptsExhausted,
-    /// Rejected for the connection that it came on: the endpoint has too many. No rate limit was met.
+    /// Rejected because the endpoint has too many connections. This is not a rejection by its rate limit.
     TooManyConnections,
     /// The gateway's own machine could not make the attempt (disk, descriptors, memory or ports). It does not
-    /// count as one of the message's attempts, and says nothing of the endpoint.
+    /// count as one of the message's attempts, and is not evidence about the endpoint.
     LocalFailure,
 }
 
 impl AttemptOutcome {
-    /// Whether the message has certainly not been processed.
+    /// Returns whether the endpoint has certainly not processed the message in this attempt.
     pub fn was_not_processed(self) -> bool {
         matches!(
             self,
@@ -52,30 +52,32 @@
     }
 }
 
-/// What a destination reports of its own limit with a response.
+/// A destination's report on its rate limit, sent with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Ratio of the limit that is unused just now: 0 is used up, 1 is all of it; up to 2 is accepted.
+    /// Unused ratio of the limit: 0 if the limit is used up, 1 if all of it is free. Values up to 2 are
+    /// accepted.
     pub headroom: f64,
-    /// The limit, in calls a second over the whole fleet; zero where there is none.
+    /// The limit, in calls per second over the whole fleet; zero if the destination has none.
     pub limit_per_sec: f64,
 }
 
-/// The end of one attempt. Each attempt that was started has exactly one.
+/// The end of one attempt. Each started attempt ends exactly once.
 #[derive(Clone, Debug)]
 pub struct FinishedAttempt {
-    /// The message.
+    /// The message that the attempt carried.
     pub message: MessageId,
     /// The endpoint that the attempt went to.
     pub endpoint: EndpointId,
-    /// Number of the attempt among those of the message, from 0.
+    /// Index of the attempt among those of the message, from 0.
     pub attempt: u16,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub latency: Duration,
-    /// The message is completed; if not, its final outcome is still owed.
+    /// True if the message has its final outcome with this attempt; false if the scheduler still has to retry
+    /// it or to give it a final outcome.
     pub completes_message: bool,
-    /// What was reported of the limit.
+    /// The load report of the response; none if the response had none.
     pub load_report: Option<LoadReport>,
 }
--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -1,52 +1,54 @@
-//! What is known of the health of a route: a destination or, where these have limits of their own, one
-//! endpoint of it.
+//! Circuit breaker records, which are kept over a restart, and the status of routes for the log.
 
 use std::time::Duration;
 
 use super::ids::{DestinationId, EndpointId};
 use super::time::Time;
 
-/// State of a circuit breaker that outlasts a restart, as the slow start after an outage must.
+/// State of a route's circuit breaker and slow start that is kept over a restart: a gateway that restarts
+/// during an outage or a slow start must not send at its full rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CircuitRecord {
-    /// The destination.
+    /// The destination of the route.
     pub destination: DestinationId,
-    /// One endpoint of it, where endpoints have limits of their own.
+    /// The endpoint, if the route is a single endpoint with its own limits.
     pub endpoint: Option<EndpointId>,
-    /// When a call last succeeded.
+    /// When a call last succeeded; while the circuit is open, the last success before it opened.
     pub last_success_at: Time,
-    /// Weight of the failures since then.
+    /// Sum of the weights of the failures since then.
     pub failure_score: u32,
-    /// Whether calls were lost, and not just rejected, while the circuit is open; none while it is closed.
+    /// While the circuit is open: whether calls were lost and not just rejected. None while it is closed.
     pub has_lost_calls: Option<bool>,
-    /// When the slow start began, if one is under way.
+    /// Start of the active slow start; none if there is none. Lies in the future if the destination announced
+    /// the end of its outage.
     pub slow_start_since: Option<Time>,
-    /// Calls a second that were served before the outage.
+    /// Calls per second that this gateway had served by the route before the outage.
     pub baseline_per_sec: f64,
 }
 
-/// A change of what has to outlast a restart.
+/// A change of the state of a route that is kept over a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CircuitChange {
-    /// The destination.
+    /// The destination of the route.
     pub destination: DestinationId,
-    /// One endpoint of it, where endpoints have limits of their own.
+    /// The endpoint, if the route is a single endpoint with its own limits.
     pub endpoint: Option<EndpointId>,
-    /// What has to be remembered now; none where the circuit is as if it had never opened.
+    /// The state to store; none if the circuit is as if it had never opened, so that the stored record can be
+    /// deleted.
     pub record: Option<CircuitRecord>,
 }
 
-/// What limits a route just now, for the log.
+/// The present limits of a route, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteStatus {
-    /// The endpoint, where endpoints have limits of their own.
+    /// The endpoint, if the route is a single endpoint with its own limits.
     pub endpoint: Option<EndpointId>,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
-    /// Calls a second that this gateway may send.
+    /// Calls per second that this gateway may send.
     pub rate_limit_per_sec: f64,
-    /// What is left of a Retry-After.
+    /// Remaining time of a Retry-After; zero if none is pending.
     pub retry_after: Duration,
-    /// Whether its circuit is open.
+    /// Whether the route's circuit is open.
     pub circuit_open: bool,
 }
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -1,48 +1,50 @@
-//! Classes of message: how often and for how long one may be sent again, and what its delivery is worth.
+//! Message classes: how often and for how long a message may be retried, and how much its delivery is worth.
 
 use std::time::Duration;
 
-/// What sending a message a second time does.
+/// The effect of sending a message a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated at any time.
+    /// No further effect: the message may be sent again at any time.
     Idempotent,
-    /// Nothing, within the class's [`DeduplicationScope`] and [`Class::idempotency_window`], as it goes under
-    /// the same idempotency key.
+    /// No further effect if the message is sent under the same idempotency key, within the class's
+    /// [`DeduplicationScope`] and [`Class::idempotency_window`].
     IdempotentWithKey,
-    /// It takes effect once more: a message that may have run is not sent again.
+    /// The message takes effect again, so it is not resent after an attempt that may have run.
     NonIdempotent,
 }
 
-/// Which endpoints of a destination recognize an idempotency key that one of them has seen.
+/// The endpoints of a destination that recognize an idempotency key which one of them has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints of the destination.
     Destination,
-    /// Those in the zone of the first attempt that may have run.
+    /// The endpoints in the zone of the first attempt that may have run.
     Zone,
 }
 
-/// A class of message.
+/// The delivery rules of one class of messages. The defaults are those of [`Class::default`].
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A message delivered within this time after it was enqueued has its full value.
+    /// A message delivered within this time after it was enqueued has its full value. Default: 3 s.
     pub latency_objective: Duration,
-    /// How long after it was enqueued a message may be delivered at all.
+    /// A message may be delivered until this long after it was enqueued. Default: 20 s.
     pub deadline: Duration,
-    /// What sending a message a second time does.
+    /// The effect of sending a message a second time. Default: [`Idempotency::IdempotentWithKey`].
     pub idempotency: Idempotency,
-    /// With [`Idempotency::IdempotentWithKey`]: which endpoints recognize a repeated key.
+    /// With [`Idempotency::IdempotentWithKey`]: which endpoints recognize a repeated key. Default:
+    /// [`DeduplicationScope::Destination`].
     pub deduplication_scope: DeduplicationScope,
-    /// With [`Idempotency::IdempotentWithKey`]: how long after the first attempt that may have run a key is
-    /// recognized.
+    /// With [`Idempotency::IdempotentWithKey`]: how long endpoints recognize a key, from the first attempt
+    /// that may have run. Default: 10 s.
     pub idempotency_window: Duration,
-    /// Messages with one [`OrderingKey`](super::OrderingKey) are delivered one at a time, in the order of
-    /// acceptance.
+    /// Whether messages with the same [`OrderingKey`](super::OrderingKey) are delivered one at a time, in the
+    /// order of acceptance. Default: false.
     pub is_ordered: bool,
-    /// Value of a message that is delivered within its latency objective.
+    /// Value of a message that is delivered within its latency objective, relative to other classes. Default:
+    /// 1.
     pub priority_weight: f64,
-    /// Ratio of the value that is left at the deadline, from 0 to 1; see [`Decay`].
+    /// Ratio of the value that is left at the deadline, from 0 to 1; see [`Decay`]. Default: 0.5.
     pub late_value_ratio: f64,
 }
 
@@ -61,11 +63,11 @@
     }
 }
 
-/// How the value of a message falls once its latency objective has passed.
+/// How the value of a message falls after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to [`Class::late_value_ratio`] at the deadline.
+    /// Linearly, down to [`Class::late_value_ratio`] at the deadline.
     Linear,
-    /// By half with each further latency objective, but not below [`Class::late_value_ratio`].
+    /// By half per further latency objective, but not below [`Class::late_value_ratio`].
     Halving,
 }
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,46 +1,47 @@
-//! Endpoints, as the endpoint list announces them.
+//! Entries and updates of the endpoint list.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::{DestinationId, DestinationKindId, EndpointId, ZoneId};
 
-/// Whether an endpoint may be given new work. It says nothing of health.
+/// Whether an endpoint may get new calls. Availability is independent of health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Availability {
-    /// It may.
+    /// The endpoint may get new calls.
     Ready,
-    /// It finishes what it has, and is given nothing new.
+    /// The endpoint finishes its calls in flight and gets no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// Unique id of the endpoint.
     pub id: EndpointId,
-    /// The zone that it stands in.
+    /// The availability zone of the endpoint.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the endpoint's destination.
     pub kind: DestinationKindId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Whether it may be given new work.
+    /// Whether the endpoint may get new calls.
     pub availability: Availability,
-    /// See [`CapacityHints`](super::CapacityHints).
+    /// The listed limit; [`CapacityHints`](super::CapacityHints) says how it is used. Zero or less: no limit
+    /// is listed.
     pub capacity_hint: f64,
 }
 
-/// What the watch on the endpoint list brings.
+/// A result of the watch on the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// The entries that have changed.
+    /// The entries that have changed since the last update.
     Delta(Vec<Endpoint>),
-    /// All entries: an endpoint that is not among them is removed.
+    /// All entries of the list: an endpoint that is not among them is removed.
     Snapshot(Vec<Endpoint>),
-    /// The list could not be read, or the watch on it broke; what was known remains valid.
+    /// The list could not be read, or the watch on it broke. The last received list remains valid.
     WatchFailed,
-    /// The same, as discovery is overloaded and sheds watches.
+    /// Discovery is overloaded and rejected the watch. The last received list remains valid.
     WatchRejected,
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -1,4 +1,4 @@
-//! What a scheduler receives.
+//! The scheduler's input: events from clients, endpoints, discovery, operators and the timer.
 
 use std::time::Duration;
 
@@ -9,44 +9,46 @@
 use super::message::{AcceptedMessage, RestoredMessage};
 use super::time::Time;
 
-/// Something that happened.
+/// An event that the scheduler has to take into account.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list was read or has changed, or the watch on it failed.
+    /// The endpoint list was read or has changed, or the watch on it failed or was rejected.
     EndpointsUpdated(EndpointUpdate),
-    /// The watch on the endpoint list is up.
+    /// The watch on the endpoint list is established.
     WatchEstablished,
-    /// A message was accepted.
+    /// A client's message was accepted.
     MessageAccepted(AcceptedMessage),
-    /// A message that was accepted before a restart. They come in the order of acceptance, before any
+    /// A pending message from before a restart. These events come in the order of acceptance, before any
     /// [`Event::MessageAccepted`].
     MessageRestored(RestoredMessage),
-    /// A circuit's state from before a restart; comes after the endpoint list.
+    /// The state of a circuit from before a restart. These events come after the endpoint list.
     CircuitRestored(CircuitRecord),
     /// The final outcome of a message was acknowledged; see
     /// [`Settings::outcomes_need_acknowledgement`](super::Settings::outcomes_need_acknowledgement).
     OutcomeAcknowledged(MessageId),
     /// The gateway shuts down at this time: no call is started that would not be over by then. The largest
-    /// time cancels the shutdown.
+    /// [`Time`] cancels the shutdown.
     ShutdownScheduled(Time),
-    /// Operators disable an endpoint, listed or not. It may come twice.
+    /// Operators disabled an endpoint, whether it is listed or not. The event may be repeated.
     EndpointDisabled(EndpointId),
-    /// They enable it again. It may have been restarted meanwhile, and so gets a slow start.
+    /// Operators enabled an endpoint again. The endpoint gets a slow start, as it may have been restarted
+    /// meanwhile.
     EndpointEnabled(EndpointId),
-    /// Whether operators want the gateway to drain: it finishes what it has and accepts nothing new.
+    /// Operators switched lame duck mode on or off. In this mode the gateway finishes its pending messages
+    /// and, after a grace period, accepts no new ones.
     LameDuck(bool),
-    /// A response that accepted messages asked for a pause all the same. Rejections bring their own; see
+    /// A response that accepted messages had a Retry-After all the same. For rejections see
     /// [`AttemptOutcome::Rejected`](super::AttemptOutcome::Rejected).
     RetryAfter {
-        /// The endpoint that asked for it.
+        /// The endpoint that sent the response.
         endpoint: EndpointId,
-        /// How long, from now.
+        /// Time from now during which the endpoint's route may not be called.
         delay: Duration,
     },
-    /// An attempt ended.
+    /// An attempt ended with some outcome.
     AttemptFinished(FinishedAttempt),
-    /// Nobody waits for this message any more: no final outcome is owed.
+    /// No client waits for this message any more: it needs no final outcome.
     MessageAbandoned(MessageId),
-    /// A timer asked for by [`Action::SetTimer`](super::Action::SetTimer) has fired; with its token.
+    /// The timer requested with [`Action::SetTimer`](super::Action::SetTimer) fired; holds its token.
     TimerFired(u64),
 }
--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -1,4 +1,4 @@
-//! Ids, each a type of its own so that none is taken for another.
+//! Ids. Each is a separate type, so that the compiler rejects one in place of another.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,12 +13,12 @@
 }
 
 ids! {
-    /// The number of a message, unique for the life of a scheduler. The ids and idempotency keys of clients
-    /// are texts of their own.
+    /// The number of a message, unique for the life of a scheduler. It is independent of the ids and
+    /// idempotency keys that clients use, which are texts.
     MessageId(u32);
-    /// One endpoint of a destination.
+    /// The id of one endpoint of a destination, as listed by discovery.
     EndpointId(u32);
-    /// The system that a message is for, with one endpoint or more.
+    /// The id of the system that a message is for, which has one or more endpoints.
     DestinationId(u32);
     /// Index into [`Settings::classes`](super::Settings::classes).
     ClassId(u8);
@@ -26,8 +26,9 @@
     TenantId(u32);
     /// Index into [`Settings::destination_kinds`](super::Settings::destination_kinds).
     DestinationKindId(u16);
-    /// An availability zone.
+    /// The id of an availability zone; index into [`Settings::zone_costs`](super::Settings::zone_costs).
     ZoneId(u8);
-    /// What messages of an ordered class are about; those with one key are delivered one at a time, in order.
+    /// Identifies what messages of an ordered class are about. Messages with the same key are delivered one
+    /// at a time, in the order of acceptance.
     OrderingKey(u64);
 }
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -1,48 +1,49 @@
-//! Messages, as they are accepted and as they are recovered after a restart.
+//! Messages as clients enqueue them, and as they are restored after a restart.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::{ClassId, DestinationId, MessageId, OrderingKey, TenantId, ZoneId};
 use super::time::Time;
 
-/// A message that has been accepted: it is owed one final outcome.
+/// A message that was accepted. It gets exactly one final outcome, unless it is abandoned.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AcceptedMessage {
-    /// Its id, which is never used again.
+    /// Id of the message; never reused.
     pub id: MessageId,
-    /// Its class.
+    /// Class of the message.
     pub class: ClassId,
-    /// Where it goes.
+    /// Destination to which the message is delivered.
     pub destination: DestinationId,
-    /// Its ordering key, if it has one.
+    /// Ordering key, if the message has one; ignored unless its class is ordered.
     pub key: Option<OrderingKey>,
-    /// When it is given up, on the scheduler's clock.
+    /// Time at which the message is given up, on the scheduler's clock.
     pub deadline: Time,
-    /// Another gateway that crashed had accepted it before; where it is idempotent with a key it may have run
-    /// there.
+    /// True if another gateway that crashed had accepted the message before. If it is idempotent with a key,
+    /// it may have run there.
     pub is_redelivered: bool,
-    /// The tenant that it belongs to.
+    /// Tenant whose quota the message counts against.
     pub tenant: TenantId,
 }
 
-/// When and where an attempt was sent.
+/// Time and zone of an attempt that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
-    /// When its first byte may have left.
+    /// When the first byte may have been sent.
     pub sent_at: Time,
-    /// The zone of the endpoint that it went to.
+    /// Zone of the endpoint that the attempt was sent to.
     pub zone: ZoneId,
 }
 
-/// A message that was accepted before a restart.
+/// A message that was accepted before a restart and is still pending.
 #[derive(Clone, Debug)]
 pub struct RestoredMessage {
-    /// The message as it was accepted.
+    /// The message as originally accepted.
     pub message: AcceptedMessage,
-    /// Attempts made for it.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run; none if no attempt may have run.
     pub first_uncertain_attempt: Option<SentAttempt>,
-    /// It has its final outcome, which nobody has acknowledged yet: its ordering key is taken until then.
+    /// True if the message has its final outcome but the outcome was not acknowledged yet. It keeps its
+    /// ordering key until then.
     pub has_final_outcome: bool,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The types of the scheduler's interface: what it receives ([`Event`]), what it answers ([`Action`]), and
-//! what it is given at its start ([`Settings`]). Types without rules: no decision is made here.
+//! The types of the scheduler's interface: its input ([`Event`]), its output ([`Action`]) and its
+//! configuration ([`Settings`]). No decision is made here.
 
 mod action;
 mod attempt;
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,99 +1,104 @@
-//! What a scheduler is given at its start. `src/config` maps the names in the configuration to these, and has
-//! the defaults of settings that a configuration leaves out. The defaults here are those of
+//! The scheduler's settings. `src/config` maps the names in the configuration to these fields, and has the
+//! defaults for settings that a configuration leaves out. The defaults given here are those of
 //! [`Settings::default`], for tests and examples.
 
 use std::time::Duration;
 
 use super::class::{Class, Decay};
 
-/// A client with a quota.
+/// The quota of a tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Messages a second, over the whole fleet, that have their full value; see
+    /// Messages per second, over the whole fleet, that keep their full value; see
     /// [`Settings::over_quota_value_ratio`].
     pub quota_per_sec: f64,
 }
 
-/// A kind of destination.
+/// Delivery properties that all destinations of one kind share.
 #[derive(Clone, Debug)]
 pub struct DestinationKind {
-    /// Messages that one call may carry. Default: 1.
+    /// The maximum number of messages in one call. Default: 1.
     pub max_batch_size: usize,
-    /// The endpoints of a destination have rate limits and circuit breakers of their own. Default: false.
+    /// Whether each endpoint of a destination has its own rate limit and circuit breaker. Default: false.
     pub has_per_endpoint_limits: bool,
 }
 
-/// What the capacity hint of an endpoint in the endpoint list means.
+/// The meaning of the capacity hints in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityHints {
-    /// Nothing.
+    /// Hints have no meaning and are ignored.
     Ignored,
-    /// Calls a second that its destination serves for the whole fleet.
+    /// A hint is the number of calls per second that the endpoint's destination serves for the whole fleet.
     Exact,
-    /// The same, but up to half too high or too low. Treated like [`CapacityHints::Exact`]: the rate limit
-    /// learns the rest.
+    /// Like [`CapacityHints::Exact`], but up to half too high or too low. The scheduler treats both in the
+    /// same way: the rate limit adapts to the actual capacity.
     Approximate,
 }
 
-/// The limits that the delivery protocol sets.
+/// Limits set by the delivery protocol. The defaults are those of [`Settings::default`].
 #[derive(Clone, Debug)]
 pub struct DeliveryLimits {
-    /// A final outcome is still in time this long after the deadline. Default: 20 ms.
+    /// A final outcome may be reported until this long after the deadline. Default: 20 ms.
     pub final_outcome_grace: Duration,
-    /// Part of its capacity that a destination has at least when it returns from an outage. Default: 0.2.
+    /// The minimum ratio of its full capacity that a destination has when it returns from an outage. Default:
+    /// 0.2.
     pub cold_capacity_ratio: f64,
-    /// After this long at most a returned destination has its full capacity. Default: 10 s.
+    /// The maximum time after an outage until a destination has its full capacity again. Default: 10 s.
     pub warm_up: Duration,
-    /// A returning destination fails again when it gets more than this multiple of its present capacity over
+    /// A returning destination fails again if it gets more than this multiple of its present capacity over
     /// the overload window. Default: 2.
     pub overload_multiple: f64,
     /// The overload window: how long a returning destination survives an overload. Default: 2 s.
     pub overload_window: Duration,
-    /// How soon after an endpoint is announced as draining or removed no new call may reach it. Default: 2 s.
+    /// No new call may reach an endpoint later than this after it is announced as draining or removed.
+    /// Default: 2 s.
     pub drain_grace: Duration,
-    /// How long an ordering key is held back after an attempt that may still be running. Default: none.
+    /// How long the next message of an ordering key has to wait after an attempt that may still be running.
+    /// Default: zero.
     pub ordering_key_hold: Duration,
 }
 
-/// What a scheduler is given at its start.
+/// The settings of a scheduler, fixed for its lifetime.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Gateways that share the destinations, this one included. Default: 2.
+    /// Number of gateways that share the destinations, this one included. Default: 2.
     pub fleet_size: u32,
-    /// Classes of message. Default: one, see [`Class`].
+    /// Message classes, indexed by [`ClassId`](super::ClassId). Default: one, [`Class::default`].
     pub classes: Vec<Class>,
-    /// Tenants. Default: none.
+    /// Tenants with quotas, indexed by [`TenantId`](super::TenantId). Default: none.
     pub tenants: Vec<Tenant>,
-    /// Kinds of destination. Default: one, without batches.
+    /// Kinds of destination, indexed by [`DestinationKindId`](super::DestinationKindId). Default: one,
+    /// without batches.
     pub destination_kinds: Vec<DestinationKind>,
-    /// What capacity hints in the endpoint list mean. Default: [`CapacityHints::Exact`].
+    /// The meaning of the capacity hints in the endpoint list. Default: [`CapacityHints::Exact`].
     pub capacity_hints: CapacityHints,
     /// How the value of a message falls after its latency objective. Default: [`Decay::Linear`].
     pub decay: Decay,
-    /// Cost, in any unit as costs are only compared, of a message that goes to an endpoint with limits of its
-    /// own in a zone, by [`ZoneId`](super::ZoneId); zero where absent.
+    /// Cost of a message that goes to an endpoint with its own limits in a zone, indexed by
+    /// [`ZoneId`](super::ZoneId); zero if absent. Costs are only compared, so any unit will do. Default:
+    /// none.
     pub zone_costs: Vec<f64>,
-    /// Calls that may be in flight at once. Default: 16.
+    /// The maximum number of calls in flight. Default: 16.
     pub max_in_flight_calls: usize,
-    /// Messages that may be pending. Default: 400.
+    /// The maximum number of pending messages. Default: 400.
     pub max_pending_messages: usize,
-    /// Attempts that a message may have. Default: 8.
+    /// The maximum number of attempts of a message. Default: 8.
     pub max_attempts: u32,
-    /// [`Action::CancelAttempt`](super::Action::CancelAttempt) is permitted. Default: true.
+    /// Whether [`Action::CancelAttempt`](super::Action::CancelAttempt) is permitted. Default: true.
     pub allow_cancel: bool,
-    /// A message may have two attempts in flight at once; no scheduler makes use of it yet. Default: false.
+    /// Whether a message may have two attempts in flight at once. No scheduler uses this yet. Default: false.
     pub allow_hedging: bool,
-    /// A final outcome frees the message's ordering key only once
-    /// [`Event::OutcomeAcknowledged`](super::Event::OutcomeAcknowledged) says that it has arrived. Default:
-    /// false.
+    /// Whether a message keeps its ordering key after its final outcome until
+    /// [`Event::OutcomeAcknowledged`](super::Event::OutcomeAcknowledged) reports that the outcome has
+    /// arrived. Default: false.
     pub outcomes_need_acknowledgement: bool,
-    /// Value of a message beyond its tenant's quota, relative to one within it. Default: 1.
+    /// Value of a message over its tenant's quota, relative to one within it. Default: 1.
     pub over_quota_value_ratio: f64,
-    /// A connection that takes longer to come up has failed. Default: 1 s.
+    /// The maximum time for opening a connection; if it takes longer, the attempt has failed. Default: 1 s.
     pub connect_timeout: Duration,
     /// Endpoints close a connection that has been idle for this long. Default: 15 s.
     pub connection_idle_timeout: Duration,
-    /// The limits that the delivery protocol sets.
+    /// Limits set by the delivery protocol.
     pub limits: DeliveryLimits,
 }
 
