--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -15,9 +15,9 @@
 const SHED_ABOVE_RATIO: f64 = 0.93;
 /// Shedding a message that was never sent has a cost in this first part of its time: its client has waited in
 /// vain, while the client of a rejected message can go elsewhere at once.
-const EARLY_RATIO_OF_DEADLINE: f64 = 0.7;
+const EARLY_SHED_DEADLINE_RATIO: f64 = 0.7;
 /// That cost, as a ratio of the message's full value.
-const EARLY_SHED_COST_RATIO: f64 = 0.3;
+const EARLY_SHED_COST_VALUE_RATIO: f64 = 0.3;
 
 /// A message that could be shed.
 struct LeastValuable<'a> {
@@ -35,8 +35,8 @@
         if self.open_messages < self.max_open_messages() {
             return true;
         }
-        let over_quota = self.quotas.is_exhausted(&self.settings, now, accepted.tenant);
-        let value = Message::new(&self.settings, now, accepted.clone(), over_quota)
+        let is_over_quota = self.quotas.is_exhausted(&self.settings, now, accepted.tenant);
+        let value = Message::new(&self.settings, now, accepted.clone(), is_over_quota)
             .map(|message| message_value::current(&self.settings, now, &message));
         let is_accepted = self.least_valuable(now).is_none_or(|least| {
             let cost = self.shed_cost(now, least.message);
@@ -51,16 +51,16 @@
     /// What it costs to shed a message, beyond its value.
     fn shed_cost(&self, now: Time, message: &Message) -> f64 {
         let early_until =
-            message.enqueued_at + message.class(&self.settings).deadline.mul_f64(EARLY_RATIO_OF_DEADLINE);
+            message.enqueued_at + message.class(&self.settings).deadline.mul_f64(EARLY_SHED_DEADLINE_RATIO);
         let is_early = message.first_uncertain_attempt.is_none() && now < early_until;
-        let ratio = if is_early { EARLY_SHED_COST_RATIO } else { 0.0 };
+        let ratio = if is_early { EARLY_SHED_COST_VALUE_RATIO } else { 0.0 };
         ratio * message_value::full(&self.settings, message)
     }
 
     /// Queues a message that was accepted.
     pub(super) fn on_message_accepted(&mut self, now: Time, accepted: AcceptedMessage) {
-        let over_quota = self.quotas.charge(&self.settings, now, accepted.tenant);
-        let Some(mut message) = Message::new(&self.settings, now, accepted, over_quota) else { return };
+        let is_over_quota = self.quotas.charge(&self.settings, now, accepted.tenant);
+        let Some(mut message) = Message::new(&self.settings, now, accepted, is_over_quota) else { return };
         self.last_seq += 1;
         message.seq = self.last_seq;
         let AcceptedMessage { id, destination, deadline, .. } = message.accepted;
@@ -90,7 +90,7 @@
 
     /// The final outcome that a message may be given now.
     fn final_outcome(&mut self, now: Time, id: MessageId) -> Option<Action> {
-        let message = self.messages.get(&id).filter(|message| !message.completed)?;
+        let message = self.messages.get(&id).filter(|message| !message.is_completed)?;
         let destination = message.accepted.destination;
         if idempotency::is_safe_to_reject(&self.settings, message) {
             let retry_after = self.suggested_retry_after(now, destination);
@@ -116,10 +116,12 @@
         while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
             self.deadlines.remove(&deadline);
             let id = deadline.message;
-            let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
-            let latest = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
-            if message.call.is_some() && now < latest {
-                self.deadlines.insert(Deadline { at: latest, message: id });
+            let Some(message) = self.messages.get(&id).filter(|message| !message.is_completed) else {
+                continue;
+            };
+            let give_up_at = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
+            if message.call.is_some() && now < give_up_at {
+                self.deadlines.insert(Deadline { at: give_up_at, message: id });
             } else {
                 self.give_up(now, id);
             }
@@ -143,7 +145,7 @@
     fn least_valuable(&self, now: Time) -> Option<LeastValuable<'_>> {
         self.messages
             .values()
-            .filter(|message| !message.completed && message.call.is_none())
+            .filter(|message| !message.is_completed && message.call.is_none())
             .map(|message| {
                 let value = message_value::current(&self.settings, now, message);
                 LeastValuable { value, message }
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -3,7 +3,7 @@
 //! A call has one outcome, and the rules of its route learn from it once, each in a step of its own, in the
 //! order of [`Scheduler::learn`].
 
-use super::circuit_breaker::{longest_transient, Failure, Severity};
+use super::circuit_breaker::{max_transient_outage, Failure, Severity};
 use super::idempotency;
 use super::rate_limit::Rejection;
 use super::retry;
@@ -40,8 +40,8 @@
         self.record_attempt(now, call_id, &finished);
         // The messages of a call share its outcome: it is complete with the last of them.
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        call.unfinished -= 1;
-        if call.unfinished == 0 {
+        call.unfinished_attempts -= 1;
+        if call.unfinished_attempts == 0 {
             if let Some(call) = self.calls.remove(&call_id) {
                 self.complete_call(now, call_id, call, &finished);
             }
@@ -52,7 +52,7 @@
         } else {
             self.set_last_send_deadline(now, id);
         }
-        self.forget_if_settled(id);
+        self.delete_if_settled(id);
     }
 
     /// Updates a message after an attempt: attempts made, uncertainty, backoff and the hold on its key.
@@ -94,11 +94,11 @@
             route.calls.remove(&id);
         }
         self.ready_index.unresponsive_calls.remove(&id);
-        let is_explained = self.learn_of_connections(now, finished.outcome, &call);
-        self.learn_of_endpoint(now, finished.outcome, &call, is_explained);
+        let caused_by_idle_connection = self.update_connection_reuse(now, finished.outcome, &call);
+        self.update_endpoint(now, finished.outcome, &call, caused_by_idle_connection);
         let had_record = self.has_circuit_record(call.route);
-        if !is_explained {
-            self.learn(now, finished, &call);
+        if !caused_by_idle_connection {
+            self.update_route(now, finished, &call);
         }
         if had_record || self.has_circuit_record(call.route) {
             self.ready_index.changed_circuits.insert(call.route);
@@ -108,11 +108,11 @@
 
     /// Learns of idle connections; returns whether one explains the loss of the call, so that the loss says
     /// nothing of endpoint and route.
-    fn learn_of_connections(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
+    fn update_connection_reuse(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
         let is_lost =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
-        let is_explained =
-            is_lost && self.connection_reuse.explains_loss(&self.settings, call.connection_idle);
+        let caused_by_idle_connection =
+            is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle);
         // An unresponsive call was counted when it became so.
         if is_lost && !call.is_unresponsive {
             self.connection_reuse.record_loss(now, &self.settings, call.connection_idle);
@@ -123,10 +123,16 @@
         if outcome == AttemptOutcome::TooManyConnections {
             self.connection_reuse.on_too_many_connections(now, &self.settings);
         }
-        is_explained
+        caused_by_idle_connection
     }
 
-    fn learn_of_endpoint(&mut self, now: Time, outcome: AttemptOutcome, call: &Call, is_explained: bool) {
+    fn update_endpoint(
+        &mut self,
+        now: Time,
+        outcome: AttemptOutcome,
+        call: &Call,
+        caused_by_idle_connection: bool,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return };
         endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
         match outcome {
@@ -136,7 +142,7 @@
             | AttemptOutcome::Timeout
             | AttemptOutcome::Reset
             | AttemptOutcome::ErrorResponse => {
-                if !is_explained {
+                if !caused_by_idle_connection {
                     endpoint.on_failure(now, &self.settings, self.rng.f64());
                 }
             }
@@ -152,14 +158,14 @@
             self.actions.push(Action::CloseIdleConnections { endpoint: call.endpoint });
         }
         if endpoint.calls_in_flight == 0 && endpoint.is_removed() {
-            self.forget_endpoint(call.endpoint);
+            self.delete_endpoint(call.endpoint);
         }
     }
 
     /// Lets the rules of a route learn from one of its calls: reported limit, latency, loss ratio; then, by
     /// the kind of outcome, traffic, slow start, rate limit and circuit breaker.
-    fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
-        let chance = self.rng.f64();
+    fn update_route(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
+        let random_fraction = self.rng.f64();
         let waiting_messages = self.queues.get(&call.route.destination).map_or(0, Queue::len) as f64;
         let has_healthy_endpoint = self.has_healthy_endpoint(call.route);
         let settings = &self.settings;
@@ -178,14 +184,14 @@
         }
         route.losses.record(now, settings, outcome);
         match outcome {
-            AttemptOutcome::Delivered => route.learn_success(now, settings, report),
-            AttemptOutcome::Rejected(Some(wait)) if wait > longest_transient(settings) => {
-                route.learn_announced_return(chance);
+            AttemptOutcome::Delivered => route.on_success(now, settings, report),
+            AttemptOutcome::Rejected(Some(wait)) if wait > max_transient_outage(settings) => {
+                route.on_announced_return(random_fraction);
             }
             AttemptOutcome::Rejected(_) => {
-                route.learn_rejection(now, settings, waiting_messages, chance);
+                route.on_rejection(now, settings, waiting_messages, random_fraction);
                 let failure = Failure::Rejected(Severity::of_rejection(report));
-                route.learn_failure(now, settings, failure, chance);
+                route.on_failure(now, settings, failure, random_fraction);
             }
             _ => {
                 let no_success_since = route.circuit.no_success_since(call.sent_at);
@@ -194,7 +200,7 @@
                 } else {
                     Severity::None
                 };
-                route.learn_failure(now, settings, Failure::Lost(severity), chance);
+                route.on_failure(now, settings, Failure::Lost(severity), random_fraction);
             }
         }
     }
@@ -222,7 +228,7 @@
 }
 
 impl Route {
-    fn learn_success(&mut self, now: Time, settings: &Settings, report: Option<LoadReport>) {
+    fn on_success(&mut self, now: Time, settings: &Settings, report: Option<LoadReport>) {
         let is_recovering = self.is_recovering();
         self.traffic.record_served(now, settings, is_recovering);
         if self.circuit.success_ends_outage(now, settings) {
@@ -236,29 +242,29 @@
     /// The destination is closed, and has announced when it is back. All rejected messages wait for that
     /// moment: the slow start begins there, with no tokens saved up, and the first call of each gateway is at
     /// a random point within the interval between two of its calls.
-    fn learn_announced_return(&mut self, chance: f64) {
+    fn on_announced_return(&mut self, random_fraction: f64) {
         let back_at = self.retry_after.until();
         self.slow_start.begin(back_at);
-        self.rate_limit.restart(back_at, chance);
+        self.rate_limit.restart(back_at, random_fraction);
         self.circuit.on_announced_return();
     }
 
-    fn learn_rejection(&mut self, now: Time, settings: &Settings, waiting_messages: f64, chance: f64) {
+    fn on_rejection(&mut self, now: Time, settings: &Settings, waiting_messages: f64, random_fraction: f64) {
         let rejection = Rejection {
             waiting_messages,
             batch_size: self.batch_size,
             demand_per_sec: self.traffic.demand_per_sec(now, settings),
             floor_per_sec: self.overload_budget_per_sec(now, settings, 0.0),
-            low_traffic: self.traffic.is_low(now, settings),
-            chance,
+            has_low_traffic: self.traffic.is_low(now, settings),
+            random_fraction,
         };
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
     /// An open circuit ends a slow start.
-    fn learn_failure(&mut self, now: Time, settings: &Settings, failure: Failure, chance: f64) {
+    fn on_failure(&mut self, now: Time, settings: &Settings, failure: Failure, random_fraction: f64) {
         if self.circuit.on_failure(failure) {
-            self.schedule_probe(now, settings, chance);
+            self.schedule_probe(now, settings, random_fraction);
             self.slow_start.cancel();
         }
     }
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -46,7 +46,7 @@
             endpoint: endpoint_id,
             zone,
             sent_at: now,
-            unfinished: messages.len(),
+            unfinished_attempts: messages.len(),
             messages,
             connection_idle,
             is_unresponsive: false,
@@ -96,8 +96,8 @@
         let message = self.messages.get(&first);
         let call = NextCall {
             idle,
-            no_other_call: endpoint.calls_in_flight == 0,
-            resendable: message
+            is_only_call: endpoint.calls_in_flight == 0,
+            is_resendable: message
                 .is_some_and(|message| idempotency::is_resendable(message.class(&self.settings))),
         };
         match self.connection_reuse.decide(now, &self.settings, &call) {
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -14,16 +14,16 @@
 /// Failure score that keeps an open circuit open.
 const REOPENING_SCORE: u32 = 3;
 /// First delay between probes, as a ratio of the overload window.
-const BASE_PROBE_DELAY_OF_WINDOW: f64 = 0.1;
+const BASE_PROBE_DELAY_WINDOW_RATIO: f64 = 0.1;
 /// Longest delay between probes, as a ratio of the overload window.
-const MAX_PROBE_DELAY_OF_WINDOW: f64 = 0.6;
+const MAX_PROBE_DELAY_WINDOW_RATIO: f64 = 0.6;
 /// Jitter leaves at least this ratio of a delay.
-const MIN_JITTER: f64 = 0.25;
+const MIN_JITTER_RATIO: f64 = 0.25;
 /// Failures without success for less than this ratio of the overload window are transient, and not followed
 /// by a slow start.
-const TRANSIENT_OF_WINDOW: f64 = 0.6;
+const MAX_TRANSIENT_WINDOW_RATIO: f64 = 0.6;
 /// A rejection that reports more headroom than this was not caused by the rate limit.
-const HEADROOM_LEFT: f64 = 0.3;
+const MAX_HEADROOM_AT_LIMIT: f64 = 0.3;
 
 /// How strongly an outcome suggests that the destination is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,8 @@
 impl Severity {
     /// The severity of a rejection. With headroom left the destination is shut, or hangs with a full queue.
     pub fn of_rejection(report: Option<LoadReport>) -> Severity {
-        let has_headroom = |report: LoadReport| report.limit_per_sec > 0.0 && report.headroom > HEADROOM_LEFT;
+        let has_headroom =
+            |report: LoadReport| report.limit_per_sec > 0.0 && report.headroom > MAX_HEADROOM_AT_LIMIT;
         if report.is_some_and(has_headroom) {
             Severity::Major
         } else {
@@ -75,7 +76,7 @@
     /// No probe before this time, as the destination asked with a Retry-After.
     pub not_before: Time,
     /// A random number in `0.0..1.0`.
-    pub chance: f64,
+    pub random_fraction: f64,
 }
 
 /// The circuit breaker of a route.
@@ -93,7 +94,7 @@
     since: Time,
     next_probe_at: Time,
     /// Probes sent so far.
-    probes: u32,
+    probes_sent: u32,
     /// Some call failed or was rejected; else there was only silence.
     has_failures: bool,
     /// Calls were lost or are silent, not just rejected.
@@ -151,7 +152,7 @@
     /// A probe is sent, if the circuit is open.
     pub fn on_call_sent(&mut self) {
         if let Some(open) = &mut self.open {
-            open.probes += 1;
+            open.probes_sent += 1;
         }
     }
 
@@ -159,7 +160,7 @@
     /// last success, so that it is recognized by gateways that saw only its end.
     pub fn success_ends_outage(&self, now: Time, settings: &Settings) -> bool {
         let is_outage =
-            |open: &OpenInterval| open.has_failures && now - open.since > longest_transient(settings);
+            |open: &OpenInterval| open.has_failures && now - open.since > max_transient_outage(settings);
         self.open.as_ref().is_some_and(is_outage)
     }
 
@@ -198,9 +199,9 @@
         let Some(open) = &mut self.open else { return };
         let budget_delay = Duration::from_secs_f64(budget.calls_per_sec.max(0.001).recip());
         let window = settings.limits.overload_window;
-        let delay = backoff::exponential(window, BASE_PROBE_DELAY_OF_WINDOW, open.probes)
-            .min(window.mul_f64(MAX_PROBE_DELAY_OF_WINDOW));
-        let jitter = MIN_JITTER + budget.chance * (1.0 - MIN_JITTER);
+        let delay = backoff::exponential(window, BASE_PROBE_DELAY_WINDOW_RATIO, open.probes_sent)
+            .min(window.mul_f64(MAX_PROBE_DELAY_WINDOW_RATIO));
+        let jitter = MIN_JITTER_RATIO + budget.random_fraction * (1.0 - MIN_JITTER_RATIO);
         // The delay starts after a Retry-After: gateways that wait for it together must not call together.
         open.next_probe_at = now.max(budget.not_before) + delay.max(budget_delay).mul_f64(jitter);
     }
@@ -242,6 +243,6 @@
 }
 
 /// Failures, and waits that a destination asks for, of up to this length are not followed by a slow start.
-pub fn longest_transient(settings: &Settings) -> Duration {
-    settings.limits.overload_window.mul_f64(TRANSIENT_OF_WINDOW)
+pub fn max_transient_outage(settings: &Settings) -> Duration {
+    settings.limits.overload_window.mul_f64(MAX_TRANSIENT_WINDOW_RATIO)
 }
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Idle times that are told apart, each twice as long as the one before.
-const IDLE_STEPS: usize = 10;
+const IDLE_BUCKETS: usize = 10;
 /// Shortest idle time that counts as idle, as a ratio of the shortest latency objective. What is lost on a
 /// connection that was in use more recently has other causes.
-const SHORTEST_IDLE_OF_OBJECTIVE: f64 = 1.0 / 64.0;
+const MIN_IDLE_OBJECTIVE_RATIO: f64 = 1.0 / 64.0;
 /// Weight of the newest loss or success in a risk.
 const RISK_GAIN: f64 = 0.15;
 /// Risk from which on an idle connection isn't used for a message that can't be resent: it would be lost.
@@ -42,16 +42,16 @@
     /// Time since a call last ended there with its connection left open.
     pub idle: Duration,
     /// No other call is in flight there. If one is, a second connection may have been idle for longer.
-    pub no_other_call: bool,
+    pub is_only_call: bool,
     /// Its message can be sent again if it is lost.
-    pub resendable: bool,
+    pub is_resendable: bool,
 }
 
 /// Risk of losing a call, by the time for which its connection had been idle.
 #[derive(Default, Serialize, Deserialize)]
 pub struct ConnectionReuse {
     /// Ratio of calls lost on idle connections, by idle time.
-    idle_risks: [f64; IDLE_STEPS],
+    idle_risks: [f64; IDLE_BUCKETS],
     /// Ratio of calls lost on connections that had not been idle.
     baseline_risk: f64,
     /// When a risky idle connection may next be tried.
@@ -63,15 +63,15 @@
 impl ConnectionReuse {
     /// Decides for the next call to an endpoint that may have idle connections.
     pub fn decide(&mut self, now: Time, settings: &Settings, call: &NextCall) -> IdleConnections {
-        let max_risk = if call.resendable { MAX_RISK_RESENDABLE } else { MAX_RISK_NON_IDEMPOTENT };
-        let not_idle = if call.no_other_call { IDLE_STEPS } else { 0 };
-        let risks = &self.idle_risks[idle_step(settings, call.idle).unwrap_or(not_idle)..];
+        let max_risk = if call.is_resendable { MAX_RISK_RESENDABLE } else { MAX_RISK_NON_IDEMPOTENT };
+        let fallback_bucket = if call.is_only_call { IDLE_BUCKETS } else { 0 };
+        let risks = &self.idle_risks[idle_bucket(settings, call.idle).unwrap_or(fallback_bucket)..];
         let risk =
-            if call.no_other_call { risks.first().copied() } else { risks.iter().copied().reduce(f64::max) };
+            if call.is_only_call { risks.first().copied() } else { risks.iter().copied().reduce(f64::max) };
         if risk.unwrap_or(0.0) < max_risk + self.baseline_risk * BASELINE_RISK_MULTIPLE {
-            return IdleConnections::Reuse(call.no_other_call.then_some(call.idle));
+            return IdleConnections::Reuse(call.is_only_call.then_some(call.idle));
         }
-        if call.resendable && call.no_other_call && now >= self.next_probe_at {
+        if call.is_resendable && call.is_only_call && now >= self.next_probe_at {
             self.next_probe_at = now + probe_interval(settings);
             return IdleConnections::Reuse(Some(call.idle));
         }
@@ -80,9 +80,9 @@
 
     /// Whether a call that was lost after its connection had been idle for so long was most likely lost for
     /// that.
-    pub fn explains_loss(&self, settings: &Settings, idle: Option<Duration>) -> bool {
-        let step = idle.and_then(|idle| idle_step(settings, idle));
-        let risk = step.map_or(0.0, |step| self.idle_risks[step]);
+    pub fn likely_caused_loss(&self, settings: &Settings, idle: Option<Duration>) -> bool {
+        let bucket = idle.and_then(|idle| idle_bucket(settings, idle));
+        let risk = bucket.map_or(0.0, |bucket| self.idle_risks[bucket]);
         risk > MAX_RISK_NON_IDEMPOTENT + self.baseline_risk * BASELINE_RISK_MULTIPLE
     }
 
@@ -102,10 +102,10 @@
 
     /// Adds a sample; says whether the connection had been idle.
     fn record(&mut self, settings: &Settings, idle: Option<Duration>, lost: f64) -> bool {
-        let step = idle.and_then(|idle| idle_step(settings, idle));
-        let risk = step.map_or(&mut self.baseline_risk, |step| &mut self.idle_risks[step]);
+        let bucket = idle.and_then(|idle| idle_bucket(settings, idle));
+        let risk = bucket.map_or(&mut self.baseline_risk, |bucket| &mut self.idle_risks[bucket]);
         *risk += RISK_GAIN * (lost - *risk);
-        step.is_some()
+        bucket.is_some()
     }
 
     /// Ratio of calls lost on connections that had not been idle, over all destinations.
@@ -129,8 +129,8 @@
 }
 
 /// Which of the risks an idle time belongs to; none where it is too short to count as idle.
-fn idle_step(settings: &Settings, idle: Duration) -> Option<usize> {
-    let shortest_secs = shortest_objective_secs(settings) * SHORTEST_IDLE_OF_OBJECTIVE;
+fn idle_bucket(settings: &Settings, idle: Duration) -> Option<usize> {
+    let shortest_secs = shortest_objective_secs(settings) * MIN_IDLE_OBJECTIVE_RATIO;
     let doublings = (idle.as_secs_f64() / shortest_secs).log2();
-    (doublings >= 0.0).then(|| (doublings as usize).min(IDLE_STEPS - 1))
+    (doublings >= 0.0).then(|| (doublings as usize).min(IDLE_BUCKETS - 1))
 }
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::circuit_breaker::CircuitBreaker;
 use super::rate_limit::RateLimit;
 use super::route::Route;
-use super::state::ready_index::earliest;
+use super::state::ready_index::keep_earliest;
 use super::state::TrackedEndpoint;
 use super::Scheduler;
 use crate::model::*;
@@ -39,7 +39,7 @@
             |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
         for id in self.ready_index.removed_endpoints.iter().filter(has_no_calls).copied().collect::<Vec<_>>()
         {
-            self.forget_endpoint(id);
+            self.delete_endpoint(id);
         }
     }
 
@@ -59,9 +59,9 @@
         }
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
         let batch_size = kind.map_or(1, |kind| kind.max_batch_size.max(1));
-        let chance = self.rng.f64();
+        let random_fraction = self.rng.f64();
         let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
-            rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
+            rate_limit: RateLimit::new(now, &self.settings, &entry, random_fraction),
             latency: self.latency,
             circuit: CircuitBreaker::new(now),
             ..Route::default()
@@ -73,13 +73,13 @@
             return;
         }
         route.endpoints.push(entry.id);
-        let preference = self.rng.u32(..);
-        self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, preference));
+        let tie_breaker = self.rng.u32(..);
+        self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, tie_breaker));
     }
 
     /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
     /// except where the endpoint was a route of its own.
-    pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
+    pub(super) fn delete_endpoint(&mut self, id: EndpointId) {
         self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
         self.mark_destination_changed(endpoint.entry.destination);
@@ -98,6 +98,6 @@
         if self.watch_backoff.take_due(now) {
             self.actions.push(Action::WatchEndpoints { is_active: true });
         }
-        earliest(next, self.watch_backoff.retry_at());
+        keep_earliest(next, self.watch_backoff.retry_at());
     }
 }
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -9,7 +9,7 @@
 /// After a failure an endpoint is the last choice for a random time. Its upper end after the first failure is
 /// twice this ratio of the overload window; it doubles with each further one, up to the length of a slow
 /// start.
-const BASE_AVOIDANCE_OF_WINDOW: f64 = 0.1;
+const BASE_AVOIDANCE_WINDOW_RATIO: f64 = 0.1;
 
 impl Scheduler {
     /// Whether an endpoint may get new calls: it is listed as ready, and operators have not disabled it.
@@ -35,10 +35,10 @@
     pub(super) fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         self.eligible_endpoints(id)
-            .filter(|endpoint| idempotency::may_go_to(&self.settings, message, endpoint.entry.zone))
+            .filter(|endpoint| idempotency::may_send_to_zone(&self.settings, message, endpoint.entry.zone))
             .min_by_key(|endpoint| {
                 let is_avoided = endpoint.avoid_until > now;
-                (is_avoided, endpoint.calls_in_flight, endpoint.failures, endpoint.preference)
+                (is_avoided, endpoint.calls_in_flight, endpoint.failures, endpoint.tie_breaker)
             })
             .map(|endpoint| endpoint.entry.id)
     }
@@ -66,12 +66,13 @@
     }
 
     /// A call failed: other endpoints are preferred for a while; `chance` is a random number in `0.0..1.0`.
-    pub fn on_failure(&mut self, now: Time, settings: &Settings, chance: f64) {
+    pub fn on_failure(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
         self.failures += 1;
         let limits = &settings.limits;
-        let avoidance = backoff::exponential(limits.overload_window, BASE_AVOIDANCE_OF_WINDOW, self.failures)
-            .min(limits.warm_up);
-        self.avoid_until = now + avoidance.mul_f64(chance);
+        let avoidance =
+            backoff::exponential(limits.overload_window, BASE_AVOIDANCE_WINDOW_RATIO, self.failures)
+                .min(limits.warm_up);
+        self.avoid_until = now + avoidance.mul_f64(random_fraction);
     }
 
     /// Operators use it again: it may have been restarted, and earlier failures say nothing of its present
--- a/src/scheduler/idempotency.rs
+++ b/src/scheduler/idempotency.rs
@@ -37,11 +37,11 @@
 }
 
 /// Whether a message may go to a zone: where duplicates are dropped by zone, it stays with its first one.
-pub fn may_go_to(settings: &Settings, message: &Message, zone: ZoneId) -> bool {
+pub fn may_send_to_zone(settings: &Settings, message: &Message, zone: ZoneId) -> bool {
     let class = message.class(settings);
-    let bound_to_zone = class.idempotency == Idempotency::IdempotentWithKey
+    let is_bound_to_zone = class.idempotency == Idempotency::IdempotentWithKey
         && class.deduplication_scope == DeduplicationScope::Zone;
-    message.first_uncertain_attempt.is_none_or(|first| !bound_to_zone || first.zone == Some(zone))
+    message.first_uncertain_attempt.is_none_or(|first| !is_bound_to_zone || first.zone == Some(zone))
 }
 
 /// Whether the client may be told that it can safely send the message again, rather than that its delivery
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -15,7 +15,7 @@
 /// Calls fade over this many overload windows.
 const SPAN_IN_OVERLOAD_WINDOWS: f64 = 2.0;
 /// A message waits at most until so many latency objectives before its deadline.
-const LAST_ATTEMPT_IN_OBJECTIVES: f64 = 1.0;
+const LAST_ATTEMPT_OBJECTIVES_BEFORE_DEADLINE: f64 = 1.0;
 
 /// Recent calls of a route that succeeded, and that were lost.
 #[derive(Default, Serialize, Deserialize)]
@@ -58,5 +58,5 @@
 
 /// The time from which on a message of this class is sent whatever the ratio, as it cannot wait any longer.
 pub fn last_attempt_at(class: &Class, deadline: Time) -> Time {
-    deadline - class.latency_objective.mul_f64(LAST_ATTEMPT_IN_OBJECTIVES)
+    deadline - class.latency_objective.mul_f64(LAST_ATTEMPT_OBJECTIVES_BEFORE_DEADLINE)
 }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -13,7 +13,7 @@
     pub(super) fn mark_destination_changed(&mut self, destination: DestinationId) {
         self.ready_index.mark_changed(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
-            route.rate_limit.refill_until(self.last_round_at);
+            route.rate_limit.refill_until(self.slots_filled_at);
         }
     }
 
@@ -30,7 +30,7 @@
             return QueueState::Individual;
         }
         QueueState::Grouped {
-            group: MessageGroup { class: message.accepted.class, over_quota: message.over_quota },
+            group: MessageGroup { class: message.accepted.class, is_over_quota: message.is_over_quota },
             enqueued_at: message.enqueued_at,
             not_before: message.not_before,
         }
@@ -59,8 +59,8 @@
 
     /// A message has its final outcome, or its client doesn't want it any more.
     pub(super) fn complete_message(&mut self, id: MessageId) {
-        if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.completed) {
-            message.completed = true;
+        if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.is_completed) {
+            message.is_completed = true;
             self.open_messages -= 1;
             self.deadlines.remove(&Deadline { at: message.accepted.deadline, message: id });
             let destination = message.accepted.destination;
@@ -72,7 +72,7 @@
             }
             self.mark_destination_changed(destination);
         }
-        self.forget_if_settled(id);
+        self.delete_if_settled(id);
     }
 
     /// The client has acknowledged the final outcome of a message.
@@ -80,14 +80,14 @@
         if let Some(message) = self.messages.get_mut(&id) {
             message.awaits_acknowledgement = false;
         }
-        self.forget_if_settled(id);
+        self.delete_if_settled(id);
     }
 
     /// Forgets a message once its final outcome is acknowledged and no attempt is in flight. Until then it
     /// keeps its ordering key.
-    pub(super) fn forget_if_settled(&mut self, id: MessageId) {
+    pub(super) fn delete_if_settled(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
-        if !message.completed || message.awaits_acknowledgement || message.call.is_some() {
+        if !message.is_completed || message.awaits_acknowledgement || message.call.is_some() {
             return;
         }
         let key = message.accepted.key;
@@ -102,7 +102,7 @@
     /// Rebuilds the indexes from the state; the next step visits everything.
     pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
-            route.rate_limit.refill_until(self.last_round_at);
+            route.rate_limit.refill_until(self.slots_filled_at);
         }
         self.ready_index = ReadyIndex::default();
         self.ready_index.must_visit_all = true;
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -4,7 +4,7 @@
 use super::loss_ratio;
 use super::message_value;
 use super::state::queue::{MessageGroup, Queue, QueueState};
-use super::state::ready_index::{earliest, Revisit};
+use super::state::ready_index::{keep_earliest, Revisit};
 use super::state::{Message, RemainingValue, RouteId};
 use super::Scheduler;
 use crate::model::*;
@@ -33,31 +33,31 @@
         let baseline = self.connection_reuse.baseline_risk();
         let route = self.routes.get_mut(&route_id);
         let is_probe = route.as_ref().is_some_and(|route| route.circuit.is_open());
-        let loses_calls = route.is_some_and(|route| route.losses.is_high(now, &self.settings, baseline));
-        let short_list = self.best_of_long_queue(now, route_id.destination, loses_calls);
-        let queue = if short_list.is_some() { None } else { self.queues.get(&route_id.destination) };
-        let ids = short_list.into_iter().flatten().chain(queue.into_iter().flat_map(Queue::ids));
-        let may_go_there = |message: &&Message| {
-            zones.iter().any(|zone| idempotency::may_go_to(&self.settings, message, *zone))
+        let has_high_loss = route.is_some_and(|route| route.losses.is_high(now, &self.settings, baseline));
+        let candidates = self.candidates_of_long_queue(now, route_id.destination, has_high_loss);
+        let queue = if candidates.is_some() { None } else { self.queues.get(&route_id.destination) };
+        let ids = candidates.into_iter().flatten().chain(queue.into_iter().flat_map(Queue::ids));
+        let may_send_there = |message: &&Message| {
+            zones.iter().any(|zone| idempotency::may_send_to_zone(&self.settings, message, *zone))
         };
         let mut best: Option<(bool, ChosenMessage)> = None;
-        for message in ids.filter_map(|id| self.messages.get(&id)).filter(may_go_there) {
-            let send_at = self.earliest_send(now, message);
+        for message in ids.filter_map(|id| self.messages.get(&id)).filter(may_send_there) {
+            let send_at = self.earliest_send_at(now, message);
             if send_at.is_none_or(|at| at > now) {
-                earliest(&mut revisit.send_at, send_at);
+                keep_earliest(&mut revisit.send_at, send_at);
                 // If its idempotency window ends before that time, it can never be sent.
                 let expires_at = idempotency::last_send_at(&self.settings, message)
                     .map(|last_send_at| last_send_at + Duration::from_nanos(1));
-                earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
+                keep_earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
                 continue;
             }
             let class = message.class(&self.settings);
             let is_resendable = idempotency::is_resendable(class);
             let last_attempt_at = loss_ratio::last_attempt_at(class, message.accepted.deadline);
-            if loses_calls && !is_resendable && now < last_attempt_at {
+            if has_high_loss && !is_resendable && now < last_attempt_at {
                 let recheck_at = now + loss_ratio::recheck_delay(&self.settings);
-                revisit.each_step = true;
-                earliest(&mut revisit.send_at, Some(recheck_at.min(last_attempt_at)));
+                revisit.at_every_step = true;
+                keep_earliest(&mut revisit.send_at, Some(recheck_at.min(last_attempt_at)));
                 continue;
             }
             let is_preferred = !is_probe || is_resendable;
@@ -71,30 +71,30 @@
 
     /// The condition that every attempt has to meet: when a message may be sent. None if that depends on some
     /// event, or if it may never be sent again.
-    fn earliest_send(&self, now: Time, message: &Message) -> Option<Time> {
+    fn earliest_send_at(&self, now: Time, message: &Message) -> Option<Time> {
         let last_send_at = idempotency::last_send_at(&self.settings, message);
-        if message.completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
+        if message.is_completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
             return None;
         }
         let Some(key) = message.ordering_key(&self.settings) else { return Some(message.not_before) };
         let was_attempted = message.attempts > 0;
-        let turn_at = self.ordering.earliest_send(key, message.accepted.id, was_attempted)?;
+        let turn_at = self.ordering.earliest_send_at(key, message.accepted.id, was_attempted)?;
         Some(message.not_before.max(turn_at))
     }
 
     /// A short list from a long queue that contains its best message; none if the queue is short. With
     /// `include_non_idempotent` it contains all messages that are not idempotent.
-    fn best_of_long_queue(
+    fn candidates_of_long_queue(
         &mut self,
         now: Time,
         destination: DestinationId,
-        include_non_idempotent: bool,
+        include_all_non_idempotent: bool,
     ) -> Option<Vec<MessageId>> {
         let mut queue = std::mem::take(self.queues.get_mut(&destination)?);
         let queue_state =
             |id| self.messages.get(&id).map_or(QueueState::InFlight, |message| self.queue_state(message));
         let index = queue.take_index(queue_state);
-        let best = index.map(|mut index| {
+        let candidates = index.map(|mut index| {
             let class = |group: MessageGroup| &self.settings.classes[usize::from(group.class.0)];
             let stage = |group: MessageGroup, enqueued_at: Time| {
                 let age_secs = (now - enqueued_at).as_secs_f64();
@@ -104,14 +104,15 @@
                 stage_at(age_secs) + stage_at(age_secs + objective_secs)
             };
             index.advance(now, stage);
-            let is_included = |group| include_non_idempotent && !idempotency::is_resendable(class(group));
-            let best = index.candidates(is_included);
-            queue.give_back(index);
-            best
+            let include_all_of =
+                |group| include_all_non_idempotent && !idempotency::is_resendable(class(group));
+            let candidates = index.candidates(include_all_of);
+            queue.restore_index(index);
+            candidates
         });
         self.ready_index.work_counters.messages_compared +=
-            best.as_ref().map_or(queue.len(), Vec::len) as u64;
+            candidates.as_ref().map_or(queue.len(), Vec::len) as u64;
         self.queues.insert(destination, queue);
-        best
+        candidates
     }
 }
--- a/src/scheduler/message_value.rs
+++ b/src/scheduler/message_value.rs
@@ -10,7 +10,7 @@
 
 /// Value of a message on time.
 pub fn full(settings: &Settings, message: &Message) -> f64 {
-    let quota_ratio = if message.over_quota { settings.over_quota_value_ratio } else { 1.0 };
+    let quota_ratio = if message.is_over_quota { settings.over_quota_value_ratio } else { 1.0 };
     message.class(settings).priority_weight * quota_ratio
 }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -100,7 +100,7 @@
     /// Endpoints that operators have disabled, listed or not.
     disabled_endpoints: BTreeSet<EndpointId>,
     /// When free slots were last filled.
-    last_round_at: Time,
+    slots_filled_at: Time,
     #[serde(skip)]
     timer: Option<Timer>,
     last_timer_token: u64,
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -47,11 +47,16 @@
 
     /// The earliest time at which a message may be sent; none before its turn. A hold binds only a message
     /// that was not attempted yet.
-    pub fn earliest_send(&self, key: OrderingKey, message: MessageId, attempted: bool) -> Option<Time> {
+    pub fn earliest_send_at(
+        &self,
+        key: OrderingKey,
+        message: MessageId,
+        was_attempted: bool,
+    ) -> Option<Time> {
         if self.pending.get(&key)?.first() != Some(&message) {
             return None;
         }
-        let hold = if attempted { None } else { self.holds.get(&key).copied() };
+        let hold = if was_attempted { None } else { self.holds.get(&key).copied() };
         Some(self.all_held_until.max(hold.unwrap_or(Time::ZERO)))
     }
 }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// This gateway's share of a quota, in even shares: traffic isn't spread evenly.
-const LOCAL_SHARE: f64 = 1.25;
+const LOCAL_QUOTA_EVEN_SHARES: f64 = 1.25;
 
 /// What is left of each tenant's quota at this gateway.
 #[derive(Default, Serialize, Deserialize)]
@@ -21,17 +21,17 @@
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Balance {
     messages: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl TenantQuotas {
     /// Counts one message of a tenant, and says whether it is over quota. Such a message uses up nothing.
     pub fn charge(&mut self, settings: &Settings, now: Time, tenant: TenantId) -> bool {
         let Some(remaining) = self.remaining(settings, now, tenant) else { return false };
-        let over_quota = remaining < 1.0;
-        let messages = if over_quota { remaining } else { remaining - 1.0 };
-        self.balances.insert(tenant, Balance { messages, at: now });
-        over_quota
+        let is_over_quota = remaining < 1.0;
+        let messages = if is_over_quota { remaining } else { remaining - 1.0 };
+        self.balances.insert(tenant, Balance { messages, updated_at: now });
+        is_over_quota
     }
 
     /// Whether one more message of a tenant would be over quota.
@@ -42,10 +42,10 @@
     /// What is left, in messages; none where the tenant has no quota.
     fn remaining(&self, settings: &Settings, now: Time, tenant: TenantId) -> Option<f64> {
         let quota_per_sec = settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
-        let local_per_sec = quota_per_sec * (LOCAL_SHARE / fleet_size(settings)).min(1.0);
-        let full = Balance { messages: local_per_sec, at: now };
+        let local_per_sec = quota_per_sec * (LOCAL_QUOTA_EVEN_SHARES / fleet_size(settings)).min(1.0);
+        let full = Balance { messages: local_per_sec, updated_at: now };
         let balance = self.balances.get(&tenant).copied().unwrap_or(full);
-        let refilled = balance.messages + (now - balance.at).as_secs_f64() * local_per_sec;
+        let refilled = balance.messages + (now - balance.updated_at).as_secs_f64() * local_per_sec;
         Some(refilled.min(local_per_sec))
     }
 }
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -18,7 +18,7 @@
 const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
 /// Initial rate of a route, in even shares of the listed limit. If all gateways together sent more than the
 /// limit, rejected calls would use it up.
-const INITIAL_SHARES: f64 = 1.0;
+const INITIAL_RATE_EVEN_SHARES: f64 = 1.0;
 /// Initial rate of a route: at least this many calls within the shortest deadline.
 const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
 /// Lower bound for listed limits, in calls a second.
@@ -32,7 +32,7 @@
 /// gateway that calls rarely would need minutes to get back to its share otherwise.
 const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
 /// Growth if the destination reports its headroom: the headroom times this, as a ratio of the rate.
-const GROWTH_OF_HEADROOM: f64 = 2.0;
+const GROWTH_PER_HEADROOM: f64 = 2.0;
 /// Time span of the rate of sent calls, in seconds.
 const SENT_SPAN_SECS: f64 = 1.0;
 /// Tokens that may be saved up, in seconds of the rate; one at least.
@@ -45,7 +45,7 @@
 const MAX_WAIT_IN_SLOW_START_SECS: f64 = 10.0;
 /// After a rejection, a gateway with low traffic waits a random time of up to this many calls at its rate:
 /// such gateways are many, and must not all call at the same moment.
-const LOW_TRAFFIC_SPREAD_CALLS: f64 = 3.0;
+const LOW_TRAFFIC_MAX_WAIT_CALLS: f64 = 3.0;
 
 /// What determines the rate now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,9 +62,9 @@
     /// Yes.
     Available,
     /// Not yet.
-    Due {
+    Unavailable {
         /// When there will be a token at the present rate.
-        due: Time,
+        available_at: Time,
         /// When to check again whether the token has come earlier.
         recheck_at: Time,
         /// Whether `due` is the time of the token, and not the longest permitted wait.
@@ -83,9 +83,9 @@
     /// The lowest rate that a cut may lead to.
     pub floor_per_sec: f64,
     /// This gateway has low traffic there.
-    pub low_traffic: bool,
+    pub has_low_traffic: bool,
     /// A random number in `0.0..1.0`.
-    pub chance: f64,
+    pub random_fraction: f64,
 }
 
 /// The rate limit of a route.
@@ -102,27 +102,27 @@
     refill_pending: bool,
     last_cut_at: Time,
     /// Cuts since the last success.
-    cuts: usize,
-    sent: DecayingRate,
+    cuts_since_success: usize,
+    sent_calls: DecayingRate,
 }
 
 impl RateLimit {
     /// The limit of a new route. Its first call is at a random point within the interval between two calls,
     /// as the first calls of all gateways must not come at the same moment; `chance` is a random number in
     /// `0.0..1.0`.
-    pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, chance: f64) -> RateLimit {
+    pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, random_fraction: f64) -> RateLimit {
         // An unlisted limit has to be explored, and a listed one that is far too low must not hold messages
         // back.
         let share = match listed_limit_per_sec(settings, endpoint) {
-            Some(_) => (INITIAL_SHARES / fleet_size(settings)).min(1.0),
+            Some(_) => (INITIAL_RATE_EVEN_SHARES / fleet_size(settings)).min(1.0),
             None => 1.0,
         };
-        let least_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(settings);
+        let min_rate_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(settings);
         let limit_per_sec = assumed_limit_per_sec(settings, endpoint);
         RateLimit {
             limit_per_sec,
-            rate_per_sec: (limit_per_sec * share).max(least_per_sec),
-            tokens: 1.0 - chance * (1.0 - share),
+            rate_per_sec: (limit_per_sec * share).max(min_rate_per_sec),
+            tokens: 1.0 - random_fraction * (1.0 - share),
             refilled_at: now,
             ..RateLimit::default()
         }
@@ -152,11 +152,11 @@
 
     /// Refills the bucket at this rate and says whether a call may be sent.
     pub fn next_token(&mut self, now: Time, rate_per_sec: f64, phase: RatePhase) -> Token {
-        let (burst, max_wait_secs) = match phase {
-            RatePhase::Steady => (burst(rate_per_sec), MAX_WAIT_SECS),
+        let (max_tokens, max_wait_secs) = match phase {
+            RatePhase::Steady => (max_saved_tokens(rate_per_sec), MAX_WAIT_SECS),
             RatePhase::SlowStart => (1.0, MAX_WAIT_IN_SLOW_START_SECS),
         };
-        self.refill(now, rate_per_sec, burst);
+        self.refill(now, rate_per_sec, max_tokens);
         self.refill_pending = true;
         self.is_binding = self.tokens < 1.0;
         if !self.is_binding {
@@ -164,26 +164,26 @@
         }
         let missing_secs = (1.0 - self.tokens) / rate_per_sec;
         let wait_secs = missing_secs.clamp(MIN_WAIT_SECS, max_wait_secs);
-        let due = now + Duration::from_secs_f64(wait_secs);
-        let recheck_at = due - Duration::from_secs_f64(MIN_WAIT_SECS);
-        Token::Due { due, recheck_at, is_exact: missing_secs >= wait_secs }
+        let available_at = now + Duration::from_secs_f64(wait_secs);
+        let recheck_at = available_at - Duration::from_secs_f64(MIN_WAIT_SECS);
+        Token::Unavailable { available_at, recheck_at, is_exact: missing_secs >= wait_secs }
     }
 
     /// A call is sent.
     pub fn take_token(&mut self, now: Time) {
         self.tokens -= 1.0;
-        self.sent.record(now, SENT_SPAN_SECS);
+        self.sent_calls.record(now, SENT_SPAN_SECS);
     }
 
     /// Adds the tokens that a check at that time would have added.
-    pub fn refill_until(&mut self, last_round_at: Time) {
-        if std::mem::take(&mut self.refill_pending) && self.refilled_at < last_round_at {
-            self.refill(last_round_at, self.rate_per_sec, burst(self.rate_per_sec));
+    pub fn refill_until(&mut self, slots_filled_at: Time) {
+        if std::mem::take(&mut self.refill_pending) && self.refilled_at < slots_filled_at {
+            self.refill(slots_filled_at, self.rate_per_sec, max_saved_tokens(self.rate_per_sec));
         }
     }
 
-    fn refill(&mut self, now: Time, rate_per_sec: f64, burst: f64) {
-        self.tokens = (self.tokens + (now - self.refilled_at).as_secs_f64() * rate_per_sec).min(burst);
+    fn refill(&mut self, now: Time, rate_per_sec: f64, max_tokens: f64) {
+        self.tokens = (self.tokens + (now - self.refilled_at).as_secs_f64() * rate_per_sec).min(max_tokens);
         self.refilled_at = now;
     }
 
@@ -203,12 +203,12 @@
         if self.is_binding {
             self.rate_per_sec += self.growth_per_sec(settings, report);
         }
-        self.cuts = 0;
+        self.cuts_since_success = 0;
     }
 
     fn growth_per_sec(&self, settings: &Settings, report: Option<LoadReport>) -> f64 {
         if let Some(report) = report.filter(|report| report.limit_per_sec > 0.0) {
-            return GROWTH_OF_HEADROOM * report.headroom.clamp(0.0, 1.0) * self.rate_per_sec;
+            return GROWTH_PER_HEADROOM * report.headroom.clamp(0.0, 1.0) * self.rate_per_sec;
         }
         let limit_per_sec = self.limit_per_sec.max(MIN_LISTED_LIMIT_PER_SEC);
         let below_share = 1.0 - self.rate_per_sec * fleet_size(settings) / limit_per_sec;
@@ -222,26 +222,26 @@
             self.cut(now, settings, rejection);
         }
         // At random, as all gateways that were rejected together must not call again together.
-        let spread_calls = if rejection.low_traffic { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
-        self.tokens = self.tokens.min(-rejection.chance * spread_calls);
+        let spread_calls = if rejection.has_low_traffic { LOW_TRAFFIC_MAX_WAIT_CALLS } else { 1.0 };
+        self.tokens = self.tokens.min(-rejection.random_fraction * spread_calls);
     }
 
     fn cut(&mut self, now: Time, settings: &Settings, rejection: &Rejection) {
-        let ratio = CUT_RATIOS[self.cuts.min(CUT_RATIOS.len() - 1)];
-        self.cuts += 1;
-        let call_per_objective = shortest_objective_secs(settings).recip();
+        let ratio = CUT_RATIOS[self.cuts_since_success.min(CUT_RATIOS.len() - 1)];
+        self.cuts_since_success += 1;
+        let objective_call_per_sec = shortest_objective_secs(settings).recip();
         // A burst of messages must not be sent at the ordinary rate for a long time. Where a call carries
         // many messages, waiting messages go together, and one call a latency objective is enough.
         let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
-            (0.0, call_per_objective)
+            (0.0, objective_call_per_sec)
         } else {
             (rejection.waiting_messages, f64::MAX)
         };
-        let sent_per_sec = self.sent.per_sec(now, SENT_SPAN_SECS).min(max_sent_per_sec);
+        let sent_per_sec = self.sent_calls.per_sec(now, SENT_SPAN_SECS).min(max_sent_per_sec);
         let used_per_sec = sent_per_sec
             .max(rejection.demand_per_sec)
             .max(self.limit_per_sec / fleet_size(settings))
-            .max(waiting_messages * call_per_objective);
+            .max(waiting_messages * objective_call_per_sec);
         let floor_per_sec = rejection.floor_per_sec.min(self.rate_per_sec);
         self.rate_per_sec = (ratio * self.rate_per_sec.min(used_per_sec)).max(floor_per_sec);
         self.last_cut_at = now;
@@ -260,6 +260,6 @@
 }
 
 /// Tokens that may be saved up at this rate.
-fn burst(rate_per_sec: f64) -> f64 {
+fn max_saved_tokens(rate_per_sec: f64) -> f64 {
     (rate_per_sec * BURST_SECS).max(1.0)
 }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -30,7 +30,7 @@
     /// Restores what was learnt of a route before the restart.
     pub(super) fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
         self.mark_destination_changed(record.destination);
-        let chance = self.rng.f64();
+        let random_fraction = self.rng.f64();
         let id = RouteId { destination: record.destination, endpoint: record.endpoint };
         let Some(route) = self.routes.get_mut(&id) else { return };
         self.ready_index.changed_circuits.insert(id);
@@ -41,7 +41,7 @@
             route.rate_limit.clear_tokens();
         }
         if record.has_lost_calls.is_some() {
-            route.schedule_probe(now, &self.settings, chance);
+            route.schedule_probe(now, &self.settings, random_fraction);
         }
     }
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -13,31 +13,31 @@
 
 /// Unit of the backoff, as a ratio of the latency objective: it doubles with each attempt that was made, so
 /// that the random backoff after the first attempt has twice this as its upper end.
-const BACKOFF_BASE_OF_OBJECTIVE: f64 = 0.05;
+const BASE_BACKOFF_OBJECTIVE_RATIO: f64 = 0.05;
 /// Upper end of any backoff, as a ratio of the latency objective.
-const BACKOFF_CAP_OF_OBJECTIVE: f64 = 0.7;
+const MAX_BACKOFF_OBJECTIVE_RATIO: f64 = 0.7;
 /// Time-out of an attempt, in latencies (mean plus deviation) of its destination.
 const TIMEOUT_IN_LATENCIES: f64 = 4.0;
 /// Shortest time-out, as a ratio of the latency objective.
-const MIN_TIMEOUT_OF_OBJECTIVE: f64 = 0.5;
+const MIN_TIMEOUT_OBJECTIVE_RATIO: f64 = 0.5;
 /// Longest time-out, as a multiple of the latency objective.
-const MAX_TIMEOUT_OF_OBJECTIVE: f64 = 3.0;
+const MAX_TIMEOUT_OBJECTIVES: f64 = 3.0;
 
 /// The unit of the backoff, before jitter.
 pub fn base_backoff(latency_objective: Duration) -> Duration {
-    latency_objective.mul_f64(BACKOFF_BASE_OF_OBJECTIVE)
+    latency_objective.mul_f64(BASE_BACKOFF_OBJECTIVE_RATIO)
 }
 
 /// The longest backoff before jitter.
 pub fn max_backoff(latency_objective: Duration) -> Duration {
-    latency_objective.mul_f64(BACKOFF_CAP_OF_OBJECTIVE)
+    latency_objective.mul_f64(MAX_BACKOFF_OBJECTIVE_RATIO)
 }
 
 /// The delay after so many attempts; `chance` is a random number in `0.0..1.0`.
-pub fn backoff_delay(latency_objective: Duration, attempts: u32, chance: f64) -> Duration {
-    backoff::exponential(latency_objective, BACKOFF_BASE_OF_OBJECTIVE, attempts)
+pub fn backoff_delay(latency_objective: Duration, attempts: u32, random_fraction: f64) -> Duration {
+    backoff::exponential(latency_objective, BASE_BACKOFF_OBJECTIVE_RATIO, attempts)
         .min(max_backoff(latency_objective))
-        .mul_f64(chance)
+        .mul_f64(random_fraction)
 }
 
 /// The time-out of the next attempt of a message at a destination with this latency.
@@ -53,7 +53,7 @@
     let timeout = Duration::from_secs_f64(
         latency
             .multiple_secs(TIMEOUT_IN_LATENCIES)
-            .clamp(objective_secs * MIN_TIMEOUT_OF_OBJECTIVE, objective_secs * MAX_TIMEOUT_OF_OBJECTIVE),
+            .clamp(objective_secs * MIN_TIMEOUT_OBJECTIVE_RATIO, objective_secs * MAX_TIMEOUT_OBJECTIVES),
     );
     let first_sent_at = message.first_uncertain_attempt.map_or(now, |first| first.sent_at);
     let is_last = message.attempts + 1 >= settings.max_attempts
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -66,9 +66,9 @@
 
     /// Sets when the next half-open probe may be sent, if the circuit is open; `chance` is a random number in
     /// `0.0..1.0`.
-    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, chance: f64) {
+    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
         let calls_per_sec = self.overload_budget_per_sec(now, settings, 0.0);
-        let budget = ProbeBudget { calls_per_sec, not_before: self.retry_after.until(), chance };
+        let budget = ProbeBudget { calls_per_sec, not_before: self.retry_after.until(), random_fraction };
         self.circuit.schedule_probe(now, settings, &budget);
     }
 }
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -1,13 +1,13 @@
 //! When a route may take one more call: the rules that can hold it back, in the order in which they apply.
 
 use super::rate_limit::{RatePhase, Token};
-use super::state::ready_index::{earliest, Revisit};
+use super::state::ready_index::{keep_earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
 
 /// Half-open probes of a route may use this ratio of the free slots; one is always permitted.
-const MAX_PROBES_OF_FREE_SLOTS: f64 = 0.25;
+const MAX_PROBE_FREE_SLOTS_RATIO: f64 = 0.25;
 
 impl Scheduler {
     /// When a route may take one more call: now, later, or only after some event (none). `revisit` is told
@@ -18,14 +18,14 @@
         let free_slots = self.free_slots();
         let rate_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get_mut(&id)?;
-        route.rate_limit.refill_until(self.last_round_at);
+        route.rate_limit.refill_until(self.slots_filled_at);
         if route.retry_after.is_pending(now) {
-            earliest(&mut revisit.recheck_at, route.slow_start.ends_at(&self.settings));
+            keep_earliest(&mut revisit.recheck_at, route.slow_start.ends_at(&self.settings));
             return Some(route.retry_after.until());
         }
         // The rate of a slow start grows from moment to moment.
-        revisit.each_step |= route.slow_start.is_active();
-        if !self.shutdown.leaves_time_for(now, unresponsive_after) {
+        revisit.at_every_step |= route.slow_start.is_active();
+        if !self.shutdown.has_time_for(now, unresponsive_after) {
             return None;
         }
         let oldest_call = route.calls.first().and_then(|call| self.calls.get(call));
@@ -35,26 +35,26 @@
                 route.circuit.open_on_missing_response(now, call.sent_at, unresponsive_after);
                 self.ready_index.changed_circuits.insert(id);
             } else {
-                earliest(&mut revisit.recheck_at, Some(unresponsive_at));
+                keep_earliest(&mut revisit.recheck_at, Some(unresponsive_at));
             }
         }
         if let Some(next_probe_at) = route.circuit.next_probe_at() {
             // Unresponsive probes must not use up the slots of healthy destinations.
-            let needed_slots = ((route.calls.len() + 1) as f64 / MAX_PROBES_OF_FREE_SLOTS).ceil() as usize;
-            let is_free = route.calls.is_empty() || revisit.needs_slots(needed_slots, free_slots);
+            let needed_slots = ((route.calls.len() + 1) as f64 / MAX_PROBE_FREE_SLOTS_RATIO).ceil() as usize;
+            let is_free = route.calls.is_empty() || revisit.has_free_slots(needed_slots, free_slots);
             return is_free.then_some(next_probe_at);
         }
         // Bulkhead: no route has more calls in flight than slots are free for all others.
-        if !route.calls.is_empty() && !revisit.needs_slots(route.calls.len() + 1, free_slots) {
+        if !route.calls.is_empty() && !revisit.has_free_slots(route.calls.len() + 1, free_slots) {
             return None;
         }
         let phase = if route.slow_start.is_active() { RatePhase::SlowStart } else { RatePhase::Steady };
         match route.rate_limit.next_token(now, rate_per_sec, phase) {
             Token::Available => Some(now),
-            Token::Due { due, recheck_at, is_exact } => {
-                revisit.each_step |= !is_exact;
-                earliest(&mut revisit.recheck_at, Some(recheck_at));
-                Some(due)
+            Token::Unavailable { available_at, recheck_at, is_exact } => {
+                revisit.at_every_step |= !is_exact;
+                keep_earliest(&mut revisit.recheck_at, Some(recheck_at));
+                Some(available_at)
             }
         }
     }
@@ -62,7 +62,7 @@
     /// Calls a second that this gateway may send a route now. Ends a slow start that has run out.
     pub(super) fn rate_per_sec(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
-        if route.slow_start.finish_if_warm(now, &self.settings) {
+        if route.slow_start.finish_if_elapsed(now, &self.settings) {
             self.ready_index.changed_circuits.insert(id);
         }
         route.rate_per_sec(now, &self.settings)
--- a/src/scheduler/shutdown.rs
+++ b/src/scheduler/shutdown.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether a call that takes so long would be over by then.
-    pub fn leaves_time_for(&self, now: Time, call: Duration) -> bool {
-        self.at.is_none_or(|end| now + call <= end)
+    pub fn has_time_for(&self, now: Time, call_duration: Duration) -> bool {
+        self.at.is_none_or(|end| now + call_duration <= end)
     }
 }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -6,7 +6,7 @@
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
-use super::state::ready_index::{earliest, Revisit};
+use super::state::ready_index::{keep_earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
@@ -15,7 +15,7 @@
 
 /// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
 /// time is needed for the call.
-const COST_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
+const MAX_COST_WAIT_OBJECTIVE_RATIO: f64 = 0.25;
 
 /// What may be sent to a destination now.
 struct Candidate {
@@ -52,28 +52,28 @@
         if self.free_slots() == 0 {
             return;
         }
-        let mut due = self.ready_index.due(now, self.free_slots());
+        let mut to_visit = self.ready_index.take_destinations_to_visit(now, self.free_slots());
         if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.must_visit_all) {
-            due.extend(self.queues.keys());
+            to_visit.extend(self.queues.keys());
         }
         let mut ready: Vec<ReadyDestination> = Vec::new();
-        for destination in due {
+        for destination in to_visit {
             ready.extend(self.ready_destination(now, destination, next));
         }
-        earliest(next, self.ready_index.next_send_at());
+        keep_earliest(next, self.ready_index.next_send_at());
         while self.free_slots() > 0 {
-            let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
-            let Some(first) = first else { break };
-            let destination = ready.swap_remove(first).destination;
+            let best = (0..ready.len()).min_by(|a, b| self.compare_for_slot(&ready[*a], &ready[*b]));
+            let Some(best) = best else { break };
+            let destination = ready.swap_remove(best).destination;
             // Other calls have started since it was found ready, so it may have to wait now.
             let Some(candidate) = self.find_candidate_or_park(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
         }
-        self.last_round_at = now;
+        self.slots_filled_at = now;
     }
 
-    fn slot_order(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
+    fn compare_for_slot(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
         let by_calls = self.calls_in_flight_to(a.destination).cmp(&self.calls_in_flight_to(b.destination));
         by_calls.then(b.value_per_sec.total_cmp(&a.value_per_sec))
     }
@@ -106,9 +106,9 @@
         }
         let mut revisit = Revisit::default();
         let candidate = self.find_candidate(now, destination, &mut revisit);
-        earliest(next, revisit.send_at);
+        keep_earliest(next, revisit.send_at);
         self.ready_index.work_counters.destinations_visited += 1;
-        if candidate.is_none() && !revisit.each_step {
+        if candidate.is_none() && !revisit.at_every_step {
             self.ready_index.schedule_revisit(destination, &revisit);
         } else {
             self.mark_destination_changed(destination);
@@ -124,25 +124,27 @@
         destination: DestinationId,
         revisit: &mut Revisit,
     ) -> Option<Candidate> {
-        let mut cheaper: Option<CheaperRoute> = None;
+        let mut cheaper_route: Option<CheaperRoute> = None;
         for (cost, route) in self.routes_by_cost(destination) {
             let free_at = self.route_free_at(now, route, revisit);
             if free_at.is_none_or(|at| at > now) {
-                earliest(&mut revisit.send_at, free_at);
+                keep_earliest(&mut revisit.send_at, free_at);
                 let messages_per_sec = self.messages_per_sec_if_healthy(now, route);
-                if let (None, Some(free_at), Some(messages_per_sec)) = (cheaper, free_at, messages_per_sec) {
-                    cheaper = Some(CheaperRoute { cost, free_at, messages_per_sec });
+                if let (None, Some(free_at), Some(messages_per_sec)) =
+                    (cheaper_route, free_at, messages_per_sec)
+                {
+                    cheaper_route = Some(CheaperRoute { cost, free_at, messages_per_sec });
                 }
                 continue;
             }
             let zones: Vec<ZoneId> =
                 self.eligible_endpoints(route).map(|endpoint| endpoint.entry.zone).collect();
             let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
-            if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
-                if self.can_wait_for(&cheaper, destination, chosen.id) {
+            if let Some(cheaper_route) = cheaper_route.filter(|cheaper_route| cheaper_route.cost < cost) {
+                if self.can_wait_for(&cheaper_route, destination, chosen.id) {
                     // The best message, and so how long it can wait, changes from moment to moment.
-                    revisit.each_step = true;
-                    earliest(&mut revisit.send_at, Some(cheaper.free_at));
+                    revisit.at_every_step = true;
+                    keep_earliest(&mut revisit.send_at, Some(cheaper_route.free_at));
                     continue;
                 }
             }
@@ -171,14 +173,19 @@
 
     /// Whether a message can wait for a cheaper route. Only if that route can deliver the whole queue in
     /// time: otherwise the capacity of the more expensive route would be wasted.
-    fn can_wait_for(&self, cheaper: &CheaperRoute, destination: DestinationId, message: MessageId) -> bool {
+    fn can_wait_for(
+        &self,
+        cheaper_route: &CheaperRoute,
+        destination: DestinationId,
+        message: MessageId,
+    ) -> bool {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
-        let queue_secs = waiting_messages / cheaper.messages_per_sec.max(0.001);
+        let queue_secs = waiting_messages / cheaper_route.messages_per_sec.max(0.001);
         let served_at =
-            cheaper.free_at + Duration::from_secs_f64(queue_secs.min(warm_up_secs(&self.settings)));
+            cheaper_route.free_at + Duration::from_secs_f64(queue_secs.min(warm_up_secs(&self.settings)));
         self.messages.get(&message).is_some_and(|message| {
             let objective = message.class(&self.settings).latency_objective;
-            served_at < message.enqueued_at + objective.mul_f64(COST_PATIENCE_OF_OBJECTIVE)
+            served_at < message.enqueued_at + objective.mul_f64(MAX_COST_WAIT_OBJECTIVE_RATIO)
         })
     }
 }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -49,8 +49,8 @@
 
     /// When it ends, if one is active.
     pub fn ends_at(&self, settings: &Settings) -> Option<Time> {
-        let length = Duration::from_secs_f64(warm_up_secs(settings));
-        self.since.map(|since| since + length)
+        let duration = Duration::from_secs_f64(warm_up_secs(settings));
+        self.since.map(|since| since + duration)
     }
 
     /// Its progress from 0 to 1; none if none is active or its time has run out.
@@ -60,7 +60,7 @@
     }
 
     /// Ends it if its time has run out. Returns whether it did.
-    pub fn finish_if_warm(&mut self, now: Time, settings: &Settings) -> bool {
+    pub fn finish_if_elapsed(&mut self, now: Time, settings: &Settings) -> bool {
         let is_over = self.since.is_some() && self.warm_up_progress(now, settings).is_none();
         if is_over {
             self.since = None;
@@ -83,10 +83,10 @@
 ) -> f64 {
     // A gateway with low traffic may send one call in each deadline, as its messages would run out unsent
     // otherwise. Few gateways have low traffic and messages for the same destination at the same time.
-    let least_per_sec =
+    let min_per_sec =
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
     let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
     let limits = &settings.limits;
     let capacity_ratio = limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warm_up_progress;
-    (share_per_sec * capacity_ratio * limits.overload_multiple * USED_BUDGET_RATIO).max(least_per_sec)
+    (share_per_sec * capacity_ratio * limits.overload_multiple * USED_BUDGET_RATIO).max(min_per_sec)
 }
--- a/src/scheduler/state/call.rs
+++ b/src/scheduler/state/call.rs
@@ -30,7 +30,7 @@
     /// The messages that it carries.
     pub messages: Vec<MessageId>,
     /// Messages whose attempt has not finished.
-    pub unfinished: usize,
+    pub unfinished_attempts: usize,
     /// How long its connection had been idle; none on a new or busy one.
     pub connection_idle: Option<Duration>,
     /// It was silent for too long.
--- a/src/scheduler/state/decaying_rate.rs
+++ b/src/scheduler/state/decaying_rate.rs
@@ -7,24 +7,24 @@
 #[derive(Default, Serialize, Deserialize)]
 pub struct DecayingRate {
     count: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl DecayingRate {
     /// Adds one event.
     pub fn record(&mut self, now: Time, span_secs: f64) {
-        self.count = self.faded(now, span_secs) + 1.0;
-        self.at = now;
+        self.count = self.decayed_count(now, span_secs) + 1.0;
+        self.updated_at = now;
     }
 
     /// Events a second over about this time span.
     pub fn per_sec(&mut self, now: Time, span_secs: f64) -> f64 {
-        self.count = self.faded(now, span_secs);
-        self.at = now;
+        self.count = self.decayed_count(now, span_secs);
+        self.updated_at = now;
         self.count / span_secs
     }
 
-    fn faded(&self, now: Time, span_secs: f64) -> f64 {
-        self.count * (-(now - self.at).as_secs_f64() / span_secs).exp()
+    fn decayed_count(&self, now: Time, span_secs: f64) -> f64 {
+        self.count * (-(now - self.updated_at).as_secs_f64() / span_secs).exp()
     }
 }
--- a/src/scheduler/state/endpoint.rs
+++ b/src/scheduler/state/endpoint.rs
@@ -11,7 +11,7 @@
     /// Calls in flight.
     pub calls_in_flight: usize,
     /// Drawn once: orders endpoints that are alike otherwise, at this gateway only.
-    pub preference: u32,
+    pub tie_breaker: u32,
     /// Calls that failed since one was delivered last.
     pub failures: u32,
     /// Until when other endpoints are preferred.
@@ -22,11 +22,11 @@
 
 impl TrackedEndpoint {
     /// An endpoint that is new on the list.
-    pub fn new(entry: Endpoint, preference: u32) -> TrackedEndpoint {
+    pub fn new(entry: Endpoint, tie_breaker: u32) -> TrackedEndpoint {
         TrackedEndpoint {
             entry,
             calls_in_flight: 0,
-            preference,
+            tie_breaker,
             failures: 0,
             avoid_until: Time::ZERO,
             connection_used_at: None,
--- a/src/scheduler/state/latency.rs
+++ b/src/scheduler/state/latency.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Latency assumed before the first sample, as a ratio of the shortest latency objective.
-const INITIAL_OF_OBJECTIVE: f64 = 0.1;
+const INITIAL_LATENCY_OBJECTIVE_RATIO: f64 = 0.1;
 /// Least weight of the newest sample; the first few weigh more.
 const MIN_GAIN: f64 = 0.15;
 
@@ -21,7 +21,7 @@
 impl LatencyEstimate {
     /// What is assumed before the first sample.
     pub fn initial(settings: &Settings) -> LatencyEstimate {
-        let initial_secs = shortest_objective_secs(settings) * INITIAL_OF_OBJECTIVE;
+        let initial_secs = shortest_objective_secs(settings) * INITIAL_LATENCY_OBJECTIVE_RATIO;
         LatencyEstimate { mean_secs: initial_secs, deviation_secs: initial_secs, samples: 0 }
     }
 
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -25,11 +25,11 @@
     /// Its backoff: no attempt before this.
     pub not_before: Time,
     /// It has its final outcome.
-    pub completed: bool,
+    pub is_completed: bool,
     /// Its final outcome was reported and not yet acknowledged; until then it keeps its ordering key.
     pub awaits_acknowledgement: bool,
     /// Over its tenant's quota, and so worth less.
-    pub over_quota: bool,
+    pub is_over_quota: bool,
 }
 
 /// An attempt that may have been processed, though no success came back.
@@ -47,24 +47,24 @@
         settings: &Settings,
         now: Time,
         accepted: AcceptedMessage,
-        over_quota: bool,
+        is_over_quota: bool,
     ) -> Option<Message> {
         let class = settings.classes.get(usize::from(accepted.class.0))?;
         let enqueued_at = accepted.deadline - class.deadline;
         // Another gateway may have sent it at any time since.
         let may_have_run = accepted.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
-        let elsewhere = UncertainAttempt { sent_at: enqueued_at, zone: None };
+        let attempt_elsewhere = UncertainAttempt { sent_at: enqueued_at, zone: None };
         Some(Message {
             accepted,
             seq: 0,
             enqueued_at,
             attempts: 0,
             call: None,
-            first_uncertain_attempt: may_have_run.then_some(elsewhere),
+            first_uncertain_attempt: may_have_run.then_some(attempt_elsewhere),
             not_before: now,
-            completed: false,
+            is_completed: false,
             awaits_acknowledgement: false,
-            over_quota,
+            is_over_quota,
         })
     }
 
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -30,7 +30,7 @@
     /// Their class.
     pub class: ClassId,
     /// Whether they are beyond their tenant's quota.
-    pub over_quota: bool,
+    pub is_over_quota: bool,
 }
 
 /// State of a message in its queue.
@@ -99,7 +99,7 @@
         self.index.take()
     }
 
-    pub fn give_back(&mut self, index: Box<Index>) {
+    pub fn restore_index(&mut self, index: Box<Index>) {
         self.index = Some(index);
     }
 }
@@ -107,96 +107,96 @@
 /// Where the index of a long queue holds each message.
 #[derive(Default)]
 pub struct Index {
-    all: BTreeMap<Seq, (MessageId, Location)>,
-    apart: BTreeSet<Seq>,
-    later: BTreeSet<(Time, Seq)>,
+    entries: BTreeMap<Seq, (MessageId, Location)>,
+    individual: BTreeSet<Seq>,
+    delayed: BTreeSet<(Time, Seq)>,
     groups: BTreeMap<MessageGroup, [Stage; STAGES]>,
 }
 
 #[derive(Clone, Copy)]
 enum Location {
-    Nowhere,
+    InFlight,
     Individual,
-    Later { group: MessageGroup, enqueued_at: Time, not_before: Time },
+    Delayed { group: MessageGroup, enqueued_at: Time, not_before: Time },
     Stage { group: MessageGroup, stage: usize, enqueued_at: Time },
 }
 
 #[derive(Default)]
 struct Stage {
     by_age: BTreeSet<(Time, Seq)>,
-    by_place: BTreeSet<Seq>,
+    by_seq: BTreeSet<Seq>,
 }
 
 impl Stage {
     /// The oldest, the youngest and the first message; of several of the same age, the first of them.
-    fn ends(&self) -> impl Iterator<Item = Seq> + '_ {
+    fn extremes(&self) -> impl Iterator<Item = Seq> + '_ {
         let youngest =
             self.by_age.last().and_then(|(enqueued_at, _)| self.by_age.range((*enqueued_at, 0)..).next());
-        let ends = [self.by_age.first(), youngest].into_iter().flatten().map(|(_, seq)| *seq);
-        ends.chain(self.by_place.first().copied())
+        let extremes = [self.by_age.first(), youngest].into_iter().flatten().map(|(_, seq)| *seq);
+        extremes.chain(self.by_seq.first().copied())
     }
 }
 
 impl Index {
     fn insert(&mut self, seq: Seq, id: MessageId, queue_state: QueueState) {
         let location = match queue_state {
-            QueueState::InFlight => Location::Nowhere,
+            QueueState::InFlight => Location::InFlight,
             QueueState::Individual => {
-                self.apart.insert(seq);
+                self.individual.insert(seq);
                 Location::Individual
             }
             QueueState::Grouped { group, enqueued_at, not_before } => {
-                self.later.insert((not_before, seq));
-                Location::Later { group, enqueued_at, not_before }
+                self.delayed.insert((not_before, seq));
+                Location::Delayed { group, enqueued_at, not_before }
             }
         };
-        self.all.insert(seq, (id, location));
+        self.entries.insert(seq, (id, location));
     }
 
     fn remove(&mut self, seq: Seq) {
-        match self.all.remove(&seq) {
-            Some((_, Location::Individual)) => drop(self.apart.remove(&seq)),
-            Some((_, Location::Later { not_before, .. })) => drop(self.later.remove(&(not_before, seq))),
+        match self.entries.remove(&seq) {
+            Some((_, Location::Individual)) => drop(self.individual.remove(&seq)),
+            Some((_, Location::Delayed { not_before, .. })) => drop(self.delayed.remove(&(not_before, seq))),
             Some((_, Location::Stage { group, stage, enqueued_at })) => {
-                self.leave(seq, group, stage, enqueued_at)
+                self.remove_from_stage(seq, group, stage, enqueued_at)
             }
-            Some((_, Location::Nowhere)) | None => {}
+            Some((_, Location::InFlight)) | None => {}
         }
     }
 
-    fn leave(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
+    fn remove_from_stage(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
         if let Some(stages) = self.groups.get_mut(&group) {
             stages[stage].by_age.remove(&(enqueued_at, seq));
-            stages[stage].by_place.remove(&seq);
+            stages[stage].by_seq.remove(&seq);
         }
     }
 
-    fn enter(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
-        let entered = &mut self.groups.entry(group).or_default()[stage];
-        entered.by_age.insert((enqueued_at, seq));
-        entered.by_place.insert(seq);
-        if let Some((_, location)) = self.all.get_mut(&seq) {
+    fn insert_into_stage(&mut self, seq: Seq, group: MessageGroup, stage: usize, enqueued_at: Time) {
+        let stage_entry = &mut self.groups.entry(group).or_default()[stage];
+        stage_entry.by_age.insert((enqueued_at, seq));
+        stage_entry.by_seq.insert(seq);
+        if let Some((_, location)) = self.entries.get_mut(&seq) {
             *location = Location::Stage { group, stage, enqueued_at };
         }
     }
 
     /// Moves each message to the stage that it has reached by now. Stages only grow with age.
     pub fn advance(&mut self, now: Time, stage_of: impl Fn(MessageGroup, Time) -> usize) {
-        while let Some((_, seq)) = self.later.first().filter(|(at, _)| *at <= now).copied() {
-            self.later.pop_first();
-            if let Some((_, Location::Later { group, enqueued_at, .. })) = self.all.get(&seq).copied() {
-                self.enter(seq, group, stage_of(group, enqueued_at).min(STAGES - 1), enqueued_at);
+        while let Some((_, seq)) = self.delayed.first().filter(|(at, _)| *at <= now).copied() {
+            self.delayed.pop_first();
+            if let Some((_, Location::Delayed { group, enqueued_at, .. })) = self.entries.get(&seq).copied() {
+                self.insert_into_stage(seq, group, stage_of(group, enqueued_at).min(STAGES - 1), enqueued_at);
             }
         }
         for group in self.groups.keys().copied().collect::<Vec<_>>() {
             for stage in 0..STAGES - 1 {
                 while let Some((enqueued_at, seq)) = self.groups[&group][stage].by_age.first().copied() {
-                    let reached = stage_of(group, enqueued_at).min(STAGES - 1);
-                    if reached <= stage {
+                    let reached_stage = stage_of(group, enqueued_at).min(STAGES - 1);
+                    if reached_stage <= stage {
                         break;
                     }
-                    self.leave(seq, group, stage, enqueued_at);
-                    self.enter(seq, group, reached, enqueued_at);
+                    self.remove_from_stage(seq, group, stage, enqueued_at);
+                    self.insert_into_stage(seq, group, reached_stage, enqueued_at);
                 }
             }
         }
@@ -204,18 +204,18 @@
 
     /// The messages of which one is the best now, in the order of the queue, and the first that may be sent
     /// later. Of groups for which `go_through` holds, all messages.
-    pub fn candidates(&self, go_through: impl Fn(MessageGroup) -> bool) -> Vec<MessageId> {
-        let mut found: BTreeSet<Seq> = self.apart.clone();
-        found.extend(self.later.first().map(|(_, seq)| *seq));
+    pub fn candidates(&self, include_all_of: impl Fn(MessageGroup) -> bool) -> Vec<MessageId> {
+        let mut candidates: BTreeSet<Seq> = self.individual.clone();
+        candidates.extend(self.delayed.first().map(|(_, seq)| *seq));
         for (group, stages) in &self.groups {
             for stage in stages {
-                if go_through(*group) {
-                    found.extend(&stage.by_place);
+                if include_all_of(*group) {
+                    candidates.extend(&stage.by_seq);
                 } else {
-                    found.extend(stage.ends());
+                    candidates.extend(stage.extremes());
                 }
             }
         }
-        found.iter().filter_map(|seq| self.all.get(seq)).map(|(id, _)| *id).collect()
+        candidates.iter().filter_map(|seq| self.entries.get(seq)).map(|(id, _)| *id).collect()
     }
 }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -23,15 +23,15 @@
 impl<K: Ord + Copy> DueQueue<K> {
     /// Sets when a key is due, in place of what was set before; none removes it.
     pub fn set(&mut self, key: K, at: Option<Time>) {
-        let before = match at {
+        let previous = match at {
             Some(at) => self.times.insert(key, at),
             None => self.times.remove(&key),
         };
-        if before == at {
+        if previous == at {
             return;
         }
-        if let Some(before) = before {
-            self.order.remove(&(before, key));
+        if let Some(previous) = previous {
+            self.order.remove(&(previous, key));
         }
         if let Some(at) = at {
             self.order.insert((at, key));
@@ -39,12 +39,12 @@
     }
 
     /// When the earliest key is due.
-    pub fn first(&self) -> Option<Time> {
+    pub fn first_at(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
     /// The earliest key that is due by now, if there is one. It stays until it is set again.
-    pub fn due(&self, now: Time) -> Option<K> {
+    pub fn first_due(&self, now: Time) -> Option<K> {
         self.order.first().filter(|(at, _)| *at <= now).map(|(_, key)| *key)
     }
 }
@@ -57,22 +57,23 @@
     pub send_at: Option<Time>,
     /// When a visit would change the state though nothing may be sent yet: no timer is needed for it.
     pub recheck_at: Option<Time>,
-    /// Once at least this many slots are free.
-    pub more_slots: Option<usize>,
+    /// Once at required this many slots are free.
+    pub free_slots_at_least: Option<usize>,
     /// Once fewer slots than this are free.
-    pub fewer_slots: Option<usize>,
+    pub free_slots_below: Option<usize>,
     /// At each step, as what was found holds at that moment only.
-    pub each_step: bool,
+    pub at_every_step: bool,
 }
 
 impl Revisit {
-    /// Whether at least `least` slots are free; the destination is visited again when that changes.
-    pub fn needs_slots(&mut self, least: usize, slots_free: usize) -> bool {
-        let enough = slots_free >= least;
+    /// Whether at required `required` slots are free; the destination is visited again when that changes.
+    pub fn has_free_slots(&mut self, required: usize, free_slots: usize) -> bool {
+        let enough = free_slots >= required;
         if enough {
-            self.fewer_slots = Some(self.fewer_slots.map_or(least, |below| below.max(least)));
+            self.free_slots_below = Some(self.free_slots_below.map_or(required, |below| below.max(required)));
         } else {
-            self.more_slots = Some(self.more_slots.map_or(least, |known| known.min(least)));
+            self.free_slots_at_least =
+                Some(self.free_slots_at_least.map_or(required, |current| current.min(required)));
         }
         enough
     }
@@ -102,8 +103,8 @@
     changed: BTreeSet<DestinationId>,
     send_times: DueQueue<DestinationId>,
     recheck_times: DueQueue<DestinationId>,
-    more_slots: BTreeSet<(usize, DestinationId)>,
-    fewer_slots: BTreeSet<(usize, DestinationId)>,
+    free_slots_at_least: BTreeSet<(usize, DestinationId)>,
+    free_slots_below: BTreeSet<(usize, DestinationId)>,
     /// Destinations that are not visited before one of the four above asks for it or something happens to
     /// them, with their entries in the two sets of slots.
     scheduled: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
@@ -120,55 +121,68 @@
 
 impl ReadyIndex {
     /// Something has happened to a destination: the next step visits it.
-    pub fn mark_changed(&mut self, to: DestinationId) {
-        self.unschedule(to);
-        self.changed.insert(to);
+    pub fn mark_changed(&mut self, destination: DestinationId) {
+        self.unschedule(destination);
+        self.changed.insert(destination);
     }
 
     /// Destinations to visit now, in order. Each has to be scheduled or marked as changed again afterwards.
-    pub fn due(&mut self, now: Time, slots_free: usize) -> BTreeSet<DestinationId> {
+    pub fn take_destinations_to_visit(&mut self, now: Time, free_slots: usize) -> BTreeSet<DestinationId> {
         let mut due = std::mem::take(&mut self.changed);
-        for queue in [&self.send_times, &self.recheck_times] {
-            due.extend(queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, to)| *to));
+        for due_queue in [&self.send_times, &self.recheck_times] {
+            due.extend(
+                due_queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, destination)| *destination),
+            );
         }
-        due.extend(self.more_slots.iter().take_while(|(least, _)| *least <= slots_free).map(|(_, to)| *to));
-        due.extend(self.fewer_slots.iter().rev().take_while(|(b, _)| *b > slots_free).map(|(_, to)| *to));
+        due.extend(
+            self.free_slots_at_least
+                .iter()
+                .take_while(|(required, _)| *required <= free_slots)
+                .map(|(_, destination)| *destination),
+        );
+        due.extend(
+            self.free_slots_below
+                .iter()
+                .rev()
+                .take_while(|(below, _)| *below > free_slots)
+                .map(|(_, destination)| *destination),
+        );
         due
     }
 
     /// Records when a destination that was just visited in vain has to be visited again.
-    pub fn schedule_revisit(&mut self, to: DestinationId, revisit: &Revisit) {
-        self.unschedule(to);
-        self.changed.remove(&to);
-        self.send_times.set(to, revisit.send_at);
-        self.recheck_times.set(to, revisit.recheck_at);
-        revisit.more_slots.map(|least| self.more_slots.insert((least, to)));
-        revisit.fewer_slots.map(|below| self.fewer_slots.insert((below, to)));
-        self.scheduled.insert(to, (revisit.more_slots, revisit.fewer_slots));
+    pub fn schedule_revisit(&mut self, destination: DestinationId, revisit: &Revisit) {
+        self.unschedule(destination);
+        self.changed.remove(&destination);
+        self.send_times.set(destination, revisit.send_at);
+        self.recheck_times.set(destination, revisit.recheck_at);
+        revisit.free_slots_at_least.map(|required| self.free_slots_at_least.insert((required, destination)));
+        revisit.free_slots_below.map(|below| self.free_slots_below.insert((below, destination)));
+        self.scheduled.insert(destination, (revisit.free_slots_at_least, revisit.free_slots_below));
     }
 
     /// Nothing waits for this destination any more.
-    pub fn remove(&mut self, to: DestinationId) {
-        self.unschedule(to);
-        self.changed.remove(&to);
+    pub fn remove(&mut self, destination: DestinationId) {
+        self.unschedule(destination);
+        self.changed.remove(&destination);
     }
 
     /// Removes a destination from all that it was scheduled in.
-    fn unschedule(&mut self, to: DestinationId) {
-        let Some((more, fewer)) = self.scheduled.remove(&to) else { return };
-        self.send_times.set(to, None);
-        self.recheck_times.set(to, None);
-        more.map(|least| self.more_slots.remove(&(least, to)));
-        fewer.map(|below| self.fewer_slots.remove(&(below, to)));
+    fn unschedule(&mut self, destination: DestinationId) {
+        let Some((at_least, below)) = self.scheduled.remove(&destination) else { return };
+        self.send_times.set(destination, None);
+        self.recheck_times.set(destination, None);
+        at_least.map(|required| self.free_slots_at_least.remove(&(required, destination)));
+        below.map(|below| self.free_slots_below.remove(&(below, destination)));
     }
 
     /// When a scheduled destination may next be sent something.
     pub fn next_send_at(&self) -> Option<Time> {
-        self.send_times.first()
+        self.send_times.first_at()
     }
 }
 
 /// Keeps the earlier of two times in `next`.
-pub fn earliest(next: &mut Option<Time>, at: Option<Time>) {
+pub fn keep_earliest(next: &mut Option<Time>, at: Option<Time>) {
     *next = [*next, at].into_iter().flatten().min();
 }
--- a/src/scheduler/state/value_decay.rs
+++ b/src/scheduler/state/value_decay.rs
@@ -23,7 +23,7 @@
             return RemainingValue { ratio: 0.0, stage: VALUE_STAGES - 1 };
         }
         let late_secs = (age_secs - objective_secs).max(0.0);
-        let (ratio, least) = match decay {
+        let (ratio, min_ratio) = match decay {
             Decay::Linear => (
                 1.0 - (1.0 - class.late_value_ratio) * late_secs
                     / (deadline_secs - objective_secs).max(0.001),
@@ -32,8 +32,8 @@
             Decay::Halving => ((-late_secs / objective_secs.max(0.001)).exp2(), class.late_value_ratio),
         };
         RemainingValue {
-            ratio: ratio.max(least),
-            stage: usize::from(late_secs > 0.0) + usize::from(ratio <= least),
+            ratio: ratio.max(min_ratio),
+            stage: usize::from(late_secs > 0.0) + usize::from(ratio <= min_ratio),
         }
     }
 }
--- a/src/scheduler/traffic.rs
+++ b/src/scheduler/traffic.rs
@@ -12,7 +12,7 @@
 const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
 /// Demand counts up to this multiple of what was served before: during an outage clients send everything
 /// again.
-const MAX_DEMAND_OF_BASELINE: f64 = 1.5;
+const MAX_DEMAND_BASELINE_MULTIPLE: f64 = 1.5;
 
 /// Demand for a route, and calls served there.
 #[derive(Default, Serialize, Deserialize)]
@@ -30,10 +30,10 @@
     }
 
     /// A call was served; `recovering` while its circuit is open or its slow start runs.
-    pub fn record_served(&mut self, now: Time, settings: &Settings, recovering: bool) {
+    pub fn record_served(&mut self, now: Time, settings: &Settings, is_recovering: bool) {
         let served_per_sec = self.served.per_sec(now, warm_up_secs(settings));
         self.baseline_per_sec =
-            if recovering { served_per_sec.max(self.baseline_per_sec) } else { served_per_sec };
+            if is_recovering { served_per_sec.max(self.baseline_per_sec) } else { served_per_sec };
         self.served.record(now, warm_up_secs(settings));
     }
 
@@ -44,8 +44,8 @@
 
     /// What this gateway would send now to the healthy destination, in calls a second.
     pub fn expected_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
-        let most_per_sec = self.baseline_per_sec * MAX_DEMAND_OF_BASELINE;
-        self.demand_per_sec(now, settings).clamp(self.baseline_per_sec, most_per_sec)
+        let max_per_sec = self.baseline_per_sec * MAX_DEMAND_BASELINE_MULTIPLE;
+        self.demand_per_sec(now, settings).clamp(self.baseline_per_sec, max_per_sec)
     }
 
     /// Whether this gateway has too few messages here for a rate of its own.
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -24,13 +24,13 @@
             .routes
             .get(&id)
             .map_or(0.0, |route| route.latency.multiple_secs(UNRESPONSIVE_AFTER_LATENCIES));
-        let least_secs = shortest_objective_secs(&self.settings) * MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO;
-        Duration::from_secs_f64(typical_secs.max(least_secs))
+        let min_secs = shortest_objective_secs(&self.settings) * MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO;
+        Duration::from_secs_f64(typical_secs.max(min_secs))
     }
 
     /// Marks the calls that have become unresponsive; returns when the next one will.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
-        while let Some(route_id) = self.ready_index.response_checks.due(now) {
+        while let Some(route_id) = self.ready_index.response_checks.first_due(now) {
             let oldest = self.oldest_responsive_call(route_id);
             if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
                 call.is_unresponsive = true;
@@ -40,7 +40,7 @@
             }
             self.schedule_response_check(route_id);
         }
-        self.ready_index.response_checks.first()
+        self.ready_index.response_checks.first_at()
     }
 
     /// Schedules the time at which the oldest responsive call of a route becomes unresponsive. Calls become
@@ -54,9 +54,9 @@
     fn oldest_responsive_call(&mut self, id: RouteId) -> Option<CallId> {
         let calls = self.routes.get(&id)?.calls.iter();
         let is_responsive = |call: &&CallId| self.calls.get(call).is_some_and(|call| !call.is_unresponsive);
-        let (skipped, found) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
+        let (skipped, oldest) = calls.enumerate().find(|(_, call)| is_responsive(call))?;
         self.ready_index.work_counters.calls_checked += 1 + skipped as u64;
-        Some(*found)
+        Some(*oldest)
     }
 
     /// Cancels the oldest unresponsive call where no slot is free and messages wait.
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -27,12 +27,12 @@
 const START_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
 /// The first watch is spread at most over this ratio of the drain's grace time, which runs on while a gateway
 /// is down.
-const START_SPREAD_OF_DRAIN_GRACE: f64 = 0.5;
+const MAX_START_SPREAD_DRAIN_GRACE_RATIO: f64 = 0.5;
 
 /// The delay before the first watch request; `chance` is a random number in `0.0..1.0`.
-pub fn initial_delay(settings: &Settings, chance: f64) -> Duration {
-    let longest = settings.limits.drain_grace.mul_f64(START_SPREAD_OF_DRAIN_GRACE);
-    START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(settings)).min(longest).mul_f64(chance)
+pub fn initial_delay(settings: &Settings, random_fraction: f64) -> Duration {
+    let max_delay = settings.limits.drain_grace.mul_f64(MAX_START_SPREAD_DRAIN_GRACE_RATIO);
+    START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(settings)).min(max_delay).mul_f64(random_fraction)
 }
 
 /// Backoff of the watch on the endpoint list.
@@ -57,15 +57,15 @@
     }
 
     /// Discovery rejected the request as it is overloaded; `chance` is a random number in `0.0..1.0`.
-    pub fn on_rejected(&mut self, now: Time, settings: &Settings, chance: f64) {
-        let longest = backoff::exponential(FIRST_REJECTION_DELAY_PER_GATEWAY, 1.0, self.rejections)
+    pub fn on_rejected(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
+        let max_delay = backoff::exponential(FIRST_REJECTION_DELAY_PER_GATEWAY, 1.0, self.rejections)
             .min(MAX_REJECTION_DELAY_PER_GATEWAY)
             .mul_f64(fleet_size(settings));
-        let delay = if longest > MAX_REJECTION_DELAY {
+        let delay = if max_delay > MAX_REJECTION_DELAY {
             // All gateways reach this bound together: they spread over its second half.
-            MAX_REJECTION_DELAY.mul_f64(0.5 + 0.5 * chance)
+            MAX_REJECTION_DELAY.mul_f64(0.5 + 0.5 * random_fraction)
         } else {
-            longest.mul_f64(chance)
+            max_delay.mul_f64(random_fraction)
         };
         self.retry_at = Some(now + delay);
         self.rejections += 1;
