--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,5 +1,5 @@
-//! Admission and load shedding: which messages are accepted, and which accepted ones get their final outcome
-//! without delivery, because their time has run out or because the gateway is nearly full.
+//! Admission and load shedding: decides which messages are accepted, and which accepted ones get their final
+//! outcome without delivery, because their deadline has passed or because the gateway is nearly full.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -11,23 +11,25 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// Ratio of the messages that may be pending above which those of least value are shed.
+/// The ratio of the maximum number of pending messages above which messages of least value are shed.
 const SHED_ABOVE_RATIO: f64 = 0.93;
-/// Shedding a message that was never sent has a cost in this first part of its time: its client has waited in
-/// vain, while the client of a rejected message can go elsewhere at once.
+/// The first part of a message's time, as a ratio of its deadline, in which shedding it has a cost if it was
+/// never sent: its client has waited in vain, while the client of a rejected message can go elsewhere at
+/// once.
 const EARLY_SHED_DEADLINE_RATIO: f64 = 0.7;
-/// That cost, as a ratio of the message's full value.
+/// The cost of shedding a message early, as a ratio of its full value.
 const EARLY_SHED_COST_VALUE_RATIO: f64 = 0.3;
 
-/// A message that could be shed.
+/// The message of least value, which is the next to be shed.
 struct LeastValuable<'a> {
     value: f64,
     message: &'a Message,
 }
 
 impl Scheduler {
-    /// Whether to accept a new message rather than reject it. Nearly full, it is accepted only if it is worth
-    /// more than the message that would have to be shed for it, plus the cost of shedding that one.
+    /// Returns whether to accept a new message rather than reject it. If the gateway is nearly full, a
+    /// message is accepted only if its value is higher than that of the message to be shed for it plus the
+    /// cost of shedding that one.
     pub fn admits(&mut self, now: Time, accepted: &AcceptedMessage) -> bool {
         if self.lame_duck.rejects_messages(now) {
             return false;
@@ -48,7 +50,7 @@
         is_accepted
     }
 
-    /// What it costs to shed a message, beyond its value.
+    /// Returns the cost of shedding a message, beyond its current value.
     fn shed_cost(&self, now: Time, message: &Message) -> f64 {
         let early_until =
             message.enqueued_at + message.class(&self.settings).deadline.mul_f64(EARLY_SHED_DEADLINE_RATIO);
@@ -57,7 +59,7 @@
         ratio * message_value::full(&self.settings, message)
     }
 
-    /// Queues a message that was accepted.
+    /// Adds an accepted message to the queue of its destination.
     pub(super) fn on_message_accepted(&mut self, now: Time, accepted: AcceptedMessage) {
         let is_over_quota = self.quotas.charge(&self.settings, now, accepted.tenant);
         let Some(mut message) = Message::new(&self.settings, now, accepted, is_over_quota) else { return };
@@ -76,7 +78,8 @@
         self.messages.insert(id, message);
     }
 
-    /// After how long a client should send a rejected message for this destination again.
+    /// Returns how long a client should wait before it enqueues a rejected message for this destination
+    /// again.
     pub fn suggested_retry_after(&mut self, now: Time, destination: DestinationId) -> Duration {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
         let routes: Vec<RouteId> =
@@ -88,7 +91,7 @@
         retry_after::suggested_delay(objective_secs, waiting_messages, rate_per_sec, shortest_wait)
     }
 
-    /// The final outcome that a message may be given now.
+    /// Returns the final outcome that a message may get now; none if it has one already.
     fn final_outcome(&mut self, now: Time, id: MessageId) -> Option<Action> {
         let message = self.messages.get(&id).filter(|message| !message.is_completed)?;
         let destination = message.accepted.destination;
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Gives a message up with a final outcome.
+    /// Gives up a message and reports its final outcome.
     fn give_up(&mut self, now: Time, id: MessageId) {
         let outcome = self.final_outcome(now, id);
         if let Some(message) = self.messages.get_mut(&id).filter(|_| outcome.is_some()) {
@@ -110,8 +113,8 @@
         self.complete_message(id);
     }
 
-    /// Gives up the messages whose time has run out. One in flight may still be delivered during half of the
-    /// grace time.
+    /// Gives up the messages whose deadline has passed. A message in flight may still be delivered during the
+    /// first half of the grace time for final outcomes.
     pub(super) fn give_up_expired(&mut self, now: Time) {
         while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
             self.deadlines.remove(&deadline);
@@ -128,8 +131,8 @@
         }
     }
 
-    /// Nearly full: gives up the messages of least value, before new ones have to be rejected whatever their
-    /// value.
+    /// Gives up the messages of least value while the gateway is nearly full, before new messages have to be
+    /// rejected whatever their value.
     pub(super) fn shed_load(&mut self, now: Time) {
         while self.open_messages > self.max_open_messages() {
             let Some(id) = self.least_valuable(now).map(|least| least.message.accepted.id) else { return };
@@ -141,7 +144,7 @@
         (self.settings.max_pending_messages as f64 * SHED_ABOVE_RATIO) as usize
     }
 
-    /// The message of least value that isn't in flight; of several the youngest.
+    /// Returns the message of least value that is not in flight; of several the youngest.
     fn least_valuable(&self, now: Time) -> Option<LeastValuable<'_>> {
         self.messages
             .values()
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -1,7 +1,8 @@
-//! What follows from the outcome of an attempt, and what is learnt from the outcome of a call.
+//! Applies the outcome of an attempt to its message, and the outcome of a call to connection reuse, endpoint
+//! and route.
 //!
-//! A call has one outcome, and the rules of its route learn from it once, each in a step of its own, in the
-//! order of [`Scheduler::learn`].
+//! A call has one outcome, which the rules of its route record once, in the order of
+//! [`Scheduler::update_route`].
 
 use super::circuit_breaker::{max_transient_outage, Failure, Severity};
 use super::idempotency;
@@ -15,7 +16,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// An endpoint does not want its route to be called for this long.
+    /// Blocks the route of an endpoint that has sent a Retry-After, for `delay` from now.
     pub(super) fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return };
         let id = self.route_of(&endpoint.entry);
@@ -25,10 +26,10 @@
         }
     }
 
-    /// An attempt of a message finished.
+    /// Handles the end of an attempt. The last attempt of a call to end completes the call.
     pub(super) fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
-        // A Retry-After holds from the first message of a call that brings it, whatever the state of that
-        // message.
+        // The first message of a call whose outcome has a Retry-After puts it into force, whatever the state
+        // of that message.
         if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
             self.on_retry_after(now, finished.endpoint, delay);
         }
@@ -38,7 +39,7 @@
         let destination = message.accepted.destination;
         self.mark_destination_changed(destination);
         self.record_attempt(now, call_id, &finished);
-        // The messages of a call share its outcome: it is complete with the last of them.
+        // The messages of a call share its outcome, so the call is complete with the last of them.
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         call.unfinished_attempts -= 1;
         if call.unfinished_attempts == 0 {
@@ -55,7 +56,8 @@
         self.delete_if_settled(id);
     }
 
-    /// Updates a message after an attempt: attempts made, uncertainty, backoff and the hold on its key.
+    /// Updates a message after an attempt: its number of attempts, first uncertain attempt, backoff and the
+    /// hold on its ordering key.
     fn record_attempt(&mut self, now: Time, call_id: CallId, finished: &FinishedAttempt) {
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get(&call_id) else { return };
@@ -79,8 +81,8 @@
         }
     }
 
-    /// A message that can never be sent again gets its final outcome then: it would only use up capacity and
-    /// block the messages behind it in the order of its key.
+    /// Schedules the final outcome of a message for the time from which it can never be sent again. After
+    /// that time it would only use up capacity and block the messages behind it in the order of its key.
     pub(super) fn set_last_send_deadline(&mut self, now: Time, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(last_send_at) = idempotency::last_send_at(&self.settings, message) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Frees the slot of a call, and updates connection reuse, endpoint and route by its outcome.
+    /// Frees the slot of a call, and updates connection reuse, endpoint and route with its outcome.
     fn complete_call(&mut self, now: Time, id: CallId, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.calls.remove(&id);
@@ -106,14 +108,14 @@
         self.schedule_response_check(call.route);
     }
 
-    /// Learns of idle connections; returns whether one explains the loss of the call, so that the loss says
-    /// nothing of endpoint and route.
+    /// Updates the risk of idle connections. Returns whether an idle connection most likely caused the loss
+    /// of the call; such a loss is no evidence about endpoint and route.
     fn update_connection_reuse(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
         let is_lost =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
         let caused_by_idle_connection =
             is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle);
-        // An unresponsive call was counted when it became so.
+        // An unresponsive call was already counted when it became unresponsive.
         if is_lost && !call.is_unresponsive {
             self.connection_reuse.record_loss(now, &self.settings, call.connection_idle);
         }
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Lets the rules of a route learn from one of its calls: reported limit, latency, loss ratio; then, by
-    /// the kind of outcome, traffic, slow start, rate limit and circuit breaker.
+    /// Updates the rules of a route with the outcome of one of its calls: reported limit, latency and loss
+    /// ratio; then, by the kind of outcome, traffic, slow start, rate limit and circuit breaker.
     fn update_route(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
         let random_fraction = self.rng.f64();
         let waiting_messages = self.queues.get(&call.route.destination).map_or(0, Queue::len) as f64;
@@ -174,8 +176,9 @@
         let report = finished.load_report;
 
         route.rate_limit.adopt_reported_limit(report);
-        // A time-out is a sample too, of at least its length: else time-outs would stay too short all through
-        // a slow phase, and each retry would meet the attempt before it still running.
+        // A timeout is a sample too, of at least its duration. Without it, attempt timeouts would stay too
+        // short while the destination is slow, and each retry would arrive while the previous attempt is
+        // still running.
         if let AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled = outcome {
             route.latency.record_starting_from(&self.latency, finished.latency);
         }
@@ -206,15 +209,15 @@
     }
 }
 
-/// How severe a failed call is, if no call has succeeded since it was sent. Errors and resets don't count
-/// while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route stall at
-/// once.
+/// Returns the severity of a failed call if no call has succeeded since it was sent. Errors and resets do not
+/// count while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route
+/// stall at once.
 fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
         AttemptOutcome::ConnectFailed => Severity::Certain,
         AttemptOutcome::Timeout | AttemptOutcome::Cancelled => Severity::Major,
         AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if !has_healthy_endpoint => Severity::Major,
-        // It is up, and may yet be failing most calls.
+        // The destination is up, but may be failing most calls.
         AttemptOutcome::MalformedResponse => Severity::Minor,
         AttemptOutcome::ErrorResponse
         | AttemptOutcome::Reset
@@ -239,8 +242,8 @@
         self.circuit.on_success(now);
     }
 
-    /// The destination is closed, and has announced when it is back. All rejected messages wait for that
-    /// moment: the slow start begins there, with no tokens saved up, and the first call of each gateway is at
+    /// The destination is closed and has announced when it is back. All rejected messages wait for that
+    /// moment, so the slow start begins there without saved tokens, and the first call of each gateway is at
     /// a random point within the interval between two of its calls.
     fn on_announced_return(&mut self, random_fraction: f64) {
         let back_at = self.retry_after.until();
@@ -261,7 +264,8 @@
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
-    /// An open circuit ends a slow start.
+    /// Records a failure in the circuit breaker. A failure that opens the circuit or keeps it open cancels a
+    /// slow start.
     fn on_failure(&mut self, now: Time, settings: &Settings, failure: Failure, random_fraction: f64) {
         if self.circuit.on_failure(failure) {
             self.schedule_probe(now, settings, random_fraction);
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -1,4 +1,4 @@
-//! The start of a call: which messages it carries, and whether it reuses a connection.
+//! Starts calls: chooses the messages of a call, and whether it reuses a connection.
 
 use super::connection_reuse::{IdleConnections, NextCall};
 use super::idempotency;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Starts a call with the chosen message and, where a call can carry more, further waiting ones.
+    /// Starts a call with the message `first` and, if a call can carry more, further waiting messages.
     pub(super) fn start_call(
         &mut self,
         now: Time,
@@ -70,7 +70,8 @@
             Some(route) => retry::attempt_timeout(&self.settings, now, message, &route.latency),
             None => deadline - now,
         };
-        // Other messages of the call may be able to wait longer for the connection than this one.
+        // `send_within` is set per message, as other messages of the call may have more time until the
+        // connection is open.
         let last_send_at = idempotency::last_send_at(&self.settings, message);
         let send_within = last_send_at.map_or(deadline, |last| last.min(deadline)) - now;
         message.attempts += 1;
@@ -81,7 +82,7 @@
     }
 
     /// Closes the idle connections to an endpoint if reusing one is too risky. Returns how long the
-    /// connection has been idle that the next call will use, if that is certain.
+    /// connection of the next call has been idle, if that is certain.
     fn prepare_connection(
         &mut self,
         now: Time,
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -1,54 +1,58 @@
-//! The circuit breaker of a route: it opens after failures or silence, and half-open probes show when it may
-//! close.
+//! The circuit breaker of a route. It opens after failures or a missing response, and then only permits
+//! half-open probes, until one of them succeeds or the destination announces its return.
 //!
-//! Probes back off with jitter, and stay within this gateway's share of the overload budget: the probes of
-//! many gateways alone could overload a recovering destination.
+//! It owns the failure score, the open interval and the time of the last success. Probes back off with jitter
+//! and stay within this gateway's share of the overload budget, as the probes of many gateways alone could
+//! overload a recovering destination.
 
 use super::backoff;
 use crate::model::{CircuitRecord, LoadReport, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Failure score that opens the circuit.
+/// Failure score that opens a closed circuit.
 const OPENING_SCORE: u32 = 6;
-/// Failure score that keeps an open circuit open.
+/// Failure score from which a failure counts as keeping an open circuit open, which reschedules the next
+/// probe.
 const REOPENING_SCORE: u32 = 3;
-/// First delay between probes, as a ratio of the overload window.
+/// The initial delay between probes, as a ratio of the overload window.
 const BASE_PROBE_DELAY_WINDOW_RATIO: f64 = 0.1;
-/// Longest delay between probes, as a ratio of the overload window.
+/// The maximum delay between probes, as a ratio of the overload window.
 const MAX_PROBE_DELAY_WINDOW_RATIO: f64 = 0.6;
-/// Jitter leaves at least this ratio of a delay.
+/// The minimum ratio of a delay that is left after jitter.
 const MIN_JITTER_RATIO: f64 = 0.25;
-/// Failures without success for less than this ratio of the overload window are transient, and not followed
-/// by a slow start.
+/// The maximum duration of a transient outage, as a ratio of the overload window. A transient outage is not
+/// followed by a slow start.
 const MAX_TRANSIENT_WINDOW_RATIO: f64 = 0.6;
-/// A rejection that reports more headroom than this was not caused by the rate limit.
+/// The maximum headroom in a rejection by the rate limit. A rejection that reports more has another cause.
 const MAX_HEADROOM_AT_LIMIT: f64 = 0.3;
 
 /// How strongly an outcome suggests that the destination is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// Not at all.
+    /// The outcome does not count as a failure.
     None,
-    /// Weakly: a single rejection is ordinary.
+    /// Weak evidence: a single rejection is normal.
     Minor,
-    /// Two in a row open the circuit: a gateway with low traffic has few calls to learn from.
+    /// Strong evidence: two in a row open the circuit, as a gateway with low traffic makes too few calls to
+    /// wait for more.
     Major,
-    /// One opens the circuit.
+    /// Proof: a single one opens the circuit.
     Certain,
 }
 
-/// A call that did not succeed.
+/// A call that did not deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It was rejected unprocessed.
+    /// The destination rejected it without processing it.
     Rejected(Severity),
-    /// It failed in any other way.
+    /// It failed in any other way, so its messages may have been lost.
     Lost(Severity),
 }
 
 impl Severity {
-    /// The severity of a rejection. With headroom left the destination is shut, or hangs with a full queue.
+    /// Returns the severity of a rejection. If the destination reports unused headroom, it is closed or hangs
+    /// with a full queue.
     pub fn of_rejection(report: Option<LoadReport>) -> Severity {
         let has_headroom =
             |report: LoadReport| report.limit_per_sec > 0.0 && report.headroom > MAX_HEADROOM_AT_LIMIT;
@@ -69,13 +73,13 @@
     }
 }
 
-/// What the time of the next probe depends on.
+/// The inputs that determine the time of the next probe.
 pub struct ProbeBudget {
-    /// Calls a second that this gateway may send.
+    /// This gateway's overload budget, in calls per second.
     pub calls_per_sec: f64,
-    /// No probe before this time, as the destination asked with a Retry-After.
+    /// No probe is sent before this time: the end of the destination's Retry-After, possibly in the past.
     pub not_before: Time,
-    /// A random number in `0.0..1.0`.
+    /// A random number in `0.0..1.0`, for the jitter.
     pub random_fraction: f64,
 }
 
@@ -87,59 +91,60 @@
     last_success_at: Time,
 }
 
-/// The time without success during which the circuit is open.
+/// A period without success during which the circuit is open.
 #[derive(Default, Serialize, Deserialize)]
 struct OpenInterval {
-    /// The last success before it.
+    /// The last success before the circuit opened, or an earlier time at which an unanswered call was sent.
     since: Time,
     next_probe_at: Time,
-    /// Probes sent so far.
+    /// Number of probes sent in this interval.
     probes_sent: u32,
-    /// Some call failed or was rejected; else there was only silence.
+    /// Whether a call failed or was rejected; otherwise responses were only missing.
     has_failures: bool,
-    /// Calls were lost or are silent, not just rejected.
+    /// Whether calls were lost or have no response, rather than just rejected.
     has_lost_calls: bool,
 }
 
 impl CircuitBreaker {
-    /// A closed circuit, as if a call had just succeeded.
+    /// Creates a closed circuit, as if a call had just succeeded.
     pub fn new(now: Time) -> CircuitBreaker {
         CircuitBreaker { last_success_at: now, ..CircuitBreaker::default() }
     }
 
-    /// Whether only probes may be sent.
+    /// Returns whether only probes may be sent.
     pub fn is_open(&self) -> bool {
         self.open.is_some()
     }
 
-    /// Whether there is something to be remembered over a restart.
+    /// Returns whether the circuit has state that must be kept over a restart.
     pub fn has_history(&self) -> bool {
         self.failure_score > 0 || self.open.is_some()
     }
 
-    /// When the next probe may be sent; none where the circuit is closed.
+    /// Returns when the next probe may be sent; none if the circuit is closed.
     pub fn next_probe_at(&self) -> Option<Time> {
         self.open.as_ref().map(|open| open.next_probe_at)
     }
 
-    /// Whether a probe carries only one message, as it may be lost. Rejected messages are unharmed, so a
-    /// probe that can only be rejected carries a full batch.
+    /// Returns whether a probe may be lost, and so may carry only one message. A probe that can only be
+    /// rejected carries a full batch, as a rejection does not harm its messages.
     pub fn probe_may_be_lost(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_lost_calls)
     }
 
-    /// Whether no call has succeeded since this time.
+    /// Returns whether no call has succeeded after `at`.
     pub fn no_success_since(&self, at: Time) -> bool {
         at >= self.last_success_at
     }
 
-    /// When a call that was sent at this time has been silent for too long.
+    /// Returns when a call that was sent at `sent_at` becomes unresponsive. The time counts from the last
+    /// success of any call if that is later.
     pub fn unresponsive_at(&self, sent_at: Time, unresponsive_after: Duration) -> Time {
         sent_at.max(self.last_success_at) + unresponsive_after
     }
 
-    /// Opens the circuit because of a missing response, long before the attempt times out, so that few calls
-    /// are lost.
+    /// Opens the circuit because of a missing response. It does so long before the attempt times out, so that
+    /// few calls are lost.
     pub fn open_on_missing_response(&mut self, now: Time, sent_at: Time, unresponsive_after: Duration) {
         self.open = Some(OpenInterval {
             since: self.last_success_at.min(sent_at),
@@ -149,34 +154,35 @@
         });
     }
 
-    /// A probe is sent, if the circuit is open.
+    /// Counts a sent call as a probe if the circuit is open.
     pub fn on_call_sent(&mut self) {
         if let Some(open) = &mut self.open {
             open.probes_sent += 1;
         }
     }
 
-    /// Whether a success now ends an outage that was long enough for a slow start. The outage counts from the
-    /// last success, so that it is recognized by gateways that saw only its end.
+    /// Returns whether a success now ends an outage that was long enough for a slow start. The outage counts
+    /// from the last success, so that gateways that saw only its end recognize it too.
     pub fn success_ends_outage(&self, now: Time, settings: &Settings) -> bool {
         let is_outage =
             |open: &OpenInterval| open.has_failures && now - open.since > max_transient_outage(settings);
         self.open.as_ref().is_some_and(is_outage)
     }
 
-    /// A call delivered: the circuit closes.
+    /// Closes the circuit after a delivery.
     pub fn on_success(&mut self, now: Time) {
         self.open = None;
         self.failure_score = 0;
         self.last_success_at = now;
     }
 
-    /// The destination has announced when it is back: the circuit closes, as no probes are needed.
+    /// Closes the circuit because the destination has announced when it is back, so that no probes are
+    /// needed.
     pub fn on_announced_return(&mut self) {
         self.open = None;
     }
 
-    /// A call did not succeed. Returns whether the circuit opens, or is kept open.
+    /// Records a call that did not deliver. Returns whether the failure opens the circuit or keeps it open.
     pub fn on_failure(&mut self, failure: Failure) -> bool {
         let (severity, is_lost) = match failure {
             Failure::Rejected(severity) => (severity, false),
@@ -194,7 +200,7 @@
         opens
     }
 
-    /// Sets when the next probe may be sent, if the circuit is open.
+    /// Schedules the next probe if the circuit is open.
     pub fn schedule_probe(&mut self, now: Time, settings: &Settings, budget: &ProbeBudget) {
         let Some(open) = &mut self.open else { return };
         let budget_delay = Duration::from_secs_f64(budget.calls_per_sec.max(0.001).recip());
@@ -202,17 +208,19 @@
         let delay = backoff::exponential(window, BASE_PROBE_DELAY_WINDOW_RATIO, open.probes_sent)
             .min(window.mul_f64(MAX_PROBE_DELAY_WINDOW_RATIO));
         let jitter = MIN_JITTER_RATIO + budget.random_fraction * (1.0 - MIN_JITTER_RATIO);
-        // The delay starts after a Retry-After: gateways that wait for it together must not call together.
+        // The delay starts after a Retry-After, so that gateways that wait for the same one do not call
+        // together.
         open.next_probe_at = now.max(budget.not_before) + delay.max(budget_delay).mul_f64(jitter);
     }
 
-    /// Operators use the endpoint again: earlier failures say nothing of its present state.
+    /// Closes the circuit because operators have enabled the endpoint again: earlier failures are no evidence
+    /// of its present state.
     pub fn reset(&mut self) {
         self.open = None;
         self.failure_score = 0;
     }
 
-    /// Restores what was learnt before a restart.
+    /// Restores the state from before a restart.
     pub fn restore(&mut self, record: &CircuitRecord) {
         self.last_success_at = record.last_success_at;
         self.failure_score = record.failure_score;
@@ -226,23 +234,24 @@
         }
     }
 
-    /// The last success before an open circuit, or the last one at all.
+    /// Returns the last success; while the circuit is open, the start of the outage.
     pub fn last_success_at(&self) -> Time {
         self.open.as_ref().map_or(self.last_success_at, |open| open.since)
     }
 
-    /// The sum of [`Severity`] since the last success.
+    /// Returns the sum of the scores of all failures since the last success.
     pub fn failure_score(&self) -> u32 {
         self.failure_score
     }
 
-    /// Whether calls were lost, not just rejected; none where the circuit is closed.
+    /// Returns whether calls were lost rather than just rejected; none if the circuit is closed.
     pub fn has_lost_calls(&self) -> Option<bool> {
         self.open.as_ref().map(|open| open.has_lost_calls)
     }
 }
 
-/// Failures, and waits that a destination asks for, of up to this length are not followed by a slow start.
+/// Returns the maximum duration of failures, or of a requested Retry-After, that is not followed by a slow
+/// start.
 pub fn max_transient_outage(settings: &Settings) -> Duration {
     settings.limits.overload_window.mul_f64(MAX_TRANSIENT_WINDOW_RATIO)
 }
--- a/src/scheduler/drain.rs
+++ b/src/scheduler/drain.rs
@@ -1,38 +1,40 @@
-//! What operators take out of service: single endpoints, or this gateway as a whole (lame duck).
+//! Handles what operators take out of service: single endpoints, which get no new calls, or this gateway as a
+//! whole (lame duck), which then rejects new messages. It owns the lame duck state; the scheduler holds the
+//! disabled endpoints.
 
 use super::Scheduler;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A lame duck still accepts messages for so long, from clients that don't know of it yet.
+/// The time for which a lame duck still accepts messages, from clients that have not noticed its state yet.
 const LAME_DUCK_GRACE: Duration = Duration::from_secs(3);
 
-/// Whether operators are draining this gateway.
+/// The lame duck state of this gateway.
 #[derive(Default, Serialize, Deserialize)]
 pub struct LameDuck {
     since: Option<Time>,
 }
 
 impl LameDuck {
-    /// Operators start or stop draining it. Starting once more changes nothing.
+    /// Starts or stops lame duck mode. Starting it again changes nothing.
     pub fn set(&mut self, now: Time, is_draining: bool) {
         self.since = is_draining.then(|| self.since.unwrap_or(now));
     }
 
-    /// Whether they are draining it.
+    /// Returns whether operators are draining this gateway.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether it accepts no messages any more.
+    /// Returns whether the gateway no longer accepts messages.
     pub fn rejects_messages(&self, now: Time) -> bool {
         self.since.is_some_and(|since| now - since >= LAME_DUCK_GRACE)
     }
 }
 
 impl Scheduler {
-    /// Gives an endpoint nothing new from now on, whether it is listed or not.
+    /// Stops new calls to an endpoint, whether it is listed or not.
     pub(super) fn on_endpoint_disabled(&mut self, id: EndpointId) {
         if !self.disabled_endpoints.insert(id) {
             return;
@@ -43,8 +45,8 @@
         self.actions.push(Action::CloseIdleConnections { endpoint: id });
     }
 
-    /// Uses an endpoint again, with a slow start: it may have been restarted at any time since it was
-    /// disabled.
+    /// Permits calls to an endpoint again, with a slow start: it may have been restarted at any time since it
+    /// was disabled.
     pub(super) fn on_endpoint_enabled(&mut self, now: Time, id: EndpointId) {
         if !self.disabled_endpoints.remove(&id) {
             return;
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list.
+//! Applies changes of the endpoint list to endpoints and routes, and restarts the watch on the list.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::rate_limit::RateLimit;
@@ -9,7 +9,7 @@
 use crate::model::*;
 
 impl Scheduler {
-    /// Applies what the watch on the list brought.
+    /// Applies a result of the watch on the list.
     pub(super) fn on_endpoints_updated(&mut self, now: Time, update: EndpointUpdate) {
         match update {
             EndpointUpdate::WatchFailed => self.watch_backoff.on_failed(now),
@@ -18,7 +18,7 @@
             }
             EndpointUpdate::Delta(entries) => self.apply_entries(now, entries),
             EndpointUpdate::Snapshot(entries) => {
-                // What a snapshot does not name gets nothing new from now on.
+                // An endpoint that is not in the snapshot gets no new calls from now on.
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.entry.availability = Availability::Removed;
                 }
@@ -77,8 +77,8 @@
         self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, tie_breaker));
     }
 
-    /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
-    /// except where the endpoint was a route of its own.
+    /// Deletes a removed endpoint that has no call in flight. The state of its route stays, except if the
+    /// endpoint was a route of its own.
     pub(super) fn delete_endpoint(&mut self, id: EndpointId) {
         self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Starts the watch on the list again once its backoff has run out.
+    /// Restarts the watch on the list once its backoff has elapsed.
     pub(super) fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_backoff.take_due(now) {
             self.actions.push(Action::WatchEndpoints { is_active: true });
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint of a route gets a call, and which endpoints may get calls at all.
+//! Selects the endpoint that gets a call, and decides which endpoints may get calls at all.
 
 use super::backoff;
 use super::idempotency;
@@ -6,32 +6,34 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// After a failure an endpoint is the last choice for a random time. Its upper end after the first failure is
-/// twice this ratio of the overload window; it doubles with each further one, up to the length of a slow
-/// start.
+/// The base of the avoidance time, as a ratio of the overload window: after a failure an endpoint is the last
+/// choice for a random time. The upper end of that time is twice this after the first failure and doubles
+/// with each further one, up to the length of a slow start.
 const BASE_AVOIDANCE_WINDOW_RATIO: f64 = 0.1;
 
 impl Scheduler {
-    /// Whether an endpoint may get new calls: it is listed as ready, and operators have not disabled it.
+    /// Returns whether an endpoint may get new calls: it is listed as ready, and operators have not disabled
+    /// it.
     pub(super) fn is_eligible(&self, endpoint: &TrackedEndpoint) -> bool {
         endpoint.entry.availability == Availability::Ready
             && !self.disabled_endpoints.contains(&endpoint.entry.id)
     }
 
-    /// Endpoints of a route that may get new calls.
+    /// Returns the endpoints of a route that may get new calls.
     pub(super) fn eligible_endpoints(&self, id: RouteId) -> impl Iterator<Item = &TrackedEndpoint> + '_ {
         let endpoints = self.routes.get(&id).into_iter().flat_map(|route| &route.endpoints);
         endpoints.filter_map(|id| self.endpoints.get(id)).filter(|endpoint| self.is_eligible(endpoint))
     }
 
-    /// Whether a route has an endpoint that may get new calls and has not failed since it last delivered.
+    /// Returns whether a route has an endpoint that may get new calls and has not failed since it last
+    /// delivered.
     pub(super) fn has_healthy_endpoint(&self, id: RouteId) -> bool {
         self.eligible_endpoints(id).any(|endpoint| endpoint.failures == 0)
     }
 
-    /// The endpoint of a route with the fewest calls in flight, those that failed last; inside the
-    /// deduplication scope of a retry. Ties go by each gateway's own preference: where all have few calls,
-    /// all would choose the same one.
+    /// Returns the endpoint of a route for a message: inside the deduplication scope of a retry, the one with
+    /// the fewest calls in flight; endpoints to be avoided come last. Ties go by each gateway's own random
+    /// order, as otherwise all gateways with few calls would choose the same endpoint.
     pub(super) fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         self.eligible_endpoints(id)
@@ -43,14 +45,14 @@
             .map(|endpoint| endpoint.entry.id)
     }
 
-    /// What a message by this route costs; only an endpoint that is a route of its own has a cost.
+    /// Returns the cost of a message by a route. Only an endpoint that is a route of its own has a cost.
     pub(super) fn cost(&self, id: RouteId) -> f64 {
         let endpoint = id.endpoint.and_then(|endpoint| self.endpoints.get(&endpoint));
         let zone = endpoint.map(|endpoint| usize::from(endpoint.entry.zone.0));
         zone.and_then(|zone| self.settings.zone_costs.get(zone)).copied().unwrap_or(0.0)
     }
 
-    /// The route of an endpoint.
+    /// Returns the id of the route to which an endpoint belongs.
     pub(super) fn route_of(&self, entry: &Endpoint) -> RouteId {
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
         let has_own_limits = kind.is_some_and(|kind| kind.has_per_endpoint_limits);
@@ -59,13 +61,14 @@
 }
 
 impl TrackedEndpoint {
-    /// A call delivered.
+    /// Records that a call delivered.
     pub fn on_delivered(&mut self, now: Time) {
         self.connection_used_at = Some(now);
         self.failures = 0;
     }
 
-    /// A call failed: other endpoints are preferred for a while; `chance` is a random number in `0.0..1.0`.
+    /// Records that a call failed: other endpoints are preferred for a while. `random_fraction` is a random
+    /// number in `0.0..1.0`.
     pub fn on_failure(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
         self.failures += 1;
         let limits = &settings.limits;
@@ -75,8 +78,8 @@
         self.avoid_until = now + avoidance.mul_f64(random_fraction);
     }
 
-    /// Operators use it again: it may have been restarted, and earlier failures say nothing of its present
-    /// state.
+    /// Resets the failures because operators have enabled the endpoint again: it may have been restarted, so
+    /// that earlier failures are no evidence of its present state.
     pub fn reset(&mut self, now: Time) {
         self.failures = 0;
         self.avoid_until = now;
--- a/src/scheduler/idempotency.rs
+++ b/src/scheduler/idempotency.rs
@@ -1,28 +1,30 @@
-//! When and where a message may be sent again after an attempt that may have been processed.
+//! Idempotency rules: when and to which zone a message may be sent again after an attempt that may have been
+//! processed.
 //!
 //! A message with an idempotency key may be resent under that key inside the window and the deduplication
-//! scope of its class; one that isn't idempotent may not be resent at all. Both count from the first
-//! uncertain attempt.
+//! scope of its class. A non-idempotent message may not be resent at all. Both rules count from the first
+//! uncertain attempt, which the message holds; this module has no state.
 
 use super::state::message::Message;
 use crate::model::*;
 
-/// The last part of an idempotency window isn't used, as the call must still arrive inside the window.
+/// The ratio at the end of an idempotency window that is not used, as the call must still arrive inside the
+/// window.
 const WINDOW_MARGIN_RATIO: f64 = 0.1;
 
-/// Whether another attempt may follow one that may have been processed.
+/// Returns whether another attempt may follow one that may have been processed.
 pub fn is_resendable(class: &Class) -> bool {
     class.idempotency != Idempotency::NonIdempotent
 }
 
-/// Until when a message with an idempotency key may be resent, whose first uncertain attempt was sent at this
-/// time.
+/// Returns until when a message with an idempotency key may be resent if its first uncertain attempt was sent
+/// at `first_sent_at`.
 pub fn window_end(class: &Class, first_sent_at: Time) -> Time {
     first_sent_at + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN_RATIO)
 }
 
-/// The last time at which a message may be sent, where that doesn't go by its deadline; [`Time::ZERO`] where
-/// it may not be sent again at all.
+/// Returns the last time at which a message may be sent. None if only its deadline limits that;
+/// [`Time::ZERO`] if it may not be sent again at all.
 pub fn last_send_at(settings: &Settings, message: &Message) -> Option<Time> {
     if message.attempts >= settings.max_attempts {
         return Some(Time::ZERO);
@@ -36,7 +38,8 @@
     }
 }
 
-/// Whether a message may go to a zone: where duplicates are dropped by zone, it stays with its first one.
+/// Returns whether a message may be sent to a zone. With deduplication per zone, retries stay in the zone of
+/// the first uncertain attempt.
 pub fn may_send_to_zone(settings: &Settings, message: &Message, zone: ZoneId) -> bool {
     let class = message.class(settings);
     let is_bound_to_zone = class.idempotency == Idempotency::IdempotentWithKey
@@ -44,8 +47,8 @@
     message.first_uncertain_attempt.is_none_or(|first| !is_bound_to_zone || first.zone == Some(zone))
 }
 
-/// Whether the client may be told that it can safely send the message again, rather than that its delivery
-/// failed.
+/// Returns whether the final outcome may be "rejected", after which the client can safely enqueue the message
+/// again, rather than "failed".
 pub fn is_safe_to_reject(settings: &Settings, message: &Message) -> bool {
     match message.class(settings).idempotency {
         Idempotency::Idempotent => true,
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -1,23 +1,25 @@
-//! How many of a route's recent calls may have run without success.
+//! The ratio of a route's recent calls that may have run without success. It owns the rates of delivered and
+//! of lost calls.
 //!
-//! A message that isn't idempotent is lost with its only attempt. It waits while the ratio is high; messages
-//! that can be resent show when it has fallen.
+//! A non-idempotent message is lost with its only attempt, so it is delayed while the ratio is high.
+//! Resendable messages are still sent, and show when the ratio has fallen.
 
 use super::state::decaying_rate::DecayingRate;
 use crate::model::{AttemptOutcome, Class, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Ratio of lost calls, above the baseline of all routes, from which on messages that aren't idempotent wait.
+/// The maximum ratio of lost calls, above the baseline of all routes, at which non-idempotent messages are
+/// still sent.
 const MAX_RATIO_ABOVE_BASELINE: f64 = 0.15;
-/// Added to the number of calls, so that a single loss among few calls isn't a high ratio.
+/// Added to the number of calls, so that a single loss among few calls is not a high ratio.
 const PRIOR_CALLS: f64 = 2.0;
-/// Calls fade over this many overload windows.
+/// The time constant for averaging calls, in overload windows.
 const SPAN_IN_OVERLOAD_WINDOWS: f64 = 2.0;
-/// A message waits at most until so many latency objectives before its deadline.
+/// How long before its deadline a message is sent whatever the ratio, in latency objectives.
 const LAST_ATTEMPT_OBJECTIVES_BEFORE_DEADLINE: f64 = 1.0;
 
-/// Recent calls of a route that succeeded, and that were lost.
+/// Decaying rates of a route's calls that succeeded, and of those that were lost.
 #[derive(Default, Serialize, Deserialize)]
 pub struct LossRatio {
     delivered: DecayingRate,
@@ -25,7 +27,7 @@
 }
 
 impl LossRatio {
-    /// Adds a call; one that surely wasn't processed doesn't count.
+    /// Records the outcome of a call. A call that was certainly not processed does not count.
     pub fn record(&mut self, now: Time, settings: &Settings, outcome: AttemptOutcome) {
         if outcome.was_not_processed() {
             return;
@@ -37,8 +39,8 @@
         calls.record(now, span_secs(settings));
     }
 
-    /// Whether calls are lost too often for messages that aren't idempotent; `baseline` is the ratio of all
-    /// routes.
+    /// Returns whether calls are lost too often for non-idempotent messages. `baseline` is the ratio of lost
+    /// calls over all routes.
     pub fn is_high(&mut self, now: Time, settings: &Settings, baseline: f64) -> bool {
         let span_secs = span_secs(settings);
         let delivered = self.delivered.per_sec(now, span_secs) * span_secs;
@@ -51,12 +53,13 @@
     settings.limits.overload_window.as_secs_f64() * SPAN_IN_OVERLOAD_WINDOWS
 }
 
-/// When to check a high ratio again: after about the time that it takes to fall.
+/// Returns the delay until a high ratio is checked again: about the time that it takes to fall.
 pub fn recheck_delay(settings: &Settings) -> Duration {
     settings.limits.overload_window.mul_f64(SPAN_IN_OVERLOAD_WINDOWS * MAX_RATIO_ABOVE_BASELINE)
 }
 
-/// The time from which on a message of this class is sent whatever the ratio, as it cannot wait any longer.
+/// Returns the time from which on a message of this class is sent whatever the ratio, as it cannot wait any
+/// longer.
 pub fn last_attempt_at(class: &Class, deadline: Time) -> Time {
     deadline - class.latency_objective.mul_f64(LAST_ATTEMPT_OBJECTIVES_BEFORE_DEADLINE)
 }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -1,4 +1,5 @@
-//! Keeps the state and its indexes in step: what a change affects, and what can be forgotten.
+//! Keeps the state and its indexes consistent: marks what a change affects, and deletes what is no longer
+//! needed.
 
 use super::route::Route;
 use super::state::queue::{MessageGroup, QueueState};
@@ -8,8 +9,8 @@
 use crate::model::*;
 
 impl Scheduler {
-    /// Something has changed at a destination: the next step visits it. The token buckets of its routes are
-    /// refilled as the visits up to the last step would have done.
+    /// Marks a destination as changed, so that the next step visits it. Refills the token buckets of its
+    /// routes as visits up to the last step would have done.
     pub(super) fn mark_destination_changed(&mut self, destination: DestinationId) {
         self.ready_index.mark_changed(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
@@ -17,8 +18,8 @@
         }
     }
 
-    /// How a message stands in its queue. Messages of a class that were never attempted differ in their age
-    /// alone.
+    /// Returns the queue state of a message. Unordered messages of a class for which no attempt may have run
+    /// differ only in their age and in whether they are over quota.
     pub(super) fn queue_state(&self, message: &Message) -> QueueState {
         if message.call.is_some() {
             return QueueState::InFlight;
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Updates the queue entry of a message; to be called whenever its state there may have changed.
+    /// Updates the queue state of a message. Must be called whenever that state may have changed.
     pub(super) fn update_queue_state(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         let queue_state = self.queue_state(message);
@@ -45,19 +46,19 @@
         }
     }
 
-    /// Counts a message as demand for the routes of its destination.
+    /// Records a message as demand for each route of its destination.
     pub(super) fn record_demand(&mut self, now: Time, destination: DestinationId) {
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
             route.traffic.record_demand(now, &self.settings);
         }
     }
 
-    /// Whether something of a route is to be remembered over a restart.
+    /// Returns whether a route has state that must be kept over a restart.
     pub(super) fn has_circuit_record(&self, id: RouteId) -> bool {
         self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
 
-    /// A message has its final outcome, or its client doesn't want it any more.
+    /// Removes a message from its queue: it has its final outcome, or its client has abandoned it.
     pub(super) fn complete_message(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.is_completed) {
             message.is_completed = true;
@@ -75,7 +76,7 @@
         self.delete_if_settled(id);
     }
 
-    /// The client has acknowledged the final outcome of a message.
+    /// Records that the client has acknowledged the final outcome of a message.
     pub(super) fn on_outcome_acknowledged(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.awaits_acknowledgement = false;
@@ -83,7 +84,7 @@
         self.delete_if_settled(id);
     }
 
-    /// Forgets a message once its final outcome is acknowledged and no attempt is in flight. Until then it
+    /// Deletes a message once its final outcome is acknowledged and no attempt is in flight. Until then it
     /// keeps its ordering key.
     pub(super) fn delete_if_settled(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
@@ -92,14 +93,14 @@
         }
         let key = message.accepted.key;
         self.messages.remove(&id);
-        // It is the turn of the next message of its key, whatever its destination.
+        // The next message of the key may be sent now, possibly to another destination.
         let next = key.and_then(|key| self.ordering.remove(key, id));
         if let Some(next) = next.and_then(|next| self.messages.get(&next)) {
             self.mark_destination_changed(next.accepted.destination);
         }
     }
 
-    /// Rebuilds the indexes from the state; the next step visits everything.
+    /// Rebuilds the indexes from the state. The next step visits all destinations.
     pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
             route.rate_limit.refill_until(self.slots_filled_at);
--- a/src/scheduler/message_choice.rs
+++ b/src/scheduler/message_choice.rs
@@ -1,4 +1,5 @@
-//! Which waiting message of a destination goes next, and when a message may go at all.
+//! Chooses the waiting message of a destination that is sent next, and decides when a message may be sent at
+//! all.
 
 use super::idempotency;
 use super::loss_ratio;
@@ -10,18 +11,18 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// A message that may be sent now.
+/// A message that may be sent now, with its value.
 #[derive(Clone, Copy)]
 pub struct ChosenMessage {
-    /// The message.
+    /// Id of the message.
     pub id: MessageId,
-    /// Its value now.
+    /// Current value; see `message_value`.
     pub value: f64,
 }
 
 impl Scheduler {
-    /// The message of highest value that may go by a route to one of these zones now. If there is none,
-    /// `revisit` says when to try again. A half-open probe prefers a message that can be resent.
+    /// Returns the message of highest value that may be sent by a route to one of `zones` now. If there is
+    /// none, sets in `revisit` when to try again. A half-open probe prefers a resendable message.
     pub(super) fn choose_message(
         &mut self,
         now: Time,
@@ -29,7 +30,7 @@
         zones: &[ZoneId],
         revisit: &mut Revisit,
     ) -> Option<ChosenMessage> {
-        // Losses that all routes have are no reason to wait.
+        // Losses that all routes have in common are no reason to wait.
         let baseline = self.connection_reuse.baseline_risk();
         let route = self.routes.get_mut(&route_id);
         let is_probe = route.as_ref().is_some_and(|route| route.circuit.is_open());
@@ -45,7 +46,7 @@
             let send_at = self.earliest_send_at(now, message);
             if send_at.is_none_or(|at| at > now) {
                 keep_earliest(&mut revisit.send_at, send_at);
-                // If its idempotency window ends before that time, it can never be sent.
+                // If its idempotency window ends before `send_at`, the message can never be sent.
                 let expires_at = idempotency::last_send_at(&self.settings, message)
                     .map(|last_send_at| last_send_at + Duration::from_nanos(1));
                 keep_earliest(&mut revisit.recheck_at, expires_at.filter(|_| send_at.is_some()));
@@ -69,8 +70,8 @@
         best.map(|(_, chosen)| chosen)
     }
 
-    /// The condition that every attempt has to meet: when a message may be sent. None if that depends on some
-    /// event, or if it may never be sent again.
+    /// Returns when a message may be sent: the condition that every attempt has to meet. None if that depends
+    /// on some event, or if the message may never be sent again.
     fn earliest_send_at(&self, now: Time, message: &Message) -> Option<Time> {
         let last_send_at = idempotency::last_send_at(&self.settings, message);
         if message.is_completed || message.call.is_some() || last_send_at.is_some_and(|last| now > last) {
@@ -82,8 +83,8 @@
         Some(message.not_before.max(turn_at))
     }
 
-    /// A short list from a long queue that contains its best message; none if the queue is short. With
-    /// `include_non_idempotent` it contains all messages that are not idempotent.
+    /// Returns candidates from a long queue, its best message among them; none if the queue is short. With
+    /// `include_all_non_idempotent` they contain all non-idempotent messages.
     fn candidates_of_long_queue(
         &mut self,
         now: Time,
--- a/src/scheduler/message_value.rs
+++ b/src/scheduler/message_value.rs
@@ -1,28 +1,29 @@
-//! The value of sending one message rather than another.
+//! The value of sending a message now, by which messages are chosen and shed. This module has no state.
 
 use super::idempotency;
 use super::state::message::Message;
 use super::state::value_decay::RemainingValue;
 use crate::model::{Settings, Time};
 
-/// Weight of the value that is lost by waiting for one more latency objective, relative to the value itself.
+/// The weight of the value that is lost by waiting for one more latency objective, relative to the value
+/// itself.
 const WAITING_LOSS_WEIGHT: f64 = 2.0;
 
-/// Value of a message on time.
+/// Returns the value of a message that is delivered within its latency objective.
 pub fn full(settings: &Settings, message: &Message) -> f64 {
     let quota_ratio = if message.is_over_quota { settings.over_quota_value_ratio } else { 1.0 };
     message.class(settings).priority_weight * quota_ratio
 }
 
-/// The value that can still be gained, and what waiting would lose of it: a message on time goes before a
-/// late one, one that is about to be late before a fresh one, and one that is about to expire before one that
-/// can wait.
+/// Returns the value that can still be gained, raised by what waiting would lose of it. So a message on time
+/// goes before a late one, one that is about to be late before a fresh one, and one that is about to expire
+/// before one that can wait.
 pub fn current(settings: &Settings, now: Time, message: &Message) -> f64 {
     let class = message.class(settings);
     let last_send_secs =
         idempotency::last_send_at(settings, message).map(|at| (at - message.enqueued_at).as_secs_f64());
     let ratio_at = |age_secs: f64| match last_send_secs {
-        // A retry that must go before its idempotency window ends has no value after that.
+        // A retry that must be sent before its idempotency window ends has no value after that.
         Some(last_secs) if age_secs > last_secs => 0.0,
         _ => RemainingValue::at_age(class, settings.decay, age_secs).ratio,
     };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,21 +1,21 @@
-//! The delivery policy: which message goes to which endpoint, and when; what is rejected, given up or
-//! cancelled.
+//! The delivery policy: decides which message goes to which endpoint and when, and which messages are
+//! rejected, given up or cancelled.
 //!
 //! A message waits in the queue of its destination. A free call slot goes to the waiting destination with the
-//! fewest calls in flight. A message whose attempt may have been processed is sent again under the same
-//! idempotency key, within its deduplication scope, its idempotency window and the limit of attempts, after a
-//! backoff with full jitter. Everything else protects this path.
+//! fewest calls in flight. A message whose attempt may have been processed is retried under the same
+//! idempotency key after a backoff with full jitter, within its deduplication scope, its idempotency window
+//! and the maximum number of attempts. All other rules protect this path.
 //!
-//! Each rule has a module of its own with its constants and its state: `quota`, `idempotency`, `ordering`,
-//! `retry`, `message_value`, `connection_reuse`, `watch_backoff`, `drain` and `shutdown` for messages,
-//! connections, the endpoint list and the process; `retry_after`, `circuit_breaker`, `slow_start`,
-//! `rate_limit`, `loss_ratio` and `traffic` for a route, which holds their state. No rule reads another one's
-//! state, save that `slow_start` asks `traffic` for the rates that its budget follows.
+//! Each rule has its own module, which owns the rule's constants and state. `quota`, `idempotency`,
+//! `ordering`, `retry`, `message_value`, `connection_reuse`, `watch_backoff`, `drain` and `shutdown` apply to
+//! messages, connections, the endpoint list and the process. `retry_after`, `circuit_breaker`, `slow_start`,
+//! `rate_limit`, `loss_ratio` and `traffic` apply to a route, and [`Route`] holds their state. No rule reads
+//! the state of another, except that `slow_start` reads from `traffic` the rates on which its budget depends.
 //!
-//! The other modules compose them: [`Scheduler::decide`] lists the steps in their order, `admission` what is
-//! accepted and shed, `route_availability` the rules that a call has to pass, `message_choice`,
-//! `endpoint_selection` and `slot_allocation` what is sent, `call_outcome` what is learnt from a call, and
-//! `unresponsive_calls` what follows from its silence.
+//! The other modules combine the rules. [`Scheduler::decide`] lists the steps of a decision in their order.
+//! `admission` accepts and sheds messages, `route_availability` checks the rules that a call has to pass,
+//! `message_choice`, `endpoint_selection` and `slot_allocation` choose what is sent, `call_outcome` updates
+//! the rules with the outcome of a call, and `unresponsive_calls` handles calls without a response.
 
 use crate::model::*;
 use serde::{Deserialize, Serialize};
@@ -67,29 +67,30 @@
 use watch_backoff::WatchBackoff;
 pub use watch_backoff::WATCH_RESPONSE_TIMEOUT;
 
-/// The scheduler of one gateway: records events in [`Scheduler::handle`], acts in [`Scheduler::decide`]. Its
-/// state can be passed on to another process, which goes on with [`Scheduler::resumed`].
+/// The scheduler of one gateway. It records events in [`Scheduler::handle`] and returns actions from
+/// [`Scheduler::decide`]. Its state can be handed over to another process, which continues with
+/// [`Scheduler::resumed`].
 #[derive(Default, Serialize, Deserialize)]
 pub struct Scheduler {
     #[serde(skip)]
     settings: Settings,
     #[serde(skip)]
     rng: fastrand::Rng,
-    /// Listed endpoints, and removed ones with calls in flight.
+    /// Listed endpoints, and removed endpoints that still have calls in flight.
     endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
     routes: BTreeMap<RouteId, Route>,
-    /// Messages without a final outcome, by destination; no empty queues.
+    /// Messages without a final outcome, by destination. Empty queues are removed.
     queues: BTreeMap<DestinationId, Queue>,
     last_seq: Seq,
     messages: BTreeMap<MessageId, Message>,
     /// Number of messages without a final outcome.
     open_messages: usize,
-    /// When messages without a final outcome are given up, the earliest first.
+    /// Times at which messages without a final outcome are given up, the earliest first.
     deadlines: BTreeSet<Deadline>,
-    /// Calls in flight.
+    /// Calls in flight; each takes one slot.
     calls: BTreeMap<CallId, Call>,
     last_call: CallId,
-    /// Latency over all destinations: what is assumed of one that was never called.
+    /// Latency over all destinations; the initial estimate for a route without samples.
     latency: LatencyEstimate,
     quotas: TenantQuotas,
     ordering: OrderingKeys,
@@ -99,27 +100,27 @@
     lame_duck: LameDuck,
     /// Endpoints that operators have disabled, listed or not.
     disabled_endpoints: BTreeSet<EndpointId>,
-    /// When free slots were last filled.
+    /// When [`Scheduler::fill_free_slots`] last ran with a free slot.
     slots_filled_at: Time,
     #[serde(skip)]
     timer: Option<Timer>,
     last_timer_token: u64,
-    /// Actions of this step, until `decide` returns them.
+    /// Actions of the current step, until `decide` returns them.
     #[serde(skip)]
     actions: Vec<Action>,
-    /// What the next steps have to visit.
+    /// Indexes of what the next steps have to visit.
     #[serde(skip)]
     ready_index: ReadyIndex,
 }
 
-/// When a message is given up, unless it is delivered before.
+/// When a message is given up, unless it is delivered earlier.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Deadline {
     at: Time,
     message: MessageId,
 }
 
-/// The timer that was asked for last.
+/// The timer that was requested last.
 #[derive(Clone, Copy)]
 struct Timer {
     at: Time,
@@ -127,14 +128,15 @@
 }
 
 impl Scheduler {
-    /// A scheduler without any state; `seed` is its only source of randomness.
+    /// Creates a scheduler without messages and endpoints. `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let latency = LatencyEstimate::initial(&settings);
         Scheduler { settings, rng: fastrand::Rng::with_seed(seed), latency, ..Scheduler::default() }
     }
 
-    /// Continues in another process, in place of a `fresh` scheduler with the same settings. All state is
-    /// kept, except that the old process was to end.
+    /// Continues with handed-over state in another process, with the settings and the randomness of a `fresh`
+    /// scheduler that has the same settings. All state is kept except the scheduled shutdown, which was that
+    /// of the old process.
     pub fn resumed(self, fresh: Scheduler) -> Self {
         let shutdown = Shutdown::default();
         let mut scheduler = Scheduler { settings: fresh.settings, rng: fresh.rng, shutdown, ..self };
@@ -142,7 +144,7 @@
         scheduler
     }
 
-    /// Records one event. Call [`Scheduler::decide`] after the last one of a batch.
+    /// Records one event. Call [`Scheduler::decide`] after the last event of a step.
     pub fn handle(&mut self, now: Time, event: Event) {
         match event {
             Event::EndpointsUpdated(update) => self.on_endpoints_updated(now, update),
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Decides on all recorded events; lists the steps of a decision in their order. New actions are appended
-    /// to `actions`.
+    /// Acts on all recorded events, and appends the resulting actions to `actions`. The calls in this
+    /// function are the steps of a decision, in their order.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.give_up_expired(now);
         self.shed_load(now);
@@ -175,19 +177,21 @@
         actions.append(&mut self.actions);
     }
 
-    /// How long to wait before the endpoint list is watched for the first time.
+    /// Returns a random delay before the first watch on the endpoint list; see
+    /// [`watch_backoff::initial_delay`].
     pub fn initial_watch_delay(&mut self) -> Duration {
         watch_backoff::initial_delay(&self.settings, self.rng.f64())
     }
 
-    /// From now on each step visits all destinations: which calls can still complete in time changes from
-    /// moment to moment.
+    /// Schedules the end of this process. Each step visits all destinations from now on, as the calls that
+    /// can still complete in time change from moment to moment.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
         self.ready_index.must_visit_all = true;
     }
 
-    /// One timer is set at a time: for the earliest moment at which something can be done without an event.
+    /// Requests a timer for the earliest time at which something can be done without an event. Only one timer
+    /// is set at a time.
     fn set_timer(&mut self, now: Time, next: Option<Time>) {
         let next_deadline = self.deadlines.first().map(|deadline| deadline.at);
         let Some(at) = next.into_iter().chain(next_deadline).min() else { return };
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -1,29 +1,31 @@
-//! Ordering keys: messages of one key go one at a time, in the order in which they were accepted.
+//! Ordering keys: messages of one key are sent one at a time, in the order in which they were accepted. This
+//! module owns the pending messages of each key and the holds on keys.
 //!
-//! After an attempt that may still be running, its key is held for a while before the next message of the key
-//! may go. The same message may be retried meanwhile.
+//! After an attempt that may still be running, its key is held: the next message of the key is delayed for a
+//! while. The same message may be retried meanwhile.
 
 use crate::model::{MessageId, OrderingKey, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The order of messages by key, and holds on keys.
+/// The order of messages of each key, and holds on keys.
 #[derive(Default, Serialize, Deserialize)]
 pub struct OrderingKeys {
-    /// Pending messages of each key, the oldest first; no empty lists.
+    /// Pending messages of each key, the oldest first. Empty lists are removed.
     pending: BTreeMap<OrderingKey, Vec<MessageId>>,
     holds: BTreeMap<OrderingKey, Time>,
-    /// After a restart any key may have had a call in flight.
+    /// End of the hold on all keys after a restart, as any key may have had a call in flight.
     all_held_until: Time,
 }
 
 impl OrderingKeys {
-    /// Appends a message to those of its key.
+    /// Appends a message to the pending messages of its key.
     pub fn push(&mut self, key: OrderingKey, message: MessageId) {
         self.pending.entry(key).or_default().push(message);
     }
 
-    /// Removes a message from those of its key; returns the one whose turn it is then.
+    /// Removes a message from the pending messages of its key. Returns the first of the remaining ones, if
+    /// any.
     pub fn remove(&mut self, key: OrderingKey, message: MessageId) -> Option<MessageId> {
         let pending = self.pending.get_mut(&key)?;
         pending.retain(|other| *other != message);
@@ -34,19 +36,19 @@
         next
     }
 
-    /// Holds a key back from its next message.
+    /// Delays the next message of a key until `until`.
     pub fn hold(&mut self, now: Time, key: OrderingKey, until: Time) {
         self.holds.retain(|_, held_until| *held_until > now);
         self.holds.insert(key, until);
     }
 
-    /// Holds all keys back.
+    /// Delays the next message of every key until `until`.
     pub fn hold_all(&mut self, until: Time) {
         self.all_held_until = until;
     }
 
-    /// The earliest time at which a message may be sent; none before its turn. A hold binds only a message
-    /// that was not attempted yet.
+    /// Returns the earliest time at which a message may be sent; none if it is not the first of its key. A
+    /// hold applies only to a message that was not attempted yet.
     pub fn earliest_send_at(
         &self,
         key: OrderingKey,
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,23 +1,24 @@
-//! Tenant quotas: which messages are over their tenant's quota, and so of less value.
+//! Tenant quotas: decides which messages are over their tenant's quota. Such messages are not stopped, but
+//! have a lower value.
 //!
-//! A quota holds for all gateways together, and none sees what the others accept. Each gateway enforces its
-//! own share with a token bucket that holds one second of it.
+//! A quota applies to all gateways together, but no gateway sees what the others accept. Each gateway
+//! enforces its own share with a token bucket that holds one second of the share.
 
 use super::derived_settings::fleet_size;
 use crate::model::{Settings, TenantId, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// This gateway's share of a quota, in even shares: traffic isn't spread evenly.
+/// This gateway's share of a quota, in even shares. It is more than one, as traffic is not spread evenly.
 const LOCAL_QUOTA_EVEN_SHARES: f64 = 1.25;
 
-/// What is left of each tenant's quota at this gateway.
+/// The token buckets of the tenants at this gateway.
 #[derive(Default, Serialize, Deserialize)]
 pub struct TenantQuotas {
     balances: BTreeMap<TenantId, Balance>,
 }
 
-/// What was left of a quota at some moment.
+/// The content of a token bucket when it was last charged.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Balance {
     messages: f64,
@@ -25,7 +26,8 @@
 }
 
 impl TenantQuotas {
-    /// Counts one message of a tenant, and says whether it is over quota. Such a message uses up nothing.
+    /// Counts one message of a tenant, and returns whether it is over quota. A message over quota takes no
+    /// token.
     pub fn charge(&mut self, settings: &Settings, now: Time, tenant: TenantId) -> bool {
         let Some(remaining) = self.remaining(settings, now, tenant) else { return false };
         let is_over_quota = remaining < 1.0;
@@ -34,12 +36,12 @@
         is_over_quota
     }
 
-    /// Whether one more message of a tenant would be over quota.
+    /// Returns whether one more message of a tenant would be over quota.
     pub fn is_exhausted(&self, settings: &Settings, now: Time, tenant: TenantId) -> bool {
         self.remaining(settings, now, tenant).is_some_and(|remaining| remaining < 1.0)
     }
 
-    /// What is left, in messages; none where the tenant has no quota.
+    /// Returns the remaining quota, in messages; none if the tenant has no quota.
     fn remaining(&self, settings: &Settings, now: Time, tenant: TenantId) -> Option<f64> {
         let quota_per_sec = settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
         let local_per_sec = quota_per_sec * (LOCAL_QUOTA_EVEN_SHARES / fleet_size(settings)).min(1.0);
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -1,8 +1,9 @@
-//! The rate at which a route is called: a token bucket whose rate falls with rejections and grows with
-//! successes.
+//! The rate limit of a route: a token bucket whose rate falls with rejections and grows with successes. It
+//! delays a call while the bucket has less than one token.
 //!
-//! With these cuts and this growth the rate settles where a fixed part of the calls is rejected, however many
-//! gateways share the destination's limit.
+//! It owns the rate, the tokens and the limit that the destination lists or reports. With these cuts and this
+//! growth the rate settles at a fixed ratio of rejected calls, however many gateways share the destination's
+//! limit.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, shortest_objective_secs};
 use super::state::decaying_rate::DecayingRate;
@@ -10,109 +11,111 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Ratio of the rate that is left after a rejection, by the number of cuts since the last success. After the
-/// last one only the overload budget is left, as the destination may be unavailable, or all gateways may have
-/// to slow down.
+/// The ratio of the rate that is left after a rejection, by the number of cuts since the last success. After
+/// the last cut only the overload budget is left, as the destination may be unavailable, or all gateways may
+/// have to slow down.
 const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
-/// Rejections within this time of a cut don't cut again: they were caused by the same rate.
+/// The minimum time between two cuts. Rejections in between were caused by the same rate.
 const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
-/// Initial rate of a route, in even shares of the listed limit. If all gateways together sent more than the
-/// limit, rejected calls would use it up.
+/// The initial rate of a route, in even shares of the listed limit. More than one share is risky: if all
+/// gateways together sent more than the limit, rejected calls would use it up.
 const INITIAL_RATE_EVEN_SHARES: f64 = 1.0;
-/// Initial rate of a route: at least this many calls within the shortest deadline.
+/// The minimum initial rate of a route, in calls per shortest deadline.
 const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
-/// Lower bound for listed limits, in calls a second.
+/// The minimum listed limit, in calls per second; lower values are raised to it.
 const MIN_LISTED_LIMIT_PER_SEC: f64 = 0.1;
-/// Upper bound for listed limits, in calls a second.
+/// The maximum listed limit, in calls per second; higher values are lowered to it.
 const MAX_LISTED_LIMIT_PER_SEC: f64 = 1e6;
-/// Growth of a binding rate with each success, as a ratio of the rate, or of one call a latency objective if
-/// that is less.
+/// Growth per success of a rate that delays calls, as a ratio of the rate, or of one call per latency
+/// objective if that is less.
 const GROWTH_RATIO: f64 = 0.08;
-/// Growth is up to this many times larger, the further the rate is below an even share of the limit: a
-/// gateway that calls rarely would need minutes to get back to its share otherwise.
+/// The additional growth far below an even share of the limit, as a multiple of [`GROWTH_RATIO`]. Without it
+/// a gateway that calls rarely would need minutes to get back to its share.
 const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
-/// Growth if the destination reports its headroom: the headroom times this, as a ratio of the rate.
+/// Growth per success if the destination reports its headroom: this times the headroom, as a ratio of the
+/// rate.
 const GROWTH_PER_HEADROOM: f64 = 2.0;
-/// Time span of the rate of sent calls, in seconds.
+/// The time constant for averaging the rate of sent calls, in seconds.
 const SENT_SPAN_SECS: f64 = 1.0;
-/// Tokens that may be saved up, in seconds of the rate; one at least.
+/// The maximum number of saved tokens, in seconds of the rate; at least one token.
 const BURST_SECS: f64 = 0.4;
-/// Shortest wait for a token.
+/// The minimum wait for a token, in seconds.
 const MIN_WAIT_SECS: f64 = 0.001;
-/// Longest wait for a token.
+/// The maximum wait for a token before the bucket is checked again, in seconds.
 const MAX_WAIT_SECS: f64 = 3600.0;
-/// Longest wait for a token during a slow start, as the rate grows meanwhile.
+/// The maximum wait for a token during a slow start, in seconds. It is short because the rate grows
+/// meanwhile.
 const MAX_WAIT_IN_SLOW_START_SECS: f64 = 10.0;
-/// After a rejection, a gateway with low traffic waits a random time of up to this many calls at its rate:
-/// such gateways are many, and must not all call at the same moment.
+/// The maximum random delay of a gateway with low traffic after a rejection, in intervals between calls at
+/// its rate. Such gateways are many, and must not all call at the same moment.
 const LOW_TRAFFIC_MAX_WAIT_CALLS: f64 = 3.0;
 
-/// What determines the rate now.
+/// What determines the rate of the route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RatePhase {
-    /// Rejections and successes.
+    /// Rejections and successes determine the rate.
     Steady,
-    /// The slow start: no tokens are saved up.
+    /// The slow start determines the rate, and only one token is saved up.
     SlowStart,
 }
 
-/// Whether a call may be sent now.
+/// Whether the bucket has a token for a call.
 #[derive(Clone, Copy, Debug)]
 pub enum Token {
-    /// Yes.
+    /// A call may be sent now.
     Available,
-    /// Not yet.
+    /// No call may be sent yet.
     Unavailable {
-        /// When there will be a token at the present rate.
+        /// When there will be a token at the present rate, within the limits on the wait.
         available_at: Time,
-        /// When to check again whether the token has come earlier.
+        /// When to check again whether a token has become available earlier.
         recheck_at: Time,
-        /// Whether `due` is the time of the token, and not the longest permitted wait.
+        /// Whether `available_at` is the time of the token rather than the maximum wait.
         is_exact: bool,
     },
 }
 
-/// What the response to a rejection depends on.
+/// The inputs that determine how a rejection changes the rate.
 pub struct Rejection {
-    /// Messages that wait for the destination.
+    /// Number of messages that wait for the destination.
     pub waiting_messages: f64,
-    /// Messages that one call may carry.
+    /// The maximum number of messages in one call.
     pub batch_size: usize,
-    /// Messages a second for the route.
+    /// Demand for the route, in messages per second.
     pub demand_per_sec: f64,
-    /// The lowest rate that a cut may lead to.
+    /// The minimum rate after a cut, in calls per second.
     pub floor_per_sec: f64,
-    /// This gateway has low traffic there.
+    /// Whether this gateway has low traffic on the route.
     pub has_low_traffic: bool,
-    /// A random number in `0.0..1.0`.
+    /// A random number in `0.0..1.0`, for the wait after the rejection.
     pub random_fraction: f64,
 }
 
 /// The rate limit of a route.
 #[derive(Default, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Calls a second that the destination takes from all gateways together, as listed or reported.
+    /// Calls per second that the destination accepts from all gateways together, as listed or reported.
     limit_per_sec: f64,
     rate_per_sec: f64,
     tokens: f64,
     refilled_at: Time,
-    /// The last check found no token: only then a success says that the rate could be higher.
+    /// Whether the last check found no token. Only then does a success show that the rate could be higher.
     is_binding: bool,
-    /// The bucket was checked, and counts as refilled up to the last step even without another check.
+    /// Whether the bucket was checked since its last refill by [`RateLimit::refill_until`]. If so, it counts
+    /// as refilled up to the last step even without another check.
     refill_pending: bool,
     last_cut_at: Time,
-    /// Cuts since the last success.
     cuts_since_success: usize,
     sent_calls: DecayingRate,
 }
 
 impl RateLimit {
-    /// The limit of a new route. Its first call is at a random point within the interval between two calls,
-    /// as the first calls of all gateways must not come at the same moment; `chance` is a random number in
-    /// `0.0..1.0`.
+    /// Creates the rate limit of a new route. Its first call is at a random point within the interval between
+    /// two calls, so that the first calls of all gateways do not come at the same moment. `random_fraction`
+    /// is a random number in `0.0..1.0`.
     pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, random_fraction: f64) -> RateLimit {
-        // An unlisted limit has to be explored, and a listed one that is far too low must not hold messages
-        // back.
+        // An unlisted limit has to be explored, so the rate starts at the assumed limit. The minimum rate
+        // keeps a listed limit that is far too low from delaying messages.
         let share = match listed_limit_per_sec(settings, endpoint) {
             Some(_) => (INITIAL_RATE_EVEN_SHARES / fleet_size(settings)).min(1.0),
             None => 1.0,
@@ -128,29 +131,29 @@
         }
     }
 
-    /// Takes the limit from an entry of the endpoint list.
+    /// Adopts the limit of an entry of the endpoint list.
     pub fn adopt_listed_limit(&mut self, settings: &Settings, endpoint: &Endpoint) {
         self.limit_per_sec = assumed_limit_per_sec(settings, endpoint);
     }
 
-    /// Takes the limit from a load report that has one.
+    /// Adopts the limit of a load report, if it has one.
     pub fn adopt_reported_limit(&mut self, report: Option<LoadReport>) {
         if let Some(report) = report.filter(|report| report.limit_per_sec > 0.0) {
             self.limit_per_sec = report.limit_per_sec;
         }
     }
 
-    /// Calls a second that the destination takes from all gateways together.
+    /// Returns the calls per second that the destination accepts from all gateways together.
     pub fn limit_per_sec(&self) -> f64 {
         self.limit_per_sec
     }
 
-    /// Calls a second that this gateway may send in the steady phase.
+    /// Returns the calls per second that this gateway may send in the steady phase.
     pub fn rate_per_sec(&self) -> f64 {
         self.rate_per_sec
     }
 
-    /// Refills the bucket at this rate and says whether a call may be sent.
+    /// Refills the bucket at `rate_per_sec` and returns whether a call may be sent.
     pub fn next_token(&mut self, now: Time, rate_per_sec: f64, phase: RatePhase) -> Token {
         let (max_tokens, max_wait_secs) = match phase {
             RatePhase::Steady => (max_saved_tokens(rate_per_sec), MAX_WAIT_SECS),
@@ -169,13 +172,13 @@
         Token::Unavailable { available_at, recheck_at, is_exact: missing_secs >= wait_secs }
     }
 
-    /// A call is sent.
+    /// Takes the token of a call that is sent. The number of tokens may become negative.
     pub fn take_token(&mut self, now: Time) {
         self.tokens -= 1.0;
         self.sent_calls.record(now, SENT_SPAN_SECS);
     }
 
-    /// Adds the tokens that a check at that time would have added.
+    /// Adds the tokens that a check at `slots_filled_at` would have added.
     pub fn refill_until(&mut self, slots_filled_at: Time) {
         if std::mem::take(&mut self.refill_pending) && self.refilled_at < slots_filled_at {
             self.refill(slots_filled_at, self.rate_per_sec, max_saved_tokens(self.rate_per_sec));
@@ -192,13 +195,13 @@
         self.tokens = 0.0;
     }
 
-    /// Starts the bucket at this time, with this many tokens.
+    /// Restarts the bucket at time `at`, possibly in the future, with `tokens` tokens.
     pub fn restart(&mut self, at: Time, tokens: f64) {
         self.refilled_at = at;
         self.tokens = tokens;
     }
 
-    /// A call delivered.
+    /// Grows the rate after a delivery, if the rate had delayed calls.
     pub fn on_success(&mut self, settings: &Settings, report: Option<LoadReport>) {
         if self.is_binding {
             self.rate_per_sec += self.growth_per_sec(settings, report);
@@ -216,12 +219,12 @@
         ratio * self.rate_per_sec.min(shortest_objective_secs(settings).recip())
     }
 
-    /// A call was rejected without a Retry-After, or with a short one.
+    /// Cuts the rate after a rejection without a Retry-After, or with a short one, and delays the next call.
     pub fn on_rejection(&mut self, now: Time, settings: &Settings, rejection: &Rejection) {
         if now - self.last_cut_at > MIN_CUT_INTERVAL {
             self.cut(now, settings, rejection);
         }
-        // At random, as all gateways that were rejected together must not call again together.
+        // The delay is random, so that gateways that were rejected together do not call again together.
         let spread_calls = if rejection.has_low_traffic { LOW_TRAFFIC_MAX_WAIT_CALLS } else { 1.0 };
         self.tokens = self.tokens.min(-rejection.random_fraction * spread_calls);
     }
@@ -230,8 +233,8 @@
         let ratio = CUT_RATIOS[self.cuts_since_success.min(CUT_RATIOS.len() - 1)];
         self.cuts_since_success += 1;
         let objective_call_per_sec = shortest_objective_secs(settings).recip();
-        // A burst of messages must not be sent at the ordinary rate for a long time. Where a call carries
-        // many messages, waiting messages go together, and one call a latency objective is enough.
+        // A burst of messages must not be sent at the ordinary rate for a long time. If a call carries many
+        // messages, waiting messages go together, and one call per latency objective is enough.
         let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
             (0.0, objective_call_per_sec)
         } else {
@@ -248,18 +251,20 @@
     }
 }
 
-/// The limit that the endpoint list has for an endpoint, in calls a second over all gateways.
+/// Returns the limit that the endpoint list has for an endpoint, in calls per second over all gateways; none
+/// if it has none.
 fn listed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> Option<f64> {
     let is_listed = settings.capacity_hints != CapacityHints::Ignored && endpoint.capacity_hint > 0.0;
     is_listed.then(|| endpoint.capacity_hint.clamp(MIN_LISTED_LIMIT_PER_SEC, MAX_LISTED_LIMIT_PER_SEC))
 }
 
-/// The same, or what is assumed where none is listed.
+/// Returns the listed limit of an endpoint. Without one, it assumes one call per second for each call that
+/// may be in flight.
 fn assumed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> f64 {
     listed_limit_per_sec(settings, endpoint).unwrap_or(settings.max_in_flight_calls as f64)
 }
 
-/// Tokens that may be saved up at this rate.
+/// Returns the maximum number of tokens that may be saved up at a rate.
 fn max_saved_tokens(rate_per_sec: f64) -> f64 {
     (rate_per_sec * BURST_SECS).max(1.0)
 }
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -1,4 +1,4 @@
-//! What the gateway asks the scheduler about: for its next process, for the log and for measurements.
+//! Reports the scheduler's state: for the gateway's next process, for the log and for measurements.
 
 use super::state::ready_index::WorkCounters;
 use super::state::RouteId;
@@ -7,24 +7,24 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// What is left of each Retry-After, by one endpoint of each route.
+    /// Returns the remaining time of each Retry-After, with one endpoint of its route.
     pub fn retry_after_delays(&self, now: Time) -> impl Iterator<Item = (EndpointId, Duration)> + '_ {
         let waiting = self.routes.values().filter(move |route| route.retry_after.is_pending(now));
         waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.retry_after.remaining(now))))
     }
 
-    /// Whether operators are draining this gateway.
+    /// Returns whether operators have switched this gateway to lame duck mode.
     pub fn is_lame_duck(&self) -> bool {
         self.lame_duck.is_active()
     }
 
-    /// All that is to be remembered of outages over a restart.
+    /// Returns the circuit records of all routes that have one, to be kept over a restart.
     pub fn circuit_records(&self) -> impl Iterator<Item = CircuitRecord> + '_ {
         self.routes.keys().filter_map(|id| self.circuit_record(*id))
     }
 
-    /// What is to be remembered of the routes where that has changed since the last call. Routes where
-    /// nothing has changed may be among them.
+    /// Returns the circuit records that have changed since the last call. Routes where nothing has changed
+    /// may be among them.
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.ready_index.changed_circuits);
         self.ready_index.work_counters.circuits_compared += changed.len() as u64;
@@ -49,7 +49,8 @@
         })
     }
 
-    /// The destination with the longest queue, how many messages wait there, and what its routes wait for.
+    /// Returns the destination with the longest queue, the number of messages in it and the status of the
+    /// destination's routes; none if no message waits.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
         let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
         let (destination, waiting) = (*destination, queue.len());
@@ -71,7 +72,7 @@
         }
     }
 
-    /// How much was visited so far.
+    /// Returns how much work all steps so far have done.
     pub fn work_counters(&self) -> WorkCounters {
         self.ready_index.work_counters
     }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -1,12 +1,12 @@
-//! What a gateway continues with after a restart: pending messages, and what it had learnt of outages.
+//! Restores the state of a gateway after a restart: pending messages, circuit breakers and slow starts.
 
 use super::state::{RouteId, UncertainAttempt};
 use super::Scheduler;
 use crate::model::*;
 
 impl Scheduler {
-    /// Accepts a message again that was pending before the restart. Calls in flight ended with the old
-    /// process at the latest, so ordering keys are held from now on.
+    /// Accepts a message again that was pending before the restart. The old process may have had calls in
+    /// flight until its end, so all ordering keys are held from now on.
     pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
         self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Restores what was learnt of a route before the restart.
+    /// Restores the circuit breaker, slow start and baseline of a route.
     pub(super) fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
         self.mark_destination_changed(record.destination);
         let random_fraction = self.rng.f64();
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,8 +1,8 @@
-//! How long an attempt may take, and how long the next one waits.
+//! Attempt timeouts, and the backoff before a retry. Both delay a message; neither has state of its own.
 //!
-//! Retries back off exponentially with full jitter, short enough that several fit into the latency objective.
-//! An attempt times out by the latency of its destination, unless no other attempt could follow it: then it
-//! has all the time that the message has.
+//! Retries back off exponentially with full jitter, with delays short enough for several retries within the
+//! latency objective. The attempt timeout follows the latency of the route. If no other attempt could follow,
+//! the attempt has all the time until the message's deadline.
 
 use super::backoff;
 use super::idempotency;
@@ -11,36 +11,36 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// Unit of the backoff, as a ratio of the latency objective: it doubles with each attempt that was made, so
-/// that the random backoff after the first attempt has twice this as its upper end.
+/// The base of the backoff, as a ratio of the latency objective. It doubles with each attempt made, so that
+/// the random backoff after the first attempt has twice this as its upper end.
 const BASE_BACKOFF_OBJECTIVE_RATIO: f64 = 0.05;
-/// Upper end of any backoff, as a ratio of the latency objective.
+/// The maximum backoff, as a ratio of the latency objective.
 const MAX_BACKOFF_OBJECTIVE_RATIO: f64 = 0.7;
-/// Time-out of an attempt, in latencies (mean plus deviation) of its destination.
+/// The attempt timeout, in latencies (mean plus deviation) of the route.
 const TIMEOUT_IN_LATENCIES: f64 = 4.0;
-/// Shortest time-out, as a ratio of the latency objective.
+/// The minimum attempt timeout, as a ratio of the latency objective.
 const MIN_TIMEOUT_OBJECTIVE_RATIO: f64 = 0.5;
-/// Longest time-out, as a multiple of the latency objective.
+/// The maximum attempt timeout, as a multiple of the latency objective.
 const MAX_TIMEOUT_OBJECTIVES: f64 = 3.0;
 
-/// The unit of the backoff, before jitter.
+/// Returns the base of the backoff, before jitter.
 pub fn base_backoff(latency_objective: Duration) -> Duration {
     latency_objective.mul_f64(BASE_BACKOFF_OBJECTIVE_RATIO)
 }
 
-/// The longest backoff before jitter.
+/// Returns the maximum backoff, before jitter.
 pub fn max_backoff(latency_objective: Duration) -> Duration {
     latency_objective.mul_f64(MAX_BACKOFF_OBJECTIVE_RATIO)
 }
 
-/// The delay after so many attempts; `chance` is a random number in `0.0..1.0`.
+/// Returns the delay after `attempts` attempts. `random_fraction` is a random number in `0.0..1.0`.
 pub fn backoff_delay(latency_objective: Duration, attempts: u32, random_fraction: f64) -> Duration {
     backoff::exponential(latency_objective, BASE_BACKOFF_OBJECTIVE_RATIO, attempts)
         .min(max_backoff(latency_objective))
         .mul_f64(random_fraction)
 }
 
-/// The time-out of the next attempt of a message at a destination with this latency.
+/// Returns the timeout of the next attempt of a message on a route with this latency.
 pub fn attempt_timeout(
     settings: &Settings,
     now: Time,
--- a/src/scheduler/retry_after.rs
+++ b/src/scheduler/retry_after.rs
@@ -1,41 +1,42 @@
-//! Retry-After: how long a destination does not want to be called, and what clients are told with a
-//! rejection.
+//! Retry-After: stops all calls of a route until the time that its destination has requested, and suggests to
+//! clients when to enqueue a rejected message again. It owns the end of the longest requested delay.
 
 use super::retry;
 use crate::model::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Until when a route may not be called.
+/// The Retry-After of a route.
 #[derive(Default, Serialize, Deserialize)]
 pub struct RetryAfter {
     until: Time,
 }
 
 impl RetryAfter {
-    /// The destination does not want to be called before this time. A shorter wait does not end a longer one.
+    /// Blocks the route until `until`. A shorter delay does not end a longer one.
     pub fn extend(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// When the longest wait so far ends; may lie in the past.
+    /// Returns when the longest delay so far ends; possibly in the past.
     pub fn until(&self) -> Time {
         self.until
     }
 
-    /// Whether the route may not be called now.
+    /// Returns whether the route may not be called now.
     pub fn is_pending(&self, now: Time) -> bool {
         self.until > now
     }
 
-    /// What is left of the wait.
+    /// Returns the remaining delay; zero if none is pending.
     pub fn remaining(&self, now: Time) -> Duration {
         self.until - now
     }
 }
 
-/// What a client is told with a rejection: the destination's own wait, or the time in which this gateway can
-/// send the waiting messages, whichever is longer; within the bounds of a backoff.
+/// Returns the delay that a client should wait after a rejection: the destination's remaining Retry-After, or
+/// the time in which this gateway can send the waiting messages, whichever is longer; within the bounds of a
+/// backoff.
 pub fn suggested_delay(
     objective_secs: f64,
     waiting_messages: f64,
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -1,5 +1,5 @@
-//! A route: what has one rate limit, one circuit breaker and one slow start. It only holds the state of the
-//! rules.
+//! A route: a destination, or one endpoint of it, that has its own rate limit, circuit breaker and slow
+//! start. This module only holds the state of the rules of a route.
 
 use super::circuit_breaker::{CircuitBreaker, ProbeBudget};
 use super::loss_ratio::LossRatio;
@@ -12,43 +12,43 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What is known of a route.
+/// The state of a route.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Route {
-    /// Endpoints that its calls may go to.
+    /// Endpoints to which calls of the route may be sent, eligible or not.
     pub endpoints: Vec<EndpointId>,
-    /// Messages that one call may carry.
+    /// The maximum number of messages in one call.
     pub batch_size: usize,
     /// Calls in flight, the oldest first.
     pub calls: BTreeSet<CallId>,
     /// Demand, and calls served.
     pub traffic: Traffic,
-    /// Latency of its calls.
+    /// Latency of calls by this route.
     pub latency: LatencyEstimate,
-    /// Calls that may have run without success.
+    /// Ratio of calls that may have run without success.
     pub losses: LossRatio,
-    /// The rate at which it may be called.
+    /// The rate at which the route may be called.
     pub rate_limit: RateLimit,
-    /// Whether only half-open probes may be sent.
+    /// Permits only half-open probes while it is open.
     pub circuit: CircuitBreaker,
-    /// The recovery after an outage.
+    /// Limits the rate while the destination recovers from an outage.
     pub slow_start: SlowStart,
-    /// Until when it may not be called at all.
+    /// Blocks the route until a time requested by the destination.
     pub retry_after: RetryAfter,
 }
 
 impl Route {
-    /// Whether its circuit is open or its slow start runs.
+    /// Returns whether the circuit is open or the slow start is active.
     pub fn is_recovering(&self) -> bool {
         self.circuit.is_open() || self.slow_start.is_active()
     }
 
-    /// Whether there is something to be remembered over a restart.
+    /// Returns whether the route has state that must be kept over a restart.
     pub fn has_circuit_record(&self) -> bool {
         self.circuit.has_history() || self.slow_start.is_active()
     }
 
-    /// Calls a second that this gateway may send now.
+    /// Returns the calls per second that this gateway may send now.
     pub fn rate_per_sec(&mut self, now: Time, settings: &Settings) -> f64 {
         match self.slow_start.warm_up_progress(now, settings) {
             Some(progress) => {
@@ -58,13 +58,14 @@
         }
     }
 
-    /// This gateway's share of what the destination may get at some point of its recovery, in calls a second.
+    /// Returns this gateway's share of the calls that the destination may get, in calls per second, at a
+    /// progress of its slow start from 0 to 1.
     pub fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
         let limit_per_sec = self.rate_limit.limit_per_sec();
         overload_budget_per_sec(settings, now, &mut self.traffic, limit_per_sec, warm_up_progress)
     }
 
-    /// Sets when the next half-open probe may be sent, if the circuit is open; `chance` is a random number in
+    /// Schedules the next half-open probe, if the circuit is open. `random_fraction` is a random number in
     /// `0.0..1.0`.
     pub fn schedule_probe(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
         let calls_per_sec = self.overload_budget_per_sec(now, settings, 0.0);
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -1,4 +1,5 @@
-//! When a route may take one more call: the rules that can hold it back, in the order in which they apply.
+//! Decides when a route may take one more call, by the rules that can delay it, in the order in which they
+//! apply.
 
 use super::rate_limit::{RatePhase, Token};
 use super::state::ready_index::{keep_earliest, Revisit};
@@ -6,13 +7,14 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// Half-open probes of a route may use this ratio of the free slots; one is always permitted.
+/// The maximum ratio of the free slots that half-open probes of a route may use. One probe is always
+/// permitted.
 const MAX_PROBE_FREE_SLOTS_RATIO: f64 = 0.25;
 
 impl Scheduler {
-    /// When a route may take one more call: now, later, or only after some event (none). `revisit` is told
-    /// what else can change the answer. The rules apply in this order: Retry-After, shutdown, circuit
-    /// breaker, bulkhead, rate limit.
+    /// Returns when a route may take one more call: now, later, or only after some event (none). Sets in
+    /// `revisit` what else can change the result. The rules apply in this order: Retry-After, shutdown,
+    /// circuit breaker, bulkhead, rate limit.
     pub(super) fn route_free_at(&mut self, now: Time, id: RouteId, revisit: &mut Revisit) -> Option<Time> {
         let unresponsive_after = self.unresponsive_after(id);
         let free_slots = self.free_slots();
@@ -23,7 +25,7 @@
             keep_earliest(&mut revisit.recheck_at, route.slow_start.ends_at(&self.settings));
             return Some(route.retry_after.until());
         }
-        // The rate of a slow start grows from moment to moment.
+        // The rate of a slow start grows all the time.
         revisit.at_every_step |= route.slow_start.is_active();
         if !self.shutdown.has_time_for(now, unresponsive_after) {
             return None;
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Calls a second that this gateway may send a route now. Ends a slow start that has run out.
+    /// Returns the calls per second that this gateway may send by a route now. Ends a slow start whose time
+    /// has elapsed.
     pub(super) fn rate_per_sec(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
         if route.slow_start.finish_if_elapsed(now, &self.settings) {
--- a/src/scheduler/shutdown.rs
+++ b/src/scheduler/shutdown.rs
@@ -1,27 +1,28 @@
-//! The end of this process: no call is started that would most likely still be in flight then.
+//! The scheduled end of this process. It stops calls that would most likely still be in flight then, and owns
+//! the time of the end.
 
 use crate::model::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// When this process ends, if that is known.
+/// The time at which this process ends, if it is scheduled.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Shutdown {
     at: Option<Time>,
 }
 
 impl Shutdown {
-    /// It ends at this time; the end of the clock stands for no end.
+    /// Schedules the end of the process; the largest [`Time`] cancels it.
     pub fn schedule(&mut self, at: Time) {
         self.at = (at < Time(u64::MAX)).then_some(at);
     }
 
-    /// Whether an end is known.
+    /// Returns whether the end of the process is scheduled.
     pub fn is_scheduled(&self) -> bool {
         self.at.is_some()
     }
 
-    /// Whether a call that takes so long would be over by then.
+    /// Returns whether a call of this duration would be over before the end of the process.
     pub fn has_time_for(&self, now: Time, call_duration: Duration) -> bool {
         self.at.is_none_or(|end| now + call_duration <= end)
     }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -1,8 +1,9 @@
-//! Which destination gets a free call slot, and with which message, route and endpoint.
+//! Assigns free call slots: chooses the destination that gets a slot, and the message, route and endpoint of
+//! its call.
 //!
 //! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
-//! best message has the highest value for each second that it uses the slot. A destination is visited only
-//! when something has changed there, or when its last visit asked for it ([`Revisit`]).
+//! best message has the highest value per second for which it occupies the slot. A destination is visited
+//! only when something has changed there, or when its last visit requested it ([`Revisit`]).
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
@@ -13,20 +14,20 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
-/// time is needed for the call.
+/// How long a message may wait for a cheaper route, as a ratio of its latency objective. The rest of the
+/// objective is needed for the call.
 const MAX_COST_WAIT_OBJECTIVE_RATIO: f64 = 0.25;
 
-/// What may be sent to a destination now.
+/// A call that may be started now.
 struct Candidate {
     route: RouteId,
     endpoint: EndpointId,
     message: MessageId,
-    /// Value of the message for each second that a slot is taken.
+    /// Value of the message per second for which the call occupies its slot.
     value_per_sec: f64,
 }
 
-/// A destination that has a candidate.
+/// A destination to which a call may be started now.
 struct ReadyDestination {
     destination: DestinationId,
     value_per_sec: f64,
@@ -41,13 +42,13 @@
 }
 
 impl Scheduler {
-    /// Call slots that are free.
+    /// Returns the number of free call slots.
     pub(super) fn free_slots(&self) -> usize {
         self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
-    /// Starts calls until no slot is free or nothing may be sent. `next` is moved to the time of the next
-    /// visit.
+    /// Starts calls until no slot is free or nothing may be sent. Lowers `next` to the time of the next visit
+    /// if that is earlier.
     pub(super) fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         if self.free_slots() == 0 {
             return;
@@ -65,7 +66,7 @@
             let best = (0..ready.len()).min_by(|a, b| self.compare_for_slot(&ready[*a], &ready[*b]));
             let Some(best) = best else { break };
             let destination = ready.swap_remove(best).destination;
-            // Other calls have started since it was found ready, so it may have to wait now.
+            // Other calls have started since the destination was found ready, so it may have to wait now.
             let Some(candidate) = self.find_candidate_or_park(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
@@ -92,8 +93,8 @@
         Some(ReadyDestination { destination, value_per_sec })
     }
 
-    /// What may be sent to a destination now. If nothing may, it is not visited again before that can have
-    /// changed.
+    /// Returns the candidate of a destination. If it has none, the destination is not visited again until
+    /// that can have changed.
     fn find_candidate_or_park(
         &mut self,
         now: Time,
@@ -116,8 +117,8 @@
         candidate
     }
 
-    /// The best message of a destination that may be sent now, by the cheapest route that can take it. If
-    /// there is none, `revisit` says when to try again.
+    /// Returns the best message of a destination that may be sent now, by the cheapest route that can take
+    /// it. If there is none, sets in `revisit` when to try again.
     fn find_candidate(
         &mut self,
         now: Time,
@@ -142,7 +143,7 @@
             let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
             if let Some(cheaper_route) = cheaper_route.filter(|cheaper_route| cheaper_route.cost < cost) {
                 if self.can_wait_for(&cheaper_route, destination, chosen.id) {
-                    // The best message, and so how long it can wait, changes from moment to moment.
+                    // The best message, and with it how long it can wait, changes from moment to moment.
                     revisit.at_every_step = true;
                     keep_earliest(&mut revisit.send_at, Some(cheaper_route.free_at));
                     continue;
@@ -163,7 +164,8 @@
         routes
     }
 
-    /// Messages a second that a route can take; none if it is recovering or has no eligible endpoint.
+    /// Returns the messages per second that a route can take; none if it is recovering or has no eligible
+    /// endpoint.
     fn messages_per_sec_if_healthy(&mut self, now: Time, id: RouteId) -> Option<f64> {
         let calls_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get(&id)?;
@@ -171,8 +173,8 @@
         is_healthy.then_some(calls_per_sec * route.batch_size as f64)
     }
 
-    /// Whether a message can wait for a cheaper route. Only if that route can deliver the whole queue in
-    /// time: otherwise the capacity of the more expensive route would be wasted.
+    /// Returns whether a message can wait for a cheaper route. It can only if that route can deliver the
+    /// whole queue in time: otherwise the capacity of the more expensive route would be wasted.
     fn can_wait_for(
         &self,
         cheaper_route: &CheaperRoute,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,9 +1,10 @@
-//! Slow start of a destination that is back after an outage, and the budget that keeps it from being
-//! overloaded.
+//! The slow start of a route after an outage, and the overload budget, which keeps a recovering destination
+//! from being overloaded.
 //!
 //! A recovering destination has only a part of its capacity, and fails again if it gets more than a multiple
-//! of that during the overload window. Half-open probes, slow starts and the lowest rate after rejections
-//! share one budget.
+//! of that during the overload window. Half-open probes, slow starts and the minimum rate after rejections
+//! share one budget. This module owns the start of the slow start; it stops no call itself, but its budget
+//! limits the rate of `rate_limit` and delays the probes of `circuit_breaker`.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
 use super::traffic::Traffic;
@@ -11,55 +12,56 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Ratio of the budget that is used; the rest is a margin for rejected calls, batches and random variation.
+/// The ratio of the budget that is used. The rest is a margin for rejected calls, batches and random
+/// variation.
 const USED_BUDGET_RATIO: f64 = 0.8;
 
 /// The slow start of a route, if one is active.
 #[derive(Default, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// May lie in the future, where the destination said when it is back.
+    /// Lies in the future if the destination has announced when it is back.
     since: Option<Time>,
 }
 
 impl SlowStart {
-    /// Begins one at this time.
+    /// Begins a slow start at time `at`.
     pub fn begin(&mut self, at: Time) {
         self.since = Some(at);
     }
 
-    /// Cancels it, as the destination is unavailable again.
+    /// Cancels the slow start because the destination is unavailable again.
     pub fn cancel(&mut self) {
         self.since = None;
     }
 
-    /// Continues one that began before a restart.
+    /// Restores the slow start from before a restart; none if there was none.
     pub fn restore(&mut self, since: Option<Time>) {
         self.since = since;
     }
 
-    /// When it began, if one is active.
+    /// Returns when the active slow start began or will begin; none if none is active.
     pub fn since(&self) -> Option<Time> {
         self.since
     }
 
-    /// Whether one is active.
+    /// Returns whether a slow start is active.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
-    /// When it ends, if one is active.
+    /// Returns when the active slow start ends; none if none is active.
     pub fn ends_at(&self, settings: &Settings) -> Option<Time> {
         let duration = Duration::from_secs_f64(warm_up_secs(settings));
         self.since.map(|since| since + duration)
     }
 
-    /// Its progress from 0 to 1; none if none is active or its time has run out.
+    /// Returns the progress of the slow start from 0 to 1; none if none is active or its time has elapsed.
     pub fn warm_up_progress(&self, now: Time, settings: &Settings) -> Option<f64> {
         let progress = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
         (progress < 1.0).then_some(progress)
     }
 
-    /// Ends it if its time has run out. Returns whether it did.
+    /// Ends the slow start if its time has elapsed. Returns whether it did.
     pub fn finish_if_elapsed(&mut self, now: Time, settings: &Settings) -> bool {
         let is_over = self.since.is_some() && self.warm_up_progress(now, settings).is_none();
         if is_over {
@@ -69,11 +71,11 @@
     }
 }
 
-/// This gateway's share of what a recovering destination may get, in calls a second.
+/// Returns this gateway's share of the calls that a recovering destination may get, in calls per second.
 ///
-/// `limit_per_sec` is what the healthy destination takes from all gateways; `warm_up_progress` runs
-/// from 0 to 1 over a slow start. The share follows what this gateway ordinarily sends there, and is at least
-/// an even share.
+/// `limit_per_sec` is the limit of the healthy destination over all gateways; `warm_up_progress` runs from 0
+/// to 1 over a slow start. The share follows what this gateway ordinarily sends to the destination, and is at
+/// least an even share.
 pub fn overload_budget_per_sec(
     settings: &Settings,
     now: Time,
@@ -81,7 +83,7 @@
     limit_per_sec: f64,
     warm_up_progress: f64,
 ) -> f64 {
-    // A gateway with low traffic may send one call in each deadline, as its messages would run out unsent
+    // A gateway with low traffic may send one call per deadline, as its messages would expire unsent
     // otherwise. Few gateways have low traffic and messages for the same destination at the same time.
     let min_per_sec =
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
--- a/src/scheduler/state/decaying_rate.rs
+++ b/src/scheduler/state/decaying_rate.rs
@@ -1,9 +1,9 @@
-//! Rates of events that fade with time.
+//! Event rates with exponential decay.
 
 use crate::model::Time;
 use serde::{Deserialize, Serialize};
 
-/// A count of events that fades exponentially: a rate over about the time span that it is read with.
+/// An event count that decays exponentially: read as a rate, it is an average over about the given time span.
 #[derive(Default, Serialize, Deserialize)]
 pub struct DecayingRate {
     count: f64,
@@ -11,13 +11,13 @@
 }
 
 impl DecayingRate {
-    /// Adds one event.
+    /// Counts one event.
     pub fn record(&mut self, now: Time, span_secs: f64) {
         self.count = self.decayed_count(now, span_secs) + 1.0;
         self.updated_at = now;
     }
 
-    /// Events a second over about this time span.
+    /// Returns the events per second over about this time span.
     pub fn per_sec(&mut self, now: Time, span_secs: f64) -> f64 {
         self.count = self.decayed_count(now, span_secs);
         self.updated_at = now;
--- a/src/scheduler/state/endpoint.rs
+++ b/src/scheduler/state/endpoint.rs
@@ -1,27 +1,27 @@
-//! A listed endpoint.
+//! The state of a listed endpoint.
 
 use crate::model::{Availability, Endpoint, Time};
 use serde::{Deserialize, Serialize};
 
-/// An endpoint of the list, and what this gateway knows of it.
+/// An endpoint of the list, with this gateway's state for it.
 #[derive(Serialize, Deserialize)]
 pub struct TrackedEndpoint {
-    /// Its entry of the list.
+    /// The latest entry of the endpoint list.
     pub entry: Endpoint,
-    /// Calls in flight.
+    /// Number of calls in flight to the endpoint.
     pub calls_in_flight: usize,
-    /// Drawn once: orders endpoints that are alike otherwise, at this gateway only.
+    /// Random number that orders otherwise equal endpoints. Drawn once, and different at each gateway.
     pub tie_breaker: u32,
-    /// Calls that failed since one was delivered last.
+    /// Number of calls that failed since the last delivery.
     pub failures: u32,
-    /// Until when other endpoints are preferred.
+    /// Until this time other endpoints are preferred.
     pub avoid_until: Time,
-    /// When a call last ended with its connection left open.
+    /// When a call last ended with its connection left open; none if no connection is known to be open.
     pub connection_used_at: Option<Time>,
 }
 
 impl TrackedEndpoint {
-    /// An endpoint that is new on the list.
+    /// Creates the state of an endpoint that is new on the list.
     pub fn new(entry: Endpoint, tie_breaker: u32) -> TrackedEndpoint {
         TrackedEndpoint {
             entry,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether the list has removed it and it may be forgotten once no call is in flight.
+    /// Returns whether the list has removed the endpoint, so that it is deleted once no call is in flight.
     pub fn is_removed(&self) -> bool {
         self.entry.availability == Availability::Removed
     }
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -1,48 +1,49 @@
-//! A pending message: from its acceptance until its final outcome is acknowledged and no attempt is in
-//! flight.
+//! The state of a pending message, which exists from its acceptance until its final outcome is acknowledged
+//! and no attempt is in flight.
 
 use super::call::CallId;
 use super::queue::Seq;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 
-/// A pending message.
+/// A pending message and its progress.
 #[derive(Serialize, Deserialize)]
 pub struct Message {
-    /// The message as it was accepted.
+    /// The message as originally accepted.
     pub accepted: AcceptedMessage,
-    /// Its position in the queue of its destination.
+    /// Position in the queue of its destination.
     pub seq: Seq,
-    /// When its client handed it over, by its deadline and class.
+    /// When its client enqueued it, calculated from its deadline and its class.
     pub enqueued_at: Time,
-    /// Attempts made so far, one in flight included.
+    /// Number of attempts made so far, including one in flight.
     pub attempts: u32,
-    /// The call in flight that carries it.
+    /// The call in flight that carries the message; none if it waits.
     pub call: Option<CallId>,
-    /// The first attempt that may have been processed. It fixes the idempotency window and the deduplication
-    /// scope.
+    /// The first attempt that may have been processed. It determines the idempotency window and the
+    /// deduplication scope.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
-    /// Its backoff: no attempt before this.
+    /// End of the backoff: no attempt is made before this time.
     pub not_before: Time,
-    /// It has its final outcome.
+    /// Whether the message has its final outcome or was abandoned.
     pub is_completed: bool,
-    /// Its final outcome was reported and not yet acknowledged; until then it keeps its ordering key.
+    /// Whether its final outcome was reported and not yet acknowledged. Until then it keeps its ordering key.
     pub awaits_acknowledgement: bool,
-    /// Over its tenant's quota, and so worth less.
+    /// Whether it was over its tenant's quota when accepted, and so has a lower value.
     pub is_over_quota: bool,
 }
 
 /// An attempt that may have been processed, though no success came back.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct UncertainAttempt {
-    /// When its first byte may have left.
+    /// When the first byte may have been sent.
     pub sent_at: Time,
-    /// Where it went; none where another gateway made it.
+    /// Zone of the endpoint; none if another gateway made the attempt.
     pub zone: Option<ZoneId>,
 }
 
 impl Message {
-    /// A message that was just accepted and not yet queued; none where its class is unknown.
+    /// Creates the state of a message that was just accepted and is not queued yet; none if its class is
+    /// unknown.
     pub fn new(
         settings: &Settings,
         now: Time,
@@ -51,7 +52,7 @@
     ) -> Option<Message> {
         let class = settings.classes.get(usize::from(accepted.class.0))?;
         let enqueued_at = accepted.deadline - class.deadline;
-        // Another gateway may have sent it at any time since.
+        // Another gateway may have sent a redelivered message at any time since it was enqueued.
         let may_have_run = accepted.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         let attempt_elsewhere = UncertainAttempt { sent_at: enqueued_at, zone: None };
         Some(Message {
@@ -68,12 +69,12 @@
         })
     }
 
-    /// Its class.
+    /// Returns the class of the message.
     pub fn class<'s>(&self, settings: &'s Settings) -> &'s Class {
         &settings.classes[usize::from(self.accepted.class.0)]
     }
 
-    /// The key whose messages go one at a time, where its class is ordered.
+    /// Returns the ordering key if the class is ordered.
     pub fn ordering_key(&self, settings: &Settings) -> Option<OrderingKey> {
         self.accepted.key.filter(|_| self.class(settings).is_ordered)
     }
--- a/src/scheduler/state/mod.rs
+++ b/src/scheduler/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state that the rules share: messages, calls, endpoints, queues, and the indexes over them. It decides
-//! nothing.
+//! The state that the rules share: messages, calls, endpoints, queues, and the indexes over them. It makes no
+//! decisions.
 
 pub mod call;
 pub mod decaying_rate;
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -1,46 +1,49 @@
-//! The messages that wait for one destination, in the order of acceptance, with an index for long queues.
+//! The queue of one destination, in the order of acceptance, with an index for long queues.
 //!
-//! Messages of one class that were never tried, and are all within or all beyond their tenant's quota, differ
-//! in nothing but their age. Their value goes through a few stages as they grow older, and within a stage it
-//! only rises, only falls or stays: the best message of a stage is its oldest, its youngest or, where the
-//! value stays, the first in the queue. The index keeps these apart, so that a choice compares a few messages
-//! and not the whole queue. Messages that may have run, or that are ordered, are compared one by one.
+//! Unordered messages of one class for which no attempt may have run, and which are all within or all over
+//! their tenant's quota, differ only in their age. Their value goes through a few stages as they grow older,
+//! and within a stage it only rises, only falls or stays constant. So the best message of a stage is its
+//! oldest, its youngest or, if the value is constant, the first in the queue. The index keeps these apart, so
+//! that a choice compares a few messages and not the whole queue. Messages that may have run, or that are
+//! ordered, are compared one by one.
 //!
-//! The index is derived: it is rebuilt from the messages when needed and is not part of a hand-over. It
-//! decides nothing: comparing all messages of the queue leads to the same choice.
+//! The index is derived data: it is rebuilt from the messages when needed and is not part of a handover. It
+//! does not affect decisions: comparing all messages of the queue leads to the same choice.
 
 use super::VALUE_STAGES;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A queue of more messages than this gets an index.
+/// A queue with more messages than this gets an index.
 const INDEX_ABOVE_LENGTH: usize = 64;
-/// A queue that has an index loses it when it has no more messages than this.
+/// A queue with an index drops it at this number of messages or fewer.
 const NO_INDEX_UP_TO_LENGTH: usize = 32;
-/// Stages that the value of a message goes through at most.
+/// The maximum number of stages of a message's value. The value depends on the age now and on the age one
+/// latency objective later, each of which goes through [`VALUE_STAGES`] stages.
 pub const STAGES: usize = 2 * VALUE_STAGES - 1;
 
-/// Position of a message in its queue; grows from message to message.
+/// Position of a message in its queue, in the order of acceptance.
 pub type Seq = u64;
 
-/// Messages that differ in nothing but their age.
+/// The common properties of messages that differ only in their age.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageGroup {
-    /// Their class.
+    /// Class of all messages of the group.
     pub class: ClassId,
-    /// Whether they are beyond their tenant's quota.
+    /// Whether all of them are over their tenant's quota, or none is.
     pub is_over_quota: bool,
 }
 
-/// State of a message in its queue.
+/// How a message in its queue takes part in a choice.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum QueueState {
-    /// A call carries it: it is no candidate.
+    /// A call carries the message, so it cannot be chosen.
     InFlight,
-    /// It is compared on its own.
+    /// The message is always compared individually.
     Individual,
-    /// One of a group that differs in its age alone. It may not be sent before `not_before`.
+    /// The message belongs to a group whose messages differ only in their age. It may not be sent before
+    /// `not_before`.
     Grouped { group: MessageGroup, enqueued_at: Time, not_before: Time },
 }
 
@@ -61,7 +64,7 @@
         self.order.is_empty()
     }
 
-    /// All messages, in order.
+    /// Returns the ids of all messages, in the order of acceptance.
     pub fn ids(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.order.values().copied()
     }
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Sets the state of a message.
+    /// Updates the index with the state of a message.
     pub fn set_queue_state(&mut self, seq: Seq, queue_state: QueueState) {
         if let Some((index, id)) = self.index.as_mut().zip(self.order.get(&seq)) {
             index.remove(seq);
@@ -86,8 +89,9 @@
         }
     }
 
-    /// Takes out the index of a long queue; the caller gives it back. It is built where there is none yet,
-    /// with `queue_state` for the state of each message.
+    /// Takes the index of a long queue, which the caller has to put back with [`Queue::restore_index`]. If
+    /// there is none yet, builds it, with `queue_state` for the state of each message. None if the queue is
+    /// too short for an index.
     pub fn take_index(&mut self, queue_state: impl Fn(MessageId) -> QueueState) -> Option<Box<Index>> {
         if self.len() <= if self.index.is_some() { NO_INDEX_UP_TO_LENGTH } else { INDEX_ABOVE_LENGTH } {
             self.index = None;
@@ -104,7 +108,7 @@
     }
 }
 
-/// Where the index of a long queue holds each message.
+/// The index of a long queue: its messages by their state, group and stage.
 #[derive(Default)]
 pub struct Index {
     entries: BTreeMap<Seq, (MessageId, Location)>,
@@ -128,7 +132,7 @@
 }
 
 impl Stage {
-    /// The oldest, the youngest and the first message; of several of the same age, the first of them.
+    /// Returns the oldest, the youngest and the first message; of several of the same age, the first of them.
     fn extremes(&self) -> impl Iterator<Item = Seq> + '_ {
         let youngest =
             self.by_age.last().and_then(|(enqueued_at, _)| self.by_age.range((*enqueued_at, 0)..).next());
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Moves each message to the stage that it has reached by now. Stages only grow with age.
+    /// Moves each message to the stage that it has reached at `now`. Stages only grow with age.
     pub fn advance(&mut self, now: Time, stage_of: impl Fn(MessageGroup, Time) -> usize) {
         while let Some((_, seq)) = self.delayed.first().filter(|(at, _)| *at <= now).copied() {
             self.delayed.pop_first();
@@ -202,8 +206,8 @@
         }
     }
 
-    /// The messages of which one is the best now, in the order of the queue, and the first that may be sent
-    /// later. Of groups for which `go_through` holds, all messages.
+    /// Returns candidates, in the order of the queue: the messages among which the best one is now, and the
+    /// first that may be sent later. Includes all messages of groups for which `include_all_of` is true.
     pub fn candidates(&self, include_all_of: impl Fn(MessageGroup) -> bool) -> Vec<MessageId> {
         let mut candidates: BTreeSet<Seq> = self.individual.clone();
         candidates.extend(self.delayed.first().map(|(_, seq)| *seq));
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -1,14 +1,14 @@
-//! Indexes over the scheduler's state that say what the next step has to visit, so that the cost of a step
+//! Indexes over the scheduler's state that list what the next step has to visit, so that the cost of a step
 //! grows with what has changed and not with what exists.
 //!
-//! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They
-//! decide nothing: visiting more than they ask for leads to the same decisions.
+//! The indexes are derived data: they can be rebuilt from the state at any time and are not part of a
+//! handover. They do not affect decisions: visiting more than they list leads to the same decisions.
 
 use super::{CallId, RouteId};
 use crate::model::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys with one due time each, ordered by time.
+/// A priority queue of keys, each with one due time.
 pub struct DueQueue<K> {
     order: BTreeSet<(Time, K)>,
     times: BTreeMap<K, Time>,
@@ -21,7 +21,7 @@
 }
 
 impl<K: Ord + Copy> DueQueue<K> {
-    /// Sets when a key is due, in place of what was set before; none removes it.
+    /// Sets when a key is due, replacing any earlier value. None removes the key.
     pub fn set(&mut self, key: K, at: Option<Time>) {
         let previous = match at {
             Some(at) => self.times.insert(key, at),
@@ -38,35 +38,36 @@
         }
     }
 
-    /// When the earliest key is due.
+    /// Returns the earliest due time; none if the queue is empty.
     pub fn first_at(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// The earliest key that is due by now, if there is one. It stays until it is set again.
+    /// Returns the key with the earliest due time if that is not after `now`. The key stays in the queue
+    /// until it is set again.
     pub fn first_due(&self, now: Time) -> Option<K> {
         self.order.first().filter(|(at, _)| *at <= now).map(|(_, key)| *key)
     }
 }
 
-/// When a waiting destination has to be visited again without an event of its own, as found by its last
+/// When a waiting destination has to be visited again if no event concerns it, as determined by its last
 /// visit.
 #[derive(Default)]
 pub struct Revisit {
-    /// When something may be sent: the scheduler asks for a timer.
+    /// Time at which something may be sent. The scheduler requests a timer for it.
     pub send_at: Option<Time>,
-    /// When a visit would change the state though nothing may be sent yet: no timer is needed for it.
+    /// Time at which a visit would change the state though nothing may be sent yet. It needs no timer.
     pub recheck_at: Option<Time>,
-    /// Once at required this many slots are free.
+    /// Visit once at least this many slots are free.
     pub free_slots_at_least: Option<usize>,
-    /// Once fewer slots than this are free.
+    /// Visit once fewer slots than this are free.
     pub free_slots_below: Option<usize>,
-    /// At each step, as what was found holds at that moment only.
+    /// Visit at every step, as the result of the last visit was only valid at its time.
     pub at_every_step: bool,
 }
 
 impl Revisit {
-    /// Whether at required `required` slots are free; the destination is visited again when that changes.
+    /// Returns whether at least `required` slots are free, and schedules a visit for when that changes.
     pub fn has_free_slots(&mut self, required: usize, free_slots: usize) -> bool {
         let enough = free_slots >= required;
         if enough {
@@ -79,12 +80,12 @@
     }
 }
 
-/// How much was visited so far, over all steps; for tests and measurements.
+/// Numbers of objects visited so far, over all steps; for tests and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// Destinations that were visited for something to send.
+    /// Destinations that were visited to find something to send.
     pub destinations_visited: u64,
-    /// Waiting messages that were compared for that.
+    /// Waiting messages that were compared on these visits.
     pub messages_compared: u64,
     /// Calls that were checked for a missing response.
     pub calls_checked: u64,
@@ -97,36 +98,37 @@
 /// The indexes of a scheduler.
 #[derive(Default)]
 pub struct ReadyIndex {
-    /// Whether the next step that has a free slot visits all destinations.
+    /// Whether the next step with a free slot visits all destinations.
     pub must_visit_all: bool,
-    /// The destinations that it visits otherwise.
+    /// Destinations that the next step with a free slot visits because they have changed.
     changed: BTreeSet<DestinationId>,
     send_times: DueQueue<DestinationId>,
     recheck_times: DueQueue<DestinationId>,
     free_slots_at_least: BTreeSet<(usize, DestinationId)>,
     free_slots_below: BTreeSet<(usize, DestinationId)>,
-    /// Destinations that are not visited before one of the four above asks for it or something happens to
-    /// them, with their entries in the two sets of slots.
+    /// Destinations that are visited only when one of the four collections above lists them or when they
+    /// change, with their `free_slots_at_least` and `free_slots_below`.
     scheduled: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
-    /// When the oldest responsive call of a route becomes unresponsive.
+    /// Times at which the oldest responsive call of a route becomes unresponsive.
     pub response_checks: DueQueue<RouteId>,
-    /// Calls that are unresponsive and were not cancelled, the oldest first.
+    /// Unresponsive calls that were not cancelled, the oldest first.
     pub unresponsive_calls: BTreeSet<CallId>,
-    /// Endpoints that are removed from the list and kept while they have calls in flight.
+    /// Endpoints that were removed from the list and are kept while they have calls in flight.
     pub removed_endpoints: BTreeSet<EndpointId>,
-    /// Routes whose circuit record may have changed since it was last asked for.
+    /// Routes whose circuit record may have changed since the records were last taken.
     pub changed_circuits: BTreeSet<RouteId>,
     pub work_counters: WorkCounters,
 }
 
 impl ReadyIndex {
-    /// Something has happened to a destination: the next step visits it.
+    /// Marks a destination as changed, so that the next step visits it.
     pub fn mark_changed(&mut self, destination: DestinationId) {
         self.unschedule(destination);
         self.changed.insert(destination);
     }
 
-    /// Destinations to visit now, in order. Each has to be scheduled or marked as changed again afterwards.
+    /// Returns the destinations to visit now, in order, and removes the change marks. Each destination has to
+    /// be scheduled or marked as changed again afterwards.
     pub fn take_destinations_to_visit(&mut self, now: Time, free_slots: usize) -> BTreeSet<DestinationId> {
         let mut due = std::mem::take(&mut self.changed);
         for due_queue in [&self.send_times, &self.recheck_times] {
@@ -150,7 +152,7 @@
         due
     }
 
-    /// Records when a destination that was just visited in vain has to be visited again.
+    /// Schedules the next visit of a destination where the last visit found nothing to send.
     pub fn schedule_revisit(&mut self, destination: DestinationId, revisit: &Revisit) {
         self.unschedule(destination);
         self.changed.remove(&destination);
@@ -161,13 +163,13 @@
         self.scheduled.insert(destination, (revisit.free_slots_at_least, revisit.free_slots_below));
     }
 
-    /// Nothing waits for this destination any more.
+    /// Removes a destination for which no message waits any more.
     pub fn remove(&mut self, destination: DestinationId) {
         self.unschedule(destination);
         self.changed.remove(&destination);
     }
 
-    /// Removes a destination from all that it was scheduled in.
+    /// Removes a destination from all collections in which it is scheduled.
     fn unschedule(&mut self, destination: DestinationId) {
         let Some((at_least, below)) = self.scheduled.remove(&destination) else { return };
         self.send_times.set(destination, None);
@@ -176,7 +178,7 @@
         below.map(|below| self.free_slots_below.remove(&(below, destination)));
     }
 
-    /// When a scheduled destination may next be sent something.
+    /// Returns when something may next be sent to a scheduled destination.
     pub fn next_send_at(&self) -> Option<Time> {
         self.send_times.first_at()
     }
--- a/src/scheduler/state/route_id.rs
+++ b/src/scheduler/state/route_id.rs
@@ -1,20 +1,20 @@
-//! The id of a route.
+//! The ids of routes.
 
 use crate::model::{DestinationId, EndpointId};
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// A destination, or one endpoint of it where its endpoints have limits of their own.
+/// Identifies a route: a destination, or one endpoint of it if its endpoints have their own limits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RouteId {
-    /// The destination.
+    /// The destination of the route.
     pub destination: DestinationId,
-    /// The endpoint, where its endpoints are separate routes.
+    /// The endpoint, if each endpoint of the destination is a route of its own.
     pub endpoint: Option<EndpointId>,
 }
 
 impl RouteId {
-    /// The ids that the routes of a destination can have.
+    /// Returns the range of ids that the routes of a destination can have.
     pub fn all_of(destination: DestinationId) -> RangeInclusive<RouteId> {
         let first = RouteId { destination, endpoint: None };
         let last = RouteId { destination, endpoint: Some(EndpointId(u32::MAX)) };
--- a/src/scheduler/state/value_decay.rs
+++ b/src/scheduler/state/value_decay.rs
@@ -1,21 +1,22 @@
-//! How the value of a message falls with its age.
+//! The decay of a message's value with its age.
 
 use crate::model::{Class, Decay};
 
-/// Stages of the value of a message: on time, late, at its minimum, past its deadline.
+/// The number of stages of a message's value: on time, late, at its minimum, past its deadline.
 pub const VALUE_STAGES: usize = 4;
 
-/// What is left of the value of a message at some age.
+/// The remaining value of a message at some age.
 #[derive(Clone, Copy)]
 pub struct RemainingValue {
-    /// As a ratio of its full value.
+    /// Ratio of the full value.
     pub ratio: f64,
-    /// Grows with age, below [`VALUE_STAGES`]. Inside one stage the ratio only falls or stays.
+    /// Number of the stage, from 0, below [`VALUE_STAGES`]. It only grows with age. Within a stage the ratio
+    /// only falls or stays constant.
     pub stage: usize,
 }
 
 impl RemainingValue {
-    /// Of a message of some class, at an age in seconds.
+    /// Returns the remaining value of a message of a class at an age in seconds.
     pub fn at_age(class: &Class, decay: Decay, age_secs: f64) -> RemainingValue {
         let objective_secs = class.latency_objective.as_secs_f64();
         let deadline_secs = class.deadline.as_secs_f64();
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -1,5 +1,6 @@
-//! Calls without a response for too long. Each counts as a loss for the reuse of connections. When messages
-//! wait and no slot is free, the oldest one is cancelled.
+//! Detects calls that have had no response for too long. Each counts as a loss for the reuse of connections.
+//! If messages wait and no slot is free, the oldest unresponsive call is cancelled. The calls and
+//! `ready_index` hold the state of this rule.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -8,17 +9,17 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// A call is unresponsive after so many latencies (mean plus deviation) of its route.
+/// A call becomes unresponsive after this many latencies (mean plus deviation) of its route.
 const UNRESPONSIVE_AFTER_LATENCIES: f64 = 3.0;
-/// No call is unresponsive before this ratio of the shortest latency objective: short pauses of an endpoint
-/// are ordinary.
+/// The minimum time after which a call becomes unresponsive, as a ratio of the shortest latency objective:
+/// short pauses of an endpoint are normal.
 const MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO: f64 = 0.25;
-/// A call with a message that is not idempotent gets this multiple of [`Scheduler::unresponsive_after`]
-/// before it is cancelled, as the message is lost with it.
+/// A call with a non-idempotent message is only cancelled after this multiple of
+/// [`Scheduler::unresponsive_after`], as the message is lost with it.
 const NON_IDEMPOTENT_CANCEL_MULTIPLE: u32 = 2;
 
 impl Scheduler {
-    /// How long a call of a route may be silent.
+    /// Returns how long a call of a route may have no response before it is unresponsive.
     pub(super) fn unresponsive_after(&self, id: RouteId) -> Duration {
         let typical_secs = self
             .routes
@@ -28,7 +29,7 @@
         Duration::from_secs_f64(typical_secs.max(min_secs))
     }
 
-    /// Marks the calls that have become unresponsive; returns when the next one will.
+    /// Marks the calls that have become unresponsive. Returns when the next call will.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
         while let Some(route_id) = self.ready_index.response_checks.first_due(now) {
             let oldest = self.oldest_responsive_call(route_id);
@@ -43,8 +44,8 @@
         self.ready_index.response_checks.first_at()
     }
 
-    /// Schedules the time at which the oldest responsive call of a route becomes unresponsive. Calls become
-    /// so in the order in which they were sent.
+    /// Schedules the check of the oldest responsive call of a route for the time at which it becomes
+    /// unresponsive. Calls become unresponsive in the order in which they were sent.
     pub(super) fn schedule_response_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.unresponsive_after(id));
@@ -59,7 +60,7 @@
         Some(*oldest)
     }
 
-    /// Cancels the oldest unresponsive call where no slot is free and messages wait.
+    /// Cancels the oldest unresponsive call if no slot is free and messages wait.
     pub(super) fn cancel_unresponsive_call(&mut self, now: Time) {
         let has_waiting_messages = self.open_messages > self.calls.len();
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
