--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -19,8 +19,8 @@
     pub failure_score: u32,
     /// While the circuit is open: whether calls were lost and not just rejected. None while it is closed.
     pub has_lost_calls: Option<bool>,
-    /// Start of the active slow start; none if there is none. Lies in the future if the destination announced
-    /// the end of its outage.
+    /// Start of the active slow start; none if there is none. May lie in the future, if the destination has
+    /// announced when it is back.
     pub slow_start_since: Option<Time>,
     /// Calls per second that this gateway had served by the route before the outage.
     pub baseline_per_sec: f64,
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -96,10 +96,10 @@
             route.calls.remove(&id);
         }
         self.ready_index.unresponsive_calls.remove(&id);
-        let caused_by_idle_connection = self.update_connection_reuse(now, finished.outcome, &call);
-        self.update_endpoint(now, finished.outcome, &call, caused_by_idle_connection);
+        let is_idle_connection_loss = self.update_connection_reuse(now, finished.outcome, &call);
+        self.update_endpoint(now, finished.outcome, &call, is_idle_connection_loss);
         let had_record = self.has_circuit_record(call.route);
-        if !caused_by_idle_connection {
+        if !is_idle_connection_loss {
             self.update_route(now, finished, &call);
         }
         if had_record || self.has_circuit_record(call.route) {
@@ -113,7 +113,7 @@
     fn update_connection_reuse(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
         let is_lost =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
-        let caused_by_idle_connection =
+        let is_idle_connection_loss =
             is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle);
         // An unresponsive call was already counted when it became unresponsive.
         if is_lost && !call.is_unresponsive {
@@ -125,7 +125,7 @@
         if outcome == AttemptOutcome::TooManyConnections {
             self.connection_reuse.on_too_many_connections(now, &self.settings);
         }
-        caused_by_idle_connection
+        is_idle_connection_loss
     }
 
     fn update_endpoint(
@@ -133,7 +133,7 @@
         now: Time,
         outcome: AttemptOutcome,
         call: &Call,
-        caused_by_idle_connection: bool,
+        is_idle_connection_loss: bool,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return };
         endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
@@ -144,7 +144,7 @@
             | AttemptOutcome::Timeout
             | AttemptOutcome::Reset
             | AttemptOutcome::ErrorResponse => {
-                if !caused_by_idle_connection {
+                if !is_idle_connection_loss {
                     endpoint.on_failure(now, &self.settings, self.rng.f64());
                 }
             }
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -30,7 +30,7 @@
 /// How strongly an outcome suggests that the destination is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The outcome does not count as a failure.
+    /// No evidence: the failure score stays the same.
     None,
     /// Weak evidence: a single rejection is normal.
     Minor,
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -68,6 +68,8 @@
     /// Decides whether the next call to an endpoint reuses one of the endpoint's idle connections.
     pub fn decide(&mut self, now: Time, settings: &Settings, call: &NextCall) -> IdleConnections {
         let max_risk = if call.is_resendable { MAX_RISK_RESENDABLE } else { MAX_RISK_NON_IDEMPOTENT };
+        // While another call is in flight, the next one may use a connection that has been idle for longer,
+        // so the highest risk from this idle time on counts.
         let fallback_bucket = if call.is_only_call { IDLE_BUCKETS } else { 0 };
         let risks = &self.idle_risks[idle_bucket(settings, call.idle).unwrap_or(fallback_bucket)..];
         let risk =
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -51,7 +51,7 @@
         previous_destination
             .into_iter()
             .chain([entry.destination])
-            .for_each(|to| self.mark_destination_changed(to));
+            .for_each(|destination| self.mark_destination_changed(destination));
         if entry.availability == Availability::Removed {
             self.ready_index.removed_endpoints.insert(entry.id);
         } else {
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -58,7 +58,8 @@
         self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
 
-    /// Removes a message from its queue: it has its final outcome, or its client has abandoned it.
+    /// Marks a message as completed and removes it from its queue: it has its final outcome, or its client
+    /// has abandoned it.
     pub(super) fn complete_message(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id).filter(|message| !message.is_completed) {
             message.is_completed = true;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -177,8 +177,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// Returns a random delay before the first watch on the endpoint list; see
-    /// [`watch_backoff::initial_delay`].
+    /// Returns a random delay to wait before the first watch on the endpoint list, so that gateways that
+    /// start together spread their watches.
     pub fn initial_watch_delay(&mut self) -> Duration {
         watch_backoff::initial_delay(&self.settings, self.rng.f64())
     }
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -14,7 +14,7 @@
     /// Pending messages of each key, the oldest first. Empty lists are removed.
     pending: BTreeMap<OrderingKey, Vec<MessageId>>,
     holds: BTreeMap<OrderingKey, Time>,
-    /// End of the hold on all keys after a restart, as any key may have had a call in flight.
+    /// End of the hold on all keys after a restart. Any key may have had a call in flight then.
     all_held_until: Time,
 }
 
@@ -42,13 +42,13 @@
         self.holds.insert(key, until);
     }
 
-    /// Delays the next message of every key until `until`.
+    /// Delays all messages with an ordering key until `until`.
     pub fn hold_all(&mut self, until: Time) {
         self.all_held_until = until;
     }
 
-    /// Returns the earliest time at which a message may be sent; none if it is not the first of its key. A
-    /// hold applies only to a message that was not attempted yet.
+    /// Returns the earliest time at which a message may be sent; none if it is not the first of its key. The
+    /// hold on a single key applies only to a message that was not attempted yet.
     pub fn earliest_send_at(
         &self,
         key: OrderingKey,
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -29,8 +29,9 @@
 /// Growth per success of a rate that delays calls, as a ratio of the rate, or of one call per latency
 /// objective if that is less.
 const GROWTH_RATIO: f64 = 0.08;
-/// The additional growth far below an even share of the limit, as a multiple of [`GROWTH_RATIO`]. Without it
-/// a gateway that calls rarely would need minutes to get back to its share.
+/// The maximum additional growth, as a multiple of [`GROWTH_RATIO`]. It applies in full far below an even
+/// share of the limit, and less the closer the rate is to that share. Without it a gateway that calls rarely
+/// would need minutes to get back to its share.
 const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
 /// Growth per success if the destination reports its headroom: this times the headroom, as a ratio of the
 /// rate.
@@ -103,7 +104,7 @@
     is_binding: bool,
     /// Whether the bucket was checked since its last refill by [`RateLimit::refill_until`]. If so, it counts
     /// as refilled up to the last step even without another check.
-    refill_pending: bool,
+    is_refill_pending: bool,
     last_cut_at: Time,
     cuts_since_success: usize,
     sent_calls: DecayingRate,
@@ -160,7 +161,7 @@
             RatePhase::SlowStart => (1.0, MAX_WAIT_IN_SLOW_START_SECS),
         };
         self.refill(now, rate_per_sec, max_tokens);
-        self.refill_pending = true;
+        self.is_refill_pending = true;
         self.is_binding = self.tokens < 1.0;
         if !self.is_binding {
             return Token::Available;
@@ -180,7 +181,7 @@
 
     /// Adds the tokens that a check at `slots_filled_at` would have added.
     pub fn refill_until(&mut self, slots_filled_at: Time) {
-        if std::mem::take(&mut self.refill_pending) && self.refilled_at < slots_filled_at {
+        if std::mem::take(&mut self.is_refill_pending) && self.refilled_at < slots_filled_at {
             self.refill(slots_filled_at, self.rate_per_sec, max_saved_tokens(self.rate_per_sec));
         }
     }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,4 +1,5 @@
-//! Attempt timeouts, and the backoff before a retry. Both delay a message; neither has state of its own.
+//! Attempt timeouts, and the backoff that delays a retry. This module has no state: the message holds the end
+//! of its backoff.
 //!
 //! Retries back off exponentially with full jitter, with delays short enough for several retries within the
 //! latency objective. The attempt timeout follows the latency of the route. If no other attempt could follow,
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -67,13 +67,14 @@
             let Some(best) = best else { break };
             let destination = ready.swap_remove(best).destination;
             // Other calls have started since the destination was found ready, so it may have to wait now.
-            let Some(candidate) = self.find_candidate_or_park(now, destination, next) else { continue };
+            let Some(candidate) = self.find_candidate_or_defer(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
         }
         self.slots_filled_at = now;
     }
 
+    /// Orders destinations by calls in flight, then by the value of their candidate.
     fn compare_for_slot(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
         let by_calls = self.calls_in_flight_to(a.destination).cmp(&self.calls_in_flight_to(b.destination));
         by_calls.then(b.value_per_sec.total_cmp(&a.value_per_sec))
@@ -89,13 +90,13 @@
         destination: DestinationId,
         next: &mut Option<Time>,
     ) -> Option<ReadyDestination> {
-        let value_per_sec = self.find_candidate_or_park(now, destination, next)?.value_per_sec;
+        let value_per_sec = self.find_candidate_or_defer(now, destination, next)?.value_per_sec;
         Some(ReadyDestination { destination, value_per_sec })
     }
 
     /// Returns the candidate of a destination. If it has none, the destination is not visited again until
     /// that can have changed.
-    fn find_candidate_or_park(
+    fn find_candidate_or_defer(
         &mut self,
         now: Time,
         destination: DestinationId,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -19,7 +19,7 @@
 /// The slow start of a route, if one is active.
 #[derive(Default, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// Lies in the future if the destination has announced when it is back.
+    /// May lie in the future, if the destination has announced when it is back.
     since: Option<Time>,
 }
 
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -31,7 +31,7 @@
 pub struct MessageGroup {
     /// Class of all messages of the group.
     pub class: ClassId,
-    /// Whether all of them are over their tenant's quota, or none is.
+    /// Whether the messages of the group are over their tenant's quota.
     pub is_over_quota: bool,
 }
 
@@ -103,6 +103,7 @@
         self.index.take()
     }
 
+    /// Puts back an index that was taken with [`Queue::take_index`].
     pub fn restore_index(&mut self, index: Box<Index>) {
         self.index = Some(index);
     }
@@ -112,8 +113,11 @@
 #[derive(Default)]
 pub struct Index {
     entries: BTreeMap<Seq, (MessageId, Location)>,
+    /// Messages that are always compared individually.
     individual: BTreeSet<Seq>,
+    /// Grouped messages by the time before which they may not be sent.
     delayed: BTreeSet<(Time, Seq)>,
+    /// Grouped messages that may be sent, by stage.
     groups: BTreeMap<MessageGroup, [Stage; STAGES]>,
 }
 
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -69,14 +69,14 @@
 impl Revisit {
     /// Returns whether at least `required` slots are free, and schedules a visit for when that changes.
     pub fn has_free_slots(&mut self, required: usize, free_slots: usize) -> bool {
-        let enough = free_slots >= required;
-        if enough {
+        let has_enough = free_slots >= required;
+        if has_enough {
             self.free_slots_below = Some(self.free_slots_below.map_or(required, |below| below.max(required)));
         } else {
             self.free_slots_at_least =
                 Some(self.free_slots_at_least.map_or(required, |current| current.min(required)));
         }
-        enough
+        has_enough
     }
 }
 
