--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,5 +1,5 @@
 //! Admission and load shedding: decides which messages are accepted, and which accepted ones get their final
-//! outcome without delivery, because their deadline has passed or because the gateway is nearly full.
+//! outcome without delivery, because they have expired or because the gateway is nearly full.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -113,8 +113,8 @@
         self.complete_message(id);
     }
 
-    /// Gives up the messages whose deadline has passed. A message in flight may still be delivered during the
-    /// first half of the grace time for final outcomes.
+    /// Gives up the messages whose deadline, or last time for sending, has passed. A message in flight may
+    /// still be delivered during the first half of the grace time for final outcomes.
     pub(super) fn give_up_expired(&mut self, now: Time) {
         while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
             self.deadlines.remove(&deadline);
