--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -1,9 +1,10 @@
-//! What follows from the outcome of an attempt, and what is learnt from the outcome of a call.
+//! Applies the outcome of an attempt to its message, and the outcome of a call to connection reuse, endpoint
+//! and route.
 //!
-//! A call has one outcome, and the rules of its route learn from it once, each in a step of its own, in the
-//! order of [`Scheduler::learn`].
+//! A call has one outcome, which the rules of its route record once, in the order of
+//! [`Scheduler::update_route`].
 
-use super::circuit_breaker::{longest_transient, Failure, Severity};
+use super::circuit_breaker::{max_transient_outage, Failure, Severity};
 use super::idempotency;
 use super::rate_limit::Rejection;
 use super::retry;
@@ -15,7 +16,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// An endpoint does not want its route to be called for this long.
+    /// Blocks the route of an endpoint that has sent a Retry-After, for `delay` from now.
     pub(super) fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return };
         let id = self.route_of(&endpoint.entry);
@@ -25,10 +26,10 @@
         }
     }
 
-    /// An attempt of a message finished.
+    /// Handles the end of an attempt. The last attempt of a call to end completes the call.
     pub(super) fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
-        // A Retry-After holds from the first message of a call that brings it, whatever the state of that
-        // message.
+        // The first message of a call whose outcome has a Retry-After puts it into force, whatever the state
+        // of that message.
         if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
             self.on_retry_after(now, finished.endpoint, delay);
         }
@@ -38,10 +39,10 @@
         let destination = message.accepted.destination;
         self.mark_destination_changed(destination);
         self.record_attempt(now, call_id, &finished);
-        // The messages of a call share its outcome: it is complete with the last of them.
+        // The messages of a call share its outcome, so the call is complete with the last of them.
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        call.unfinished -= 1;
-        if call.unfinished == 0 {
+        call.unfinished_attempts -= 1;
+        if call.unfinished_attempts == 0 {
             if let Some(call) = self.calls.remove(&call_id) {
                 self.complete_call(now, call_id, call, &finished);
             }
@@ -52,10 +53,11 @@
         } else {
             self.set_last_send_deadline(now, id);
         }
-        self.forget_if_settled(id);
+        self.delete_if_settled(id);
     }
 
-    /// Updates a message after an attempt: attempts made, uncertainty, backoff and the hold on its key.
+    /// Updates a message after an attempt: its number of attempts, first uncertain attempt, backoff and the
+    /// hold on its ordering key.
     fn record_attempt(&mut self, now: Time, call_id: CallId, finished: &FinishedAttempt) {
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get(&call_id) else { return };
@@ -79,8 +81,8 @@
         }
     }
 
-    /// A message that can never be sent again gets its final outcome then: it would only use up capacity and
-    /// block the messages behind it in the order of its key.
+    /// Schedules the final outcome of a message for the time from which it can never be sent again. After
+    /// that time it would only use up capacity and block the messages behind it in the order of its key.
     pub(super) fn set_last_send_deadline(&mut self, now: Time, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(last_send_at) = idempotency::last_send_at(&self.settings, message) {
@@ -88,17 +90,17 @@
         }
     }
 
-    /// Frees the slot of a call, and updates connection reuse, endpoint and route by its outcome.
+    /// Frees the slot of a call, and updates connection reuse, endpoint and route with its outcome.
     fn complete_call(&mut self, now: Time, id: CallId, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.calls.remove(&id);
         }
         self.ready_index.unresponsive_calls.remove(&id);
-        let is_explained = self.learn_of_connections(now, finished.outcome, &call);
-        self.learn_of_endpoint(now, finished.outcome, &call, is_explained);
+        let is_idle_connection_loss = self.update_connection_reuse(now, finished.outcome, &call);
+        self.update_endpoint(now, finished.outcome, &call, is_idle_connection_loss);
         let had_record = self.has_circuit_record(call.route);
-        if !is_explained {
-            self.learn(now, finished, &call);
+        if !is_idle_connection_loss {
+            self.update_route(now, finished, &call);
         }
         if had_record || self.has_circuit_record(call.route) {
             self.ready_index.changed_circuits.insert(call.route);
@@ -106,14 +108,14 @@
         self.schedule_response_check(call.route);
     }
 
-    /// Learns of idle connections; returns whether one explains the loss of the call, so that the loss says
-    /// nothing of endpoint and route.
-    fn learn_of_connections(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
+    /// Updates the risk of idle connections. Returns whether an idle connection most likely caused the loss
+    /// of the call; such a loss is no evidence about endpoint and route.
+    fn update_connection_reuse(&mut self, now: Time, outcome: AttemptOutcome, call: &Call) -> bool {
         let is_lost =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
-        let is_explained =
-            is_lost && self.connection_reuse.explains_loss(&self.settings, call.connection_idle);
-        // An unresponsive call was counted when it became so.
+        let is_idle_connection_loss =
+            is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle);
+        // An unresponsive call was already counted when it became unresponsive.
         if is_lost && !call.is_unresponsive {
             self.connection_reuse.record_loss(now, &self.settings, call.connection_idle);
         }
@@ -123,10 +125,16 @@
         if outcome == AttemptOutcome::TooManyConnections {
             self.connection_reuse.on_too_many_connections(now, &self.settings);
         }
-        is_explained
+        is_idle_connection_loss
     }
 
-    fn learn_of_endpoint(&mut self, now: Time, outcome: AttemptOutcome, call: &Call, is_explained: bool) {
+    fn update_endpoint(
+        &mut self,
+        now: Time,
+        outcome: AttemptOutcome,
+        call: &Call,
+        is_idle_connection_loss: bool,
+    ) {
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return };
         endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
         match outcome {
@@ -136,7 +144,7 @@
             | AttemptOutcome::Timeout
             | AttemptOutcome::Reset
             | AttemptOutcome::ErrorResponse => {
-                if !is_explained {
+                if !is_idle_connection_loss {
                     endpoint.on_failure(now, &self.settings, self.rng.f64());
                 }
             }
@@ -152,14 +160,14 @@
             self.actions.push(Action::CloseIdleConnections { endpoint: call.endpoint });
         }
         if endpoint.calls_in_flight == 0 && endpoint.is_removed() {
-            self.forget_endpoint(call.endpoint);
+            self.delete_endpoint(call.endpoint);
         }
     }
 
-    /// Lets the rules of a route learn from one of its calls: reported limit, latency, loss ratio; then, by
-    /// the kind of outcome, traffic, slow start, rate limit and circuit breaker.
-    fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
-        let chance = self.rng.f64();
+    /// Updates the rules of a route with the outcome of one of its calls: reported limit, latency and loss
+    /// ratio; then, by the kind of outcome, traffic, slow start, rate limit and circuit breaker.
+    fn update_route(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
+        let random_fraction = self.rng.f64();
         let waiting_messages = self.queues.get(&call.route.destination).map_or(0, Queue::len) as f64;
         let has_healthy_endpoint = self.has_healthy_endpoint(call.route);
         let settings = &self.settings;
@@ -168,8 +176,9 @@
         let report = finished.load_report;
 
         route.rate_limit.adopt_reported_limit(report);
-        // A time-out is a sample too, of at least its length: else time-outs would stay too short all through
-        // a slow phase, and each retry would meet the attempt before it still running.
+        // A timeout is a sample too, of at least its duration. Without it, attempt timeouts would stay too
+        // short while the destination is slow, and each retry would arrive while the previous attempt is
+        // still running.
         if let AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled = outcome {
             route.latency.record_starting_from(&self.latency, finished.latency);
         }
@@ -178,14 +187,14 @@
         }
         route.losses.record(now, settings, outcome);
         match outcome {
-            AttemptOutcome::Delivered => route.learn_success(now, settings, report),
-            AttemptOutcome::Rejected(Some(wait)) if wait > longest_transient(settings) => {
-                route.learn_announced_return(chance);
+            AttemptOutcome::Delivered => route.on_success(now, settings, report),
+            AttemptOutcome::Rejected(Some(wait)) if wait > max_transient_outage(settings) => {
+                route.on_announced_return(random_fraction);
             }
             AttemptOutcome::Rejected(_) => {
-                route.learn_rejection(now, settings, waiting_messages, chance);
+                route.on_rejection(now, settings, waiting_messages, random_fraction);
                 let failure = Failure::Rejected(Severity::of_rejection(report));
-                route.learn_failure(now, settings, failure, chance);
+                route.on_failure(now, settings, failure, random_fraction);
             }
             _ => {
                 let no_success_since = route.circuit.no_success_since(call.sent_at);
@@ -194,21 +203,21 @@
                 } else {
                     Severity::None
                 };
-                route.learn_failure(now, settings, Failure::Lost(severity), chance);
+                route.on_failure(now, settings, Failure::Lost(severity), random_fraction);
             }
         }
     }
 }
 
-/// How severe a failed call is, if no call has succeeded since it was sent. Errors and resets don't count
-/// while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route stall at
-/// once.
+/// Returns the severity of a failed call if no call has succeeded since it was sent. Errors and resets do not
+/// count while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route
+/// stall at once.
 fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
         AttemptOutcome::ConnectFailed => Severity::Certain,
         AttemptOutcome::Timeout | AttemptOutcome::Cancelled => Severity::Major,
         AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if !has_healthy_endpoint => Severity::Major,
-        // It is up, and may yet be failing most calls.
+        // The destination is up, but may be failing most calls.
         AttemptOutcome::MalformedResponse => Severity::Minor,
         AttemptOutcome::ErrorResponse
         | AttemptOutcome::Reset
@@ -222,7 +231,7 @@
 }
 
 impl Route {
-    fn learn_success(&mut self, now: Time, settings: &Settings, report: Option<LoadReport>) {
+    fn on_success(&mut self, now: Time, settings: &Settings, report: Option<LoadReport>) {
         let is_recovering = self.is_recovering();
         self.traffic.record_served(now, settings, is_recovering);
         if self.circuit.success_ends_outage(now, settings) {
@@ -233,32 +242,33 @@
         self.circuit.on_success(now);
     }
 
-    /// The destination is closed, and has announced when it is back. All rejected messages wait for that
-    /// moment: the slow start begins there, with no tokens saved up, and the first call of each gateway is at
+    /// The destination is closed and has announced when it is back. All rejected messages wait for that
+    /// moment, so the slow start begins there without saved tokens, and the first call of each gateway is at
     /// a random point within the interval between two of its calls.
-    fn learn_announced_return(&mut self, chance: f64) {
+    fn on_announced_return(&mut self, random_fraction: f64) {
         let back_at = self.retry_after.until();
         self.slow_start.begin(back_at);
-        self.rate_limit.restart(back_at, chance);
+        self.rate_limit.restart(back_at, random_fraction);
         self.circuit.on_announced_return();
     }
 
-    fn learn_rejection(&mut self, now: Time, settings: &Settings, waiting_messages: f64, chance: f64) {
+    fn on_rejection(&mut self, now: Time, settings: &Settings, waiting_messages: f64, random_fraction: f64) {
         let rejection = Rejection {
             waiting_messages,
             batch_size: self.batch_size,
             demand_per_sec: self.traffic.demand_per_sec(now, settings),
             floor_per_sec: self.overload_budget_per_sec(now, settings, 0.0),
-            low_traffic: self.traffic.is_low(now, settings),
-            chance,
+            has_low_traffic: self.traffic.is_low(now, settings),
+            random_fraction,
         };
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
-    /// An open circuit ends a slow start.
-    fn learn_failure(&mut self, now: Time, settings: &Settings, failure: Failure, chance: f64) {
+    /// Records a failure in the circuit breaker. A failure that opens the circuit or keeps it open cancels a
+    /// slow start.
+    fn on_failure(&mut self, now: Time, settings: &Settings, failure: Failure, random_fraction: f64) {
         if self.circuit.on_failure(failure) {
-            self.schedule_probe(now, settings, chance);
+            self.schedule_probe(now, settings, random_fraction);
             self.slow_start.cancel();
         }
     }
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -1,15 +1,15 @@
-//! Changes of the endpoint list.
+//! Applies changes of the endpoint list to endpoints and routes, and restarts the watch on the list.
 
 use super::circuit_breaker::CircuitBreaker;
 use super::rate_limit::RateLimit;
 use super::route::Route;
-use super::state::ready_index::earliest;
+use super::state::ready_index::keep_earliest;
 use super::state::TrackedEndpoint;
 use super::Scheduler;
 use crate::model::*;
 
 impl Scheduler {
-    /// Applies what the watch on the list brought.
+    /// Applies a result of the watch on the list.
     pub(super) fn on_endpoints_updated(&mut self, now: Time, update: EndpointUpdate) {
         match update {
             EndpointUpdate::WatchFailed => self.watch_backoff.on_failed(now),
@@ -18,7 +18,7 @@
             }
             EndpointUpdate::Delta(entries) => self.apply_entries(now, entries),
             EndpointUpdate::Snapshot(entries) => {
-                // What a snapshot does not name gets nothing new from now on.
+                // An endpoint that is not in the snapshot gets no new calls from now on.
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.entry.availability = Availability::Removed;
                 }
@@ -39,7 +39,7 @@
             |id: &&EndpointId| self.endpoints.get(id).is_none_or(|endpoint| endpoint.calls_in_flight == 0);
         for id in self.ready_index.removed_endpoints.iter().filter(has_no_calls).copied().collect::<Vec<_>>()
         {
-            self.forget_endpoint(id);
+            self.delete_endpoint(id);
         }
     }
 
@@ -51,7 +51,7 @@
         previous_destination
             .into_iter()
             .chain([entry.destination])
-            .for_each(|to| self.mark_destination_changed(to));
+            .for_each(|destination| self.mark_destination_changed(destination));
         if entry.availability == Availability::Removed {
             self.ready_index.removed_endpoints.insert(entry.id);
         } else {
@@ -59,9 +59,9 @@
         }
         let kind = self.settings.destination_kinds.get(usize::from(entry.kind.0));
         let batch_size = kind.map_or(1, |kind| kind.max_batch_size.max(1));
-        let chance = self.rng.f64();
+        let random_fraction = self.rng.f64();
         let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| Route {
-            rate_limit: RateLimit::new(now, &self.settings, &entry, chance),
+            rate_limit: RateLimit::new(now, &self.settings, &entry, random_fraction),
             latency: self.latency,
             circuit: CircuitBreaker::new(now),
             ..Route::default()
@@ -73,13 +73,13 @@
             return;
         }
         route.endpoints.push(entry.id);
-        let preference = self.rng.u32(..);
-        self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, preference));
+        let tie_breaker = self.rng.u32(..);
+        self.endpoints.insert(entry.id, TrackedEndpoint::new(entry, tie_breaker));
     }
 
-    /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
-    /// except where the endpoint was a route of its own.
-    pub(super) fn forget_endpoint(&mut self, id: EndpointId) {
+    /// Deletes a removed endpoint that has no call in flight. The state of its route stays, except if the
+    /// endpoint was a route of its own.
+    pub(super) fn delete_endpoint(&mut self, id: EndpointId) {
         self.ready_index.removed_endpoints.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
         self.mark_destination_changed(endpoint.entry.destination);
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Starts the watch on the list again once its backoff has run out.
+    /// Restarts the watch on the list once its backoff has elapsed.
     pub(super) fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
         if self.watch_backoff.take_due(now) {
             self.actions.push(Action::WatchEndpoints { is_active: true });
         }
-        earliest(next, self.watch_backoff.retry_at());
+        keep_earliest(next, self.watch_backoff.retry_at());
     }
 }
