--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -1,9 +1,10 @@
-//! Every decision of a courier. Types, events and actions are in `interface.rs`, what it keeps in mind in
-//! `books.rs`; nothing is decided there.
+//! Every decision of the frozen scheduler. The types of its state are in `state.rs`; events and actions are
+//! the product's own, under the name `interface` of `mod.rs`.
 //!
-//! The ordinary path: a message waits in the queue of its destination; a free call slot goes to the waiting
-//! destination with the fewest calls out; a message whose attempt may have run goes again under its one key,
-//! inside group, window and attempt limit, after a full-jitter exponential gap. All else guards that path.
+//! A message waits in the queue of its destination. A free call slot goes to the waiting destination with the
+//! fewest calls in flight. A message whose attempt may have been processed is sent again under the same
+//! idempotency key, within its deduplication scope, its idempotency window and the limit of attempts, after
+//! an exponential backoff with full jitter. Everything else protects this path.
 
 use super::interface::*;
 use super::reached;
@@ -12,375 +13,424 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-// ---- Tuned values ----
-
-/// First gap before a repeat, as a part of the class's aim: short enough to leave time for several on time.
-const BACKOFF_BASE_OF_AIM: f64 = 0.05;
-/// Longest gap before a repeat, as a part of the class's aim: a repeat rarely pays if it waits longer.
-const BACKOFF_CAP_OF_AIM: f64 = 0.7;
-/// A keyed message is not resent in the last part of its window: the call must still arrive inside it.
-const WINDOW_MARGIN: f64 = 0.1;
-/// Latency assumed before the first answer, as a part of the shortest aim.
-const FIRST_LATENCY_OF_AIM: f64 = 0.1;
-/// Least weight of the newest latency in the running mean; the first few weigh more.
-const LATENCY_GAIN: f64 = 0.15;
-/// Time-out of a repeatable attempt, in latencies (mean and deviation) of its destination ...
-const TIMEOUT_LATENCIES: f64 = 4.0;
-/// ... and at least this part of the aim, at most this multiple of it.
-const TIMEOUT_AIMS: (f64, f64) = (0.5, 3.0);
-/// A call is stalled when it was not answered for so many latencies ...
-const STALL_LATENCIES: f64 = 3.0;
-/// ... and at least for this part of the shortest aim: short pauses of a partner pass unnoticed.
-const STALL_AIM: f64 = 0.25;
-/// An unsafe call gets so many times that patience before it is called off: what it carries is lost then.
-const UNSAFE_PATIENCE: u32 = 2;
-/// First gap between trial calls, as a part of the fall window, and the longest one; both are jittered.
-const TRIAL_GAPS_OF_FALL: (f64, f64) = (0.1, 0.6);
-/// Own demand counts towards the fall budget up to so many times what was served here before.
-const DEMAND_OF_SERVED: f64 = 1.5;
-/// With fewer messages than this over a cold return's length a courier is light: it waits for a deadline at
-/// most, lest its messages run out untried, and such couriers are few enough at any one destination.
-const LIGHT: f64 = 2.0;
-/// After a refusal its next call comes by chance within so many calls of its pace more, for they are many.
-const LIGHT_SPREAD: f64 = 3.0;
-/// Shortest part of a gap that chance may leave: who failed together must not come back together.
-const TRIAL_JITTER_FROM: f64 = 0.25;
-/// A spell without success shorter than this part of the fall window needs no slow start.
-const BLIP_OF_FALL: f64 = 0.6;
-/// Evidence that opens a spell, and what each outcome adds: no connection says that it is down, a lost call
-/// or an error hints at it (two in a row, as a light courier has few), single refusals are everyday life.
-const SPELL_AFTER: u32 = 6;
-const EVIDENCE_NO_CONNECTION: u32 = 6;
-const EVIDENCE_LOST: u32 = 3;
-const EVIDENCE_REFUSED: u32 = 1;
-/// Part of the fall budget that is used: refused calls, batches and chance need the rest.
-const FALL_BUDGET_USED: f64 = 0.8;
-/// On `full` the rate falls to this part of what was sent of late, at most once in `CUT_EVERY`: twice without
-/// a success, then to the part of the fall budget, as it may be an outage, or all may have to slow down.
-const RATE_CUTS: [f64; 3] = [0.75, 0.5, 0.0];
-const CUT_EVERY: Duration = Duration::from_millis(500);
-/// Rate of a route at first, in even parts of the told one: what all begin with adds up, and where refused
-/// calls use the limit up as well, more than the limit means that nobody is served.
-const FIRST_RATE: f64 = 1.0;
-/// ... but at least so many calls until the shortest deadline.
-const FIRST_LEAST: f64 = 0.25;
-/// Told rates outside these bounds count as the nearest of them.
-const TOLD_RATES: (f64, f64) = (0.1, 1e6);
-/// Growth of a rate that binds with each answer, as a part of itself or of one call an aim: with the cuts it
-/// settles where a fixed part of the calls is refused, however many couriers share the limit.
-const RATE_GROWTH: f64 = 0.08;
-/// ... and up to so many times more, the further it is below the even part of what is told: that much there
-/// mostly is, and a courier that calls seldom would take minutes to get back to it.
-const BELOW_GROWTH: f64 = 6.0;
-/// A refusal with more than this share of the limit left, as told, is not for the limit.
-const ROOM_LEFT: f64 = 0.3;
-/// Growth where the share of the limit that is left is told: so many times that share.
-const TOLD_GROWTH: f64 = 2.0;
-/// What was sent of late: calls over about so many seconds.
-const LATE_S: f64 = 1.0;
+// ---- Constants ----
+
+/// Unit of the backoff, as a ratio of the latency objective. It doubles with each attempt made, and is short
+/// enough that several retries fit into the objective.
+const BACKOFF_BASE_OF_OBJECTIVE: f64 = 0.05;
+/// Longest backoff, as a ratio of the latency objective: a retry that waits longer rarely arrives in time.
+const BACKOFF_CAP_OF_OBJECTIVE: f64 = 0.7;
+/// The last part of an idempotency window, which is not used: the call must still arrive inside the window.
+const WINDOW_MARGIN_RATIO: f64 = 0.1;
+/// Latency assumed before the first sample, as a ratio of the shortest latency objective.
+const INITIAL_LATENCY_OF_OBJECTIVE: f64 = 0.1;
+/// Least weight of the newest sample in the running mean of latencies; the first few samples weigh more.
+const MIN_LATENCY_GAIN: f64 = 0.15;
+/// Time-out of an attempt that another can follow, in latencies (mean plus deviation) of its destination.
+const TIMEOUT_IN_LATENCIES: f64 = 4.0;
+/// Shortest and longest such time-out, in latency objectives.
+const TIMEOUT_BOUNDS_OF_OBJECTIVE: (f64, f64) = (0.5, 3.0);
+/// A call is unresponsive after this many latencies (mean plus deviation) of its route without a response.
+const UNRESPONSIVE_AFTER_LATENCIES: f64 = 3.0;
+/// No call is unresponsive before this ratio of the shortest latency objective: short pauses of an endpoint
+/// are ordinary.
+const MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO: f64 = 0.25;
+/// A call with a message that is not idempotent gets this multiple of [`Scheduler::unresponsive_after`]
+/// before it is cancelled, as the message is lost with it.
+const NON_IDEMPOTENT_CANCEL_MULTIPLE: u32 = 2;
+/// First and longest delay between half-open probes, as ratios of the overload window, before jitter. The
+/// first is also the base of the time for which an endpoint is avoided after a failure.
+const PROBE_DELAYS_OF_WINDOW: (f64, f64) = (0.1, 0.6);
+/// Demand counts towards the overload budget up to this multiple of what was served before.
+const MAX_DEMAND_OF_BASELINE: f64 = 1.5;
+/// Fewer messages than this over the length of a slow start are low traffic. A gateway with low traffic waits
+/// for one shortest deadline at most between two calls: its messages would expire unsent otherwise, and few
+/// gateways have low traffic and messages for the same destination at the same time.
+const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
+/// After a rejection, a gateway with low traffic waits a random time of up to this many calls at its rate, as
+/// such gateways are many.
+const LOW_TRAFFIC_SPREAD_CALLS: f64 = 3.0;
+/// Jitter leaves at least this ratio of a delay: gateways whose calls failed together must not call again
+/// together.
+const MIN_JITTER: f64 = 0.25;
+/// Failures without success for less than this ratio of the overload window are transient, and not followed
+/// by a slow start.
+const TRANSIENT_OF_WINDOW: f64 = 0.6;
+/// Failure score that opens the circuit.
+const OPENING_SCORE: u32 = 6;
+/// Score of a call that got no connection: the destination is down.
+const SCORE_CONNECT_FAILED: u32 = 6;
+/// Score of a lost call or an error. Two in a row open the circuit, as a gateway with low traffic has few calls; one
+/// keeps an open circuit open.
+const SCORE_LOST: u32 = 3;
+/// Score of a rejection: single rejections are ordinary.
+const SCORE_REJECTED: u32 = 1;
+/// Ratio of the overload budget that is used; the rest is a margin for rejected calls, batches and random
+/// variation.
+const USED_BUDGET_RATIO: f64 = 0.8;
+/// Ratio of the rate (or of what was sent recently, if that is less) that is left after a rejection, by the
+/// number of cuts since the last success. From the third cut on only the overload budget is left, as the
+/// destination may be unavailable, or all gateways may have to slow down.
+const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
+/// Rejections within this time of a cut do not cut the rate again.
+const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
+/// Initial rate of a route, in even shares of the listed limit. The rates of all gateways add up: if they
+/// exceeded the limit, nobody would be served where rejected calls use up the limit as well.
+const INITIAL_SHARES: f64 = 1.0;
+/// Initial rate of a route: at least this many calls within the shortest deadline.
+const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
+/// Lower and upper bound for listed limits, in calls a second.
+const LISTED_LIMIT_BOUNDS_PER_SEC: (f64, f64) = (0.1, 1e6);
+/// Growth of a binding rate with each success, as a ratio of the rate, or of one call a latency objective if
+/// that is less. With the cuts, the rate settles where a fixed part of the calls is rejected, however many
+/// gateways share the limit.
+const GROWTH_RATIO: f64 = 0.08;
+/// Growth is larger by up to this multiple, the further the rate is below an even share of the limit. That
+/// much capacity is usually there, and a gateway that calls rarely would need minutes to get back to its
+/// share.
+const EXTRA_GROWTH_BELOW_SHARE: f64 = 6.0;
+/// A rejection that reports more headroom than this was not caused by the rate limit.
+const HEADROOM_LEFT: f64 = 0.3;
+/// Growth where the destination reports its headroom: the headroom times this, as a ratio of the rate.
+const GROWTH_OF_HEADROOM: f64 = 2.0;
+/// Time span of the rate of sent calls, in seconds.
+const SENT_SPAN_SECS: f64 = 1.0;
 /// Tokens that may be saved up, in seconds of the rate; one call at least.
-const BURST_S: f64 = 0.4;
-/// Part of a tenant's quota assumed to be this courier's, in even parts; traffic is not even.
-const QUOTA_PART: f64 = 1.25;
-/// Weight of what waiting for one more aim would lose, against the worth itself.
-const WAITING_LOSS: f64 = 2.0;
-/// An unsafe message waits where this share more than usual of the calls of late may have run without being
-/// served: so often would its one try be lost, while those that can be repeated show when that is over.
-const UNSAFE_LOSS: f64 = 0.15;
-/// ... where losses count against so many served calls more than there were, ...
-const UNSAFE_LOSS_PRIOR: f64 = 2.0;
-/// ... and fade over so many fall windows. The last try goes this part of the aim before the deadline.
-const UNSAFE_LOSS_FALLS: f64 = 2.0;
-const UNSAFE_LAST_AIM: f64 = 1.0;
-/// A message waits for a cheaper route until this part of its aim has passed: the rest is for the call.
-const FEE_PATIENCE_OF_AIM: f64 = 0.25;
-/// Calls out to a destination in a spell, as a part of the free slots; one at least.
-const TRIAL_SLOTS: f64 = 0.25;
-/// Share of the messages that may be held above which the least worth are shed.
-const SHED_ABOVE: f64 = 0.93;
-/// What surely did not run and is handed back before this part of its time costs so much of its worth: its
-/// client has waited in vain, where one that is refused at the door has not.
-const UNTRIED: (f64, f64) = (0.7, 0.3);
-/// Weight of the newest loss or answer on an idle connection in the risk that such are dropped unseen.
-const REAPED_GAIN: f64 = 0.15;
-/// Risk from which on idle connections are closed before use: by an unsafe message, which would be lost, and
-/// by one that can be repeated, which would only be late.
-const REAPED_RISKS: (f64, f64) = (0.03, 0.25);
-/// ... beyond so many times the risk of a call on a new connection, which chance moves too.
-const REAPED_OTHER: f64 = 2.0;
-/// A connection in use until this part of the shortest aim ago was not idle: what it loses has other causes.
-/// From there on each doubling of the idle time has a risk of its own.
-const REAPED_LEAST_AIM: f64 = 1.0 / 64.0;
-/// While idle connections are closed, one is tried so many of the shortest aim after the last loss.
-const REAPED_CHECK_AIMS: f64 = 4.0;
-/// None is kept idle for so many times as long as one may be, where one was too many: others need it.
-const CROWDED_IDLES: u32 = 3;
-/// Gap before the watch on the list is tried again where discovery said nothing ...
-const WATCH_GAP: Duration = Duration::from_millis(100);
-/// ... and where it refused, so much for each courier at first and at most: they all lose it at one moment,
-/// and together they must ask less than it can answer, or none of them hears of it again.
-const WATCH_GAPS_REFUSED: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
-/// ... but never longer than this: what discovery has counts as told 6 s later, also to whom it refused, and 2 s
-/// after that nothing may go to what drains. The answer may take `WATCH_RESPONSE_TIMEOUT`. Where this binds, all couriers
-/// have grown to it, and spread over its second half.
-const WATCH_GAP_LONGEST: Duration = Duration::from_secs(5);
-/// Within so much for each courier it is asked for the first time: what a herd asks for at its start is done
-/// in its turn, long after most of them have given up waiting ...
-const WATCH_FIRST: Duration = Duration::from_millis(100);
-/// ... and within this part of the time for which a drain may be missed: what was told while the courier was
-/// away counts as told.
-const WATCH_FIRST_OF_DRAIN: f64 = 0.5;
-/// While operators empty the courier, clients that have not yet heard of it are served for so long.
-const LAME_GRACE: Duration = Duration::from_secs(3);
+const BURST_SECS: f64 = 0.4;
+/// This gateway's share of a tenant's quota, in even shares: traffic is not spread evenly.
+const LOCAL_QUOTA_SHARE: f64 = 1.25;
+/// Weight of the value that is lost by waiting for one more latency objective, relative to the value itself.
+const WAITING_LOSS_WEIGHT: f64 = 2.0;
+/// Ratio of lost calls, above the baseline of all routes, from which on messages that are not idempotent
+/// wait: their only attempt would be lost that often. Messages that can be resent show when the ratio has
+/// fallen.
+const MAX_LOSS_RATIO_ABOVE_BASELINE: f64 = 0.15;
+/// Added to the number of calls, so that a single loss among few calls is not a high ratio.
+const LOSS_PRIOR_CALLS: f64 = 2.0;
+/// Calls fade out of the loss ratio over this many overload windows.
+const LOSS_SPAN_IN_OVERLOAD_WINDOWS: f64 = 2.0;
+/// A message that is not idempotent waits at most until this many latency objectives before its deadline.
+const LAST_ATTEMPT_IN_OBJECTIVES: f64 = 1.0;
+/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
+/// time is needed for the call.
+const CHEAPER_ROUTE_WAIT_OF_OBJECTIVE: f64 = 0.25;
+/// Half-open probes of a route may use this ratio of the free slots; one is always permitted.
+const MAX_PROBES_OF_FREE_SLOTS: f64 = 0.25;
+/// Ratio of the messages that may be pending above which those of least value are shed.
+const SHED_ABOVE_RATIO: f64 = 0.93;
+/// Shedding a message that was never sent has a cost in the first part of its time: its client has waited in
+/// vain, while the client of a rejected message has not. The first number is that part, as a ratio of the
+/// deadline; the second is the cost, as a ratio of the message's full value.
+const EARLY_SHED_RATIOS: (f64, f64) = (0.7, 0.3);
+/// Weight of the newest loss or success in the risk that idle connections are dropped without notice.
+const RISK_GAIN: f64 = 0.15;
+/// Risk from which on idle connections are closed before use: for a message that cannot be resent, which
+/// would be lost, and for one that can, which would only be late.
+const MAX_RISKS: (f64, f64) = (0.03, 0.25);
+/// The risk of a call on a new connection, which varies at random too, counts this many times on top of these
+/// bounds.
+const BASELINE_RISK_MULTIPLE: f64 = 2.0;
+/// Shortest idle time that counts as idle, as a ratio of the shortest latency objective. What is lost on a
+/// connection that was in use more recently has other causes. From there on each doubling of the idle time
+/// has a risk of its own.
+const SHORTEST_IDLE_OF_OBJECTIVE: f64 = 1.0 / 64.0;
+/// While idle connections are closed, one is tried this many shortest latency objectives after the last loss.
+const PROBE_INTERVAL_IN_OBJECTIVES: f64 = 4.0;
+/// No connection is kept idle for this many idle time-outs after an endpoint had too many, as others need
+/// them.
+const PAUSE_IN_IDLE_TIMEOUTS: u32 = 3;
+/// Delay after the watch broke without a response from discovery.
+const WATCH_DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
+/// Upper ends of the first and of the longest random delay after discovery rejected the watch, for each
+/// gateway of the fleet. All gateways lose the watch at the same moment, and together they must ask less
+/// often than discovery can answer, or none of them gets the list again.
+const WATCH_REJECTION_DELAYS_PER_GATEWAY: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(1));
+/// Longest delay after a rejection, whatever the size of the fleet. Discovery counts a change as announced
+/// after 6 s, even to a gateway that it rejected; 2 s later nothing may be sent to a draining endpoint. The
+/// answer itself may take `WATCH_RESPONSE_TIMEOUT`. Where this bound applies, all gateways have reached it,
+/// and spread over its second half.
+const MAX_WATCH_REJECTION_DELAY: Duration = Duration::from_secs(5);
+/// The first watch is spread over this time for each gateway of the fleet. Discovery answers requests one
+/// after the other: if all gateways asked at once at their start, most would have given up before their
+/// answer.
+const START_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
+/// The first watch is spread at most over this ratio of the grace time of a drain: a change that was
+/// announced while the gateway was down counts as announced.
+const START_SPREAD_OF_DRAIN_GRACE: f64 = 0.5;
+/// A lame duck still accepts messages for this long, from clients that have not yet learnt of it.
+const LAME_DUCK_GRACE: Duration = Duration::from_secs(3);
 
 // ---- State ----
 
-/// A courier: records events in `handle`, acts in `decide`. All that it keeps in mind can be passed on to
-/// another process, which goes on with [`Scheduler::resumed`].
+/// The frozen scheduler of one gateway: records events in [`Scheduler::handle`], acts in
+/// [`Scheduler::decide`]. Its state can be passed on to another process, which continues with
+/// [`Scheduler::resumed`].
 #[derive(Default, Serialize, Deserialize)]
 pub struct Scheduler {
     #[serde(skip)]
     settings: Settings,
     #[serde(skip)]
     rng: fastrand::Rng,
-    addresses: BTreeMap<EndpointId, Address>,
+    endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
     routes: BTreeMap<RouteId, Route>,
-    /// Messages not answered, by destination; no empty ones.
+    /// Messages without a final outcome, by destination; no empty queues.
     queues: BTreeMap<DestinationId, Vec<MessageId>>,
     messages: BTreeMap<MessageId, Message>,
-    /// What is left of each tenant's share, and since when.
-    shares: BTreeMap<TenantId, (f64, Time)>,
-    open: usize,
+    /// What was left of each tenant's quota, in messages, and when.
+    quota_balances: BTreeMap<TenantId, (f64, Time)>,
+    open_messages: usize,
     deadlines: BTreeSet<(Time, MessageId)>,
-    keys: BTreeMap<OrderingKey, Vec<MessageId>>,
-    rests: BTreeMap<OrderingKey, Time>,
+    ordering_keys: BTreeMap<OrderingKey, Vec<MessageId>>,
+    key_holds: BTreeMap<OrderingKey, Time>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
-    /// Latency over all destinations: what one that was never called is assumed to need.
-    usual: Latency,
-    reaping: Reaping,
+    /// Latency over all destinations: what is assumed of one that was never called.
+    latency: LatencyEstimate,
+    connection_reuse: ConnectionReuse,
     /// Until when no connections are kept idle.
-    crowded: Time,
-    /// After a restart no order key is used before this: any of them may have had a call out.
-    keys_rest: Time,
-    /// Tries to watch the list that were refused since the last that was not, and when the next is due.
-    refused: u32,
-    watch_at: Option<Time>,
-    /// When this courier ends, if that is known.
-    closing: Option<Time>,
-    /// Endpoints that operators leave out, listed or not.
-    detached: BTreeSet<EndpointId>,
-    /// Since when operators have been emptying the courier.
-    lame_since: Option<Time>,
+    reuse_paused_until: Time,
+    /// After a restart no ordering key is used before this time, as any of them may have had a call in
+    /// flight.
+    all_keys_held_until: Time,
+    /// Watch requests rejected since the watch was last established.
+    watch_rejections: u32,
+    /// When the next watch request is due, if one is.
+    watch_retry_at: Option<Time>,
+    /// When this process ends, if that is known.
+    shutdown_at: Option<Time>,
+    /// Endpoints that operators have disabled, listed or not.
+    disabled_endpoints: BTreeSet<EndpointId>,
+    /// Since when operators have been draining this gateway.
+    lame_duck_since: Option<Time>,
     #[serde(skip)]
-    wake: Option<(Time, u64)>,
-    token: u64,
-    /// What is to be done, until `decide` hands it over.
+    timer: Option<(Time, u64)>,
+    last_timer_token: u64,
+    /// Actions of this step, until `decide` returns them.
     #[serde(skip)]
     actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A courier that knows only its settings; `seed` is its one source of chance.
+    /// Returns a scheduler without any state; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let first = shortest_aim(&settings) * FIRST_LATENCY_OF_AIM;
-        let usual = Latency { mean: first, deviation: first, samples: 0 };
-        Scheduler { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Scheduler::default() }
+        let initial_secs = shortest_objective_secs(&settings) * INITIAL_LATENCY_OF_OBJECTIVE;
+        let latency = LatencyEstimate { mean_secs: initial_secs, deviation_secs: initial_secs, samples: 0 };
+        Scheduler { settings, rng: fastrand::Rng::with_seed(seed), latency, ..Scheduler::default() }
     }
 
-    /// Goes on in another process, in the place of a `fresh` courier with the same settings: nothing that
-    /// happened is forgotten but that the old process is to end.
+    /// Continues in another process, in place of a `fresh` scheduler with the same settings. All state is
+    /// kept, except that the old process was to end.
     pub fn resumed(self, fresh: Scheduler) -> Self {
-        Scheduler { settings: fresh.settings, rng: fresh.rng, closing: None, ..self }
+        Scheduler { settings: fresh.settings, rng: fresh.rng, shutdown_at: None, ..self }
     }
 
-    /// The waits that were told and are not over, by one endpoint of each route.
+    /// Returns what is left of each Retry-After, by one endpoint of each route.
     pub fn retry_after_delays(&self, now: Time) -> impl Iterator<Item = (EndpointId, Duration)> + '_ {
-        let waiting = self.routes.values().filter(move |route| route.told_wait > now);
-        waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.told_wait - now)))
+        let waiting = self.routes.values().filter(move |route| route.retry_after_until > now);
+        waiting.filter_map(move |route| Some((*route.endpoints.first()?, route.retry_after_until - now)))
     }
 
     /// Records one event. Call [`Scheduler::decide`] after the last one of a batch.
     pub fn handle(&mut self, now: Time, event: Event) {
         match event {
-            Event::EndpointsUpdated(listing) => self.on_listing(now, listing),
-            Event::WatchEstablished => (self.refused, self.watch_at) = (0, None),
-            Event::MessageAccepted(message) => self.on_accept(now, message),
-            Event::MessageRestored(message) => self.on_restored(now, message),
-            Event::CircuitRestored(outage) => self.on_recalled(now, outage),
+            Event::EndpointsUpdated(update) => self.on_endpoints_updated(now, update),
+            Event::WatchEstablished => (self.watch_rejections, self.watch_retry_at) = (0, None),
+            Event::MessageAccepted(message) => self.on_message_accepted(now, message),
+            Event::MessageRestored(message) => self.on_message_restored(now, message),
+            Event::CircuitRestored(record) => self.on_circuit_restored(now, record),
             Event::OutcomeAcknowledged(id) => {
                 if let Some(message) = self.messages.get_mut(&id) {
-                    message.unheard = false;
+                    message.awaits_acknowledgement = false;
                 }
-                self.forget_if_over(id);
+                self.forget_if_settled(id);
             }
-            Event::ShutdownScheduled(at) => self.closing = Some(at),
-            Event::EndpointDisabled(endpoint) => self.on_detach(endpoint),
-            Event::EndpointEnabled(endpoint) => self.on_attach(now, endpoint),
-            Event::LameDuck(on) => self.lame_since = on.then(|| self.lame_since.unwrap_or(now)),
-            Event::RetryAfter { endpoint, delay } => self.on_told_wait(now, endpoint, delay),
-            Event::AttemptFinished(finished) => self.on_finished(now, finished),
-            Event::MessageAbandoned(id) => self.close(id),
-            Event::TimerFired(token) => self.wake = self.wake.filter(|(_, set)| *set != token),
+            Event::ShutdownScheduled(at) => self.shutdown_at = Some(at),
+            Event::EndpointDisabled(endpoint) => self.on_endpoint_disabled(endpoint),
+            Event::EndpointEnabled(endpoint) => self.on_endpoint_enabled(now, endpoint),
+            Event::LameDuck(is_draining) => {
+                self.lame_duck_since = is_draining.then(|| self.lame_duck_since.unwrap_or(now))
+            }
+            Event::RetryAfter { endpoint, delay } => self.on_retry_after(now, endpoint, delay),
+            Event::AttemptFinished(finished) => self.on_attempt_finished(now, finished),
+            Event::MessageAbandoned(id) => self.complete_message(id),
+            Event::TimerFired(token) => self.timer = self.timer.filter(|(_, set_token)| *set_token != token),
         }
     }
 
-    /// Whether some route's tokens have just come to a whole number, or are about to: what rounds otherwise may
-    /// then decide otherwise. Not a part of the module: the test lets no step fall on such a moment.
+    /// Whether the tokens of some route have just come to a whole number, or are about to: rounding may then
+    /// change a decision. This is not part of the frozen scheduler: the test moves its steps away from such
+    /// moments.
     pub fn is_on_token_edge(&self, now: Time, within: Duration) -> bool {
-        self.routes.values().filter(|route| route.filled < now).any(|route| {
-            let tokens = route.tokens + (now - route.filled).as_secs_f64() * route.rate;
-            let most = (route.rate * BURST_S).max(1.0);
-            let near = within.as_secs_f64() * route.rate;
-            let is_full = tokens > most + near;
+        self.routes.values().filter(|route| route.refilled_at < now).any(|route| {
+            let tokens = route.tokens + (now - route.refilled_at).as_secs_f64() * route.rate_per_sec;
+            let burst = (route.rate_per_sec * BURST_SECS).max(1.0);
+            let near = within.as_secs_f64() * route.rate_per_sec;
+            let is_full = tokens > burst + near;
             !is_full && tokens > 0.5 && (tokens - tokens.round()).abs() <= near
         })
     }
 
-    /// What is to be remembered of outages over a restart.
+    /// Returns what has to be kept of outages over a restart.
     pub fn circuit_records(&self) -> impl Iterator<Item = CircuitRecord> + '_ {
-        let noted =
-            |route: &Route| route.failure_score > 0 || route.spell.is_some() || route.returned.is_some();
-        self.routes.iter().filter(move |(_, route)| noted(route)).map(|(id, route)| CircuitRecord {
+        let has_history = |route: &Route| {
+            route.failure_score > 0 || route.open_circuit.is_some() || route.slow_start_since.is_some()
+        };
+        self.routes.iter().filter(move |(_, route)| has_history(route)).map(|(id, route)| CircuitRecord {
             destination: id.0,
             endpoint: id.1,
-            last_success_at: route.spell.as_ref().map_or(route.last_answer, |spell| spell.began),
+            last_success_at: route.open_circuit.as_ref().map_or(route.last_success_at, |open| open.since),
             failure_score: route.failure_score,
-            has_lost_calls: route.spell.as_ref().map(|spell| spell.lost),
-            slow_start_since: route.returned,
-            baseline_per_sec: route.share,
+            has_lost_calls: route.open_circuit.as_ref().map(|open| open.has_lost_calls),
+            slow_start_since: route.slow_start_since,
+            baseline_per_sec: route.baseline_per_sec,
         })
     }
 
-    /// When a client does well to come again with a message for this destination: what waits there has to go
-    /// out first, and a told wait to pass.
-    pub fn suggested_retry_after(&mut self, now: Time, to: DestinationId) -> Duration {
-        let latency_objective = Duration::from_secs_f64(shortest_aim(&self.settings));
-        let waiting = self.queues.get(&to).map_or(0, Vec::len) as f64;
-        let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
-        let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
-        let wait = routes.iter().map(|id| self.routes[id].told_wait - now).min().unwrap_or_default();
-        let backlog =
-            Duration::from_secs_f64((waiting / pace.max(0.001)).min(latency_objective.as_secs_f64()));
-        wait.max(backlog).clamp(
-            latency_objective.mul_f64(BACKOFF_BASE_OF_AIM),
-            latency_objective.mul_f64(BACKOFF_CAP_OF_AIM),
-        )
-    }
-
-    /// Whether a new message is taken on, rather than refused: nearly full, only if it is worth more than
-    /// what has to go for it and what that costs.
-    pub fn admits(&mut self, now: Time, taken: &AcceptedMessage) -> bool {
-        let leaving = self.lame_since.is_some_and(|since| now - since >= LAME_GRACE);
-        reached(if leaving { "leaving" } else { "new message" });
-        if leaving || self.open < self.most_open() {
-            return !leaving;
-        }
-        let over_quota = self.share_left(now, taken.tenant).is_some_and(|left| left < 1.0);
-        let worth = self.new_message(now, taken.clone(), over_quota).map(|m| self.current_value(now, &m));
-        let early = |m: &Message| now < m.born + self.class(m).deadline.mul_f64(UNTRIED.0);
-        let price =
-            |m: &Message| if m.first_uncertain_attempt.is_none() && early(m) { UNTRIED.1 } else { 0.0 };
-        let costs = |m: &Message| price(m) * self.full_value(m);
-        let takes = self.least(now).is_none_or(|(least, m)| worth.is_some_and(|w| w > least + costs(m)));
-        reached(if takes { "worth more than the least" } else { "nearly full" });
-        if !takes {
-            self.note_demand(now, taken.destination);
+    /// Returns after how long a client should send a rejected message for this destination again: when what
+    /// waits there has been sent, and a Retry-After has passed.
+    pub fn suggested_retry_after(&mut self, now: Time, destination: DestinationId) -> Duration {
+        let objective = Duration::from_secs_f64(shortest_objective_secs(&self.settings));
+        let waiting_messages = self.queues.get(&destination).map_or(0, Vec::len) as f64;
+        let routes: Vec<RouteId> = self.routes.range(routes_of(destination)).map(|(id, _)| *id).collect();
+        let rate_per_sec: f64 = routes.iter().map(|id| self.rate_per_sec(now, *id)).sum();
+        let shortest_wait =
+            routes.iter().map(|id| self.routes[id].retry_after_until - now).min().unwrap_or_default();
+        let backlog = Duration::from_secs_f64(
+            (waiting_messages / rate_per_sec.max(0.001)).min(objective.as_secs_f64()),
+        );
+        shortest_wait
+            .max(backlog)
+            .clamp(objective.mul_f64(BACKOFF_BASE_OF_OBJECTIVE), objective.mul_f64(BACKOFF_CAP_OF_OBJECTIVE))
+    }
+
+    /// Whether to accept a new message rather than reject it. Nearly full, it is accepted only if it is worth
+    /// more than the message that would have to be shed for it, plus the cost of shedding that one.
+    pub fn admits(&mut self, now: Time, accepted: &AcceptedMessage) -> bool {
+        let is_lame_duck = self.lame_duck_since.is_some_and(|since| now - since >= LAME_DUCK_GRACE);
+        reached(if is_lame_duck { "lame duck rejects" } else { "new message" });
+        if is_lame_duck || self.open_messages < self.max_open_messages() {
+            return !is_lame_duck;
+        }
+        let over_quota = self.quota_remaining(now, accepted.tenant).is_some_and(|remaining| remaining < 1.0);
+        let value = self.new_message(now, accepted.clone(), over_quota).map(|m| self.current_value(now, &m));
+        let is_early =
+            |m: &Message| now < m.enqueued_at + self.class(m).deadline.mul_f64(EARLY_SHED_RATIOS.0);
+        let cost_ratio = |m: &Message| {
+            if m.first_uncertain_attempt.is_none() && is_early(m) {
+                EARLY_SHED_RATIOS.1
+            } else {
+                0.0
+            }
+        };
+        let shed_cost = |m: &Message| cost_ratio(m) * self.full_value(m);
+        let is_accepted = self
+            .least_valuable(now)
+            .is_none_or(|(least, m)| value.is_some_and(|value| value > least + shed_cost(m)));
+        reached(if is_accepted { "more valuable than the least" } else { "nearly full" });
+        if !is_accepted {
+            self.record_demand(now, accepted.destination);
         }
-        takes
+        is_accepted
     }
 
-    /// After how long to watch the list for the first time: couriers that start together spread.
+    /// Returns how long to wait before the endpoint list is watched for the first time: gateways that start
+    /// together spread out.
     pub fn initial_watch_delay(&mut self) -> Duration {
-        let longest = self.settings.limits.drain_grace.mul_f64(WATCH_FIRST_OF_DRAIN);
-        WATCH_FIRST.mul_f64(fleet_size(&self.settings)).min(longest).mul_f64(self.rng.f64())
+        let longest = self.settings.limits.drain_grace.mul_f64(START_SPREAD_OF_DRAIN_GRACE);
+        START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(&self.settings)).min(longest).mul_f64(self.rng.f64())
     }
 
-    /// The destination with the longest queue, how many wait there, and what holds them up.
+    /// Returns the destination with the longest queue, how many messages wait there, and the status of its
+    /// routes.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
-        let (to, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
-        let (to, waiting) = (*to, queue.len());
-        let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
-        let state = |id: RouteId| {
-            let pace = self.pace(now, id);
+        let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
+        let (destination, waiting) = (*destination, queue.len());
+        let routes: Vec<RouteId> = self.routes.range(routes_of(destination)).map(|(id, _)| *id).collect();
+        let status = |id: RouteId| {
+            let rate_per_sec = self.rate_per_sec(now, id);
             let route = &self.routes[&id];
-            let (wait, sick) = (route.told_wait - now, route.spell.is_some());
+            let (wait, is_open) = (route.retry_after_until - now, route.open_circuit.is_some());
             RouteStatus {
                 endpoint: id.1,
-                in_flight: route.out.len(),
-                rate_limit_per_sec: pace,
+                in_flight: route.calls.len(),
+                rate_limit_per_sec: rate_per_sec,
                 retry_after: wait,
-                circuit_open: sick,
+                circuit_open: is_open,
             }
         };
-        Some((to, waiting, routes.into_iter().map(state).collect()))
+        Some((destination, waiting, routes.into_iter().map(status).collect()))
     }
 
-    /// Acts on all that was recorded.
+    /// Decides on all recorded events, and appends the actions to `actions`.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.answer_due(now);
-        self.shed(now);
-        let mut next = self.note_stalls(now);
-        self.free_pinned_slot(now);
-        self.send_ready(now, &mut next);
-        self.watch_again(now, &mut next);
-        self.set_wake(now, next);
+        self.give_up_expired(now);
+        self.shed_load(now);
+        let mut next = self.mark_unresponsive_calls(now);
+        self.cancel_unresponsive_call(now);
+        self.fill_free_slots(now, &mut next);
+        self.restart_watch(now, &mut next);
+        self.set_timer(now, next);
         actions.append(&mut self.actions);
     }
 
     // ---- Events ----
 
-    fn on_listing(&mut self, now: Time, listing: EndpointUpdate) {
-        let entries = match listing {
+    fn on_endpoints_updated(&mut self, now: Time, update: EndpointUpdate) {
+        let entries = match update {
             EndpointUpdate::WatchFailed => {
-                self.watch_at = Some(now + WATCH_GAP);
+                self.watch_retry_at = Some(now + WATCH_DELAY_AFTER_FAILURE);
                 return;
             }
             EndpointUpdate::WatchRejected => {
-                let (first, longest) = WATCH_GAPS_REFUSED;
-                let gap =
-                    growing_gap(first, 1.0, self.refused).min(longest).mul_f64(fleet_size(&self.settings));
+                let (first, longest) = WATCH_REJECTION_DELAYS_PER_GATEWAY;
+                let delay = exponential_backoff(first, 1.0, self.watch_rejections)
+                    .min(longest)
+                    .mul_f64(fleet_size(&self.settings));
                 let chance = self.rng.f64();
-                self.watch_at = Some(if gap > WATCH_GAP_LONGEST {
-                    now + WATCH_GAP_LONGEST.mul_f64(0.5 + 0.5 * chance)
+                self.watch_retry_at = Some(if delay > MAX_WATCH_REJECTION_DELAY {
+                    now + MAX_WATCH_REJECTION_DELAY.mul_f64(0.5 + 0.5 * chance)
                 } else {
-                    now + gap.mul_f64(chance)
+                    now + delay.mul_f64(chance)
                 });
-                self.refused += 1;
+                self.watch_rejections += 1;
                 return;
             }
             EndpointUpdate::Delta(entries) => entries,
             EndpointUpdate::Snapshot(entries) => {
-                // What a whole list does not name is gone: it gets nothing new from now on.
-                for address in self.addresses.values_mut() {
-                    address.entry.availability = Availability::Removed;
+                // Endpoints that a snapshot does not name are removed: they get no new calls from now on.
+                for tracked in self.endpoints.values_mut() {
+                    tracked.entry.availability = Availability::Removed;
                 }
                 entries
             }
         };
         for entry in entries {
-            if entry.availability == Availability::Removed && !self.addresses.contains_key(&entry.id) {
+            if entry.availability == Availability::Removed && !self.endpoints.contains_key(&entry.id) {
                 continue;
             }
-            let weight = self.weight_of(&entry);
-            let usual = self.usual;
-            let batch = self
+            let limit_per_sec = self.assumed_limit_per_sec(&entry);
+            let latency = self.latency;
+            let batch_size = self
                 .settings
                 .destination_kinds
                 .get(usize::from(entry.kind.0))
-                .map_or(1, |k| k.max_batch_size.max(1));
-            // Nor may the first calls of all come at once: each begins somewhere inside a call of its pace.
-            // What is not told has to be tried, and what is told far too low must not hold messages back.
-            let (told, chance) = (self.told_rate(&entry).is_some(), self.rng.f64());
-            let part = if told { (FIRST_RATE / fleet_size(&self.settings)).min(1.0) } else { 1.0 };
-            let least = FIRST_LEAST / shortest_deadline(&self.settings);
-            let (first, token) = ((weight * part).max(least), 1.0 - chance * (1.0 - part));
+                .map_or(1, |kind| kind.max_batch_size.max(1));
+            // The first calls of all gateways must not come at the same moment: each comes at a random point
+            // within the interval between two calls. An unlisted limit has to be explored, and a listed one
+            // that is far too low must not hold messages back.
+            let (is_listed, chance) = (self.listed_limit_per_sec(&entry).is_some(), self.rng.f64());
+            let share = if is_listed { (INITIAL_SHARES / fleet_size(&self.settings)).min(1.0) } else { 1.0 };
+            let least_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(&self.settings);
+            let (initial_rate_per_sec, initial_tokens) =
+                ((limit_per_sec * share).max(least_per_sec), 1.0 - chance * (1.0 - share));
             let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| {
-                let (rate, tokens, filled, latency, last_answer) = (first, token, now, usual, now);
-                Route { rate, tokens, filled, latency, last_answer, ..Route::default() }
+                let (rate_per_sec, tokens, refilled_at, latency, last_success_at) =
+                    (initial_rate_per_sec, initial_tokens, now, latency, now);
+                Route { rate_per_sec, tokens, refilled_at, latency, last_success_at, ..Route::default() }
             });
-            (route.weight, route.batch) = (weight, batch);
-            if let Some(known) = self.addresses.get_mut(&entry.id) {
+            (route.limit_per_sec, route.batch_size) = (limit_per_sec, batch_size);
+            if let Some(known) = self.endpoints.get_mut(&entry.id) {
                 if (known.entry.availability, entry.availability)
                     == (Availability::Draining, Availability::Ready)
                 {
@@ -391,32 +441,38 @@
             }
             route.endpoints.push(entry.id);
             let (id, preference, avoid_until) = (entry.id, self.rng.u32(..), Time::ZERO);
-            let address = Address { entry, calls_out: 0, preference, failures: 0, avoid_until, used: None };
-            self.addresses.insert(id, address);
-        }
-        let over = self
-            .addresses
-            .values()
-            .filter(|a| a.entry.availability == Availability::Removed && a.calls_out == 0);
-        for id in over.map(|a| a.entry.id).collect::<Vec<_>>() {
+            let tracked = TrackedEndpoint {
+                entry,
+                calls_in_flight: 0,
+                preference,
+                failures: 0,
+                avoid_until,
+                connection_used_at: None,
+            };
+            self.endpoints.insert(id, tracked);
+        }
+        let removed = self.endpoints.values().filter(|tracked| {
+            tracked.entry.availability == Availability::Removed && tracked.calls_in_flight == 0
+        });
+        for id in removed.map(|tracked| tracked.entry.id).collect::<Vec<_>>() {
             reached("endpoint forgotten");
-            self.forget_address(id);
+            self.forget_endpoint(id);
         }
     }
 
-    /// Watches the list again once its gap has passed.
-    fn watch_again(&mut self, now: Time, next: &mut Option<Time>) {
-        if self.watch_at.take_if(|at| *at <= now).is_some() {
+    /// Starts the watch on the list again once its backoff has run out.
+    fn restart_watch(&mut self, now: Time, next: &mut Option<Time>) {
+        if self.watch_retry_at.take_if(|at| *at <= now).is_some() {
             self.actions.push(Action::WatchEndpoints { is_active: true });
         }
-        earliest(next, self.watch_at);
+        earliest(next, self.watch_retry_at);
     }
 
-    /// Forgets an endpoint that is gone and has no call out. What was learnt of its destination stays, except
-    /// where it was a route of its own.
-    fn forget_address(&mut self, id: EndpointId) {
-        let Some(address) = self.addresses.remove(&id) else { return };
-        let route_id = self.route_of(&address.entry);
+    /// Forgets a removed endpoint that has no call in flight. What was learnt of its destination stays,
+    /// except where the endpoint was a route of its own.
+    fn forget_endpoint(&mut self, id: EndpointId) {
+        let Some(tracked) = self.endpoints.remove(&id) else { return };
+        let route_id = self.route_of(&tracked.entry);
         if let Some(route) = self.routes.get_mut(&route_id) {
             route.endpoints.retain(|endpoint| *endpoint != id);
             if route_id.1.is_some() {
@@ -426,139 +482,146 @@
         }
     }
 
-    fn on_accept(&mut self, now: Time, taken: AcceptedMessage) {
-        let over_quota = self.is_over_share(now, taken.tenant);
-        let Some(message) = self.new_message(now, taken, over_quota) else { return };
-        let taken = &message.taken;
-        if let (true, Some(key)) = (self.class(&message).is_ordered, taken.key) {
-            self.keys.entry(key).or_default().push(taken.id);
+    fn on_message_accepted(&mut self, now: Time, accepted: AcceptedMessage) {
+        let over_quota = self.charge_quota(now, accepted.tenant);
+        let Some(message) = self.new_message(now, accepted, over_quota) else { return };
+        let accepted = &message.accepted;
+        if let (true, Some(key)) = (self.class(&message).is_ordered, accepted.key) {
+            self.ordering_keys.entry(key).or_default().push(accepted.id);
         }
-        self.deadlines.insert((taken.deadline, taken.id));
-        self.queues.entry(taken.destination).or_default().push(taken.id);
-        self.open += 1;
-        self.note_demand(now, message.taken.destination);
-        self.messages.insert(message.taken.id, message);
+        self.deadlines.insert((accepted.deadline, accepted.id));
+        self.queues.entry(accepted.destination).or_default().push(accepted.id);
+        self.open_messages += 1;
+        self.record_demand(now, message.accepted.destination);
+        self.messages.insert(message.accepted.id, message);
     }
 
-    fn note_demand(&mut self, now: Time, to: DestinationId) {
-        for (_, route) in self.routes.range_mut(routes_of(to)) {
-            route.demand.rate(now, cold_s(&self.settings), 1.0);
+    fn record_demand(&mut self, now: Time, destination: DestinationId) {
+        for (_, route) in self.routes.range_mut(routes_of(destination)) {
+            route.demand.per_sec(now, warm_up_secs(&self.settings), 1.0);
         }
     }
 
-    fn new_message(&self, now: Time, taken: AcceptedMessage, over_quota: bool) -> Option<Message> {
-        let class = self.settings.classes.get(usize::from(taken.class.0))?;
-        let born = taken.deadline - class.deadline;
-        // A keyed message of a courier that died may have run there at any time since it was handed in.
-        let may_have_run = taken.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
+    fn new_message(&self, now: Time, accepted: AcceptedMessage, over_quota: bool) -> Option<Message> {
+        let class = self.settings.classes.get(usize::from(accepted.class.0))?;
+        let enqueued_at = accepted.deadline - class.deadline;
+        // A gateway that died may have sent a message with an idempotency key at any time since it was
+        // enqueued.
+        let may_have_run = accepted.is_redelivered && class.idempotency == Idempotency::IdempotentWithKey;
         Some(Message {
-            born,
+            enqueued_at,
             over_quota,
             attempts: 0,
-            out: None,
-            first_uncertain_attempt: may_have_run.then_some((born, None)),
+            call: None,
+            first_uncertain_attempt: may_have_run.then_some((enqueued_at, None)),
             not_before: now,
-            closed: false,
-            unheard: false,
-            taken,
+            completed: false,
+            awaits_acknowledgement: false,
+            accepted,
         })
     }
 
-    /// Takes a message up again after a restart. Calls that were out then broke with the old process at the
-    /// latest, so that keys rest from now on.
-    fn on_restored(&mut self, now: Time, restored: RestoredMessage) {
+    /// Accepts a message again after a restart. Calls in flight ended with the old process at the latest, so
+    /// ordering keys are held from now on.
+    fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
-        self.keys_rest = now + self.settings.limits.ordering_key_hold;
-        self.on_accept(now, restored.message);
+        self.all_keys_held_until = now + self.settings.limits.ordering_key_hold;
+        self.on_message_accepted(now, restored.message);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
-        if let Some(SentAttempt { sent_at: sent, zone }) = restored.first_uncertain_attempt {
-            message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent, Some(zone))));
+        if let Some(SentAttempt { sent_at, zone }) = restored.first_uncertain_attempt {
+            message.first_uncertain_attempt = message.first_uncertain_attempt.or(Some((sent_at, Some(zone))));
         }
         if restored.has_final_outcome {
-            message.unheard = true;
-            self.close(id);
-        } else if let Some(end) = self.messages.get(&id).and_then(|m| self.last_send(m)) {
-            self.deadlines.insert((end.max(now), id));
+            message.awaits_acknowledgement = true;
+            self.complete_message(id);
+        } else if let Some(last_send_at) = self.messages.get(&id).and_then(|m| self.last_send_at(m)) {
+            self.deadlines.insert((last_send_at.max(now), id));
         }
     }
 
-    fn on_recalled(&mut self, now: Time, outage: CircuitRecord) {
+    fn on_circuit_restored(&mut self, now: Time, record: CircuitRecord) {
         let (settings, chance) = (&self.settings, self.rng.f64());
-        let Some(route) = self.routes.get_mut(&RouteId(outage.destination, outage.endpoint)) else { return };
-        (route.last_answer, route.failure_score) = (outage.last_success_at, outage.failure_score);
-        (route.returned, route.share) = (outage.slow_start_since, outage.baseline_per_sec);
-        if route.returned.is_some() {
+        let Some(route) = self.routes.get_mut(&RouteId(record.destination, record.endpoint)) else { return };
+        (route.last_success_at, route.failure_score) = (record.last_success_at, record.failure_score);
+        (route.slow_start_since, route.baseline_per_sec) = (record.slow_start_since, record.baseline_per_sec);
+        if route.slow_start_since.is_some() {
             route.tokens = 0.0;
         }
-        if let Some(lost) = outage.has_lost_calls {
-            route.spell =
-                Some(Spell { began: outage.last_success_at, failed: true, lost, ..Spell::default() });
-            route.plan_trial(now, settings, chance);
+        if let Some(has_lost_calls) = record.has_lost_calls {
+            route.open_circuit = Some(OpenInterval {
+                since: record.last_success_at,
+                has_failures: true,
+                has_lost_calls,
+                ..OpenInterval::default()
+            });
+            route.schedule_probe(now, settings, chance);
         }
     }
 
-    /// Whether a tenant is past its quota. The quota is for all couriers together, and what others take of it
-    /// cannot be seen: what passes the part assumed to be this courier's counts as beyond.
-    fn is_over_share(&mut self, now: Time, tenant: TenantId) -> bool {
-        let Some(left) = self.share_left(now, tenant) else { return false };
-        let over = left < 1.0;
-        self.shares.insert(tenant, (if over { left } else { left - 1.0 }, now));
-        over
+    /// Counts one message of a tenant, and returns whether it is over quota. The quota holds for all gateways
+    /// together, and none sees what the others accept: what exceeds the share assumed for this gateway is
+    /// over quota.
+    fn charge_quota(&mut self, now: Time, tenant: TenantId) -> bool {
+        let Some(remaining) = self.quota_remaining(now, tenant) else { return false };
+        let over_quota = remaining < 1.0;
+        self.quota_balances.insert(tenant, (if over_quota { remaining } else { remaining - 1.0 }, now));
+        over_quota
     }
 
-    /// What is left of a tenant's share, in messages; none where it has no share.
-    fn share_left(&self, now: Time, tenant: TenantId) -> Option<f64> {
-        let quota = self.settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
-        let most = quota * (QUOTA_PART / fleet_size(&self.settings)).min(1.0);
-        let (left, since) = self.shares.get(&tenant).copied().unwrap_or((most, now));
-        Some((left + (now - since).as_secs_f64() * most).min(most))
+    /// Returns what is left of a tenant's quota, in messages; None where the tenant has no quota.
+    fn quota_remaining(&self, now: Time, tenant: TenantId) -> Option<f64> {
+        let quota_per_sec = self.settings.tenants.get(tenant.0 as usize)?.quota_per_sec;
+        let local_per_sec = quota_per_sec * (LOCAL_QUOTA_SHARE / fleet_size(&self.settings)).min(1.0);
+        let (messages, at) = self.quota_balances.get(&tenant).copied().unwrap_or((local_per_sec, now));
+        Some((messages + (now - at).as_secs_f64() * local_per_sec).min(local_per_sec))
     }
 
-    fn on_told_wait(&mut self, now: Time, endpoint: EndpointId, wait: Duration) {
-        let route = self.addresses.get(&endpoint).map(|a| self.route_of(&a.entry));
+    fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, delay: Duration) {
+        let route = self.endpoints.get(&endpoint).map(|tracked| self.route_of(&tracked.entry));
         if let Some(route) = route.and_then(|id| self.routes.get_mut(&id)) {
-            route.told_wait = route.told_wait.max(now + wait);
+            route.retry_after_until = route.retry_after_until.max(now + delay);
         }
     }
 
-    fn on_detach(&mut self, endpoint: EndpointId) {
-        if self.detached.insert(endpoint) {
+    fn on_endpoint_disabled(&mut self, endpoint: EndpointId) {
+        if self.disabled_endpoints.insert(endpoint) {
             self.actions.push(Action::CloseIdleConnections { endpoint });
         }
     }
 
-    /// What comes back from the operators counts as cold: it may have been restarted at any time since. What
-    /// its calls met meanwhile says nothing of it now.
-    fn on_attach(&mut self, now: Time, endpoint: EndpointId) {
-        if !self.detached.remove(&endpoint) {
+    /// Uses an endpoint again, with a slow start: it may have been restarted at any time since it was
+    /// disabled. Outcomes of calls during that time do not show its present state.
+    fn on_endpoint_enabled(&mut self, now: Time, endpoint: EndpointId) {
+        if !self.disabled_endpoints.remove(&endpoint) {
             return;
         }
-        reached("attached again");
-        let Some(address) = self.addresses.get_mut(&endpoint) else { return };
-        (address.failures, address.avoid_until, address.used) = (0, now, None);
-        let id = self.addresses.get(&endpoint).map(|address| self.route_of(&address.entry));
+        reached("endpoint enabled again");
+        let Some(tracked) = self.endpoints.get_mut(&endpoint) else { return };
+        (tracked.failures, tracked.avoid_until, tracked.connection_used_at) = (0, now, None);
+        let id = self.endpoints.get(&endpoint).map(|tracked| self.route_of(&tracked.entry));
         if let Some(route) = id.and_then(|id| self.routes.get_mut(&id)) {
-            (route.spell, route.failure_score, route.returned) = (None, 0, Some(now));
-            (route.filled, route.tokens) = (now, 0.0);
+            (route.open_circuit, route.failure_score, route.slow_start_since) = (None, 0, Some(now));
+            (route.refilled_at, route.tokens) = (now, 0.0);
         }
     }
 
-    /// Whether an endpoint may be given new work.
-    fn is_open(&self, address: &Address) -> bool {
-        address.entry.availability == Availability::Ready && !self.detached.contains(&address.entry.id)
+    /// Whether an endpoint may get new calls.
+    fn is_eligible(&self, tracked: &TrackedEndpoint) -> bool {
+        tracked.entry.availability == Availability::Ready
+            && !self.disabled_endpoints.contains(&tracked.entry.id)
     }
 
-    fn on_finished(&mut self, now: Time, finished: FinishedAttempt) {
-        // A wait binds from the batch that tells it, whichever message of a call brings it, and whatever
-        // became of that message.
-        if let AttemptOutcome::Rejected(Some(wait)) = finished.outcome {
-            self.on_told_wait(now, finished.endpoint, wait);
+    fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
+        // A Retry-After holds from the first message of a call that brings it, whatever the state of that
+        // message.
+        if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
+            self.on_retry_after(now, finished.endpoint, delay);
         }
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
-        let Some(call_id) = message.out.take() else { return };
+        let Some(call_id) = message.call.take() else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        let class = &self.settings.classes[usize::from(message.taken.class.0)];
+        let class = &self.settings.classes[usize::from(message.accepted.class.0)];
         let was_not_processed = finished.outcome.was_not_processed();
         if finished.outcome == AttemptOutcome::LocalFailure {
             message.attempts = message.attempts.saturating_sub(1);
@@ -567,41 +630,46 @@
             message.attempts = self.settings.max_attempts;
         }
         if !was_not_processed && message.first_uncertain_attempt.is_none() {
-            message.first_uncertain_attempt = Some((call.sent, Some(call.zone)));
-        }
-        let gap = growing_gap(class.latency_objective, BACKOFF_BASE_OF_AIM, message.attempts)
-            .min(class.latency_objective.mul_f64(BACKOFF_CAP_OF_AIM));
-        message.not_before = now + gap.mul_f64(self.rng.f64());
-        // A call that may still be running lets its key rest before the next message of the key.
-        let unsettled = !was_not_processed
+            message.first_uncertain_attempt = Some((call.sent_at, Some(call.zone)));
+        }
+        let backoff =
+            exponential_backoff(class.latency_objective, BACKOFF_BASE_OF_OBJECTIVE, message.attempts)
+                .min(class.latency_objective.mul_f64(BACKOFF_CAP_OF_OBJECTIVE));
+        message.not_before = now + backoff.mul_f64(self.rng.f64());
+        // After a call that may still be running, its ordering key is held before the next message of the key
+        // is sent.
+        let may_still_run = !was_not_processed
             && !matches!(finished.outcome, AttemptOutcome::Delivered | AttemptOutcome::ErrorResponse);
-        if let (true, true, Some(key)) = (unsettled, class.is_ordered, message.taken.key) {
-            self.rests.retain(|_, until| *until > now);
-            self.rests.insert(key, now + self.settings.limits.ordering_key_hold);
+        if let (true, true, Some(key)) = (may_still_run, class.is_ordered, message.accepted.key) {
+            self.key_holds.retain(|_, until| *until > now);
+            self.key_holds.insert(key, now + self.settings.limits.ordering_key_hold);
         }
-        // Only a call's last outcome counts for the route: its messages share one fate.
-        call.unanswered -= 1;
-        if call.unanswered == 0 {
+        // The messages of a call share its outcome: only the last one counts for the route.
+        call.unfinished -= 1;
+        if call.unfinished == 0 {
             if let Some(call) = self.calls.remove(&call_id) {
-                self.end_call(now, call_id, call, &finished);
+                self.complete_call(now, call_id, call, &finished);
             }
         }
         if finished.completes_message {
-            self.close(finished.message);
-        } else if let Some(end) = self.messages.get(&finished.message).and_then(|m| self.last_send(m)) {
-            // What can never be sent again is answered at once: it would only fill what may be held and keep
-            // its order key from the messages behind it.
-            self.deadlines.insert((end.max(now), finished.message));
+            self.complete_message(finished.message);
+        } else if let Some(last_send_at) =
+            self.messages.get(&finished.message).and_then(|m| self.last_send_at(m))
+        {
+            // A message that can never be sent again gets its final outcome at once: it would only use up
+            // capacity and block the messages behind it in the order of its key.
+            self.deadlines.insert((last_send_at.max(now), finished.message));
         }
-        self.forget_if_over(finished.message);
+        self.forget_if_settled(finished.message);
     }
 
-    /// Until when a message may be sent again, if that ends before its deadline.
-    fn last_send(&self, message: &Message) -> Option<Time> {
+    /// Returns the last time at which a message may be sent, where that does not go by its deadline;
+    /// [`Time::ZERO`] where it may not be sent again at all.
+    fn last_send_at(&self, message: &Message) -> Option<Time> {
         let class = self.class(message);
         match (message.first_uncertain_attempt, class.idempotency) {
             _ if message.attempts >= self.settings.max_attempts => {
-                reached("send cap");
+                reached("attempt limit");
                 Some(Time::ZERO)
             }
             (Some(_), Idempotency::NonIdempotent) => Some(Time::ZERO),
@@ -610,39 +678,51 @@
         }
     }
 
-    /// Frees the slot of a call and lets address, connections and route learn from its outcome.
-    fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
+    /// Frees the slot of a call, and updates connection reuse, endpoint and route by its outcome.
+    fn complete_call(&mut self, now: Time, id: u64, call: Call, finished: &FinishedAttempt) {
         if let Some(route) = self.routes.get_mut(&call.route) {
-            route.out.remove(&id);
+            route.calls.remove(&id);
         }
-        let lost = matches!(
+        let is_lost = matches!(
             finished.outcome,
             AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled
         );
-        let risk =
-            call.idle.and_then(|idle| self.idle_step(idle)).map_or(0.0, |step| self.reaping.risks[step]);
-        let reaped = lost && risk > REAPED_RISKS.0 + self.reaping.other * REAPED_OTHER;
-        if !(lost && call.stalled) {
-            self.learn_of_idle(now, call.idle, lost, finished.outcome == AttemptOutcome::Delivered);
+        let risk = call
+            .connection_idle
+            .and_then(|idle| self.idle_step(idle))
+            .map_or(0.0, |step| self.connection_reuse.idle_risks[step]);
+        let is_explained =
+            is_lost && risk > MAX_RISKS.0 + self.connection_reuse.baseline_risk * BASELINE_RISK_MULTIPLE;
+        if !(is_lost && call.is_unresponsive) {
+            self.record_connection_outcome(
+                now,
+                call.connection_idle,
+                is_lost,
+                finished.outcome == AttemptOutcome::Delivered,
+            );
         }
         if finished.outcome == AttemptOutcome::TooManyConnections {
-            self.crowded = now + self.settings.connection_idle_timeout * CROWDED_IDLES;
+            self.reuse_paused_until = now + self.settings.connection_idle_timeout * PAUSE_IN_IDLE_TIMEOUTS;
         }
-        let rules = &self.settings.limits;
-        if let Some(address) = self.addresses.get_mut(&call.to) {
-            address.calls_out = address.calls_out.saturating_sub(1);
+        let limits = &self.settings.limits;
+        if let Some(tracked) = self.endpoints.get_mut(&call.endpoint) {
+            tracked.calls_in_flight = tracked.calls_in_flight.saturating_sub(1);
             match finished.outcome {
-                AttemptOutcome::Delivered => (address.used, address.failures) = (Some(now), 0),
-                AttemptOutcome::Rejected(_) => address.used = Some(now),
-                _ if reaped => {}
+                AttemptOutcome::Delivered => (tracked.connection_used_at, tracked.failures) = (Some(now), 0),
+                AttemptOutcome::Rejected(_) => tracked.connection_used_at = Some(now),
+                _ if is_explained => {}
                 AttemptOutcome::ConnectFailed
                 | AttemptOutcome::Timeout
                 | AttemptOutcome::Reset
                 | AttemptOutcome::ErrorResponse => {
-                    address.failures += 1;
-                    let gap = growing_gap(rules.overload_window, TRIAL_GAPS_OF_FALL.0, address.failures)
-                        .min(rules.warm_up);
-                    address.avoid_until = now + gap.mul_f64(self.rng.f64());
+                    tracked.failures += 1;
+                    let avoidance = exponential_backoff(
+                        limits.overload_window,
+                        PROBE_DELAYS_OF_WINDOW.0,
+                        tracked.failures,
+                    )
+                    .min(limits.warm_up);
+                    tracked.avoid_until = now + avoidance.mul_f64(self.rng.f64());
                 }
                 AttemptOutcome::MalformedResponse
                 | AttemptOutcome::Cancelled
@@ -651,769 +731,939 @@
                 | AttemptOutcome::TooManyConnections
                 | AttemptOutcome::LocalFailure => {}
             }
-            if self.crowded > now {
-                address.used = None;
-                self.actions.push(Action::CloseIdleConnections { endpoint: call.to });
+            if self.reuse_paused_until > now {
+                tracked.connection_used_at = None;
+                self.actions.push(Action::CloseIdleConnections { endpoint: call.endpoint });
             }
-            if address.calls_out == 0 && address.entry.availability == Availability::Removed {
-                self.forget_address(call.to);
+            if tracked.calls_in_flight == 0 && tracked.entry.availability == Availability::Removed {
+                self.forget_endpoint(call.endpoint);
             }
         }
-        if !reaped {
+        if !is_explained {
             self.learn(now, finished, &call);
         }
     }
 
-    /// A loss on an idle connection speaks for connections that are dropped unseen, an answer on one that was
-    /// idle as long speaks against it.
-    fn learn_of_idle(&mut self, now: Time, idle: Option<Duration>, lost: bool, answered: bool) {
-        if !lost && !answered {
+    /// Updates the risk of reusing connections. A loss on an idle connection suggests that such connections
+    /// are dropped without notice; a delivery on one that was idle for as long suggests that they are not.
+    fn record_connection_outcome(
+        &mut self,
+        now: Time,
+        idle: Option<Duration>,
+        is_lost: bool,
+        is_delivered: bool,
+    ) {
+        if !is_lost && !is_delivered {
             return;
         }
         let step = idle.and_then(|idle| self.idle_step(idle));
-        let reaping = &mut self.reaping;
-        let risk = step.map_or(&mut reaping.other, |step| &mut reaping.risks[step]);
-        *risk += REAPED_GAIN * (f64::from(u8::from(lost)) - *risk);
+        let connection_reuse = &mut self.connection_reuse;
+        let risk =
+            step.map_or(&mut connection_reuse.baseline_risk, |step| &mut connection_reuse.idle_risks[step]);
+        *risk += RISK_GAIN * (f64::from(u8::from(is_lost)) - *risk);
         if step.is_some() {
-            let pause = if lost { shortest_aim(&self.settings) * REAPED_CHECK_AIMS } else { 0.0 };
-            reaping.next_check = now + Duration::from_secs_f64(pause);
+            let interval_secs = if is_lost {
+                shortest_objective_secs(&self.settings) * PROBE_INTERVAL_IN_OBJECTIVES
+            } else {
+                0.0
+            };
+            connection_reuse.next_probe_at = now + Duration::from_secs_f64(interval_secs);
         }
     }
 
-    /// Which of the risks an idle time belongs to; none where it is too short to count.
+    /// Returns the index of the risk that an idle time belongs to; None where it is too short to count as
+    /// idle.
     fn idle_step(&self, idle: Duration) -> Option<usize> {
-        let doublings = (idle.as_secs_f64() / (shortest_aim(&self.settings) * REAPED_LEAST_AIM)).log2();
-        (doublings >= 0.0).then(|| (doublings as usize).min(REAPED_STEPS - 1))
+        let doublings = (idle.as_secs_f64()
+            / (shortest_objective_secs(&self.settings) * SHORTEST_IDLE_OF_OBJECTIVE))
+            .log2();
+        (doublings >= 0.0).then(|| (doublings as usize).min(IDLE_STEPS - 1))
     }
 
-    // ---- Health and pace ----
+    // ---- Circuit breaker, slow start and rate limit ----
 
-    /// Health and pace of a route, from the outcome of one call.
+    /// Updates a route by the outcome of one of its calls.
     fn learn(&mut self, now: Time, finished: &FinishedAttempt, call: &Call) {
         let (settings, chance) = (&self.settings, self.rng.f64());
-        let waiting = self.queues.get(&call.route.0).map_or(0, Vec::len) as f64;
+        let waiting_messages = self.queues.get(&call.route.0).map_or(0, Vec::len) as f64;
         let Some(route) = self.routes.get_mut(&call.route) else { return };
-        if let Some(limit) = finished.load_report.map(|a| a.limit_per_sec).filter(|limit| *limit > 0.0) {
-            route.weight = limit;
+        if let Some(limit_per_sec) = finished
+            .load_report
+            .map(|report| report.limit_per_sec)
+            .filter(|limit_per_sec| *limit_per_sec > 0.0)
+        {
+            route.limit_per_sec = limit_per_sec;
         }
-        // A time-out is a sample too, of at least its length: else it would stay too short all through a slow
-        // spell, and each repeat would meet the first call still running.
+        // A time-out is a sample too, of at least its length: otherwise time-outs would stay too short all
+        // through a slow phase, and each retry would meet the attempt before it still running.
         if matches!(
             finished.outcome,
             AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled
         ) {
             if route.latency.samples == 0 {
-                route.latency = Latency { samples: 0, ..self.usual };
+                route.latency = LatencyEstimate { samples: 0, ..self.latency };
             }
-            route.latency.learn(finished.latency, LATENCY_GAIN);
-        }
-        // With a success since it was sent, a lost call says nothing of the route. Nor do errors and resets
-        // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
-        let detached = &self.detached;
-        let sound = |a: &Address| {
-            a.entry.availability == Availability::Ready && a.failures == 0 && !detached.contains(&a.entry.id)
+            route.latency.record(finished.latency, MIN_LATENCY_GAIN);
+        }
+        // A lost call does not count where another call has succeeded since it was sent. Errors and resets do
+        // not count while the route has a healthy endpoint. Missing responses do, as usually all endpoints of
+        // a route stall at once.
+        let disabled_endpoints = &self.disabled_endpoints;
+        let is_healthy = |tracked: &TrackedEndpoint| {
+            tracked.entry.availability == Availability::Ready
+                && tracked.failures == 0
+                && !disabled_endpoints.contains(&tracked.entry.id)
         };
-        let alone = call.sent >= route.last_answer;
-        let all_sick = alone && !route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(sound);
-        let blip = settings.limits.overload_window.mul_f64(BLIP_OF_FALL);
-        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
+        let no_success_since = call.sent_at >= route.last_success_at;
+        let no_healthy_endpoint = no_success_since
+            && !route.endpoints.iter().filter_map(|id| self.endpoints.get(id)).any(is_healthy);
+        let longest_transient = settings.limits.overload_window.mul_f64(TRANSIENT_OF_WINDOW);
+        let span_secs = settings.limits.overload_window.as_secs_f64() * LOSS_SPAN_IN_OVERLOAD_WINDOWS;
         match finished.outcome {
             outcome if outcome.was_not_processed() => {}
-            AttemptOutcome::Delivered => drop(route.kept.rate(now, span, 1.0)),
-            _ => drop(route.lost.rate(now, span, 1.0)),
+            AttemptOutcome::Delivered => drop(route.delivered.per_sec(now, span_secs, 1.0)),
+            _ => drop(route.lost.per_sec(now, span_secs, 1.0)),
         }
         match finished.outcome {
             AttemptOutcome::Delivered => {
-                self.usual.learn(finished.latency, LATENCY_GAIN);
-                let served = route.served.rate(now, cold_s(settings), 0.0);
-                let sick = route.spell.is_some() || route.returned.is_some();
-                route.share = if sick { served.max(route.share) } else { served };
+                self.latency.record(finished.latency, MIN_LATENCY_GAIN);
+                let served_per_sec = route.served.per_sec(now, warm_up_secs(settings), 0.0);
+                let is_recovering = route.open_circuit.is_some() || route.slow_start_since.is_some();
+                route.baseline_per_sec =
+                    if is_recovering { served_per_sec.max(route.baseline_per_sec) } else { served_per_sec };
                 route.served.count += 1.0;
-                // A destination that gave no success for a while may be cold: it gets a slow start. Couriers
-                // that saw only the end of an outage are covered by counting from the last success.
-                if route.spell.as_ref().is_some_and(|s| s.failed && now - s.began > blip) {
-                    reached("cold return");
-                    route.returned = Some(now);
+                // A destination without success for a while may be cold: it gets a slow start. The outage
+                // counts from the last success, so that it is recognized by gateways that saw only its end.
+                if route
+                    .open_circuit
+                    .as_ref()
+                    .is_some_and(|open| open.has_failures && now - open.since > longest_transient)
+                {
+                    reached("slow start begins");
+                    route.slow_start_since = Some(now);
                     route.tokens = 0.0;
                 }
-                let left = finished
+                let headroom = finished
                     .load_report
-                    .filter(|a| a.limit_per_sec > 0.0)
-                    .map(|a| a.headroom.clamp(0.0, 1.0));
-                if route.bound {
-                    let below = 1.0 - route.rate * fleet_size(settings) / route.weight.max(TOLD_RATES.0);
-                    let part = RATE_GROWTH * (1.0 + BELOW_GROWTH * below.clamp(0.0, 1.0));
-                    let growth = part * route.rate.min(shortest_aim(settings).recip());
-                    let growth = left.map_or(growth, |left| TOLD_GROWTH * left * route.rate);
-                    route.rate += growth;
+                    .filter(|report| report.limit_per_sec > 0.0)
+                    .map(|report| report.headroom.clamp(0.0, 1.0));
+                if route.is_binding {
+                    let below_share = 1.0
+                        - route.rate_per_sec * fleet_size(settings)
+                            / route.limit_per_sec.max(LISTED_LIMIT_BOUNDS_PER_SEC.0);
+                    let ratio = GROWTH_RATIO * (1.0 + EXTRA_GROWTH_BELOW_SHARE * below_share.clamp(0.0, 1.0));
+                    let growth_per_sec =
+                        ratio * route.rate_per_sec.min(shortest_objective_secs(settings).recip());
+                    let growth_per_sec = headroom.map_or(growth_per_sec, |headroom| {
+                        GROWTH_OF_HEADROOM * headroom * route.rate_per_sec
+                    });
+                    route.rate_per_sec += growth_per_sec;
                 }
-                route.spell = None;
+                route.open_circuit = None;
                 (route.failure_score, route.cuts) = (0, 0);
-                route.last_answer = now;
+                route.last_success_at = now;
                 return;
             }
-            // Shut, and told until when: all whom the door refused come back at one moment (issue of later
-            // mandeville: 480 of 490 calls at the fall). So the slow start begins there, by chance inside a
-            // call of its pace, and nothing is saved up behind the door.
-            AttemptOutcome::Rejected(Some(wait)) if wait > blip => {
-                reached("shut");
-                (route.spell, route.returned) = (None, Some(route.told_wait));
-                (route.filled, route.tokens) = (route.told_wait, chance);
+            // The destination is closed, and has announced when it is back. All rejected messages wait for
+            // that moment: in one case 480 of 490 calls came together and overloaded the destination. So the
+            // slow start begins there, with no tokens saved up, and the first call of each gateway is at a
+            // random point within the interval between two of its calls.
+            AttemptOutcome::Rejected(Some(wait)) if wait > longest_transient => {
+                reached("return announced");
+                (route.open_circuit, route.slow_start_since) = (None, Some(route.retry_after_until));
+                (route.refilled_at, route.tokens) = (route.retry_after_until, chance);
                 return;
             }
             AttemptOutcome::Rejected(_) => {
-                // Refused though there is room inside the limit: it is shut or hangs with its queue full.
-                let room =
-                    finished.load_report.is_some_and(|a| a.limit_per_sec > 0.0 && a.headroom > ROOM_LEFT);
-                route.failure_score += if room { EVIDENCE_LOST } else { EVIDENCE_REFUSED };
-                if now - route.last_cut > CUT_EVERY {
-                    let cut = RATE_CUTS[route.cuts.min(RATE_CUTS.len() - 1)];
+                // It was rejected with headroom left: the destination is closed, or hangs with a full queue.
+                let has_headroom = finished
+                    .load_report
+                    .is_some_and(|report| report.limit_per_sec > 0.0 && report.headroom > HEADROOM_LEFT);
+                route.failure_score += if has_headroom { SCORE_LOST } else { SCORE_REJECTED };
+                if now - route.last_cut_at > MIN_CUT_INTERVAL {
+                    let ratio = CUT_RATIOS[route.cuts.min(CUT_RATIOS.len() - 1)];
                     route.cuts += 1;
-                    // A clump must not wait at the pace of usual days until it has run out; where a call
-                    // carries many, what waits goes together, and a call an aim is enough.
-                    let an_aim = shortest_aim(settings).recip();
-                    let (waiting, most) = if route.batch > 1 { (0.0, an_aim) } else { (waiting, f64::MAX) };
-                    let late = route.sent.rate(now, LATE_S, 0.0).min(most);
-                    let own = route.demand.rate(now, cold_s(settings), 0.0);
-                    let late = late.max(own).max(route.weight / fleet_size(settings)).max(waiting * an_aim);
-                    let slowest = route.fall_part(now, settings, 0.0);
-                    route.rate = (cut * route.rate.min(late)).max(slowest.min(route.rate));
-                    route.last_cut = now;
+                    // A burst of messages must not be sent at the ordinary rate for a long time. Where a call
+                    // carries many messages, waiting messages go together, and one call a latency objective
+                    // is enough.
+                    let call_per_objective = shortest_objective_secs(settings).recip();
+                    let (waiting_messages, max_sent_per_sec) = if route.batch_size > 1 {
+                        (0.0, call_per_objective)
+                    } else {
+                        (waiting_messages, f64::MAX)
+                    };
+                    let sent_per_sec = route.sent.per_sec(now, SENT_SPAN_SECS, 0.0).min(max_sent_per_sec);
+                    let demand_per_sec = route.demand.per_sec(now, warm_up_secs(settings), 0.0);
+                    let used_per_sec = sent_per_sec
+                        .max(demand_per_sec)
+                        .max(route.limit_per_sec / fleet_size(settings))
+                        .max(waiting_messages * call_per_objective);
+                    let floor_per_sec = route.overload_budget_per_sec(now, settings, 0.0);
+                    route.rate_per_sec = (ratio * route.rate_per_sec.min(used_per_sec))
+                        .max(floor_per_sec.min(route.rate_per_sec));
+                    route.last_cut_at = now;
                 }
-                // By chance, as all that were refused together would come back together.
-                let spread = if route.is_light(now, settings) { LIGHT_SPREAD } else { 1.0 };
-                route.tokens = route.tokens.min(-chance * spread);
+                // At random, as all gateways that were rejected together must not call again together.
+                let spread_calls =
+                    if route.has_low_traffic(now, settings) { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
+                route.tokens = route.tokens.min(-chance * spread_calls);
             }
-            AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if all_sick => {
-                route.failure_score += EVIDENCE_LOST
+            AttemptOutcome::ErrorResponse | AttemptOutcome::Reset if no_healthy_endpoint => {
+                route.failure_score += SCORE_LOST
             }
             // It is up, and may yet be failing most calls.
-            AttemptOutcome::MalformedResponse if alone => route.failure_score += EVIDENCE_REFUSED,
-            AttemptOutcome::ConnectFailed if alone => route.failure_score += EVIDENCE_NO_CONNECTION,
-            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if alone => {
-                route.failure_score += EVIDENCE_LOST
+            AttemptOutcome::MalformedResponse if no_success_since => route.failure_score += SCORE_REJECTED,
+            AttemptOutcome::ConnectFailed if no_success_since => route.failure_score += SCORE_CONNECT_FAILED,
+            AttemptOutcome::Timeout | AttemptOutcome::Cancelled if no_success_since => {
+                route.failure_score += SCORE_LOST
             }
             _ => {}
         }
-        if route.failure_score >= SPELL_AFTER
-            || (route.spell.is_some() && route.failure_score >= EVIDENCE_LOST)
+        if route.failure_score >= OPENING_SCORE
+            || (route.open_circuit.is_some() && route.failure_score >= SCORE_LOST)
         {
-            let spell = route.spell.get_or_insert(Spell { began: route.last_answer, ..Spell::default() });
-            reached("failures open a spell");
-            spell.failed = true;
-            spell.lost |= !matches!(finished.outcome, AttemptOutcome::Rejected(_));
-            route.plan_trial(now, settings, chance);
-            route.returned = None;
+            let open_circuit = route
+                .open_circuit
+                .get_or_insert(OpenInterval { since: route.last_success_at, ..OpenInterval::default() });
+            reached("failures open the circuit");
+            open_circuit.has_failures = true;
+            open_circuit.has_lost_calls |= !matches!(finished.outcome, AttemptOutcome::Rejected(_));
+            route.schedule_probe(now, settings, chance);
+            route.slow_start_since = None;
         }
     }
 
-    /// Marks the calls that have been silent for too long, and says when the next one will have been.
-    fn note_stalls(&mut self, now: Time) -> Option<Time> {
+    /// Marks calls without a response for too long as unresponsive, and returns when the next one will be.
+    fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
         let mut next = None;
-        for id in self.calls.iter().filter(|(_, call)| !call.stalled).map(|(id, _)| *id).collect::<Vec<_>>() {
-            let at = self.calls[&id].sent + self.stall_patience(self.calls[&id].route);
+        for id in
+            self.calls.iter().filter(|(_, call)| !call.is_unresponsive).map(|(id, _)| *id).collect::<Vec<_>>()
+        {
+            let at = self.calls[&id].sent_at + self.unresponsive_after(self.calls[&id].route);
             if at > now {
                 earliest(&mut next, Some(at));
             } else if let Some(call) = self.calls.get_mut(&id) {
-                reached("stalled call");
-                call.stalled = true;
-                let idle = call.idle;
-                self.learn_of_idle(now, idle, true, false);
+                reached("unresponsive call");
+                call.is_unresponsive = true;
+                let connection_idle = call.connection_idle;
+                self.record_connection_outcome(now, connection_idle, true, false);
             }
         }
         next
     }
 
-    fn stall_patience(&self, id: RouteId) -> Duration {
-        let usual = self.routes.get(&id).map_or(0.0, |route| route.latency.times(STALL_LATENCIES));
-        Duration::from_secs_f64(usual.max(shortest_aim(&self.settings) * STALL_AIM))
+    fn unresponsive_after(&self, id: RouteId) -> Duration {
+        let typical_secs = self
+            .routes
+            .get(&id)
+            .map_or(0.0, |route| route.latency.multiple_secs(UNRESPONSIVE_AFTER_LATENCIES));
+        Duration::from_secs_f64(
+            typical_secs
+                .max(shortest_objective_secs(&self.settings) * MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO),
+        )
     }
 
-    /// When a route may take one more call: now, later, or only after some outcome (none).
+    /// Returns when a route may take one more call: now, later, or only after some outcome (None).
     fn route_free_at(&mut self, now: Time, id: RouteId) -> Option<Time> {
-        let stall = self.stall_patience(id);
-        let slots_free = self.slots_free();
-        let rate = self.pace(now, id);
+        let unresponsive_after = self.unresponsive_after(id);
+        let free_slots = self.free_slots();
+        let rate_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get_mut(&id)?;
-        if route.told_wait > now {
-            reached("told wait holds");
-            return Some(route.told_wait);
+        if route.retry_after_until > now {
+            reached("Retry-After pending");
+            return Some(route.retry_after_until);
         }
-        if self.closing.is_some_and(|end| now + stall > end) {
-            reached("closing holds");
+        if self.shutdown_at.is_some_and(|end| now + unresponsive_after > end) {
+            reached("shutdown pending");
             return None;
         }
-        // Hung or dead destinations answer nothing: the silence itself opens the circuit, long before a
-        // time-out would, so that only few calls are risked.
-        let oldest = route.out.first().and_then(|call| self.calls.get(call)).map(|call| call.sent);
-        if let (None, Some(sent)) = (&route.spell, oldest) {
-            if now - sent.max(route.last_answer) >= stall {
-                reached("silence opens a spell");
-                let (began, next_trial) = (route.last_answer.min(sent), now + stall);
-                route.spell = Some(Spell { began, next_trial, lost: true, ..Spell::default() });
+        // A destination that hangs or is down does not respond: the missing response itself opens the
+        // circuit, long before the attempt times out, so that few calls are lost.
+        let oldest_sent_at =
+            route.calls.first().and_then(|call| self.calls.get(call)).map(|call| call.sent_at);
+        if let (None, Some(sent_at)) = (&route.open_circuit, oldest_sent_at) {
+            if now - sent_at.max(route.last_success_at) >= unresponsive_after {
+                reached("missing response opens the circuit");
+                let (since, next_probe_at) = (route.last_success_at.min(sent_at), now + unresponsive_after);
+                route.open_circuit = Some(OpenInterval {
+                    since,
+                    next_probe_at,
+                    has_lost_calls: true,
+                    ..OpenInterval::default()
+                });
             }
         }
-        if let Some(spell) = &route.spell {
-            // Trials that hang must not gather until they pin the slots of the healthy.
-            let room = ((slots_free as f64 * TRIAL_SLOTS) as usize).max(1);
-            if route.out.len() >= room {
-                reached("no room for a trial");
+        if let Some(open_circuit) = &route.open_circuit {
+            // Unresponsive probes must not use up the slots of healthy destinations.
+            let max_probes = ((free_slots as f64 * MAX_PROBES_OF_FREE_SLOTS) as usize).max(1);
+            if route.calls.len() >= max_probes {
+                reached("no slot for a probe");
             }
-            return (route.out.len() < room).then_some(spell.next_trial);
+            return (route.calls.len() < max_probes).then_some(open_circuit.next_probe_at);
         }
-        // Bulkhead: no destination has more calls out than slots are left for all others.
-        if !route.out.is_empty() && route.out.len() >= slots_free.max(1) {
+        // Bulkhead: no route has more calls in flight than slots are free for all others.
+        if !route.calls.is_empty() && route.calls.len() >= free_slots.max(1) {
             reached("bulkhead");
             return None;
         }
-        let burst = if route.returned.is_some() { 1.0 } else { (rate * BURST_S).max(1.0) };
-        let passed = (now - route.filled).as_secs_f64();
-        route.tokens = (route.tokens + passed * rate).min(burst);
-        route.filled = now;
-        route.bound = route.tokens < 1.0;
-        if route.bound {
+        let burst = if route.slow_start_since.is_some() { 1.0 } else { (rate_per_sec * BURST_SECS).max(1.0) };
+        let passed_secs = (now - route.refilled_at).as_secs_f64();
+        route.tokens = (route.tokens + passed_secs * rate_per_sec).min(burst);
+        route.refilled_at = now;
+        route.is_binding = route.tokens < 1.0;
+        if route.is_binding {
             reached("no token");
-            let longest = if route.returned.is_some() { 10.0 } else { 3600.0 };
-            return Some(now + Duration::from_secs_f64(((1.0 - route.tokens) / rate).clamp(0.001, longest)));
+            let max_wait_secs = if route.slow_start_since.is_some() { 10.0 } else { 3600.0 };
+            return Some(
+                now + Duration::from_secs_f64(
+                    ((1.0 - route.tokens) / rate_per_sec).clamp(0.001, max_wait_secs),
+                ),
+            );
         }
         Some(now)
     }
 
-    /// Calls a second that this courier may send a route now.
-    fn pace(&mut self, now: Time, id: RouteId) -> f64 {
+    /// Returns the calls a second that this gateway may send a route now. Ends a slow start that has run out.
+    fn rate_per_sec(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
-        let Some(returned) = route.returned else { return route.rate };
-        let warmth = (now - returned).as_secs_f64() / cold_s(&self.settings);
-        reached(if warmth >= 1.0 { "ramp over" } else { "ramp" });
-        if warmth >= 1.0 {
-            route.returned = None;
-            return route.rate;
+        let Some(slow_start_since) = route.slow_start_since else { return route.rate_per_sec };
+        let warm_up_progress = (now - slow_start_since).as_secs_f64() / warm_up_secs(&self.settings);
+        reached(if warm_up_progress >= 1.0 { "slow start over" } else { "slow start" });
+        if warm_up_progress >= 1.0 {
+            route.slow_start_since = None;
+            return route.rate_per_sec;
         }
-        route.fall_part(now, &self.settings, warmth).min(route.rate)
+        route.overload_budget_per_sec(now, &self.settings, warm_up_progress).min(route.rate_per_sec)
     }
 
-    // ---- Choice ----
+    // ---- Choice of messages, routes and endpoints ----
 
-    /// Fills free slots: each to the waiting destination with fewest calls out; of those with equally many,
-    /// to the one whose best message is worth most for its time. `next` tells when to look again.
-    fn send_ready(&mut self, now: Time, next: &mut Option<Time>) {
+    /// Fills free slots: each goes to the waiting destination with the fewest calls in flight; of several, to
+    /// the one whose best message has the highest value for each second of its call. `next` is moved to the
+    /// time of the next visit.
+    fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         let mut ready: Vec<(DestinationId, f64)> = Vec::new();
-        if self.slots_free() == 0 && self.open > self.calls.len() {
+        if self.free_slots() == 0 && self.open_messages > self.calls.len() {
             reached("no slot");
         }
-        if self.slots_free() > 0 {
-            for to in self.queues.keys().copied().collect::<Vec<_>>() {
-                ready.extend(self.candidate(now, to, next).map(|(.., value)| (to, value)));
+        if self.free_slots() > 0 {
+            for destination in self.queues.keys().copied().collect::<Vec<_>>() {
+                ready.extend(
+                    self.find_candidate(now, destination, next)
+                        .map(|(.., value_per_sec)| (destination, value_per_sec)),
+                );
             }
         }
-        while self.slots_free() > 0 {
+        while self.free_slots() > 0 {
             let order = |a: &(DestinationId, f64), b: &(DestinationId, f64)| {
-                self.calls_to(a.0).cmp(&self.calls_to(b.0)).then(b.1.total_cmp(&a.1))
+                self.calls_in_flight_to(a.0).cmp(&self.calls_in_flight_to(b.0)).then(b.1.total_cmp(&a.1))
             };
-            let Some(place) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
-            // Slots have gone since: what was free may not be so now.
-            let (to, _) = ready.swap_remove(place);
-            let Some((route, endpoint, message, _)) = self.candidate(now, to, next) else { continue };
-            self.send_call(now, route, endpoint, message);
-            ready.extend(self.candidate(now, to, next).map(|(.., value)| (to, value)));
+            let Some(first) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
+            // Other calls have started since it was found ready, so it may have to wait now.
+            let (destination, _) = ready.swap_remove(first);
+            let Some((route, endpoint, message, _)) = self.find_candidate(now, destination, next) else {
+                continue;
+            };
+            self.start_call(now, route, endpoint, message);
+            ready.extend(
+                self.find_candidate(now, destination, next)
+                    .map(|(.., value_per_sec)| (destination, value_per_sec)),
+            );
         }
     }
 
-    fn calls_to(&self, destination: DestinationId) -> usize {
-        self.routes.range(routes_of(destination)).map(|(_, route)| route.out.len()).sum()
+    fn calls_in_flight_to(&self, destination: DestinationId) -> usize {
+        self.routes.range(routes_of(destination)).map(|(_, route)| route.calls.len()).sum()
     }
 
-    /// The best message of a destination that may be sent now, by which route and endpoint, and its worth for
-    /// the time that a slot is taken; if none, `next` tells when that may be.
-    fn candidate(&mut self, now: Time, to: DestinationId, next: &mut Option<Time>) -> Option<Candidate> {
+    /// Returns the best message of a destination that may be sent now, with its route, its endpoint, and its
+    /// value for each second that a slot is taken. If there is none, `next` is moved to when there may be
+    /// one.
+    fn find_candidate(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        next: &mut Option<Time>,
+    ) -> Option<Candidate> {
         let mut routes: Vec<(f64, RouteId)> =
-            self.routes.range(routes_of(to)).map(|(id, _)| (self.fee(*id), *id)).collect();
+            self.routes.range(routes_of(destination)).map(|(id, _)| (self.cost(*id), *id)).collect();
         routes.sort_by(|a, b| a.0.total_cmp(&b.0));
-        // The cheapest route that is sound but not free now: its fee, when it is free, messages a second.
+        // The cheapest healthy route that can take a call later, but not now: its cost, when it is free, and
+        // the messages a second that it can take.
         let mut cheaper: Option<(f64, Time, f64)> = None;
-        for (fee, route) in routes {
-            let free = self.route_free_at(now, route);
-            if free.is_none_or(|at| at > now) {
-                earliest(next, free);
-                let pace = self.pace(now, route);
-                let ready = |e: &EndpointId| self.addresses.get(e).is_some_and(|a| self.is_open(a));
-                let sound =
-                    |r: &&Route| r.spell.is_none() && r.returned.is_none() && r.endpoints.iter().any(ready);
-                let sound = self.routes.get(&route).filter(sound);
-                if let (None, Some(at), Some(sound)) = (cheaper, free, sound) {
-                    cheaper = Some((fee, at, pace * sound.batch as f64));
+        for (cost, route) in routes {
+            let free_at = self.route_free_at(now, route);
+            if free_at.is_none_or(|at| at > now) {
+                earliest(next, free_at);
+                let calls_per_sec = self.rate_per_sec(now, route);
+                let is_eligible =
+                    |id: &EndpointId| self.endpoints.get(id).is_some_and(|tracked| self.is_eligible(tracked));
+                let is_healthy = |route: &&Route| {
+                    route.open_circuit.is_none()
+                        && route.slow_start_since.is_none()
+                        && route.endpoints.iter().any(is_eligible)
+                };
+                let healthy = self.routes.get(&route).filter(is_healthy);
+                if let (None, Some(at), Some(healthy)) = (cheaper, free_at, healthy) {
+                    cheaper = Some((cost, at, calls_per_sec * healthy.batch_size as f64));
                 }
                 continue;
             }
-            let open = self.routes[&route].endpoints.iter().filter_map(|e| self.addresses.get(e));
-            let zones: Vec<_> = open.filter(|a| self.is_open(a)).map(|a| a.entry.zone).collect();
-            let Some((message, worth)) = self.pick(now, route, &zones, next) else { continue };
-            if let Some((_, at, pace)) = cheaper.filter(|(least, ..)| *least < fee) {
-                // Only if all that waits can go that way in time: else what this route could take is lost.
-                let queue = self.queues.get(&to).map_or(0, Vec::len) as f64;
-                let served =
-                    at + Duration::from_secs_f64((queue / pace.max(0.001)).min(cold_s(&self.settings)));
-                let m = self.messages.get(&message);
-                if m.is_some_and(|m| {
-                    served < m.born + self.class(m).latency_objective.mul_f64(FEE_PATIENCE_OF_AIM)
+            let endpoints = self.routes[&route].endpoints.iter().filter_map(|id| self.endpoints.get(id));
+            let zones: Vec<_> = endpoints
+                .filter(|tracked| self.is_eligible(tracked))
+                .map(|tracked| tracked.entry.zone)
+                .collect();
+            let Some((message, value)) = self.choose_message(now, route, &zones, next) else { continue };
+            if let Some((_, at, messages_per_sec)) = cheaper.filter(|(least_cost, ..)| *least_cost < cost) {
+                // Only if that route can deliver the whole queue in time: otherwise the capacity of this
+                // route would be wasted.
+                let waiting_messages = self.queues.get(&destination).map_or(0, Vec::len) as f64;
+                let served_at = at
+                    + Duration::from_secs_f64(
+                        (waiting_messages / messages_per_sec.max(0.001)).min(warm_up_secs(&self.settings)),
+                    );
+                let chosen = self.messages.get(&message);
+                if chosen.is_some_and(|message| {
+                    served_at
+                        < message.enqueued_at
+                            + self.class(message).latency_objective.mul_f64(CHEAPER_ROUTE_WAIT_OF_OBJECTIVE)
                 }) {
                     reached("waits for a cheaper route");
                     earliest(next, Some(at));
                     continue;
                 }
             }
-            let Some(endpoint) = self.address_for(now, route, message) else { continue };
-            let takes = self.routes[&route].latency.mean.max(0.001);
-            return Some((route, endpoint, message, worth / takes));
+            let Some(endpoint) = self.select_endpoint(now, route, message) else { continue };
+            let call_secs = self.routes[&route].latency.mean_secs.max(0.001);
+            return Some((route, endpoint, message, value / call_secs));
         }
         None
     }
 
-    /// What a message by this route costs; only routes apart have a fee.
-    fn fee(&self, id: RouteId) -> f64 {
+    /// Returns the cost of a message by this route; only an endpoint that is a route of its own has a cost.
+    fn cost(&self, id: RouteId) -> f64 {
         let zone =
-            id.1.and_then(|endpoint| self.addresses.get(&endpoint)).map(|a| usize::from(a.entry.zone.0));
+            id.1.and_then(|endpoint| self.endpoints.get(&endpoint))
+                .map(|tracked| usize::from(tracked.entry.zone.0));
         zone.and_then(|zone| self.settings.zone_costs.get(zone)).copied().unwrap_or(0.0)
     }
 
-    /// The waiting message of most worth that may go to these locations now. A trial goes by repeatability.
-    fn pick(&mut self, now: Time, route: RouteId, zones: &[ZoneId], next: &mut Option<Time>) -> Picked {
-        let trial = self.routes.get(&route).is_some_and(|r| r.spell.is_some());
-        // What is lost on all routes alike is no reason to wait.
-        let bearable = UNSAFE_LOSS + self.reaping.other;
-        let loses = self.routes.get_mut(&route).is_some_and(|r| r.share_lost(now, &self.settings) > bearable);
+    /// Returns the waiting message of highest value that may go to one of these zones now. A half-open probe
+    /// prefers messages that can be resent.
+    fn choose_message(
+        &mut self,
+        now: Time,
+        route: RouteId,
+        zones: &[ZoneId],
+        next: &mut Option<Time>,
+    ) -> ChosenMessage {
+        let is_probe = self.routes.get(&route).is_some_and(|route| route.open_circuit.is_some());
+        // Losses that all routes have alike are no reason to wait.
+        let max_ratio = MAX_LOSS_RATIO_ABOVE_BASELINE + self.connection_reuse.baseline_risk;
+        let loses_calls = self
+            .routes
+            .get_mut(&route)
+            .is_some_and(|route| route.loss_ratio(now, &self.settings) > max_ratio);
         let mut best: Option<(bool, f64, MessageId)> = None;
-        let going = |m: &&Message| zones.iter().any(|zone| self.may_go(m, *zone));
+        let may_go = |message: &&Message| zones.iter().any(|zone| self.may_go_to(message, *zone));
         let queue = self.queues.get(&route.0).into_iter().flatten();
-        for message in queue.filter_map(|m| self.messages.get(m)).filter(going) {
-            let at = self.sendable_at(now, message);
-            if at.is_none_or(|at| at > now) {
-                earliest(next, at);
+        for message in queue.filter_map(|id| self.messages.get(id)).filter(may_go) {
+            let send_at = self.earliest_send(now, message);
+            if send_at.is_none_or(|send_at| send_at > now) {
+                earliest(next, send_at);
                 continue;
             }
-            let last_try =
-                message.taken.deadline - self.class(message).latency_objective.mul_f64(UNSAFE_LAST_AIM);
-            if loses && !self.repeatable(message) && now < last_try {
-                reached("unsafe waits out losses");
-                let fading =
-                    now + self.settings.limits.overload_window.mul_f64(UNSAFE_LOSS_FALLS * UNSAFE_LOSS);
-                earliest(next, Some(fading.min(last_try)));
+            let last_attempt_at = message.accepted.deadline
+                - self.class(message).latency_objective.mul_f64(LAST_ATTEMPT_IN_OBJECTIVES);
+            if loses_calls && !self.is_resendable(message) && now < last_attempt_at {
+                reached("non-idempotent message waits out losses");
+                let recheck_at = now
+                    + self
+                        .settings
+                        .limits
+                        .overload_window
+                        .mul_f64(LOSS_SPAN_IN_OVERLOAD_WINDOWS * MAX_LOSS_RATIO_ABOVE_BASELINE);
+                earliest(next, Some(recheck_at.min(last_attempt_at)));
                 continue;
             }
-            let fit = !trial || self.repeatable(message);
-            let worth = self.current_value(now, message);
-            if best.is_none_or(|(best_fit, most, _)| (fit, worth) > (best_fit, most)) {
-                best = Some((fit, worth, message.taken.id));
+            let is_preferred = !is_probe || self.is_resendable(message);
+            let value = self.current_value(now, message);
+            if best.is_none_or(|(best_preferred, best_value, _)| {
+                (is_preferred, value) > (best_preferred, best_value)
+            }) {
+                best = Some((is_preferred, value, message.accepted.id));
             }
         }
-        best.map(|(_, worth, id)| (id, worth))
+        best.map(|(_, value, id)| (id, value))
     }
 
     fn class(&self, message: &Message) -> &Class {
-        &self.settings.classes[usize::from(message.taken.class.0)]
+        &self.settings.classes[usize::from(message.accepted.class.0)]
     }
 
-    fn repeatable(&self, message: &Message) -> bool {
+    fn is_resendable(&self, message: &Message) -> bool {
         self.class(message).idempotency != Idempotency::NonIdempotent
     }
 
-    /// The one gate for every send: when this message may be sent; none if not before some event, or never.
-    fn sendable_at(&self, now: Time, message: &Message) -> Option<Time> {
-        if message.closed || message.out.is_some() || self.last_send(message).is_some_and(|end| now > end) {
-            if !message.closed && message.out.is_none() {
-                reached("window over");
+    /// Checks the condition that every attempt has to meet: returns when a message may be sent; None if that
+    /// depends on some event, or if it may never be sent again.
+    fn earliest_send(&self, now: Time, message: &Message) -> Option<Time> {
+        if message.completed
+            || message.call.is_some()
+            || self.last_send_at(message).is_some_and(|last| now > last)
+        {
+            if !message.completed && message.call.is_none() {
+                reached("may not be sent again");
             }
             return None;
         }
         let class = self.class(message);
-        let mut at = message.not_before;
-        if let (true, Some(key)) = (class.is_ordered, message.taken.key) {
-            if self.keys.get(&key).and_then(|turn| turn.first()) != Some(&message.taken.id) {
-                reached("key not in turn");
+        let mut send_at = message.not_before;
+        if let (true, Some(key)) = (class.is_ordered, message.accepted.key) {
+            if self.ordering_keys.get(&key).and_then(|pending| pending.first()) != Some(&message.accepted.id)
+            {
+                reached("ordering key not in turn");
                 return None;
             }
-            at = at.max(self.keys_rest);
-            // The rest after an unsettled attempt binds the next messages of the key, not the same one.
+            send_at = send_at.max(self.all_keys_held_until);
+            // A hold binds the next messages of the key, not the one whose attempt may still be running.
             if message.attempts == 0 {
-                at = at.max(self.rests.get(&key).copied().unwrap_or(Time::ZERO));
-                if at > now && at > message.not_before {
-                    reached("key rests");
+                send_at = send_at.max(self.key_holds.get(&key).copied().unwrap_or(Time::ZERO));
+                if send_at > now && send_at > message.not_before {
+                    reached("ordering key held");
                 }
             }
         }
-        Some(at)
+        Some(send_at)
     }
 
-    /// Worth still to be won, and what of it waiting would lose: on time before late, what is about to be
-    /// late before what is fresh, and what is about to run out before what may wait.
+    /// Returns the value that a message still has, weighed with what waiting would lose: messages on time go
+    /// before late ones, those about to be late before fresh ones, and those about to expire before those
+    /// that can wait.
     fn current_value(&self, now: Time, message: &Message) -> f64 {
-        // A repeat that must go before its window ends has nothing left after that.
-        let last = self.last_send(message).map(|end| (end - message.born).as_secs_f64());
+        // A retry that has to be sent before its idempotency window ends has no value after that.
+        let last_send_age_secs =
+            self.last_send_at(message).map(|last| (last - message.enqueued_at).as_secs_f64());
         let class = self.class(message);
-        let (latency_objective, span) = (class.latency_objective.as_secs_f64(), class.deadline.as_secs_f64());
-        let value = |age: f64| {
-            if age > span || last.is_some_and(|end| age > end) {
+        let (objective_secs, deadline_secs) =
+            (class.latency_objective.as_secs_f64(), class.deadline.as_secs_f64());
+        let ratio = |age_secs: f64| {
+            if age_secs > deadline_secs || last_send_age_secs.is_some_and(|last| age_secs > last) {
                 return 0.0;
             }
-            let late = (age - latency_objective).max(0.0);
+            let late_secs = (age_secs - objective_secs).max(0.0);
             match self.settings.decay {
                 Decay::Linear => {
-                    1.0 - (1.0 - class.late_value_ratio) * late / (span - latency_objective).max(0.001)
+                    1.0 - (1.0 - class.late_value_ratio) * late_secs
+                        / (deadline_secs - objective_secs).max(0.001)
                 }
-                Decay::Halving => (-late / latency_objective.max(0.001)).exp2().max(class.late_value_ratio),
+                Decay::Halving => (-late_secs / objective_secs.max(0.001)).exp2().max(class.late_value_ratio),
             }
         };
-        let age = (now - message.born).as_secs_f64();
+        let age_secs = (now - message.enqueued_at).as_secs_f64();
         self.full_value(message)
-            * ((1.0 + WAITING_LOSS) * value(age) - WAITING_LOSS * value(age + latency_objective))
+            * ((1.0 + WAITING_LOSS_WEIGHT) * ratio(age_secs)
+                - WAITING_LOSS_WEIGHT * ratio(age_secs + objective_secs))
     }
 
-    /// Worth of a message on time.
+    /// Returns the value of a message on time.
     fn full_value(&self, message: &Message) -> f64 {
-        let share = if message.over_quota { self.settings.over_quota_value_ratio } else { 1.0 };
-        self.class(message).priority_weight * share
+        let ratio = if message.over_quota { self.settings.over_quota_value_ratio } else { 1.0 };
+        self.class(message).priority_weight * ratio
     }
 
-    /// Whether a message may go to a location: a repeat stays inside its group.
-    fn may_go(&self, message: &Message, zone: ZoneId) -> bool {
+    /// Whether a message may go to a zone: a retry stays inside its deduplication scope.
+    fn may_go_to(&self, message: &Message, zone: ZoneId) -> bool {
         let class = self.class(message);
-        let bound = class.idempotency == Idempotency::IdempotentWithKey
+        let is_bound_to_zone = class.idempotency == Idempotency::IdempotentWithKey
             && class.deduplication_scope == DeduplicationScope::Zone;
-        let may = message.first_uncertain_attempt.is_none_or(|(_, first)| !bound || first == Some(zone));
-        if !may {
-            reached("outside the group");
+        let may_go = message
+            .first_uncertain_attempt
+            .is_none_or(|(_, first_zone)| !is_bound_to_zone || first_zone == Some(zone));
+        if !may_go {
+            reached("outside the deduplication scope");
         }
-        may
+        may_go
     }
 
-    /// The address of a route with the fewest calls out, sick ones last; inside the group of a repeat. Ties
-    /// go by a preference drawn once: where each courier has few calls, all would pick the same one.
-    fn address_for(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
+    /// Returns the endpoint of a route with the fewest calls in flight, those that failed last; inside the
+    /// deduplication scope of a retry. Ties go by a preference that each gateway draws once: where all have
+    /// few calls, all would choose the same endpoint.
+    fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         let endpoints = self.routes.get(&id)?.endpoints.iter();
         endpoints
-            .filter_map(|endpoint| self.addresses.get(endpoint))
-            .filter(|a| self.is_open(a) && self.may_go(message, a.entry.zone))
-            .min_by_key(|a| (a.avoid_until > now, a.calls_out, a.failures, a.preference))
-            .map(|a| a.entry.id)
-    }
-
-    /// One call: the message that was picked and, where a call may carry more, others that wait.
-    fn send_call(&mut self, now: Time, id: RouteId, to: EndpointId, first: MessageId) {
-        let idle = self.idle_connection(now, to, first);
-        let Some(address) = self.addresses.get_mut(&to) else { return };
-        address.calls_out += 1;
-        let zone = address.entry.zone;
+            .filter_map(|endpoint| self.endpoints.get(endpoint))
+            .filter(|tracked| self.is_eligible(tracked) && self.may_go_to(message, tracked.entry.zone))
+            .min_by_key(|tracked| {
+                (tracked.avoid_until > now, tracked.calls_in_flight, tracked.failures, tracked.preference)
+            })
+            .map(|tracked| tracked.entry.id)
+    }
+
+    /// Starts one call with the message that was chosen and, where a call may carry more, with others that
+    /// wait.
+    fn start_call(&mut self, now: Time, id: RouteId, endpoint: EndpointId, first: MessageId) {
+        let connection_idle = self.reuse_idle_connection(now, endpoint, first);
+        let Some(tracked) = self.endpoints.get_mut(&endpoint) else { return };
+        tracked.calls_in_flight += 1;
+        let zone = tracked.entry.zone;
         let Some(route) = self.routes.get_mut(&id) else { return };
         route.tokens -= 1.0;
-        route.sent.rate(now, LATE_S, 1.0);
-        let mut room = route.batch;
-        if let Some(spell) = &mut route.spell {
-            reached("trial");
-            spell.trials += 1;
-            // What is only refused comes back unharmed, so that a trial may carry all that a call can.
-            if spell.lost {
-                room = 1;
+        route.sent.per_sec(now, SENT_SPAN_SECS, 1.0);
+        let mut max_messages = route.batch_size;
+        if let Some(open_circuit) = &mut route.open_circuit {
+            reached("half-open probe");
+            open_circuit.probes += 1;
+            // Rejected messages are unharmed, so a probe that can only be rejected carries a full batch.
+            if open_circuit.has_lost_calls {
+                max_messages = 1;
             }
         }
-        route.plan_trial(now, &self.settings, self.rng.f64());
+        route.schedule_probe(now, &self.settings, self.rng.f64());
         self.last_call += 1;
-        route.out.insert(self.last_call);
-        let mut carried = Vec::new();
+        route.calls.insert(self.last_call);
+        let mut messages = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
-            let attempt_timeout = self.time_out(now, id, message);
-            let last = self.messages.get(&message).and_then(|m| self.last_send(m));
+            let attempt_timeout = self.attempt_timeout(now, id, message);
+            let last_send_at = self.messages.get(&message).and_then(|m| self.last_send_at(m));
             if let Some(m) = self.messages.get_mut(&message) {
-                // What shares its call may wait longer for the connection than this one has time.
-                let send_within = last.map_or(m.taken.deadline, |end| end.min(m.taken.deadline)) - now;
+                // Other messages of the call may have more time to wait for the connection than this one.
+                let send_within =
+                    last_send_at.map_or(m.accepted.deadline, |last| last.min(m.accepted.deadline)) - now;
                 m.attempts += 1;
-                m.out = Some(self.last_call);
-                self.actions.push(Action::StartAttempt {
-                    message,
-                    endpoint: to,
-                    attempt_timeout,
-                    send_within,
-                });
+                m.call = Some(self.last_call);
+                self.actions.push(Action::StartAttempt { message, endpoint, attempt_timeout, send_within });
             }
-            carried.push(message);
-            next = if carried.len() == room {
+            messages.push(message);
+            next = if messages.len() == max_messages {
                 None
             } else {
-                self.pick(now, id, &[zone], &mut None).map(|(m, _)| m)
+                self.choose_message(now, id, &[zone], &mut None).map(|(m, _)| m)
             };
         }
-        if carried.len() > 1 {
+        if messages.len() > 1 {
             reached("batch");
         }
-        let (route, sent, unanswered, stalled, called_off) = (id, now, carried.len(), false, false);
-        let call = Call { route, to, zone, sent, carried, unanswered, idle, stalled, called_off };
+        let (route, sent_at, unfinished, is_unresponsive, is_cancelled) =
+            (id, now, messages.len(), false, false);
+        let call = Call {
+            route,
+            endpoint,
+            zone,
+            sent_at,
+            messages,
+            unfinished,
+            connection_idle,
+            is_unresponsive,
+            is_cancelled,
+        };
         self.calls.insert(self.last_call, call);
     }
 
-    /// How long the connection has been idle that the next call to an endpoint would use. Where idle ones are
-    /// dropped unseen, they are closed first; now and then one is tried, with a message that can be repeated.
-    fn idle_connection(&mut self, now: Time, to: EndpointId, first: MessageId) -> Option<Duration> {
-        let address = self.addresses.get(&to)?;
-        let idle = now - address.used.filter(|used| now - *used < self.settings.connection_idle_timeout)?;
-        // With calls out, a second connection may have been idle for longer than was seen.
-        let alone = address.calls_out == 0;
-        let repeatable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
-        let bearable = if repeatable { REAPED_RISKS.1 } else { REAPED_RISKS.0 };
-        let from = self.idle_step(idle).unwrap_or(if alone { REAPED_STEPS } else { 0 });
-        let reaping = &mut self.reaping;
-        let risks = &reaping.risks[from..];
-        let risk = if alone { risks.first().copied() } else { risks.iter().copied().reduce(f64::max) };
-        if risk.unwrap_or(0.0) < bearable + reaping.other * REAPED_OTHER {
-            return alone.then_some(idle);
-        }
-        if repeatable && alone && now >= reaping.next_check {
-            reaping.next_check =
-                now + Duration::from_secs_f64(shortest_aim(&self.settings) * REAPED_CHECK_AIMS);
+    /// Returns how long the connection has been idle that the next call to an endpoint uses; None where it is
+    /// new, or where its idle time is not certain. Where idle connections are dropped without notice, they
+    /// are closed first; now and then one is tried, with a message that can be resent.
+    fn reuse_idle_connection(
+        &mut self,
+        now: Time,
+        endpoint: EndpointId,
+        first: MessageId,
+    ) -> Option<Duration> {
+        let tracked = self.endpoints.get(&endpoint)?;
+        let idle = now
+            - tracked
+                .connection_used_at
+                .filter(|used_at| now - *used_at < self.settings.connection_idle_timeout)?;
+        // With other calls in flight, a second connection may have been idle for longer than was seen.
+        let no_other_call = tracked.calls_in_flight == 0;
+        let is_resendable = self.messages.get(&first).is_some_and(|m| self.is_resendable(m));
+        let max_risk = if is_resendable { MAX_RISKS.1 } else { MAX_RISKS.0 };
+        let step = self.idle_step(idle).unwrap_or(if no_other_call { IDLE_STEPS } else { 0 });
+        let connection_reuse = &mut self.connection_reuse;
+        let idle_risks = &connection_reuse.idle_risks[step..];
+        let risk = if no_other_call {
+            idle_risks.first().copied()
+        } else {
+            idle_risks.iter().copied().reduce(f64::max)
+        };
+        if risk.unwrap_or(0.0) < max_risk + connection_reuse.baseline_risk * BASELINE_RISK_MULTIPLE {
+            return no_other_call.then_some(idle);
+        }
+        if is_resendable && no_other_call && now >= connection_reuse.next_probe_at {
+            connection_reuse.next_probe_at = now
+                + Duration::from_secs_f64(
+                    shortest_objective_secs(&self.settings) * PROBE_INTERVAL_IN_OBJECTIVES,
+                );
             return Some(idle);
         }
         reached("idle connection closed");
-        self.actions.push(Action::CloseIdleConnections { endpoint: to });
+        self.actions.push(Action::CloseIdleConnections { endpoint });
         None
     }
 
-    /// Follows the destination's own latency. An attempt that could not be followed by another gets all the
-    /// time that the message has: its time-out would be final.
-    fn time_out(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
-        let Some(m) = self.messages.get(&message) else { return Duration::ZERO };
-        let class = self.class(m);
-        let left = m.taken.deadline - now;
-        let Some(route) = self.routes.get(&id) else { return left };
-        let usual = route.latency.times(TIMEOUT_LATENCIES);
-        let latency_objective = class.latency_objective.as_secs_f64();
-        let span = Duration::from_secs_f64(
-            usual.clamp(latency_objective * TIMEOUT_AIMS.0, latency_objective * TIMEOUT_AIMS.1),
-        );
-        let first = m.first_uncertain_attempt.map_or(now, |(first, _)| first);
-        let last = m.attempts + 1 >= self.settings.max_attempts
+    /// Returns the time-out of the next attempt, by the latency of its destination. An attempt that no other
+    /// could follow has all the time that the message has, as its time-out would be final.
+    fn attempt_timeout(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
+        let Some(message) = self.messages.get(&message) else { return Duration::ZERO };
+        let class = self.class(message);
+        let remaining = message.accepted.deadline - now;
+        let Some(route) = self.routes.get(&id) else { return remaining };
+        let typical_secs = route.latency.multiple_secs(TIMEOUT_IN_LATENCIES);
+        let objective_secs = class.latency_objective.as_secs_f64();
+        let timeout = Duration::from_secs_f64(typical_secs.clamp(
+            objective_secs * TIMEOUT_BOUNDS_OF_OBJECTIVE.0,
+            objective_secs * TIMEOUT_BOUNDS_OF_OBJECTIVE.1,
+        ));
+        let first_sent_at = message.first_uncertain_attempt.map_or(now, |(first_sent_at, _)| first_sent_at);
+        let is_last = message.attempts + 1 >= self.settings.max_attempts
             || class.idempotency == Idempotency::NonIdempotent
-            || (class.idempotency == Idempotency::IdempotentWithKey && now + span > window_end(class, first));
-        let span = if last { left } else { span };
-        span.min(left)
+            || (class.idempotency == Idempotency::IdempotentWithKey
+                && now + timeout > window_end(class, first_sent_at));
+        let timeout = if is_last { remaining } else { timeout };
+        timeout.min(remaining)
     }
 
-    /// All slots taken while messages wait: the oldest call that hangs is called off, an unsafe one later.
-    fn free_pinned_slot(&mut self, now: Time) {
-        if !self.settings.allow_cancel || self.slots_free() > 0 || self.open <= self.calls.len() {
+    /// When messages wait and no slot is free, cancels the oldest unresponsive call; a call with a message
+    /// that is not idempotent is cancelled later.
+    fn cancel_unresponsive_call(&mut self, now: Time) {
+        if !self.settings.allow_cancel || self.free_slots() > 0 || self.open_messages <= self.calls.len() {
             return;
         }
-        let hanging = |call: &Call| {
-            let mut carried = call.carried.iter().filter_map(|m| self.messages.get(m));
-            let safe = carried.all(|m| self.repeatable(m));
-            let patience = self.stall_patience(call.route) * if safe { 1 } else { UNSAFE_PATIENCE };
-            !call.called_off && now - call.sent > patience
+        let can_be_cancelled = |call: &Call| {
+            let mut messages = call.messages.iter().filter_map(|m| self.messages.get(m));
+            let is_resendable_call = messages.all(|m| self.is_resendable(m));
+            let cancel_after = self.unresponsive_after(call.route)
+                * if is_resendable_call { 1 } else { NON_IDEMPOTENT_CANCEL_MULTIPLE };
+            !call.is_cancelled && now - call.sent_at > cancel_after
+        };
+        let Some(id) = self.calls.iter().find(|(_, call)| can_be_cancelled(call)).map(|(id, _)| *id) else {
+            return;
         };
-        let Some(id) = self.calls.iter().find(|(_, call)| hanging(call)).map(|(id, _)| *id) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        reached("called off");
-        call.called_off = true;
-        for message in &call.carried {
-            if let Some(m) = self.messages.get(message).filter(|m| m.out == Some(id)) {
+        reached("call cancelled");
+        call.is_cancelled = true;
+        for message in &call.messages {
+            if let Some(m) = self.messages.get(message).filter(|m| m.call == Some(id)) {
                 self.actions
                     .push(Action::CancelAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
             }
         }
     }
 
-    // ---- Answers ----
+    // ---- Final outcomes ----
 
-    /// The final answer that a message may be given now; none while an attempt may still deliver it.
-    fn permitted_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
-        let message = self.messages.get(&id).filter(|m| !m.closed)?;
-        let to = message.taken.destination;
-        let refusable = match self.class(message).idempotency {
+    /// Returns the final outcome that a message may be given now; None where it already has one.
+    fn final_outcome(&mut self, now: Time, id: MessageId) -> Option<Action> {
+        let message = self.messages.get(&id).filter(|m| !m.completed)?;
+        let destination = message.accepted.destination;
+        let is_safe_to_reject = match self.class(message).idempotency {
             Idempotency::Idempotent => true,
-            _ => message.first_uncertain_attempt.is_none() && message.out.is_none(),
+            _ => message.first_uncertain_attempt.is_none() && message.call.is_none(),
         };
-        Some(if refusable {
-            Action::Reject { message: id, retry_after: self.suggested_retry_after(now, to) }
+        Some(if is_safe_to_reject {
+            Action::Reject { message: id, retry_after: self.suggested_retry_after(now, destination) }
         } else {
             Action::ReportFailure { message: id }
         })
     }
 
-    fn answer(&mut self, now: Time, id: MessageId) {
-        let action = self.permitted_answer(now, id);
-        if let Some(message) = self.messages.get_mut(&id).filter(|_| action.is_some()) {
-            message.unheard = self.settings.outcomes_need_acknowledgement;
+    fn give_up(&mut self, now: Time, id: MessageId) {
+        let outcome = self.final_outcome(now, id);
+        if let Some(message) = self.messages.get_mut(&id).filter(|_| outcome.is_some()) {
+            message.awaits_acknowledgement = self.settings.outcomes_need_acknowledgement;
         }
-        self.actions.extend(action);
-        self.close(id);
+        self.actions.extend(outcome);
+        self.complete_message(id);
     }
 
-    /// Every message has a deadline that answers it in time; one that is out is left half of the slack.
-    fn answer_due(&mut self, now: Time) {
+    /// Gives up the messages whose deadline has passed. One in flight may still be delivered during half of
+    /// the grace period.
+    fn give_up_expired(&mut self, now: Time) {
         while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
             self.deadlines.remove(&(due, id));
-            let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { continue };
-            let last_call = message.taken.deadline + self.settings.limits.final_outcome_grace / 2;
-            if message.out.is_some() && now < last_call {
-                self.deadlines.insert((last_call, id));
+            let Some(message) = self.messages.get(&id).filter(|m| !m.completed) else { continue };
+            let latest = message.accepted.deadline + self.settings.limits.final_outcome_grace / 2;
+            if message.call.is_some() && now < latest {
+                self.deadlines.insert((latest, id));
             } else {
-                self.answer(now, id);
+                self.give_up(now, id);
             }
         }
     }
 
-    /// Nearly full: the least worth go, before new messages are turned away unseen.
-    fn shed(&mut self, now: Time) {
-        while self.open > self.most_open() {
-            let Some(id) = self.least(now).map(|(_, m)| m.taken.id) else { return };
-            reached("shed");
-            self.answer(now, id);
+    /// Nearly full: gives up the messages of least value, before new ones have to be rejected whatever their
+    /// value.
+    fn shed_load(&mut self, now: Time) {
+        while self.open_messages > self.max_open_messages() {
+            let Some(id) = self.least_valuable(now).map(|(_, m)| m.accepted.id) else { return };
+            reached("message shed");
+            self.give_up(now, id);
         }
     }
 
-    fn most_open(&self) -> usize {
-        (self.settings.max_pending_messages as f64 * SHED_ABOVE) as usize
+    fn max_open_messages(&self) -> usize {
+        (self.settings.max_pending_messages as f64 * SHED_ABOVE_RATIO) as usize
     }
 
-    /// The message of least worth that could be handed back.
-    fn least(&self, now: Time) -> Option<(f64, &Message)> {
-        let idle = self.messages.values().filter(|m| !m.closed && m.out.is_none());
-        idle.map(|m| (self.current_value(now, m), m))
-            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.taken.id.cmp(&a.1.taken.id)))
+    /// Returns the message of least value that could be shed, with its value.
+    fn least_valuable(&self, now: Time) -> Option<(f64, &Message)> {
+        let waiting = self.messages.values().filter(|m| !m.completed && m.call.is_none());
+        waiting
+            .map(|m| (self.current_value(now, m), m))
+            .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.accepted.id.cmp(&a.1.accepted.id)))
     }
 
-    fn close(&mut self, id: MessageId) {
-        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.closed) {
-            message.closed = true;
-            self.open -= 1;
-            self.deadlines.remove(&(message.taken.deadline, id));
-            remove_from(&mut self.queues, message.taken.destination, id);
+    fn complete_message(&mut self, id: MessageId) {
+        if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.completed) {
+            message.completed = true;
+            self.open_messages -= 1;
+            self.deadlines.remove(&(message.accepted.deadline, id));
+            remove_from(&mut self.queues, message.accepted.destination, id);
         }
-        self.forget_if_over(id);
+        self.forget_if_settled(id);
     }
 
-    /// A message is forgotten once it is answered and has nothing out; until then its key stays taken.
-    fn forget_if_over(&mut self, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|m| !m.closed || m.unheard || m.out.is_some()) {
+    /// Forgets a message that has its final outcome and no attempt in flight, once the outcome is
+    /// acknowledged where that is needed; until then its ordering key stays taken.
+    fn forget_if_settled(&mut self, id: MessageId) {
+        if self.messages.get(&id).is_none_or(|m| !m.completed || m.awaits_acknowledgement || m.call.is_some())
+        {
             return;
         }
-        if let Some(key) = self.messages.remove(&id).and_then(|m| m.taken.key) {
-            remove_from(&mut self.keys, key, id);
+        if let Some(key) = self.messages.remove(&id).and_then(|m| m.accepted.key) {
+            remove_from(&mut self.ordering_keys, key, id);
         }
     }
 
     // ---- Settings and timers ----
 
     fn route_of(&self, entry: &Endpoint) -> RouteId {
-        let apart = self
+        let has_own_limits = self
             .settings
             .destination_kinds
             .get(usize::from(entry.kind.0))
-            .is_some_and(|k| k.has_per_endpoint_limits);
-        RouteId(entry.destination, apart.then_some(entry.id))
+            .is_some_and(|kind| kind.has_per_endpoint_limits);
+        RouteId(entry.destination, has_own_limits.then_some(entry.id))
     }
 
-    fn weight_of(&self, entry: &Endpoint) -> f64 {
-        self.told_rate(entry).unwrap_or(self.settings.max_in_flight_calls as f64)
+    fn assumed_limit_per_sec(&self, entry: &Endpoint) -> f64 {
+        self.listed_limit_per_sec(entry).unwrap_or(self.settings.max_in_flight_calls as f64)
     }
 
-    /// What the list tells of the calls a second that all couriers may make, if it does.
-    fn told_rate(&self, entry: &Endpoint) -> Option<f64> {
-        let told = self.settings.capacity_hints != CapacityHints::Ignored && entry.capacity_hint > 0.0;
-        told.then(|| entry.capacity_hint.clamp(TOLD_RATES.0, TOLD_RATES.1))
+    /// Returns the limit that the endpoint list has for an endpoint, in calls a second over all gateways;
+    /// None where none is listed.
+    fn listed_limit_per_sec(&self, entry: &Endpoint) -> Option<f64> {
+        let is_listed = self.settings.capacity_hints != CapacityHints::Ignored && entry.capacity_hint > 0.0;
+        is_listed
+            .then(|| entry.capacity_hint.clamp(LISTED_LIMIT_BOUNDS_PER_SEC.0, LISTED_LIMIT_BOUNDS_PER_SEC.1))
     }
 
-    fn slots_free(&self) -> usize {
+    fn free_slots(&self) -> usize {
         self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
-    /// One timer is outstanding: the earliest moment at which something could be done without an event.
-    fn set_wake(&mut self, now: Time, next: Option<Time>) {
-        let due = self.deadlines.first().map(|(due, _)| *due);
-        let Some(at) = [next, due].into_iter().flatten().min() else { return };
-        if self.wake.is_none_or(|(set, _)| at < set || set <= now) {
-            self.token += 1;
-            self.wake = Some((at, self.token));
-            self.actions.push(Action::SetTimer { after: at - now, token: self.token });
+    /// Keeps one timer set: for the earliest moment at which something can be done without an event.
+    fn set_timer(&mut self, now: Time, next: Option<Time>) {
+        let next_deadline = self.deadlines.first().map(|(at, _)| *at);
+        let Some(at) = [next, next_deadline].into_iter().flatten().min() else { return };
+        if self.timer.is_none_or(|(set_at, _)| at < set_at || set_at <= now) {
+            self.last_timer_token += 1;
+            self.timer = Some((at, self.last_timer_token));
+            self.actions.push(Action::SetTimer { after: at - now, token: self.last_timer_token });
         }
     }
 }
 
-/// The routes of a destination.
-fn routes_of(to: DestinationId) -> std::ops::RangeInclusive<RouteId> {
-    RouteId(to, None)..=RouteId(to, Some(EndpointId(u32::MAX)))
+/// Returns the ids that the routes of a destination can have.
+fn routes_of(destination: DestinationId) -> std::ops::RangeInclusive<RouteId> {
+    RouteId(destination, None)..=RouteId(destination, Some(EndpointId(u32::MAX)))
 }
 
 impl Route {
-    /// Whether this courier has too few messages here for a figure of its own (`LIGHT`).
-    fn is_light(&mut self, now: Time, settings: &Settings) -> bool {
-        self.demand.rate(now, cold_s(settings), 0.0) * cold_s(settings) < LIGHT
-    }
-
-    /// The share of the calls of late that may have run without being served.
-    fn share_lost(&mut self, now: Time, settings: &Settings) -> f64 {
-        let span = settings.limits.overload_window.as_secs_f64() * UNSAFE_LOSS_FALLS;
-        let (kept, lost) = (self.kept.rate(now, span, 0.0) * span, self.lost.rate(now, span, 0.0) * span);
-        lost / (lost + kept + UNSAFE_LOSS_PRIOR)
-    }
-
-    /// This courier's part of what all may send together, a second, so that a destination survives a return;
-    /// `warmth` runs from 0 to 1 over a cold one. It goes by what was served here before, which adds up to
-    /// what the destination can do however many want it (own demand does not: hunted day h1c8921, thirty
-    /// times the limit), or by the even part. Trials, slow starts and last cuts share this one budget.
-    fn fall_part(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
-        let demand = self.demand.rate(now, cold_s(settings), 0.0);
-        let least = if self.is_light(now, settings) { shortest_deadline(settings).recip() } else { 0.0 };
-        let own = demand.clamp(self.share, self.share * DEMAND_OF_SERVED);
-        let part = own.max(self.weight / fleet_size(settings));
-        let share =
-            settings.limits.cold_capacity_ratio + (1.0 - settings.limits.cold_capacity_ratio) * warmth;
-        (part * share * settings.limits.overload_multiple * FALL_BUDGET_USED).max(least)
-    }
-
-    /// Sets when the next trial call of a spell may go: at growing, jittered gaps, and by this courier's part
-    /// of the fall budget; trials that are refused can also use up a small limit by themselves (i2aa64d).
-    fn plan_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
-        let own = Duration::from_secs_f64(self.fall_part(now, settings, 0.0).max(0.001).recip());
-        let Some(spell) = &mut self.spell else { return };
-        let (fall, (first, longest)) = (settings.limits.overload_window, TRIAL_GAPS_OF_FALL);
-        let gap = growing_gap(fall, first, spell.trials).min(fall.mul_f64(longest));
-        let jitter = TRIAL_JITTER_FROM + chance * (1.0 - TRIAL_JITTER_FROM);
-        // Behind a told wait no gap runs out: who waits together must not come back together.
-        spell.next_trial = now.max(self.told_wait) + gap.max(own).mul_f64(jitter);
+    /// Whether this gateway has too few messages here for a rate of its own ([`LOW_TRAFFIC_MESSAGES`]).
+    fn has_low_traffic(&mut self, now: Time, settings: &Settings) -> bool {
+        self.demand.per_sec(now, warm_up_secs(settings), 0.0) * warm_up_secs(settings) < LOW_TRAFFIC_MESSAGES
+    }
+
+    /// Returns the ratio of the recent calls that may have run without success.
+    fn loss_ratio(&mut self, now: Time, settings: &Settings) -> f64 {
+        let span_secs = settings.limits.overload_window.as_secs_f64() * LOSS_SPAN_IN_OVERLOAD_WINDOWS;
+        let (delivered, lost) = (
+            self.delivered.per_sec(now, span_secs, 0.0) * span_secs,
+            self.lost.per_sec(now, span_secs, 0.0) * span_secs,
+        );
+        lost / (lost + delivered + LOSS_PRIOR_CALLS)
+    }
+
+    /// Returns this gateway's share of what a recovering destination may get, in calls a second;
+    /// `warm_up_progress` runs from 0 to 1 over a slow start. The share follows the calls that were served
+    /// here before, which add up to what the destination can do whatever the number of waiting messages
+    /// (demand does not: in the found case h1c8921 it came to thirty times the limit), or is an even share.
+    /// Half-open probes, slow starts and the lowest rate after rejections share this budget.
+    fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
+        let demand_per_sec = self.demand.per_sec(now, warm_up_secs(settings), 0.0);
+        let least_per_sec =
+            if self.has_low_traffic(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
+        let expected_per_sec =
+            demand_per_sec.clamp(self.baseline_per_sec, self.baseline_per_sec * MAX_DEMAND_OF_BASELINE);
+        let share_per_sec = expected_per_sec.max(self.limit_per_sec / fleet_size(settings));
+        let capacity_ratio = settings.limits.cold_capacity_ratio
+            + (1.0 - settings.limits.cold_capacity_ratio) * warm_up_progress;
+        (share_per_sec * capacity_ratio * settings.limits.overload_multiple * USED_BUDGET_RATIO)
+            .max(least_per_sec)
+    }
+
+    /// Sets when the next half-open probe may be sent, if the circuit is open: after a growing delay with
+    /// jitter, and within this gateway's share of the overload budget. Rejected probes alone can use up a
+    /// small limit (issue i2aa64d).
+    fn schedule_probe(&mut self, now: Time, settings: &Settings, chance: f64) {
+        let budget_delay =
+            Duration::from_secs_f64(self.overload_budget_per_sec(now, settings, 0.0).max(0.001).recip());
+        let Some(open) = &mut self.open_circuit else { return };
+        let (window, (base_ratio, max_ratio)) = (settings.limits.overload_window, PROBE_DELAYS_OF_WINDOW);
+        let delay = exponential_backoff(window, base_ratio, open.probes).min(window.mul_f64(max_ratio));
+        let jitter = MIN_JITTER + chance * (1.0 - MIN_JITTER);
+        // The delay starts after a Retry-After: gateways that wait for it together must not call together.
+        open.next_probe_at = now.max(self.retry_after_until) + delay.max(budget_delay).mul_f64(jitter);
     }
 }
 
-/// Couriers that share the destinations: an even part is one over this.
+/// Returns the number of gateways that share the destinations; an even share is one over this.
 fn fleet_size(settings: &Settings) -> f64 {
     f64::from(settings.fleet_size.max(1))
 }
 
-/// Until when a keyed message may be resent that may first have run in an attempt sent then.
-fn window_end(class: &Class, first: Time) -> Time {
-    first + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN)
+/// Returns until when a message with an idempotency key may be resent whose first uncertain attempt was sent
+/// at this time.
+fn window_end(class: &Class, first_sent_at: Time) -> Time {
+    first_sent_at + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN_RATIO)
 }
 
 fn earliest(next: &mut Option<Time>, at: Option<Time>) {
     *next = [*next, at].into_iter().flatten().min();
 }
 
-/// A gap that doubles from try to try.
-fn growing_gap(unit: Duration, first: f64, tries: u32) -> Duration {
-    unit.mul_f64(first * f64::from(tries.min(16)).exp2())
+/// Returns a delay that doubles with each attempt.
+fn exponential_backoff(unit: Duration, base_ratio: f64, attempts: u32) -> Duration {
+    unit.mul_f64(base_ratio * f64::from(attempts.min(16)).exp2())
 }
 
-/// Shortest aim of a class, in seconds.
-fn shortest_aim(settings: &Settings) -> f64 {
-    let latency_objective = settings.classes.iter().map(|c| c.latency_objective).min();
-    latency_objective.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(0.001)
+/// Returns the shortest latency objective of any class, in seconds.
+fn shortest_objective_secs(settings: &Settings) -> f64 {
+    let shortest = settings.classes.iter().map(|class| class.latency_objective).min();
+    shortest.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(0.001)
 }
 
-/// Shortest deadline of a class, in seconds.
-fn shortest_deadline(settings: &Settings) -> f64 {
-    let deadline = settings.classes.iter().map(|c| c.deadline).min();
-    deadline.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(1.0)
+/// Returns the shortest deadline of any class, in seconds.
+fn shortest_deadline_secs(settings: &Settings) -> f64 {
+    let shortest = settings.classes.iter().map(|class| class.deadline).min();
+    shortest.unwrap_or(Duration::from_secs(1)).as_secs_f64().max(1.0)
 }
 
-/// How long a cold return lasts, in seconds.
-fn cold_s(settings: &Settings) -> f64 {
+/// Returns the length of a slow start, in seconds.
+fn warm_up_secs(settings: &Settings) -> f64 {
     settings.limits.warm_up.as_secs_f64().max(1.0)
 }
--- a/tests/reference/state.rs
+++ b/tests/reference/state.rs
@@ -1,166 +1,172 @@
-//! What a courier keeps in mind: types and sums only. Every decision and tuned value is in `choice.rs`.
+//! The state of the frozen scheduler: types and sums only. Every decision and constant is in `scheduler.rs`.
 
 use super::interface::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A message between its hand-in and its end (and the end of its last attempt).
+/// A message, from its acceptance until it has its final outcome and no attempt in flight.
 #[derive(Serialize, Deserialize)]
 pub struct Message {
-    pub taken: AcceptedMessage,
-    pub born: Time,
+    pub accepted: AcceptedMessage,
+    pub enqueued_at: Time,
     pub attempts: u32,
-    /// The call that carries it now.
-    pub out: Option<u64>,
-    /// When the first attempt that may have run was sent, and where: it fixes window and group.
+    /// The call in flight that carries it.
+    pub call: Option<u64>,
+    /// When the first attempt that may have been processed was sent, and to which zone (None where another
+    /// gateway made it). It fixes the idempotency window and the deduplication scope.
     pub first_uncertain_attempt: Option<(Time, Option<ZoneId>)>,
     pub not_before: Time,
-    pub closed: bool,
-    /// A final answer is under way; until it is heard the message keeps its key.
-    pub unheard: bool,
-    /// Beyond its tenant's share, and so worth little.
+    pub completed: bool,
+    /// Its final outcome was reported and not yet acknowledged; until then it keeps its ordering key.
+    pub awaits_acknowledgement: bool,
+    /// Over its tenant's quota, and so worth less.
     pub over_quota: bool,
 }
 
-/// A call out: one slot, one fate, however many messages it carries.
+/// A call in flight: it takes one slot and has one outcome, however many messages it carries.
 #[derive(Serialize, Deserialize)]
 pub struct Call {
     pub route: RouteId,
-    pub to: EndpointId,
+    pub endpoint: EndpointId,
     pub zone: ZoneId,
-    pub sent: Time,
-    pub carried: Vec<MessageId>,
-    pub unanswered: usize,
-    /// How long the connection that it went out on had been idle; none on a new or busy one.
-    pub idle: Option<Duration>,
-    pub stalled: bool,
-    pub called_off: bool,
+    pub sent_at: Time,
+    pub messages: Vec<MessageId>,
+    pub unfinished: usize,
+    /// How long its connection had been idle; None where it was new, or where that is not certain.
+    pub connection_idle: Option<Duration>,
+    pub is_unresponsive: bool,
+    pub is_cancelled: bool,
 }
 
-/// What has one limit, pace and outage: a destination, or one endpoint of it where routes are apart.
+/// A route: a destination, or one endpoint of it where its endpoints have limits of their own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RouteId(pub DestinationId, pub Option<EndpointId>);
 
-/// What may be sent next: by which route to which endpoint, which message, at what value.
+/// What may be sent next: the route, the endpoint, the message, and its value for each second that a slot is
+/// taken.
 pub type Candidate = (RouteId, EndpointId, MessageId, f64);
 
-/// A message that may be sent, and its worth.
-pub type Picked = Option<(MessageId, f64)>;
+/// A message that may be sent, and its value; None where there is none.
+pub type ChosenMessage = Option<(MessageId, f64)>;
 
 #[derive(Serialize, Deserialize)]
-pub struct Address {
+pub struct TrackedEndpoint {
     pub entry: Endpoint,
-    pub calls_out: usize,
-    /// Drawn once: orders endpoints that are else alike, for this courier only.
+    pub calls_in_flight: usize,
+    /// Drawn once: orders endpoints that are alike otherwise, at this gateway only.
     pub preference: u32,
     pub failures: u32,
     pub avoid_until: Time,
-    /// When a call last ended there with its connection left open.
-    pub used: Option<Time>,
+    /// When a call last ended with its connection left open.
+    pub connection_used_at: Option<Time>,
 }
 
 /// Running mean and mean deviation of latencies, in seconds.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Latency {
-    pub mean: f64,
-    pub deviation: f64,
+pub struct LatencyEstimate {
+    pub mean_secs: f64,
+    pub deviation_secs: f64,
     pub samples: u32,
 }
 
-impl Latency {
-    pub fn learn(&mut self, sample: Duration, least_gain: f64) {
-        let (sample, gain) = (sample.as_secs_f64(), least_gain.max(1.0 / f64::from(self.samples + 2)));
-        self.deviation += gain * ((sample - self.mean).abs() - self.deviation);
-        self.mean += gain * (sample - self.mean);
+impl LatencyEstimate {
+    pub fn record(&mut self, sample: Duration, min_gain: f64) {
+        let (sample_secs, gain) = (sample.as_secs_f64(), min_gain.max(1.0 / f64::from(self.samples + 2)));
+        self.deviation_secs += gain * ((sample_secs - self.mean_secs).abs() - self.deviation_secs);
+        self.mean_secs += gain * (sample_secs - self.mean_secs);
         self.samples += 1;
     }
 
-    /// So many times the mean and the deviation together.
-    pub fn times(&self, multiple: f64) -> f64 {
-        (self.mean + self.deviation) * multiple
+    /// Returns a multiple of mean plus deviation, in seconds.
+    pub fn multiple_secs(&self, multiple: f64) -> f64 {
+        (self.mean_secs + self.deviation_secs) * multiple
     }
 }
 
-/// A count of events that fades with time.
+/// A count of events that decays exponentially.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Decaying {
+pub struct DecayingRate {
     pub count: f64,
     pub at: Time,
 }
 
-impl Decaying {
-    /// Events a second over about `span` seconds; `more` are added first.
-    pub fn rate(&mut self, now: Time, span: f64, more: f64) -> f64 {
-        self.count = self.count * (-(now - self.at).as_secs_f64() / span).exp() + more;
+impl DecayingRate {
+    /// Adds events, and returns the events a second over about `span_secs` seconds.
+    pub fn per_sec(&mut self, now: Time, span_secs: f64, added: f64) -> f64 {
+        self.count = self.count * (-(now - self.at).as_secs_f64() / span_secs).exp() + added;
         self.at = now;
-        self.count / span
+        self.count / span_secs
     }
 }
 
-/// A time without any success on a route, from its last success on: silence alone, until a call fails.
+/// The time without success during which a circuit is open. It starts at the last success. Until a call
+/// fails, only missing responses have opened it.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Spell {
-    pub began: Time,
-    pub next_trial: Time,
-    pub trials: u32,
-    /// Some call failed or was refused; else it is silence alone.
-    pub failed: bool,
-    /// Calls were lost or are silent, not just refused.
-    pub lost: bool,
+pub struct OpenInterval {
+    pub since: Time,
+    pub next_probe_at: Time,
+    pub probes: u32,
+    /// Some call failed or was rejected; otherwise responses were only missing.
+    pub has_failures: bool,
+    /// Calls were lost or are unresponsive, not just rejected.
+    pub has_lost_calls: bool,
 }
 
-/// Pace and health of a route: one mechanism for limits, outages and cold return.
+/// The rate limit, circuit breaker and slow start of a route.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Route {
-    /// Calls a second that it takes from all couriers together, as told.
-    pub weight: f64,
+    /// Calls a second that the destination takes from all gateways together, as listed or reported.
+    pub limit_per_sec: f64,
     pub endpoints: Vec<EndpointId>,
     /// Messages that one call may carry.
-    pub batch: usize,
-    pub rate: f64,
+    pub batch_size: usize,
+    pub rate_per_sec: f64,
     pub tokens: f64,
-    pub filled: Time,
-    pub bound: bool,
-    pub last_cut: Time,
+    pub refilled_at: Time,
+    pub is_binding: bool,
+    pub last_cut_at: Time,
     /// Cuts since the last success.
     pub cuts: usize,
-    /// Calls sent of late, and messages taken over about the time that a cold return lasts.
-    pub sent: Decaying,
-    pub demand: Decaying,
-    /// Calls served over about the time that a cold return lasts.
-    pub served: Decaying,
-    /// Calls of late that were served, and that may have run without being so.
-    pub kept: Decaying,
-    pub lost: Decaying,
-    /// Calls served a second, as of the last success and without it; held up through an outage and its return.
-    pub share: f64,
-    pub told_wait: Time,
-    pub latency: Latency,
-    pub last_answer: Time,
+    /// Calls sent recently.
+    pub sent: DecayingRate,
+    /// Messages accepted over about the length of a slow start.
+    pub demand: DecayingRate,
+    /// Calls served over about the length of a slow start.
+    pub served: DecayingRate,
+    /// Recent calls that delivered.
+    pub delivered: DecayingRate,
+    /// Recent calls that may have run without success.
+    pub lost: DecayingRate,
+    /// Calls served a second before the last success. Does not fall while the route recovers.
+    pub baseline_per_sec: f64,
+    pub retry_after_until: Time,
+    pub latency: LatencyEstimate,
+    pub last_success_at: Time,
     pub failure_score: u32,
-    pub spell: Option<Spell>,
-    /// When the slow start began, if one is on.
-    pub returned: Option<Time>,
-    /// Calls out, the oldest first.
-    pub out: BTreeSet<u64>,
+    pub open_circuit: Option<OpenInterval>,
+    /// When the slow start began, if one is active; may lie in the future, where the destination has
+    /// announced its return.
+    pub slow_start_since: Option<Time>,
+    /// Calls in flight, the oldest first.
+    pub calls: BTreeSet<u64>,
 }
 
-/// Whether idle connections are being dropped unseen, so that the next call on one is lost. Courier-wide, as
-/// one courier meets each partner too seldom to learn it there.
+/// The risk that idle connections are dropped without notice, so that the next call on one is lost. One
+/// gateway calls each endpoint too rarely to learn it there, so it is learnt over all endpoints.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Reaping {
-    /// Share of the calls lost, by the time for which their connection had been idle.
-    pub risks: [f64; REAPED_STEPS],
-    /// Risk of losing a call on a connection that was not idle: what is lost there has other causes.
-    pub other: f64,
-    pub next_check: Time,
+pub struct ConnectionReuse {
+    /// Ratio of calls lost, by the time for which their connection had been idle.
+    pub idle_risks: [f64; IDLE_STEPS],
+    /// Ratio of calls lost on connections that had not been idle: such losses have other causes.
+    pub baseline_risk: f64,
+    pub next_probe_at: Time,
 }
 
 /// Idle times that are told apart, each twice as long as the one before.
-pub const REAPED_STEPS: usize = 10;
+pub const IDLE_STEPS: usize = 10;
 
-/// Takes a message out of one of several lists, and the list if it is empty then.
+/// Removes a message from one of several lists, and the list if it is empty then.
 pub fn remove_from<K: Ord>(lists: &mut BTreeMap<K, Vec<MessageId>>, of: K, message: MessageId) {
     if let Some(list) = lists.get_mut(&of) {
         list.retain(|m| *m != message);
--- a/tests/same_decisions/coverage.rs
+++ b/tests/same_decisions/coverage.rs
@@ -1,43 +1,43 @@
-//! The judge of the histories: what they never reach is not compared, so each branch of the decisions and each event
-//! below must be reached.
+//! Requires that the histories reach each branch of the decisions and each event listed below: what no history reaches
+//! is not compared.
 
 use super::reference;
 
-/// What the histories of each seed must reach at least [`LEAST`] times.
+/// Branches and events that the histories of each seed must reach at least [`MIN_TIMES_REACHED`] times.
 const MUST_REACH: &[&str] = &[
-    // Branches of the decisions, named and counted by the frozen reference.
-    "attached again",
+    // Branches of the decisions, counted by the reference (`tests/reference/scheduler.rs`).
+    "attempt limit",
     "batch",
     "bulkhead",
-    "called off",
-    "closing holds",
-    "cold return",
+    "call cancelled",
+    "endpoint enabled again",
     "endpoint forgotten",
     "endpoint reopened",
-    "failures open a spell",
+    "failures open the circuit",
+    "half-open probe",
     "idle connection closed",
-    "key not in turn",
-    "key rests",
-    "leaving",
+    "lame duck rejects",
+    "may not be sent again",
+    "message shed",
+    "missing response opens the circuit",
+    "more valuable than the least",
     "nearly full",
-    "no room for a trial",
     "no slot",
+    "no slot for a probe",
     "no token",
-    "outside the group",
-    "ramp",
-    "ramp over",
+    "non-idempotent message waits out losses",
+    "ordering key held",
+    "ordering key not in turn",
+    "outside the deduplication scope",
+    "Retry-After pending",
+    "return announced",
     "route forgotten",
-    "send cap",
-    "shed",
-    "shut",
-    "silence opens a spell",
-    "stalled call",
-    "told wait holds",
-    "trial",
-    "unsafe waits out losses",
+    "shutdown pending",
+    "slow start",
+    "slow start begins",
+    "slow start over",
+    "unresponsive call",
     "waits for a cheaper route",
-    "window over",
-    "worth more than the least",
     // Events and moments, counted by the simulation.
     "at the end of a Retry-After",
     "at the timer",
@@ -73,14 +73,14 @@
     "restart",
     "Retry-After of a delivery",
     "short Retry-After",
-    "shutdown called off",
+    "shutdown cancelled",
     "snapshot",
     "watch failed",
     "watch rejected",
 ];
-const LEAST: u64 = 5;
+const MIN_TIMES_REACHED: u64 = 5;
 
-/// Requires that the histories of this thread, which have this seed, reached everything often enough.
+/// Panics unless the histories of this thread, which have this seed, reached everything often enough.
 pub fn assert_all_reached(seed: u8) {
     let reached = reference::all_reached();
     // Shown with `--nocapture`.
@@ -88,7 +88,7 @@
     let missed: Vec<_> = MUST_REACH
         .iter()
         .map(|what| (what, reached.get(what).copied().unwrap_or(0)))
-        .filter(|(_, times)| *times < LEAST)
+        .filter(|(_, times)| *times < MIN_TIMES_REACHED)
         .collect();
     assert!(missed.is_empty(), "the histories reached these too rarely: {missed:?}");
 }
--- a/tests/same_decisions/steps.rs
+++ b/tests/same_decisions/steps.rs
@@ -201,7 +201,7 @@
 
     fn schedule_shutdown(&mut self, after_ms: Option<u64>) {
         if after_ms.is_none() {
-            reached("shutdown called off");
+            reached("shutdown cancelled");
         }
         let at = after_ms.map_or(Time(u64::MAX), |after_ms| self.now + ms(after_ms));
         self.handle(Event::ShutdownScheduled(at));
