--- a/tests/same_decisions/comparison.rs
+++ b/tests/same_decisions/comparison.rs
@@ -1,30 +1,30 @@
-//! When the answers of both schedulers count as the same.
+//! Decides whether the results of both schedulers are the same.
 //!
-//! All is compared exactly except durations and rates. Those that follow from decaying sums may differ by a microsecond
-//! (rates by a millionth), because the reference lets the sums decay at each step and rounds each time. Tokens are such
-//! sums too: a moment within two microseconds of one at which a route's tokens come to a whole number is moved aside
-//! (see [`crate::simulation`]), as one token more or less would go by rounding there. Nothing else is moved. A timer
-//! that one side sets anew and the other does not is no difference if that moves it by a microsecond at most.
+//! Everything is compared exactly except durations and rates. Those that follow from decaying sums may differ by a
+//! microsecond (rates by a millionth), because the reference lets the sums decay at each step and rounds each time.
+//! Tokens are such sums too: within two microseconds of the moment at which a route's tokens come to a whole number,
+//! rounding would decide on one token more or less, so the simulation moves such moments (see [`crate::simulation`]).
+//! It moves no others. A timer that only one side sets again is no difference if it moves by a microsecond at most.
 
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// Largest difference of durations that rounding may make.
+/// The largest difference between durations that is explained by rounding.
 const ROUNDING: Duration = Duration::from_micros(1);
-/// Largest relative difference of rates that rounding may make.
+/// The largest relative difference between rates that is explained by rounding.
 const RATE_ROUNDING: f64 = 1e-6;
 
-/// A timer that is set: when it fires, and with which token.
+/// A timer: when it fires, and its token.
 pub type Timer = (Time, u64);
 
-/// What both sides have of one thing.
+/// A value of the product and the same of the reference.
 #[derive(Clone, Copy)]
 pub struct Sides<T> {
     pub product: T,
     pub reference: T,
 }
 
-/// Equal, or apart by rounding alone.
+/// Whether two durations are equal or differ by rounding alone.
 pub fn near(one: Duration, other: Duration) -> bool {
     one.abs_diff(other) <= ROUNDING
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether both timers fire at the same time. One may have been set anew where the other was not, if that moved it by
+/// Whether both timers fire at the same time. One may have been set again where the other was not, if it moved by
 /// rounding alone.
 pub fn same_timers(
     before: &Sides<Option<Timer>>,
@@ -82,7 +82,7 @@
         && CircuitRecord { baseline_per_sec: reference.baseline_per_sec, ..*product } == *reference
 }
 
-/// A destination with the longest queue, its messages, and its routes.
+/// The destination with the longest queue, the number of its messages, and the status of its routes.
 pub type LongestQueue = (DestinationId, usize, Vec<RouteStatus>);
 
 pub fn same_queues(product: Option<&LongestQueue>, reference: Option<&LongestQueue>) -> bool {
--- a/tests/same_decisions/endpoint_behavior.rs
+++ b/tests/same_decisions/endpoint_behavior.rs
@@ -1,19 +1,19 @@
-//! What an endpoint makes of a call.
+//! The outcome of a call, by the behavior of its endpoint.
 
 use super::history::{ms, Behavior};
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// What an attempt comes to, and after how long.
+/// The outcome of an attempt, and how long it takes.
 pub struct Response {
-    pub takes: Duration,
+    pub duration: Duration,
     pub outcome: AttemptOutcome,
     pub load_report: Option<LoadReport>,
 }
 
 impl Response {
-    fn new(takes: Duration, outcome: AttemptOutcome) -> Self {
-        Response { takes, outcome, load_report: None }
+    fn new(duration: Duration, outcome: AttemptOutcome) -> Self {
+        Response { duration, outcome, load_report: None }
     }
 
     fn with_headroom(self, headroom: f64, limit_per_sec: f64) -> Self {
@@ -21,28 +21,29 @@
     }
 }
 
-/// The response of an endpoint that behaves so. `draw` is the random number of the attempt.
-pub fn respond(behavior: Behavior, draw: u64, weight: f64, attempt_timeout: Duration) -> Response {
-    let soon = ms(15 + 5 * (draw % 8));
-    let delivered = || Response::new(soon, AttemptOutcome::Delivered);
-    let rejected = |retry_after| Response::new(soon, AttemptOutcome::Rejected(retry_after));
+/// Returns the response of an endpoint. `draw` is a random number, drawn once for each attempt; `capacity_hint` is the
+/// endpoint's, in calls a second.
+pub fn respond(behavior: Behavior, draw: u64, capacity_hint: f64, attempt_timeout: Duration) -> Response {
+    let latency = ms(15 + 5 * (draw % 8));
+    let delivered = || Response::new(latency, AttemptOutcome::Delivered);
+    let rejected = |retry_after| Response::new(latency, AttemptOutcome::Rejected(retry_after));
     match behavior {
         Behavior::Healthy => delivered(),
-        Behavior::Reporting => delivered().with_headroom((draw % 11) as f64 / 10.0, weight),
+        Behavior::Reporting => delivered().with_headroom((draw % 11) as f64 / 10.0, capacity_hint),
         Behavior::OverLimit if draw.is_multiple_of(3) => delivered(),
-        Behavior::OverLimit if draw.is_multiple_of(2) => rejected(None).with_headroom(0.0, weight),
+        Behavior::OverLimit if draw.is_multiple_of(2) => rejected(None).with_headroom(0.0, capacity_hint),
         Behavior::OverLimit => rejected(None),
-        Behavior::Closed => rejected(None).with_headroom(0.8, weight),
+        Behavior::Closed => rejected(None).with_headroom(0.8, capacity_hint),
         Behavior::RetryAfter(wait_ms) => rejected(Some(ms(wait_ms))),
         Behavior::ConnectionRefused => Response::new(ms(1), AttemptOutcome::ConnectFailed),
-        Behavior::Slow(takes_ms) if attempt_timeout > ms(takes_ms) => {
-            Response::new(ms(takes_ms), AttemptOutcome::Delivered)
+        Behavior::Slow(duration_ms) if attempt_timeout > ms(duration_ms) => {
+            Response::new(ms(duration_ms), AttemptOutcome::Delivered)
         }
         Behavior::Unresponsive | Behavior::Slow(_) => Response::new(attempt_timeout, AttemptOutcome::Timeout),
-        Behavior::Lossy if draw.is_multiple_of(2) => Response::new(soon, AttemptOutcome::Reset),
+        Behavior::Lossy if draw.is_multiple_of(2) => Response::new(latency, AttemptOutcome::Reset),
         Behavior::Lossy => delivered(),
-        Behavior::ErrorResponses => Response::new(soon, AttemptOutcome::ErrorResponse),
-        Behavior::UncommonOutcomes => Response::new(soon, uncommon_outcome(draw)),
+        Behavior::ErrorResponses => Response::new(latency, AttemptOutcome::ErrorResponse),
+        Behavior::UncommonOutcomes => Response::new(latency, uncommon_outcome(draw)),
     }
 }
 
--- a/tests/same_decisions/history.rs
+++ b/tests/same_decisions/history.rs
@@ -1,4 +1,4 @@
-//! Random histories: the settings and endpoints that a case has, and the steps that it is made of.
+//! Random histories: the settings and endpoints of a case, and its steps.
 
 use delivery_gateway::*;
 use proptest::prelude::*;
@@ -9,17 +9,17 @@
 pub struct Scenario {
     pub seed: u64,
     pub destinations: u8,
-    pub slots: usize,
+    pub max_in_flight_calls: usize,
     pub max_pending_messages: usize,
     pub fleet_size: u32,
     pub max_attempts: u32,
-    /// Messages that are accepted for each one of the history: many make long queues.
-    pub messages_for_each: u8,
-    /// Each bit is one [`Switch`].
+    /// Messages that are accepted for each message of the history; many lead to long queues.
+    pub message_multiplier: u8,
+    /// A bit set of [`Switch`]es.
     switches: u8,
 }
 
-/// A setting that a scenario switches: the number of its bit.
+/// A setting that a scenario turns on or off; the value is the number of its bit.
 #[derive(Clone, Copy)]
 enum Switch {
     IgnoredCapacityHints = 0,
@@ -34,26 +34,26 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Behavior {
     Healthy,
-    /// Delivers, with a load report.
+    /// Delivers, with a load report of random headroom.
     Reporting,
-    /// Above its limit: rejects two in three.
+    /// Above its limit: rejects two calls in three.
     OverLimit,
-    /// Rejects with headroom left.
+    /// Rejects although its load report has headroom left.
     Closed,
-    /// Rejects with a Retry-After of so many milliseconds.
+    /// Rejects with a Retry-After, in milliseconds.
     RetryAfter(u64),
     ConnectionRefused,
     Unresponsive,
-    /// Delivers after so many milliseconds.
+    /// Delivers after this time in milliseconds, or times out before.
     Slow(u64),
-    /// Resets every other call.
+    /// Resets half of the calls, at random.
     Lossy,
     ErrorResponses,
-    /// All other outcomes in turn.
+    /// All other outcomes, at random.
     UncommonOutcomes,
 }
 
-/// Which endpoints change their behavior with one.
+/// Which endpoints change their behavior together with the chosen one.
 #[derive(Clone, Copy, Debug)]
 pub enum Scope {
     Endpoint,
@@ -62,7 +62,7 @@
     All,
 }
 
-/// A moment shortly before, at or after another, in nanoseconds from it.
+/// The distance from another moment in nanoseconds; negative before it.
 #[derive(Clone, Copy, Debug)]
 pub struct Offset(pub i64);
 
@@ -80,10 +80,10 @@
     }
 }
 
-/// One step of a history. Where it names one of several things, that is the number `which`, modulo how many there are.
+/// One step of a history. `which`, or a first `usize`, selects one of several things: it is taken modulo their number.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// So many milliseconds pass; where timers are late, they fire at the end.
+    /// Lets time pass. Late timers fire at the end of it, others when they are due.
     Pass {
         ms: u64,
         late_timers: bool,
@@ -96,12 +96,12 @@
         scope: Scope,
         behavior: Behavior,
     },
-    /// A call in flight ends at once, as if its endpoint behaved so.
+    /// A call in flight ends at once, with the outcome of this behavior.
     Finish {
         which: usize,
         behavior: Behavior,
     },
-    /// A Retry-After of so many milliseconds, in a response that accepted its messages.
+    /// A Retry-After in milliseconds, in a response that accepted its messages.
     RetryAfter(usize, u64),
     Abandon(usize),
     SetAvailability(usize, Availability),
@@ -110,7 +110,7 @@
     SetCapacityHint(usize, f64),
     /// A removed endpoint comes back under a new id, or one more is added.
     NewEndpoint(usize),
-    /// The whole endpoint list, without every so-manieth endpoint.
+    /// The whole endpoint list. `Some(n)` removes one of every `n` endpoints from it first.
     Snapshot(Option<usize>),
     WatchFails {
         rejected: bool,
@@ -118,28 +118,28 @@
     Disable(usize),
     Enable(usize),
     LameDuck(bool),
-    /// The process ends in so many milliseconds; not at all where absent.
+    /// The process ends after this time in milliseconds; None cancels the shutdown.
     Shutdown(Option<u64>),
     Restart,
     HandOver,
     Query(u8),
 }
 
-/// Messages of one kind that are accepted one after the other.
+/// Messages that are alike and are accepted one after the other.
 #[derive(Clone, Debug)]
 pub struct AcceptStep {
     pub destination: u8,
     pub class: usize,
-    /// The ordering key; 0 for none.
+    /// The ordering key; 0 stands for none.
     pub key: u64,
     pub count: u8,
     pub tenant: u32,
-    /// Ratio of its time that a message has left.
+    /// The time that a message has left, as a ratio of its class's deadline.
     pub time_left_ratio: f64,
     pub is_redelivered: bool,
 }
 
-/// A step, and whether the scheduler decides after it or only after the next.
+/// A step, and whether the scheduler decides after it or only after a later one.
 #[derive(Clone, Debug)]
 pub struct HistoryStep {
     pub step: Step,
@@ -191,7 +191,7 @@
 }
 
 fn accept_steps() -> impl Strategy<Value = AcceptStep> {
-    // Most messages go to a few destinations, so that queues form there; the others wait beside them.
+    // Most messages go to a few destinations, so that queues form there while other destinations wait too.
     let destinations = prop_oneof![2 => 0u8..4, 3 => 0u8..40];
     let time_left_ratios = prop_oneof![4 => Just(1.0), 1 => 0.05f64..1.0];
     let redelivered = prop::bool::weighted(0.05);
@@ -208,7 +208,7 @@
     )
 }
 
-/// Time, messages and responses.
+/// Generates steps of the clock, of messages and of responses.
 fn common_steps() -> impl Strategy<Value = Step> {
     let which = 0usize..1000;
     let late = || prop::bool::weighted(0.2);
@@ -228,7 +228,7 @@
     ]
 }
 
-/// Changes of the endpoint list, operators, clients that give up, and the ends of processes.
+/// Generates changes of the endpoint list, steps of operators, abandoned messages, and ends of processes.
 fn rare_steps() -> impl Strategy<Value = Step> {
     let which = 0usize..1000;
     let availability = (which.clone(), availabilities());
@@ -251,30 +251,30 @@
     ]
 }
 
-/// The steps of a case.
+/// Generates the steps of a case.
 pub fn histories() -> impl Strategy<Value = Vec<HistoryStep>> {
     let step = prop_oneof![5 => common_steps(), 1 => rare_steps()];
     let step = (step, prop::bool::weighted(0.85)).prop_map(|(step, decides)| HistoryStep { step, decides });
     prop::collection::vec(step, 1..250)
 }
 
-/// The settings and endpoints of a case.
+/// Generates the settings and endpoints of a case.
 pub fn scenarios() -> impl Strategy<Value = Scenario> {
-    // Mostly many destinations with few messages each, else few with many.
+    // Nine in ten cases have many destinations with few messages each, the others few with many.
     let wide = (12u8..=40, 20usize..120, Just(1u8));
     let deep = (1u8..=3, 250usize..700, 10u8..=25);
     let sizes = (any::<u64>(), prop_oneof![9 => wide.boxed(), 1 => deep.boxed()], 3usize..=14);
     let rest = (prop_oneof![Just(1u32), Just(3), Just(30)], 2u32..10, any::<u8>());
-    (sizes, rest).prop_map(|((seed, size, slots), (fleet_size, max_attempts, switches))| {
-        let (destinations, max_pending_messages, messages_for_each) = size;
+    (sizes, rest).prop_map(|((seed, size, max_in_flight_calls), (fleet_size, max_attempts, switches))| {
+        let (destinations, max_pending_messages, message_multiplier) = size;
         Scenario {
             seed,
             destinations,
-            slots,
+            max_in_flight_calls,
             max_pending_messages,
             fleet_size,
             max_attempts,
-            messages_for_each,
+            message_multiplier,
             switches,
         }
     })
@@ -307,7 +307,7 @@
             },
             decay: if self.is_on(Switch::HalvingDecay) { Decay::Halving } else { Decay::Linear },
             zone_costs: vec![0.0, 0.2, 0.5],
-            max_in_flight_calls: self.slots,
+            max_in_flight_calls: self.max_in_flight_calls,
             max_pending_messages: self.max_pending_messages,
             max_attempts: self.max_attempts,
             allow_cancel: !self.is_on(Switch::NoCancel),
@@ -327,7 +327,8 @@
         }
     }
 
-    /// Endpoint number `index` of a destination: alike in kind, apart in zone and capacity hint.
+    /// Returns endpoint number `index` of a destination. Endpoints of a destination share its kind, and differ in zone
+    /// and capacity hint.
     pub fn endpoint(&self, id: u32, destination: u8, index: u32) -> Endpoint {
         const CAPACITY_HINTS: [f64; 5] = [100.0, 5.0, 0.0, 20.0, 40.0];
         let number = u32::from(destination);
@@ -342,7 +343,7 @@
     }
 }
 
-/// Classes of each kind of idempotency, deduplication scope and order.
+/// Returns classes of each kind of idempotency and deduplication scope, with and without order.
 fn classes() -> Vec<Class> {
     let latency_objective = Duration::from_secs(1);
     let deadline = Duration::from_secs(6);
--- a/tests/same_decisions/main.rs
+++ b/tests/same_decisions/main.rs
@@ -1,9 +1,9 @@
-//! The scheduler looks only at what has changed or come due. This differential test checks that it decides the same as
-//! a reference that looks through everything at each step (`tests/reference/`): random histories with fixed seeds are
-//! played to both, and at every step all actions are compared in their order, with all else that a scheduler can be
-//! asked.
+//! The scheduler visits only what has changed or come due, and decides wrongly if its indexes miss a change. This
+//! differential test runs it beside a reference that visits everything at each step (`tests/reference/`): both get the
+//! same random histories, with fixed seeds, and at every decision all their actions are compared in order, with
+//! everything else that can be read from a scheduler.
 //!
-//! `SAME_DECISIONS_CASES=5000 cargo test --release --test same_decisions` plays that many cases for each seed.
+//! `SAME_DECISIONS_CASES=5000 cargo test --release --test same_decisions` runs that many cases for each seed.
 
 mod comparison;
 mod coverage;
@@ -21,19 +21,19 @@
 use simulation::Simulation;
 use std::time::Duration;
 
-/// Cases for each of the seeds, unless the environment says another number.
+/// Cases for each of the seeds, unless [`CASES_VARIABLE`] has another number.
 const CASES: u32 = 100;
-/// The environment variable that says another number.
+/// The environment variable with the number of cases for each seed.
 const CASES_VARIABLE: &str = "SAME_DECISIONS_CASES";
-/// Attempts to find a shorter history that fails too.
+/// The maximum number of attempts to find a shorter history that fails too.
 const MAX_SHRINK_ITERATIONS: u32 = 3000;
-/// Decisions of one case at most; the history ends early beyond them.
+/// The maximum number of decisions in a history; the rest of a longer one is left out.
 const MAX_DECISIONS: usize = 1500;
-/// Seconds that pass after a history, until little is left of what it began.
+/// Seconds that pass after a history, so that most of its messages and calls complete.
 const SETTLING_SECONDS: usize = 12;
 
-/// Plays one history to its end, and then until little is left of what it began.
-fn play(scenario: Scenario, history: &[HistoryStep]) -> Result<(), TestCaseError> {
+/// Runs one history, and [`SETTLING_SECONDS`] after it.
+fn run_history(scenario: Scenario, history: &[HistoryStep]) -> Result<(), TestCaseError> {
     let mut simulation = Simulation::new(scenario);
     simulation.decide()?;
     for HistoryStep { step, decides } in history {
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Plays many histories of one seed, and requires that they reached all that is to be compared.
+/// Runs many histories of one seed, and requires that they reached all that is to be compared.
 fn same_decisions(seed: u8) {
     let cases = std::env::var(CASES_VARIABLE).ok().and_then(|cases| cases.parse().ok());
     let config = Config {
@@ -62,9 +62,9 @@
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-    let played = TestRunner::new_with_rng(config, rng)
-        .run(&(scenarios(), histories()), |(scenario, history)| play(scenario, &history));
-    match played {
+    let result = TestRunner::new_with_rng(config, rng)
+        .run(&(scenarios(), histories()), |(scenario, history)| run_history(scenario, &history));
+    match result {
         Ok(()) => coverage::assert_all_reached(seed),
         Err(TestError::Fail(reason, (scenario, history))) => {
             let steps: String = history.iter().map(|step| format!("  {step:?}\n")).collect();
--- a/tests/same_decisions/messages.rs
+++ b/tests/same_decisions/messages.rs
@@ -1,4 +1,5 @@
-//! The messages of a simulation: how they are accepted, sent and completed, and what is asked about them.
+//! The messages of a simulation: how they are accepted, sent and completed. Compares what both schedulers return about
+//! admission, Retry-After and queues.
 
 use super::comparison::{near, same_queues};
 use super::endpoint_behavior::{respond, Response};
@@ -9,13 +10,13 @@
 use proptest::test_runner::TestCaseError;
 use std::time::Duration;
 
-/// The scheduler does not scan a queue of more messages than this.
+/// The scheduler keeps an index over a queue of more messages than this instead of scanning it.
 const LONG_QUEUE: usize = 64;
-/// A Retry-After of more than this ratio of the overload window is a long one.
+/// A Retry-After of more than this ratio of the overload window counts as long: it announces the destination's return.
 const LONG_RETRY_AFTER_RATIO: f64 = 0.6;
 
 impl Simulation {
-    /// Accepts a message if the schedulers admit it, and else asks when to retry.
+    /// Accepts a message if the schedulers admit it; otherwise compares their suggested Retry-Afters.
     pub fn accept(&mut self, step: &AcceptStep) -> Result<(), TestCaseError> {
         let destination = step.destination % self.scenario.destinations;
         let open = self.pending.values().filter(|pending| !pending.is_closed).count();
@@ -53,7 +54,7 @@
         Ok(())
     }
 
-    /// Compares all that can be asked beside the actions.
+    /// Compares the suggested Retry-After of a destination, and the longest queue.
     pub fn query(&mut self, destination: u8) -> Result<(), TestCaseError> {
         let now = self.now;
         let destination = DestinationId(destination.into());
@@ -73,14 +74,14 @@
         Ok(())
     }
 
-    /// A random number that is drawn once for each attempt of a message.
+    /// Returns a random number that follows from the message and the number of its attempts so far.
     pub fn draw(&self, message: u32) -> u64 {
         let attempts = self.pending.get(&message).map_or(0, |pending| pending.attempts);
         let seed = self.scenario.seed ^ u64::from(message) << 32 ^ u64::from(attempts);
         fastrand::Rng::with_seed(seed).u64(..)
     }
 
-    /// Sends an attempt, and decides what it comes to.
+    /// Sends an attempt, and decides its outcome.
     pub fn send(&mut self, message: MessageId, endpoint: EndpointId, attempt_timeout: Duration) {
         let behavior = self.behaviors.get(&endpoint.0).copied().unwrap_or(Behavior::Healthy);
         let response = self.response(behavior, message.0, endpoint, attempt_timeout);
@@ -90,14 +91,14 @@
         let attempt = InFlight {
             endpoint,
             sent_at: self.now,
-            finishes_at: self.now + response.takes,
+            finishes_at: self.now + response.duration,
             outcome: response.outcome,
             load_report: response.load_report,
         };
         self.in_flight.insert(message.0, attempt);
     }
 
-    /// What an endpoint that behaves so makes of a message.
+    /// Returns the response of an endpoint with this behavior to the next attempt of a message.
     pub fn response(
         &self,
         behavior: Behavior,
@@ -105,22 +106,22 @@
         endpoint: EndpointId,
         attempt_timeout: Duration,
     ) -> Response {
-        let weight = self.endpoints.get(&endpoint.0).map_or(0.0, |endpoint| endpoint.capacity_hint);
-        respond(behavior, self.draw(message), weight, attempt_timeout)
+        let capacity_hint = self.endpoints.get(&endpoint.0).map_or(0.0, |endpoint| endpoint.capacity_hint);
+        respond(behavior, self.draw(message), capacity_hint, attempt_timeout)
     }
 
-    /// Ends an attempt soon, as the schedulers ask for it.
+    /// Cancels an attempt, as the schedulers require: it ends within 2 ms.
     pub fn cancel(&mut self, message: MessageId) {
-        let soon = self.now + ms(self.draw(message.0) % 3);
+        let ends_at = self.now + ms(self.draw(message.0) % 3);
         let attempt = self.in_flight.get_mut(&message.0);
-        if let Some(attempt) = attempt.filter(|attempt| attempt.finishes_at > soon) {
-            attempt.finishes_at = soon;
+        if let Some(attempt) = attempt.filter(|attempt| attempt.finishes_at > ends_at) {
+            attempt.finishes_at = ends_at;
             attempt.outcome = AttemptOutcome::Cancelled;
             attempt.load_report = None;
         }
     }
 
-    /// Gives a message its final outcome.
+    /// Gives a message its final outcome, which its client may have to acknowledge.
     pub fn give_outcome(&mut self, message: MessageId) {
         let acknowledged_at = self.acknowledgement_time(message.0);
         if let Some(pending) = self.pending.get_mut(&message.0) {
@@ -137,7 +138,7 @@
         due.into_iter().for_each(|message| self.finish(message));
     }
 
-    /// One message of a call has its outcome.
+    /// Reports the outcome of a message's attempt to both schedulers.
     pub fn finish(&mut self, message: u32) {
         let Some(attempt) = self.in_flight.remove(&message) else { return };
         self.count_outcome(&attempt);
@@ -168,7 +169,7 @@
         self.forget_if_completed(message);
     }
 
-    /// What is recorded of an attempt that may have run.
+    /// Returns the journal's record of an attempt that may have run.
     pub fn sent_attempt(&self, attempt: &InFlight) -> SentAttempt {
         let zone = self.endpoints.get(&attempt.endpoint.0).map_or(ZoneId(0), |endpoint| endpoint.zone);
         SentAttempt { sent_at: attempt.sent_at, zone }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Forgets a message that has its acknowledged outcome and no attempt in flight.
+    /// Forgets a message that has its final outcome, waits for no acknowledgement and has no attempt in flight.
     pub fn forget_if_completed(&mut self, message: u32) {
         let is_acknowledged =
             |pending: &PendingMessage| pending.is_closed && pending.acknowledged_at.is_none();
--- a/tests/same_decisions/schedulers.rs
+++ b/tests/same_decisions/schedulers.rs
@@ -1,4 +1,4 @@
-//! The scheduler and the reference, side by side: both handle the same events.
+//! The scheduler and the reference; both handle the same events.
 
 use super::reference;
 use delivery_gateway::*;
@@ -23,7 +23,7 @@
         self.reference.handle(now, event);
     }
 
-    /// Hands both over to other processes, by way of bytes.
+    /// Hands both over to other processes, serialized as in a handover.
     pub fn handed_over(self, settings: &Settings, seed: u64) -> Result<Self, TestCaseError> {
         let successor = SchedulerPair::new(settings, seed);
         let bytes = postcard::to_stdvec(&self.product).map_err(not_handed_over)?;
--- a/tests/same_decisions/simulation.rs
+++ b/tests/same_decisions/simulation.rs
@@ -1,7 +1,7 @@
-//! One history as it is played: the clock, the timers and the comparison of both schedulers at each decision.
+//! The run of one history: the clock, the timers and the comparison of both schedulers at each decision.
 //!
-//! The simulation plays the endpoints, the clients, the journal and discovery. What messages do is in
-//! [`super::messages`], the steps of a history are in [`super::steps`].
+//! The simulation stands in for the endpoints, the clients, the journal and discovery. [`super::messages`] has its
+//! messages, [`super::steps`] the steps of a history.
 
 use super::comparison::{same_actions, same_circuits, same_timers, Sides, Timer};
 use super::history::{ms, Behavior, Scenario};
@@ -13,13 +13,15 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// How near to a whole token no step may fall.
-const TOKEN_EDGE: Duration = Duration::from_micros(2);
-/// How far a step that does is moved aside each time.
-const ASIDE: Duration = Duration::from_micros(5);
-/// How often it is moved at most.
-const MAX_MOVES_ASIDE: usize = 20;
-/// Moments at which something comes due while time passes in one step; what comes later than these comes late.
+/// No step may be nearer than this to a moment at which a route's tokens come to a whole number, as rounding would
+/// decide there (see [`super::comparison`]).
+const TOKEN_EDGE_MARGIN: Duration = Duration::from_micros(2);
+/// A step that is nearer is moved by this time, repeatedly.
+const TOKEN_EDGE_MOVE: Duration = Duration::from_micros(5);
+/// The maximum number of such moves for one step.
+const MAX_TOKEN_EDGE_MOVES: usize = 20;
+/// The maximum number of decisions while time passes in one step. What is due after them is handled at the end of the
+/// step, which is late.
 const MAX_STOPS: usize = 60;
 /// How long discovery takes to answer a watch request.
 const WATCH_LATENCY: Duration = Duration::from_millis(30);
@@ -32,13 +34,13 @@
     pub accepted: AcceptedMessage,
     pub attempts: u32,
     pub first_uncertain_attempt: Option<SentAttempt>,
-    /// Has its final outcome, or was abandoned by its client.
+    /// The message has its final outcome, or its client has abandoned it.
     pub is_closed: bool,
-    /// When its final outcome is acknowledged, if that is still to come.
+    /// When its final outcome will be acknowledged; None if none is awaited.
     pub acknowledged_at: Option<Time>,
 }
 
-/// An attempt in flight, as far as one message goes.
+/// The attempt of one message in flight.
 pub struct InFlight {
     pub endpoint: EndpointId,
     pub sent_at: Time,
@@ -63,16 +65,16 @@
     pub disabled: BTreeSet<u32>,
     /// When each Retry-After ends.
     pub retry_after_ends: BTreeSet<Time>,
-    /// Circuits by what the product reported of their changes, as a journal records them.
+    /// Circuits by the changes that the product reported, as a journal records them.
     pub recorded_circuits: BTreeMap<CircuitKey, CircuitRecord>,
-    /// When discovery answers the watch request.
+    /// When discovery answers the watch request, if one is pending.
     pub watch_established_at: Option<Time>,
     pub last_message: u32,
     pub last_endpoint: u32,
     pub decisions: usize,
-    /// Processes so far.
+    /// Number of processes so far: one, and one more for each restart or handover.
     pub processes: u64,
-    /// Events since the last decision, for the report of a difference.
+    /// Events since the last decision, for the error text of a difference.
     events: Vec<String>,
 }
 
@@ -132,7 +134,7 @@
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(listed)));
     }
 
-    /// The failure of a case: what differs, when, and what led to it.
+    /// Returns the failure of a case: what differs, when, and the events before it.
     pub fn difference(&self, what: &str, product: &dyn Debug, reference: &dyn Debug) -> TestCaseError {
         let (decision, now, events) = (self.decisions, self.now.0, self.events.join("\n    "));
         TestCaseError::fail(format!(
@@ -141,7 +143,7 @@
         ))
     }
 
-    /// Lets both decide, and compares all that can be seen of them.
+    /// Lets both schedulers decide, compares their results, and performs their actions.
     pub fn decide(&mut self) -> Result<(), TestCaseError> {
         self.decisions += 1;
         let mut product = Vec::new();
@@ -158,7 +160,7 @@
         Ok(())
     }
 
-    /// Compares the actions of one decision, and sets the timers that they ask for.
+    /// Compares the actions of one decision, and sets the timers that they request.
     fn compare_actions(&mut self, product: &[Action], reference: &[Action]) -> Result<(), TestCaseError> {
         let timers_before = self.timers;
         let (product_timer, product_actions) = split_timer(self.now, product);
@@ -208,7 +210,7 @@
         Ok(())
     }
 
-    /// Does what both schedulers ask for.
+    /// Performs an action of both schedulers.
     fn perform(&mut self, action: Action) {
         match action {
             Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Lets time pass; what comes due meanwhile comes at its time, but for late timers, which fire at the end.
+    /// Lets time pass, and handles what is due at its time; late timers fire at the end.
     pub fn advance(&mut self, to: Time, late_timers: bool, stay_before: bool) -> Result<(), TestCaseError> {
         for _ in 0..MAX_STOPS {
             let Some(due) = self.next_due(late_timers).filter(|due| *due <= to) else { break };
@@ -236,12 +238,12 @@
         Ok(())
     }
 
-    /// Lets time pass with nothing out of the ordinary.
+    /// Lets time pass with punctual timers.
     pub fn settle(&mut self, span: Duration) -> Result<(), TestCaseError> {
         self.advance(self.now + span, false, false)
     }
 
-    /// When the next outcome, acknowledgement, timer or answer to a watch request comes.
+    /// Returns when the next outcome, acknowledgement, timer or answer to a watch request is due.
     fn next_due(&self, late_timers: bool) -> Option<Time> {
         let finished = self.in_flight.values().map(|attempt| attempt.finishes_at);
         let acknowledged = self.pending.values().filter_map(|pending| pending.acknowledged_at);
@@ -249,19 +251,20 @@
         finished.chain(acknowledged).chain(timer).chain(self.watch_established_at).min()
     }
 
-    /// The first moment from this one on, or the last one up to it, that is not near a whole token.
+    /// Returns the first moment from this one on, or the last one up to it, that is not near a whole token; this one
+    /// unchanged where it is not later than now.
     fn off_token_edges(&self, at: Time, stay_before: bool) -> Time {
         let mut at = at;
-        for _ in 0..MAX_MOVES_ASIDE {
-            if at <= self.now || !self.schedulers.reference.is_on_token_edge(at, TOKEN_EDGE) {
+        for _ in 0..MAX_TOKEN_EDGE_MOVES {
+            if at <= self.now || !self.schedulers.reference.is_on_token_edge(at, TOKEN_EDGE_MARGIN) {
                 break;
             }
-            at = if stay_before { at - ASIDE } else { at + ASIDE };
+            at = if stay_before { at - TOKEN_EDGE_MOVE } else { at + TOKEN_EDGE_MOVE };
         }
         self.now.max(at)
     }
 
-    /// When the first and the last of the two timers fire, which differ by rounding at most.
+    /// Returns when the first and the last of the two timers fire, which differ by rounding at most.
     pub fn timer_times(&self) -> Option<(Time, Time)> {
         let product = self.timers.product?.0;
         let reference = self.timers.reference?.0;
@@ -302,13 +305,13 @@
         }
     }
 
-    /// When an outcome that is given now is acknowledged.
+    /// Returns when an outcome that is given now will be acknowledged.
     pub fn acknowledgement_time(&self, message: u32) -> Time {
         self.now + ms(10 + 10 * (self.draw(message) % 40))
     }
 }
 
-/// The timer that the last of these actions sets, if it does, and the actions before it.
+/// Splits off the timer that the last of these actions sets, if it sets one.
 fn split_timer(now: Time, actions: &[Action]) -> (Option<Timer>, &[Action]) {
     match actions.split_last() {
         Some((Action::SetTimer { after, token }, before)) => (Some((now + *after, *token)), before),
--- a/tests/same_decisions/steps.rs
+++ b/tests/same_decisions/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a history, as the simulation plays them.
+//! The steps of a history, as the simulation runs them.
 
 use super::comparison::Sides;
 use super::history::{ms, Behavior, Offset, Scope, Step};
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Plays one step. Whether a decision follows is up to the history.
+    /// Runs one step. The history says whether a decision follows.
     pub fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
             Step::Pass { ms: span, late_timers } => self.advance(self.now + ms(span), late_timers, false)?,
             Step::ToTimer(offset) => self.advance_to_timer(offset)?,
             Step::ToRetryAfterEnd(which, offset) => self.advance_to_retry_after_end(which, offset)?,
             Step::Accept(ref messages) => {
-                for _ in 0..u32::from(messages.count) * u32::from(self.scenario.messages_for_each) {
+                for _ in 0..u32::from(messages.count) * u32::from(self.scenario.message_multiplier) {
                     self.accept(messages)?;
                 }
             }
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Goes to a moment near the one when the timers fire; past it they are late.
+    /// Advances to a moment near the one when the timers fire; after it they are late.
     fn advance_to_timer(&mut self, offset: Offset) -> Result<(), TestCaseError> {
         let Some((first, last)) = self.timer_times() else { return Ok(()) };
         reached(match offset.0 {
@@ -61,7 +61,7 @@
         self.advance(offset.from(at), offset.is_after(), offset.is_before())
     }
 
-    /// Goes to a moment near the end of a Retry-After; past it timers are late.
+    /// Advances to a moment near the end of a Retry-After; after it timers are late.
     fn advance_to_retry_after_end(&mut self, which: usize, offset: Offset) -> Result<(), TestCaseError> {
         let ends: Vec<Time> = self.retry_after_ends.iter().copied().collect();
         let Some(end) = pick(&ends, which) else { return Ok(()) };
@@ -86,7 +86,7 @@
         self.behaviors.extend(affected.map(|id| (id, behavior)));
     }
 
-    /// Ends a call in flight; where its endpoint would not respond at all, it times out now.
+    /// Ends a call in flight. Where its endpoint would respond too late or not at all, it times out now.
     fn finish_at_once(&mut self, which: usize, behavior: Behavior) {
         let ids: Vec<u32> = self.in_flight.keys().copied().collect();
         let Some(&message) = pick(&ids, which) else { return };
@@ -120,7 +120,7 @@
         pick(&ids, which).copied()
     }
 
-    /// Changes an endpoint, and lets discovery announce it.
+    /// Changes an endpoint, and sends the change in a delta.
     fn change_endpoint(&mut self, id: u32, change: impl FnOnce(&mut Endpoint)) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         change(endpoint);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Lists a copy of an endpoint under a new id: every other time of a removed one, if there is any, in its place.
+    /// Lists a copy of an endpoint under a new id. Every other time it replaces a removed endpoint, if there is one.
     fn add_endpoint(&mut self, which: usize) {
         let all: Vec<u32> = self.endpoints.keys().copied().collect();
         let is_removed = |id: &u32| self.endpoints[id].availability == Availability::Removed;
@@ -207,7 +207,7 @@
         self.handle(Event::ShutdownScheduled(at));
     }
 
-    /// Hands over to a successor. What is pending is decided by the predecessor.
+    /// Hands over to a successor. The predecessor first decides on the events that it has recorded.
     fn hand_over(&mut self) -> Result<(), TestCaseError> {
         reached("handover");
         self.decide()?;
@@ -219,8 +219,8 @@
         Ok(())
     }
 
-    /// Starts a new process after a kill: it has the messages and circuits that the old one recorded, and calls that
-    /// were in flight are broken.
+    /// Starts a new process after a kill. It restores the messages and circuits that the old one recorded; calls that
+    /// were in flight have ended without a response.
     fn restart(&mut self) -> Result<(), TestCaseError> {
         reached("restart");
         self.decide()?;
