--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -1,9 +1,10 @@
-//! Choices of the scheduler: which message gets a free slot, by which route and endpoint, and which are shed.
+//! The scheduler's choice of messages, routes and endpoints for free slots, and of messages to shed.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// Load shedding must not give up messages of high value while others are pending.
 #[test]
 fn when_nearly_full_the_least_valuable_messages_are_rejected() {
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
@@ -16,6 +17,7 @@
     assert!(shed.iter().all(|a| matches!(a, Action::Reject { message, .. } if message.0 < 10)), "{shed:?}");
 }
 
+/// A destination with many messages must not take all slots before others get one.
 #[test]
 fn a_free_slot_goes_to_the_destination_with_fewest_calls_in_flight() {
     let base = settings(vec![idempotent()]);
@@ -31,6 +33,7 @@
     assert_eq!(first, [1, 2, 3]);
 }
 
+/// Only as many messages share a call as the kind of the destination allows.
 #[test]
 fn one_call_carries_a_batch_where_the_kind_allows_it() {
     let base = settings(vec![idempotent()]);
@@ -41,8 +44,8 @@
     assert_eq!(bench.start_attempts().len(), 5);
 }
 
-/// A message that is not admitted has not waited in vain: rejecting an accepted one for it pays only if it has much
-/// more value; then the least valuable one is rejected.
+/// A client whose message is not admitted has not waited in vain, while the client of an accepted message has. So an
+/// accepted message is shed for a new one only if the new one has much more value.
 #[test]
 fn when_nearly_full_a_message_of_no_higher_value_is_not_admitted() {
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
@@ -60,11 +63,12 @@
     assert!(bench.advance_until_action(ms(5)).is_empty());
     assert!(!admits(&mut bench, 0));
     assert!(admits(&mut bench, 1));
-    // Late and near its deadline, the least valuable one has no value left.
+    // Late and near its deadline, the least valuable message has no value left.
     bench.now = bench.now + classes[0].deadline.mul_f64(0.8);
     assert!(admits(&mut bench, 0));
 }
 
+/// A tenant beyond its quota must not push out messages of tenants within theirs.
 #[test]
 fn messages_beyond_a_tenants_quota_are_shed_first() {
     let base = settings(vec![idempotent()]);
@@ -90,8 +94,8 @@
     );
 }
 
-/// Where the value halves down to a floor, a message at the floor loses nothing by waiting, and one still on
-/// time is sent first; where it falls evenly, the late one keeps losing value.
+/// With halving decay a late message at its least value loses nothing more by waiting, so that one still on time is
+/// sent first. With linear decay the late message keeps losing value, and is sent first.
 #[test]
 fn the_cost_of_waiting_follows_the_configured_decay() {
     for (decay, first) in [(Decay::Linear, 1), (Decay::Halving, 2)] {
@@ -112,16 +116,17 @@
     }
 }
 
-/// The cheapest route is used, and waited for while it can still send all pending messages on time; a burst that is
-/// too much for it uses the costly one as well.
+/// The cheapest route is used, and waited for while it can still send all pending messages on time. A burst that
+/// exceeds its rate uses the expensive route as well, as messages would be late otherwise.
 #[test]
-fn the_cheapest_route_is_preferred_as_long_as_it_serves_in_time() {
+fn the_cheapest_route_is_preferred_while_it_serves_in_time() {
     let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
-    let costly = Endpoint { zone: ZoneId(2), capacity_hint: 5.0, ..endpoint(7, 1) };
+    let expensive = Endpoint { zone: ZoneId(2), capacity_hint: 5.0, ..endpoint(7, 1) };
     let cheap = Endpoint { zone: ZoneId(1), capacity_hint: 5.0, ..endpoint(8, 1) };
     let zone_costs = vec![0.0, 0.03, 0.06];
-    let mut bench = TestBench::new(Settings { destination_kinds, zone_costs, ..base }, vec![costly, cheap]);
+    let mut bench =
+        TestBench::new(Settings { destination_kinds, zone_costs, ..base }, vec![expensive, cheap]);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.start_attempts()[0].endpoint, 8);
     bench.finish(1, 8, AttemptOutcome::Delivered, ms(20));
@@ -133,8 +138,8 @@
     assert!(bench.start_attempts().iter().any(|attempt| attempt.endpoint == 7));
 }
 
-/// With few calls in each gateway, a tie broken by id would send all of them to the same endpoint of a
-/// destination.
+/// Each gateway has few calls in flight, so that endpoints are often tied. Ties broken by id would send the calls of
+/// all gateways to the same endpoint of a destination.
 #[test]
 fn gateways_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
@@ -153,7 +158,7 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// A slot is given to the message of more value, not to the first destination of the list.
+/// A free slot goes to the message of higher value, not to the first destination of the list.
 #[test]
 fn ties_between_destinations_go_by_value() {
     let high_value = Class { priority_weight: 5.0, ..idempotent() };
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -1,9 +1,10 @@
-//! Circuit breakers of the scheduler: failures, half-open probes, slow start, unresponsive calls and idle connections.
+//! The scheduler's circuit breakers: failures, half-open probes, slow start, unresponsive calls and idle connections.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// Pending messages must not flood a destination that is down, or that has just recovered and is cold.
 #[test]
 fn a_failed_destination_gets_single_probes_and_a_slow_start() {
     let mut bench = single_destination(idempotent());
@@ -11,9 +12,9 @@
     for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
         bench.finish(id, to, AttemptOutcome::ConnectFailed, ms(10));
     }
-    let began = bench.now;
+    let started_at = bench.now;
     let mut probes = 0;
-    while bench.now - began < Duration::from_secs(6) {
+    while bench.now - started_at < Duration::from_secs(6) {
         let actions = bench.advance_until_action(Duration::from_secs(6));
         assert_eq!(actions.len(), 1, "one probe at a time");
         let Action::StartAttempt { message, .. } = actions[0] else { panic!("{actions:?}") };
@@ -21,8 +22,7 @@
         bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
     }
     assert!((3..20).contains(&probes), "{probes}");
-    // The destination has recovered: what is sent in the overload window stays inside the budget of a cold
-    // destination.
+    // The destination has recovered: the calls of the overload window stay within the budget of a cold destination.
     let mut sent = 0.0;
     let mut recovered_at = bench.now;
     let limits = bench.settings.limits.clone();
@@ -43,7 +43,8 @@
     );
 }
 
-/// Silence stops further calls long before an attempt would time out.
+/// A destination that stops responding must not get further calls until attempts time out: non-idempotent messages
+/// would be lost with them.
 #[test]
 fn an_unresponsive_destination_gets_no_more_than_probes() {
     let mut bench = single_destination(non_idempotent());
@@ -62,9 +63,9 @@
     assert!(sent_late <= 6, "{sent_late} non-idempotent messages risked");
 }
 
-/// Calls to unresponsive destinations must not occupy all slots.
+/// Calls to unresponsive destinations must not use up all slots.
 #[test]
-fn unresponsive_destinations_leave_slots_for_the_healthy() {
+fn unresponsive_destinations_leave_slots_for_healthy_ones() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
     let mut bench = TestBench::new(settings(vec![non_idempotent()]), all);
     let mut healthy = 0;
@@ -82,7 +83,8 @@
     assert!(healthy >= 70, "{healthy} of 80 delivered at the healthy destination");
 }
 
-/// Timeouts follow a destination that slows down, or retries would meet the first call still running.
+/// Attempt timeouts grow with the latency of a destination that slows down. Otherwise each retry would meet the attempt
+/// before it still running.
 #[test]
 fn attempt_timeouts_grow_after_timeouts() {
     let mut bench = single_destination(idempotent());
@@ -106,8 +108,8 @@
     assert!(last > first, "{first:?} {last:?}");
 }
 
-/// Where many calls fail, though some succeed, a non-idempotent message waits until that is over or its last
-/// moment has come; what can be retried goes on meanwhile.
+/// While a route loses many calls, though not all, a non-idempotent message would likely be lost with its only attempt.
+/// It waits until losses stop or its deadline is near; messages that can be retried are sent meanwhile.
 #[test]
 fn a_non_idempotent_message_waits_while_its_route_loses_calls() {
     for recovers in [true, false] {
@@ -139,16 +141,16 @@
             }
             bench.now = bench.now + ms(100);
         }
-        let waited = waited.expect("it is sent in the end");
-        assert!(others > 25, "{others} others were sent first");
+        let waited = waited.expect("sent before its deadline");
+        assert!(others > 25, "{others} other messages were sent first");
         assert!(waited > ms(300) && waited < deadline, "{waited:?}");
         assert_eq!(waited < deadline / 2, recovers, "{waited:?}");
     }
 }
 
-/// Sends a message to each of `count` destinations in turn, each with a connection that was idle for this
-/// time. Calls on these end with this outcome, those on new ones are delivered. Returns how often idle
-/// connections were closed before use.
+/// Sends a message to each of `count` destinations in turn, each with a connection that was idle for this time. Calls
+/// on idle connections end with this outcome, calls on new ones deliver. Returns how often idle connections were
+/// closed before use.
 fn connections_closed_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
     let mut bench = TestBench::new(settings(vec![idempotent()]), all);
@@ -168,7 +170,8 @@
     (1..=count).map(|to| call(&mut bench, to, outcome)).sum()
 }
 
-/// Idle connections that were dropped by the other side unnoticed lose the next call on them.
+/// A call on an idle connection that the other side has dropped without notice is lost. After some such losses idle
+/// connections are closed before use.
 #[test]
 fn idle_connections_are_closed_before_reuse_once_calls_on_them_are_lost() {
     for idle in [Duration::from_secs(2), ms(20)] {
@@ -177,7 +180,7 @@
     }
 }
 
-/// One lost response opens no circuit: with a part of the responses lost, messages must not wait for probes.
+/// One lost response does not open the circuit: where some responses are lost, messages must not wait for probes.
 #[test]
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
     let next_send = |outcome: AttemptOutcome| {
@@ -196,9 +199,9 @@
     assert!(!next_send(AttemptOutcome::ConnectFailed));
 }
 
-/// With no slot left, the oldest stalled call is cancelled.
+/// Unresponsive calls that use all slots would hold back the messages of healthy destinations: the oldest is cancelled.
 #[test]
-fn with_all_slots_in_use_a_stalled_call_is_cancelled() {
+fn with_all_slots_in_use_an_unresponsive_call_is_cancelled() {
     let base = settings(vec![idempotent()]);
     let mut bench =
         TestBench::new(Settings { max_in_flight_calls: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
@@ -209,7 +212,7 @@
     assert_eq!(actions, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
-/// Low-traffic gateways that all failed to connect must not probe together every few seconds.
+/// Gateways with low traffic that all failed to connect must not probe together every few seconds: their probes add up.
 #[test]
 fn low_traffic_gateways_probe_a_failed_destination_rarely() {
     let mut probes = 0;
@@ -220,8 +223,8 @@
         bench.accept(1, 0, 1, None);
         bench.start_attempts();
         bench.finish(1, 7, AttemptOutcome::ConnectFailed, ms(20));
-        let began = bench.now;
-        while bench.now - began < Duration::from_secs(12) {
+        let started_at = bench.now;
+        while bench.now - started_at < Duration::from_secs(12) {
             for action in bench.advance_until_action(Duration::from_secs(1)) {
                 if let Action::StartAttempt { message, .. } = action {
                     probes += 1;
@@ -230,11 +233,10 @@
             }
         }
     }
-    assert!((1..=160).contains(&probes), "{probes} probes of 100 gateways in 12 s");
+    assert!((1..=160).contains(&probes), "{probes} probes by 100 gateways in 12 s");
 }
 
-/// An endpoint that responds is healthy, also where the response cannot be read: a few such responses open no
-/// circuit, as lost calls do.
+/// An endpoint whose responses cannot be parsed is up: unlike lost calls, a few such responses do not open the circuit.
 #[test]
 fn malformed_responses_open_no_circuit() {
     let open_circuits_after = |outcome| {
@@ -253,19 +255,20 @@
     assert_eq!(open_circuits_after(AttemptOutcome::Reset), 1);
 }
 
-/// A low-traffic gateway has no later event that would show the silence: the timer has to.
+/// A gateway with low traffic has no later event at which it could notice the missing response: its timer has to fire
+/// when the call becomes unresponsive.
 #[test]
-fn silence_opens_the_circuit_at_the_moment_it_is_due() {
+fn a_missing_response_opens_the_circuit_when_it_is_due() {
     let mut bench = single_destination(idempotent());
     bench.accept(1, 0, 1, None);
     let timer = |action: &Action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     };
-    // From one timer to the next, up to the last one before the deadline's.
-    let began = bench.now;
+    // Fires each timer until one is due after the latency objective: the next would be that of the deadline.
+    let started_at = bench.now;
     while let Some((after, token)) = bench.decide().iter().find_map(timer) {
-        if bench.now + after - began > bench.settings.classes[0].latency_objective {
+        if bench.now + after - started_at > bench.settings.classes[0].latency_objective {
             break;
         }
         bench.now = bench.now + after;
@@ -274,20 +277,20 @@
     assert!(bench.scheduler.longest_queue(bench.now).unwrap().2[0].circuit_open);
 }
 
-/// In a slow start the rate limit grows: a gateway without any events looks again while its message still has
-/// time, and not when the first moment's rate would have allowed it.
+/// The rate grows during a slow start. A gateway without events has to check again while its message still has time;
+/// with the rate of its first check it would wait past the deadline.
 #[test]
 fn a_slow_start_progresses_while_nothing_happens() {
     let settings = Settings { fleet_size: 300, ..settings(vec![idempotent()]) };
     let mut bench = TestBench::new(settings, vec![Endpoint { capacity_hint: 40.0, ..endpoint(11, 3) }]);
-    let begun = bench.now;
+    let started_at = bench.now;
     bench.handle(Event::CircuitRestored(CircuitRecord {
         destination: DestinationId(3),
         endpoint: None,
-        last_success_at: begun,
+        last_success_at: started_at,
         failure_score: 0,
         has_lost_calls: None,
-        slow_start_since: Some(begun),
+        slow_start_since: Some(started_at),
         baseline_per_sec: 0.0,
     }));
     bench.accept(1, 0, 3, None);
@@ -297,10 +300,10 @@
             match action {
                 Action::StartAttempt { .. } => return,
                 Action::SetTimer { after, token } => timer = Some((after, token)),
-                other => panic!("{other:?} after {:?}", bench.now - begun),
+                other => panic!("{other:?} after {:?}", bench.now - started_at),
             }
         }
-        let (after, token) = timer.expect("asked for a timer");
+        let (after, token) = timer.expect("a timer was set");
         bench.now = bench.now + after;
         bench.handle(Event::TimerFired(token));
     }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler's rules, one or more tests for each, on the scheduler alone.
+//! Tests of the scheduler's rules, each on a scheduler without sockets and with a simulated clock.
 
 mod choice;
 mod circuits;
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -1,9 +1,10 @@
-//! Rate limits of the scheduler: rejections, Retry-After, load reports and low-traffic gateways.
+//! The scheduler's rate limits: rejections, Retry-After, load reports, and gateways with low traffic.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// A Retry-After holds for the whole destination, not only for the message or endpoint that got it.
 #[test]
 fn a_retry_after_holds_back_every_message_of_the_destination() {
     let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -17,7 +18,8 @@
     assert!(bench.now - rejected_at >= ms(800));
 }
 
-/// A Retry-After that comes with the first outcome of a batched call binds, too.
+/// The outcomes of a call's messages come one by one. A Retry-After in the first must not be lost when the others have
+/// none.
 #[test]
 fn a_retry_after_with_any_message_of_a_call_is_kept() {
     let base = settings(vec![idempotent()]);
@@ -38,6 +40,7 @@
     assert!(bench.now - rejected_at >= ms(900));
 }
 
+/// Where endpoints have limits of their own, the Retry-After of one must not hold back the others.
 #[test]
 fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
     let base = settings(vec![idempotent()]);
@@ -53,15 +56,16 @@
     assert_ne!(other[0].endpoint, first);
 }
 
-/// An unresponsive destination with a full queue rejects although its limit has headroom.
+/// A destination that hangs with a full queue rejects calls although its limit has headroom. That is a failure, and
+/// must reduce the calls more than rejections by the limit do.
 #[test]
 fn rejections_with_headroom_left_count_as_failures() {
     let sends_after = |headroom: f64| {
         let mut bench = single_destination(idempotent());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
         let mut sends = 0;
-        let began = bench.now;
-        while bench.now - began < Duration::from_secs(4) {
+        let started_at = bench.now;
+        while bench.now - started_at < Duration::from_secs(4) {
             for StartedAttempt { message: id, endpoint: to, .. } in bench.start_attempts() {
                 sends += 1;
                 bench.reject_with_report(id, to, headroom, 100.0);
@@ -73,7 +77,7 @@
     assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
 }
 
-/// What stays inside a gateway's even share of the announced rate is sent without delay.
+/// A gateway that stays within its even share of the listed limit sends without delay.
 #[test]
 fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
     let mut bench = single_destination(idempotent());
@@ -87,7 +91,8 @@
     }
 }
 
-/// Rejected calls use up the limit, and the first two attempts of messages alone can keep it used up.
+/// Rejected calls use up the destination's limit as well, and the first two attempts of all messages alone can keep it
+/// used up. Where a call carries many messages, one call a latency objective is enough.
 #[test]
 fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
     let calls_after_a_rejection = |batch: usize, seconds: u64| {
@@ -96,15 +101,15 @@
             vec![DestinationKind { max_batch_size: batch, has_per_endpoint_limits: false }];
         let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = TestBench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
-        // Its rate is far above its share of what is announced now.
+        // Its rate is now far above its share of the listed limit.
         bench
             .scheduler
             .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(100);
         bench.accept(1, 0, 1, None);
         let mut calls = 0;
-        let began = bench.now;
-        while bench.now - began < Duration::from_secs(seconds) {
+        let started_at = bench.now;
+        while bench.now - started_at < Duration::from_secs(seconds) {
             let sent = bench.start_attempts();
             calls += sent.len();
             for StartedAttempt { message: id, endpoint: to, .. } in sent {
@@ -118,7 +123,7 @@
     assert_eq!(calls_after_a_rejection(20, 3), 1);
 }
 
-/// A burst that meets rejections at many low-traffic gateways at once must not be retried at one moment.
+/// When many gateways with low traffic are rejected at the same time, they must not all retry at the same moment.
 #[test]
 fn low_traffic_gateways_rejected_together_retry_apart() {
     let backoff = |seed: u64| {
@@ -146,8 +151,8 @@
     );
 }
 
-/// An endpoint that has too many connections says nothing of its rate limit; and whoever keeps one idle keeps
-/// other gateways out.
+/// A rejection for too many connections does not reflect the rate limit, so it must not reduce the rate. No gateway may
+/// keep connections idle for a while after it, as others need them.
 #[test]
 fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
     let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 2)]);
@@ -167,10 +172,10 @@
     bench.accept(20, 0, 2, None);
     assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(20, 8, AttemptOutcome::Delivered, ms(20));
-    assert!(closes(&bench.decide(), 8), "at other endpoints neither");
+    assert!(closes(&bench.decide(), 8), "idle connections to other endpoints are closed, too");
     bench.now = bench.now + bench.settings.connection_idle_timeout * 4;
     bench.accept(21, 0, 2, None);
     assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
-    assert!(!closes(&bench.decide(), 8), "not for ever");
+    assert!(!closes(&bench.decide(), 8), "connections are kept idle again later");
 }
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -1,4 +1,4 @@
-//! Retries of the scheduler: which messages are sent again, when, where and how often.
+//! The scheduler's retries: which messages are sent again, when, where and how often.
 
 use super::common::*;
 use delivery_gateway::*;
@@ -21,7 +21,7 @@
     AttemptOutcome::LocalFailure,
 ];
 
-/// Message 1 was sent to endpoint 7, and its attempt ended with this outcome.
+/// Returns a bench in which message 1 was sent to endpoint 7, and its attempt ended with this outcome.
 fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> TestBench {
     let mut bench = single_destination(class);
     bench.accept(1, 0, 1, None);
@@ -31,6 +31,7 @@
     bench
 }
 
+/// A message that cannot be sent at all still gets its final outcome in time, and only one.
 #[test]
 fn a_message_without_any_endpoint_is_rejected_by_its_deadline() {
     let mut bench = TestBench::new(settings(vec![idempotent_with_key()]), vec![]);
@@ -42,6 +43,7 @@
     assert!(bench.advance_until_action(Duration::from_secs(30)).is_empty());
 }
 
+/// A retry could process a non-idempotent message twice.
 #[test]
 fn a_non_idempotent_message_that_may_have_run_is_never_retried_and_fails() {
     for outcome in MAY_HAVE_RUN {
@@ -51,6 +53,7 @@
     }
 }
 
+/// An attempt that certainly had no effect must not cost a non-idempotent message its delivery.
 #[test]
 fn a_non_idempotent_message_that_did_not_run_is_retried() {
     for outcome in DID_NOT_RUN {
@@ -60,6 +63,7 @@
     }
 }
 
+/// After its idempotency window a retry could be processed twice, as the destination has forgotten the key.
 #[test]
 fn a_message_with_a_key_is_retried_inside_its_idempotency_window_only() {
     let mut bench = single_destination(idempotent_with_key());
@@ -83,10 +87,10 @@
     assert!(retries < bench.settings.max_attempts);
 }
 
-/// Establishing a connection may take long: each attempt says how long its message may wait for that, which is
-/// until its deadline and, for a retry, until its idempotency window ends.
+/// Connecting may take long, and the message must not be sent too late after it. So each attempt has a time limit for
+/// sending: the deadline of its message and, for a retry, the end of its idempotency window.
 #[test]
-fn an_attempt_says_until_when_its_message_may_be_sent() {
+fn an_attempt_has_a_time_limit_for_sending_its_message() {
     let within = |actions: &[Action]| match actions {
         [Action::StartAttempt { send_within, .. }, ..] => *send_within,
         other => panic!("{other:?}"),
@@ -103,6 +107,7 @@
     assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
 }
 
+/// Another zone does not know the key, and would process the message a second time.
 #[test]
 fn a_message_with_a_key_stays_in_its_deduplication_zone() {
     let mut other = endpoint(8, 1);
@@ -120,8 +125,8 @@
     assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
-/// Two endpoints in two zones, and one call at a time that may carry several messages. Message 1 may have run at
-/// the endpoint that is returned.
+/// Returns a bench with two endpoints in two zones, and one call at a time that may carry several messages. Message 1
+/// may have run at the endpoint that is returned.
 fn may_have_run_in_one_zone(has_per_endpoint_limits: bool) -> (TestBench, u32) {
     let base =
         settings(vec![Class { deduplication_scope: DeduplicationScope::Zone, ..idempotent_with_key() }]);
@@ -138,7 +143,7 @@
     (bench, first)
 }
 
-/// A call is sent to the endpoint of its first message; a message that must not be sent there must not share it.
+/// A call goes to the endpoint that was chosen for its first message. A retry that must not go there must not share it.
 #[test]
 fn a_retry_shares_no_call_to_another_zone() {
     for has_per_endpoint_limits in [false, true] {
@@ -152,7 +157,7 @@
                 if message == 1 {
                     assert_eq!(to, first, "{has_per_endpoint_limits}");
                 }
-                // An endpoint that rejects is not preferred: calls go to both.
+                // An endpoint that rejects is not preferred, so that both get calls.
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
             }
         }
@@ -160,8 +165,8 @@
     }
 }
 
-/// A retry whose zone accepts nothing at the moment does not keep others of its destination from being sent
-/// elsewhere.
+/// A retry whose zone has no ready endpoint must not block other messages of its destination, which may go to another
+/// zone.
 #[test]
 fn a_retry_that_waits_for_its_zone_blocks_no_other_message() {
     for has_per_endpoint_limits in [false, true] {
@@ -169,7 +174,7 @@
         let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
         let drained = Endpoint { availability: Availability::Draining, zone, ..endpoint(first, 1) };
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![drained])));
-        // It has more value than the new messages.
+        // The retry has more value than the new message, and so is considered first.
         bench.now = bench.now + Duration::from_secs(2);
         bench.accept(2, 0, 1, None);
         assert!(matches!(bench.advance_until_action(Duration::from_secs(2)).as_slice(),
@@ -177,6 +182,7 @@
     }
 }
 
+/// Without growth and jitter, retries of many gateways would keep a failing destination overloaded.
 #[test]
 fn backoff_grows_and_has_jitter() {
     let mean_backoff = |failures: u32| {
@@ -204,6 +210,7 @@
     assert!(mean_backoff(3) > mean_backoff(1));
 }
 
+/// Another gateway may have sent a redelivered message at any time since it was enqueued.
 #[test]
 fn a_redelivered_message_counts_its_window_from_when_it_was_enqueued() {
     let mut bench = single_destination(idempotent_with_key());
@@ -221,6 +228,7 @@
     assert_eq!(actions, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
+/// A call that may still be running must not be overtaken by the next message of its ordering key.
 #[test]
 fn ordering_keys_are_served_in_turn_and_held_back_after_an_uncertain_attempt() {
     let class = Class { is_ordered: true, ..non_idempotent() };
@@ -232,8 +240,8 @@
     let sent = bench.start_attempts();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].message, 1);
-    // The client abandons the message, the attempt goes on: the key is in use until its outcome is known, and held
-    // back after it.
+    // The client abandons the message while its attempt is in flight: the key stays in use until the attempt has its
+    // outcome, and is held after that.
     bench.handle(Event::MessageAbandoned(MessageId(1)));
     assert!(bench.advance_until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].endpoint, AttemptOutcome::Reset, ms(100));
@@ -243,13 +251,13 @@
     assert!(bench.now - finished_at >= ms(300));
 }
 
-/// A message that can never be sent again must not keep its ordering key from the messages behind it.
+/// A message that can never be sent again must not block the messages behind it in the order of its key.
 #[test]
 fn a_message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
     let classes = [non_idempotent(), idempotent_with_key()].map(|class| Class { is_ordered: true, ..class });
     let mut bench = TestBench::new(settings(classes.to_vec()), vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, Some(5));
-    // The one behind can be retried: a non-idempotent one would wait after a loss.
+    // The message behind it can be retried: a non-idempotent one would wait after a loss.
     bench.accept(2, 1, 1, Some(5));
     assert_eq!(bench.start_attempts().len(), 1);
     bench.now = bench.now + ms(50);
@@ -263,6 +271,7 @@
     );
 }
 
+/// A message without attempts left would only use up capacity until its deadline.
 #[test]
 fn a_message_whose_attempts_are_exhausted_is_rejected_at_once() {
     let mut bench = single_destination(non_idempotent());
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -1,9 +1,10 @@
-//! The watch on the endpoint list, and input that the scheduler does not know.
+//! The endpoint list and its watch, and input that the scheduler does not expect.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// New calls to an endpoint that drains or is gone would be lost, whether a delta or a snapshot says so.
 #[test]
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
@@ -22,6 +23,7 @@
     assert_eq!(bench.start_attempts()[0].endpoint, 8);
 }
 
+/// Events can arrive late, for messages, endpoints and timers that the scheduler has already forgotten.
 #[test]
 fn events_for_unknown_ids_are_ignored() {
     let mut bench = single_destination(idempotent());
@@ -33,6 +35,8 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
+/// After a suspended process or host the clock jumps: all deadlines pass at once, and every message gets its final
+/// outcome.
 #[test]
 fn the_clock_may_jump_far_ahead() {
     let mut bench = single_destination(idempotent_with_key());
@@ -43,7 +47,8 @@
     assert_eq!(outcomes, 5);
 }
 
-/// How often a watch that fails in this way each time is requested again in a span, and the longest backoff.
+/// Returns how often a watch that fails in this way each time is requested again within a time span, and the longest
+/// backoff.
 fn retries_in(fleet_size: u32, failure: &EndpointUpdate, span: Duration) -> (usize, Duration) {
     let mut bench = fleet_member(fleet_size);
     let end = bench.now + span;
@@ -63,14 +68,14 @@
     (retries, longest)
 }
 
-/// One gateway of a fleet, which knows one endpoint.
+/// Returns one gateway of a fleet, with one listed endpoint.
 fn fleet_member(fleet_size: u32) -> TestBench {
     TestBench::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, vec![endpoint(11, 3)])
 }
 
-/// A watch that discovery rejects is retried with growing backoff, the longer the more gateways there are:
-/// they lose it at one moment, and discovery needs capacity to recover. But it stays within 5 s, as a change
-/// counts as announced 6 s later. A watch that broke in silence is retried soon.
+/// A watch that discovery rejects is retried with a growing backoff, which is longer in larger fleets: all gateways
+/// lose the watch at the same moment, and discovery needs capacity to recover. The backoff stays within 5 s, as a
+/// change counts as announced after 6 s. A watch that broke without a rejection is retried after a short backoff.
 #[test]
 fn a_rejected_watch_is_retried_with_growing_backoff() {
     // Backoff of 1.5 s in the mean once it has grown, and of 3.75 s where its cap binds.
@@ -84,7 +89,7 @@
     assert!(retries_in(3, &EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
 }
 
-/// Gateways whose watches are rejected at one moment do not retry at one moment.
+/// Gateways whose watches are rejected at the same moment must not all retry at the same moment.
 #[test]
 fn watches_rejected_together_are_retried_apart() {
     let backoff = |seed: u64| {
@@ -107,13 +112,13 @@
     assert!(backoffs[0] >= ms(2500), "{backoffs:?}");
     assert!(
         backoffs.windows(32).all(|some| some[31] - some[0] >= ms(125)),
-        "a tenth within a twentieth: {backoffs:?}"
+        "a tenth of the gateways retry within a twentieth of the spread: {backoffs:?}"
     );
 }
 
-/// The first watches of a fleet that starts at one moment are spread. But what changed while a gateway was
-/// away counts as announced: however many there are, all have asked well before they may send no more to
-/// draining endpoints.
+/// The first watch requests of a fleet that starts at one moment are spread. But a change that was announced while a
+/// gateway was down counts as announced: in fleets of every size, all requests are sent well before calls to draining
+/// endpoints have to stop.
 #[test]
 fn first_watches_are_spread_inside_the_drain_grace() {
     let first = |fleet_size: u32, seed: u64| {
@@ -131,6 +136,7 @@
     assert!(first(3, 1) < ms(300));
 }
 
+/// A watch that was established and breaks much later must not wait for the backoff of earlier rejections.
 #[test]
 fn an_established_watch_resets_the_backoff() {
     let mut bench = fleet_member(3);
--- a/tests/same_decisions/endpoint_behavior.rs
+++ b/tests/same_decisions/endpoint_behavior.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Returns the response of an endpoint. `draw` is a random number, drawn once for each attempt; `capacity_hint` is the
-/// endpoint's, in calls a second.
+/// Returns the response of an endpoint. `draw` is the attempt's random number; `capacity_hint` is the endpoint's, in
+/// calls a second.
 pub fn respond(behavior: Behavior, draw: u64, capacity_hint: f64, attempt_timeout: Duration) -> Response {
     let latency = ms(15 + 5 * (draw % 8));
     let delivered = || Response::new(latency, AttemptOutcome::Delivered);
