--- a/tests/circuit_records.rs
+++ b/tests/circuit_records.rs
@@ -1,4 +1,5 @@
-//! The circuit changes that the scheduler reports add up to its circuit records.
+//! The journal is updated only with the circuit changes that the scheduler reports. If one is missing, a restart
+//! restores an old circuit. So the changes must add up to all circuit records.
 
 mod common;
 
@@ -22,7 +23,7 @@
 const AVAILABILITIES: [Availability; 3] =
     [Availability::Ready, Availability::Draining, Availability::Removed];
 
-/// A scheduler that lives through random events, and its circuits as they follow from the changes that it reports.
+/// A scheduler with random events, and its circuits as they follow from the changes that it reports.
 struct Run {
     rng: fastrand::Rng,
     bench: TestBench,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Lets some time pass, and one event of many happen.
+    /// Lets a random time pass, and handles one random event.
     fn step(&mut self, step: u32) {
         self.bench.now = self.bench.now + ms(self.rng.u64(1..200));
         match self.rng.u32(..40) {
@@ -67,7 +68,7 @@
         self.in_flight.extend(self.bench.start_attempts());
     }
 
-    /// Replaces the scheduler after a kill: the circuits of before are restored, and calls in flight are lost.
+    /// Replaces the scheduler as after a kill: its circuits are restored, and calls in flight are lost.
     fn restart(&mut self, seed: u64) {
         let before: Vec<CircuitRecord> = self.bench.scheduler.circuit_records().collect();
         self.bench.restart(self.bench.settings.clone(), seed, all_ready());
@@ -81,7 +82,7 @@
         self.bench.scheduler = std::mem::take(&mut self.bench.scheduler).resumed(successor);
     }
 
-    /// Ends one of the attempts in flight. Each endpoint has phases in which many fail.
+    /// Finishes one of the attempts in flight. Each endpoint has phases in which most of them fail.
     fn finish_one(&mut self, step: u32) {
         let StartedAttempt { message, endpoint, .. } =
             self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
@@ -91,7 +92,7 @@
         self.bench.finish(message, endpoint, outcome, ms(20));
     }
 
-    /// Applies the reported changes.
+    /// Applies the reported changes to `recorded`, as the journal does.
     fn record_changes(&mut self) {
         for CircuitChange { destination, endpoint, record } in self.bench.scheduler.take_circuit_changes() {
             let key = (destination, endpoint);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// All circuit records of the scheduler, in the order of their destinations and endpoints.
+    /// Returns all circuit records of the scheduler, ordered by destination and endpoint.
     fn circuit_records(&self) -> Vec<CircuitRecord> {
         let mut records: Vec<CircuitRecord> = self.bench.scheduler.circuit_records().collect();
         records.sort_by_key(|record| (record.destination, record.endpoint));
@@ -110,7 +111,7 @@
     }
 }
 
-/// An endpoint, four of which share a destination; every other one belongs to a kind with limits per endpoint.
+/// Returns an endpoint. Each destination has four; every other endpoint is of a kind with limits per endpoint.
 fn listed(id: u32, availability: Availability) -> Endpoint {
     Endpoint { kind: DestinationKindId((id % 2) as u16), availability, ..endpoint(id, 1 + (id / 4) as u16) }
 }
@@ -119,7 +120,7 @@
     (0..ENDPOINTS).map(|id| listed(id, Availability::Ready)).collect()
 }
 
-/// Changes since a start begin from no records, and those since a handover from the records at that time.
+/// After a start, changes add up from no records; after a handover, from the records at that time.
 #[test]
 fn circuit_changes_add_up_to_the_circuit_records() {
     let mut compared = 0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler under test, with a clock of its own and a record of what it asked for.
+//! A scheduler under test with a simulated clock, and fixtures of classes, settings, endpoints and messages.
 #![allow(dead_code)]
 
 pub mod recovering_fleet;
@@ -7,35 +7,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a call takes where a test does not say how long.
+/// Latency of a call where a test does not set it.
 const LATENCY: Duration = Duration::from_millis(20);
 
-/// So many milliseconds.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// A class whose messages are idempotent inside a window, by a key.
+/// Returns a class whose messages are idempotent by a key within an idempotency window.
 pub fn idempotent_with_key() -> Class {
     Class::default()
 }
 
-/// A class whose messages must not be sent twice.
+/// Returns a class whose messages must not be processed twice.
 pub fn non_idempotent() -> Class {
     Class { idempotency: Idempotency::NonIdempotent, ..Class::default() }
 }
 
-/// A class whose messages may be sent any number of times.
+/// Returns a class whose messages may be sent any number of times.
 pub fn idempotent() -> Class {
     Class { idempotency: Idempotency::Idempotent, ..Class::default() }
 }
 
-/// Settings of a single gateway with these classes, and defaults for all else.
+/// Returns the settings of a single gateway with these classes, and defaults for everything else.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings { classes, fleet_size: 1, ..Settings::default() }
 }
 
-/// A ready endpoint that takes 100 calls a second.
+/// Returns a ready endpoint with a capacity hint of 100 calls a second.
 pub fn endpoint(id: u32, destination: u16) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
@@ -47,20 +46,20 @@
     }
 }
 
-/// A message of a live client, enqueued now.
+/// Returns a message that is enqueued now and was not redelivered.
 pub fn accepted(
     now: Time,
     id: u32,
-    (class, rules): (ClassId, &Class),
+    (class_id, class): (ClassId, &Class),
     destination: u16,
     key: Option<u64>,
 ) -> AcceptedMessage {
     AcceptedMessage {
         id: MessageId(id),
-        class,
+        class: class_id,
         destination: DestinationId(destination.into()),
         key: key.map(OrderingKey),
-        deadline: now + rules.deadline,
+        deadline: now + class.deadline,
         is_redelivered: false,
         tenant: TenantId(0),
     }
@@ -79,12 +78,12 @@
     pub scheduler: Scheduler,
     pub now: Time,
     pub settings: Settings,
-    /// Attempts of each message so far.
+    /// Number of attempts of each message so far.
     attempts: BTreeMap<u32, u16>,
 }
 
 impl TestBench {
-    /// A scheduler that knows these endpoints, at 100 s of its clock.
+    /// Returns a scheduler with these endpoints listed, and its clock at 100 s.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut bench = TestBench {
             scheduler: Scheduler::new(settings.clone(), 1),
@@ -101,13 +100,13 @@
         self.scheduler.handle(self.now, event);
     }
 
-    /// Accepts a message of a class, which is named by its number.
+    /// Accepts a message of the class with this number.
     pub fn accept(&mut self, id: u32, class: u8, destination: u16, key: Option<u64>) {
         let class = (ClassId(class), &self.settings.classes[usize::from(class)]);
         self.handle(Event::MessageAccepted(accepted(self.now, id, class, destination, key)));
     }
 
-    /// Lets the scheduler decide now.
+    /// Lets the scheduler decide now; returns its actions.
     pub fn decide(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.decide(self.now, &mut actions);
@@ -130,8 +129,8 @@
         self.decide().iter().filter_map(started).collect()
     }
 
-    /// Advances time in small steps, deciding at each; stops at the first step with an attempt or a final
-    /// outcome.
+    /// Advances time in steps of 5 ms, deciding at each, and stops at the first one with an action other than setting a
+    /// timer. Returns its actions without the timer, or none if the time limit has passed.
     pub fn advance_until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
@@ -145,14 +144,14 @@
         Vec::new()
     }
 
-    /// The same bench with a new scheduler of other settings and another seed.
+    /// Replaces the scheduler by a new one with these settings, seed and endpoints; the clock goes on.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.scheduler = Scheduler::new(settings.clone(), seed);
         self.settings = settings;
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints)));
     }
 
-    /// Reports the outcome of a message's last attempt.
+    /// Reports the outcome of a message's last attempt, without a load report.
     pub fn finish(&mut self, message: u32, endpoint: u32, outcome: AttemptOutcome, latency: Duration) {
         self.finish_with_report(message, endpoint, outcome, latency, None);
     }
@@ -184,7 +183,7 @@
     }
 }
 
-/// A scheduler with one class, and endpoint 7 as the only one of destination 1.
+/// Returns a scheduler with one class, and endpoint 7 as the only one of destination 1.
 pub fn single_destination(class: Class) -> TestBench {
     TestBench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of gateways, and one destination that has an outage and recovers: how much is sent to it, and by whom.
+//! A simulated fleet of gateways, and one destination that has an outage and recovers. Measures how many calls the
+//! gateways send to it, before the outage and after the recovery.
 
 use super::{accepted, endpoint};
 use delivery_gateway::*;
@@ -6,10 +7,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What the destination does with calls during its outage.
+/// How the destination responds to calls during its outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Rejects, with a Retry-After until it recovers.
+    /// Rejects, with a Retry-After that ends when it recovers.
     RejectsWithRetryAfter,
     /// Rejects without a Retry-After.
     Rejects,
@@ -19,16 +20,16 @@
     Unresponsive,
 }
 
-/// What a fleet is put through.
+/// The fleet, its load and the outage of one run.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub outage: OutageKind,
     pub fleet_size: u32,
     /// Calls a second that the destination serves when it is warm.
     pub capacity_per_sec: f64,
-    /// The rate that the endpoint list announces, relative to the capacity.
-    pub announced_ratio: f64,
-    /// Messages a second, relative to the capacity.
+    /// The capacity hint of the endpoint list, as a ratio of the capacity.
+    pub capacity_hint_ratio: f64,
+    /// Messages a second, as a ratio of the capacity.
     pub load: f64,
     /// Messages that a call may carry.
     pub batch: usize,
@@ -39,14 +40,14 @@
     pub seed: u64,
 }
 
-/// What was seen in one run.
+/// The result of one run.
 pub struct Observed {
-    /// The most that gateways which saw the outage sent in an overload window, relative to what the
-    /// destination survives.
-    pub worst_overload: f64,
+    /// The most that gateways which had seen the outage sent in an overload window, as a ratio of what the
+    /// destination can take without failing again.
+    pub max_overload: f64,
     /// Ratio of the messages enqueued since the recovery that were delivered.
     pub delivered_ratio: f64,
-    /// Calls served before the outage, relative to what the destination could have served.
+    /// Calls served before the outage, as a ratio of what the destination could have served.
     pub served_ratio: f64,
     /// Ratio of the calls before the outage that were rejected.
     pub rejected_ratio: f64,
@@ -58,9 +59,9 @@
     }
 }
 
-/// How unevenly messages are spread over gateways: at 0 evenly, at 1 a few carry most.
+/// How unevenly messages are spread over gateways: at 0 evenly, at 1 most go to a few gateways.
 const SKEW: f64 = 0.9;
-/// Weight of a further message in a call, relative to the call itself.
+/// Weight of each further message in a call, as a ratio of the weight of the call.
 const FURTHER_MESSAGE_WEIGHT: f64 = 0.15;
 const OUTAGE_DURATION: Duration = Duration::from_secs(14);
 /// Steps of the simulated clock.
@@ -77,14 +78,14 @@
     timer: Option<(Time, u64)>,
     /// Its share of all messages.
     traffic_ratio: f64,
-    /// Has handled events since its last decision.
+    /// It has handled events since its last decision.
     has_events: bool,
-    /// Saw a failure or a rejection during the outage.
+    /// One of its calls failed or was rejected during the outage.
     saw_outage: bool,
 }
 
-/// The outcome of an attempt, on its way to the gateway.
-struct Arriving {
+/// The outcome of an attempt that the gateway has not yet received.
+struct PendingOutcome {
     gateway: usize,
     message: MessageId,
     attempt: u16,
@@ -100,22 +101,22 @@
     outage_at: Time,
     recovery_at: Time,
     gateways: Vec<Gateway>,
-    /// Ordered by time, and by the number of the attempt at the same time.
-    arriving: BTreeMap<(Time, usize), Arriving>,
-    /// Attempts of each message so far.
+    /// Outcomes by arrival time, and by the number of the attempt within the same time.
+    pending_outcomes: BTreeMap<(Time, usize), PendingOutcome>,
+    /// Number of attempts of each message so far.
     attempts: BTreeMap<MessageId, u16>,
     total_attempts: usize,
-    /// Calls that the destination accepts before it rejects.
-    room: f64,
-    /// What gateways that saw the outage sent since the recovery, by weight.
+    /// Calls that the destination accepts now before it rejects.
+    available_calls: f64,
+    /// Weights of what gateways that had seen the outage sent since the recovery.
     sent_weights: Vec<(Time, f64)>,
     /// Messages enqueued since the recovery.
     enqueued_since_recovery: BTreeSet<MessageId>,
-    /// Those of them that were delivered.
+    /// Number of these that were delivered.
     delivered_since_recovery: usize,
-    /// Calls before the outage.
+    /// Number of calls before the outage.
     early_calls: usize,
-    /// Those of them that were rejected.
+    /// Number of these that were rejected.
     early_rejections: usize,
 }
 
@@ -123,17 +124,17 @@
 pub fn run(scenario: Scenario) -> Observed {
     let mut fleet = RecoveringFleet::new(scenario);
     let end = fleet.recovery_at + fleet.settings.limits.warm_up;
-    let mut worst_overload = 0.0_f64;
+    let mut max_overload = 0.0_f64;
     while fleet.now < end {
         fleet.step();
         if fleet.has_recovered() {
-            worst_overload = worst_overload.max(fleet.overload());
+            max_overload = max_overload.max(fleet.overload());
         }
     }
     let possible = scenario.capacity_per_sec * scenario.outage_after.as_secs_f64();
     let enqueued = fleet.enqueued_since_recovery.len().max(1);
     Observed {
-        worst_overload,
+        max_overload,
         delivered_ratio: fleet.delivered_since_recovery as f64 / enqueued as f64,
         served_ratio: (fleet.early_calls - fleet.early_rejections) as f64 / possible,
         rejected_ratio: fleet.early_rejections as f64 / fleet.early_calls.max(1) as f64,
@@ -169,18 +170,25 @@
     }
 }
 
-/// Gateways that know the endpoint list and have no messages yet.
+/// Returns gateways that have the endpoint list and no messages yet.
 fn new_gateways(scenario: &Scenario, settings: &Settings, now: Time) -> Vec<Gateway> {
-    let weight = scenario.capacity_per_sec * scenario.announced_ratio;
-    let listed = Endpoint { capacity_hint: weight, ..endpoint(ENDPOINT.0, DESTINATION) };
-    let traffic: Vec<f64> = (0..scenario.fleet_size).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
-    let all: f64 = traffic.iter().sum();
-    let gateway = |(number, traffic): (usize, &f64)| {
+    let capacity_hint = scenario.capacity_per_sec * scenario.capacity_hint_ratio;
+    let listed = Endpoint { capacity_hint, ..endpoint(ENDPOINT.0, DESTINATION) };
+    let traffic_weights: Vec<f64> =
+        (0..scenario.fleet_size).map(|number| f64::from(number + 1).powf(-SKEW)).collect();
+    let total_weight: f64 = traffic_weights.iter().sum();
+    let gateway = |(number, weight): (usize, &f64)| {
         let mut scheduler = Scheduler::new(settings.clone(), scenario.seed * 1000 + number as u64);
         scheduler.handle(now, Event::EndpointsUpdated(EndpointUpdate::Snapshot(vec![listed.clone()])));
-        Gateway { scheduler, timer: None, traffic_ratio: traffic / all, has_events: true, saw_outage: false }
+        Gateway {
+            scheduler,
+            timer: None,
+            traffic_ratio: weight / total_weight,
+            has_events: true,
+            saw_outage: false,
+        }
     };
-    traffic.iter().enumerate().map(gateway).collect()
+    traffic_weights.iter().enumerate().map(gateway).collect()
 }
 
 impl RecoveringFleet {
@@ -195,10 +203,10 @@
             now: start,
             outage_at: start + scenario.outage_after,
             recovery_at: start + scenario.outage_after + OUTAGE_DURATION,
-            arriving: BTreeMap::new(),
+            pending_outcomes: BTreeMap::new(),
             attempts: BTreeMap::new(),
             total_attempts: 0,
-            room: 1.0,
+            available_calls: 1.0,
             sent_weights: Vec::new(),
             enqueued_since_recovery: BTreeSet::new(),
             delivered_since_recovery: 0,
@@ -209,8 +217,9 @@
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        let capacity = self.capacity();
-        self.room = (self.room + capacity * STEP.as_secs_f64()).min(capacity / 2.0 + 1.0);
+        let capacity = self.capacity_per_sec();
+        self.available_calls =
+            (self.available_calls + capacity * STEP.as_secs_f64()).min(capacity / 2.0 + 1.0);
         self.enqueue_messages();
         self.fire_timers();
         self.deliver_outcomes();
@@ -225,32 +234,35 @@
         self.now >= self.recovery_at
     }
 
-    /// Calls a second that the destination can serve at this moment.
-    fn capacity(&self) -> f64 {
+    /// Returns the calls a second that the destination can serve now.
+    fn capacity_per_sec(&self) -> f64 {
         let limits = &self.settings.limits;
-        let warmth = ((self.now - self.recovery_at).as_secs_f64() / limits.warm_up.as_secs_f64()).min(1.0);
+        let warm_up_progress =
+            ((self.now - self.recovery_at).as_secs_f64() / limits.warm_up.as_secs_f64()).min(1.0);
         let ratio = if self.has_recovered() {
-            limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warmth
+            limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warm_up_progress
         } else {
             1.0
         };
         self.scenario.capacity_per_sec * ratio
     }
 
-    /// What was sent in the last overload window, relative to what the destination survives.
+    /// Returns what was sent in the last overload window, as a ratio of what the destination can take without failing
+    /// again.
     fn overload(&self) -> f64 {
         let limits = &self.settings.limits;
-        let survives = limits.overload_multiple * self.capacity() * limits.overload_window.as_secs_f64();
+        let sustainable =
+            limits.overload_multiple * self.capacity_per_sec() * limits.overload_window.as_secs_f64();
         let recent = self.sent_weights.iter().filter(|(at, _)| self.now - *at < limits.overload_window);
-        recent.map(|(_, weight)| weight).sum::<f64>() / survives
+        recent.map(|(_, weight)| weight).sum::<f64>() / sustainable
     }
 
     fn enqueue_messages(&mut self) {
         let has_recovered = self.has_recovered();
-        let all = self.scenario.capacity_per_sec * self.scenario.load * STEP.as_secs_f64();
+        let messages_per_step = self.scenario.capacity_per_sec * self.scenario.load * STEP.as_secs_f64();
         let class = (ClassId(0), &self.settings.classes[0]);
         for gateway in &mut self.gateways {
-            if self.rng.f64() >= all * gateway.traffic_ratio {
+            if self.rng.f64() >= messages_per_step * gateway.traffic_ratio {
                 continue;
             }
             let id = MessageId(self.attempts.len() as u32);
@@ -275,8 +287,9 @@
 
     fn deliver_outcomes(&mut self) {
         let is_out = self.is_out();
-        while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
+        while let Some(entry) = self.pending_outcomes.first_entry().filter(|entry| entry.key().0 <= self.now)
+        {
+            let PendingOutcome { gateway, message, attempt, outcome, sent_at } = entry.remove();
             let completes_message = outcome == AttemptOutcome::Delivered;
             if completes_message && self.enqueued_since_recovery.contains(&message) {
                 self.delivered_since_recovery += 1;
@@ -297,8 +310,8 @@
         }
     }
 
-    /// Lets a gateway decide, and sends what it starts. Attempts of one decision share one call: one outcome, and a
-    /// little weight for each further message.
+    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share one call: it has
+    /// one outcome, and each message after the first adds a small weight.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
@@ -316,8 +329,8 @@
                         let weight = if call.is_none() { 1.0 } else { FURTHER_MESSAGE_WEIGHT };
                         self.sent_weights.push((self.now, weight));
                     }
-                    let (outcome, takes) = *call.get_or_insert_with(|| self.call(attempt_timeout));
-                    self.start_attempt(number, message, outcome, takes);
+                    let (outcome, duration) = *call.get_or_insert_with(|| self.call(attempt_timeout));
+                    self.start_attempt(number, message, outcome, duration);
                 }
                 _ => {}
             }
@@ -329,23 +342,23 @@
         gateway: usize,
         message: MessageId,
         outcome: AttemptOutcome,
-        takes: Duration,
+        duration: Duration,
     ) {
         let attempts = self.attempts.entry(message).or_default();
         let attempt = *attempts;
         *attempts += 1;
         self.total_attempts += 1;
-        let arriving = Arriving { gateway, message, attempt, outcome, sent_at: self.now };
-        self.arriving.insert((self.now + takes, self.total_attempts), arriving);
+        let pending = PendingOutcome { gateway, message, attempt, outcome, sent_at: self.now };
+        self.pending_outcomes.insert((self.now + duration, self.total_attempts), pending);
     }
 
-    /// The outcome of a call that is sent now, and how long it takes.
+    /// Returns the outcome of a call that is sent now, and how long it takes.
     fn call(&mut self, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
         if !self.is_out() {
             return self.call_in_service();
         }
         match self.scenario.outage {
-            // A Retry-After counts from its response.
+            // A Retry-After starts when its response arrives.
             OutageKind::RejectsWithRetryAfter => {
                 let retry_after = (self.recovery_at - self.now).saturating_sub(FAILURE_TIME);
                 (AttemptOutcome::Rejected(Some(retry_after)), FAILURE_TIME)
@@ -359,14 +372,14 @@
     fn call_in_service(&mut self) -> (AttemptOutcome, Duration) {
         let early = usize::from(self.now < self.outage_at);
         self.early_calls += early;
-        if self.room < 1.0 {
+        if self.available_calls < 1.0 {
             self.early_rejections += early;
             if self.scenario.rejections_use_capacity {
-                self.room = 0.0;
+                self.available_calls = 0.0;
             }
             return (AttemptOutcome::Rejected(None), FAILURE_TIME);
         }
-        self.room -= 1.0;
+        self.available_calls -= 1.0;
         (AttemptOutcome::Delivered, DELIVERY_TIME)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many gateways at a destination whose rejected calls use up the limit as well: sent more than it serves, it
-//! serves nobody, and each gateway calls it so rarely that it learns of that late.
+//! Many gateways at a destination whose rejected calls use up the limit as well. If they send more than it can serve,
+//! it serves nobody, and each gateway calls it so rarely that it learns of the overload late.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// The step from which every response is an endless Retry-After, in the test of odd rates.
+/// The step from which every response is a Retry-After without end, in the test of extreme capacity hints.
 const REJECTED_FROM: u32 = 20_000;
 const FLEET: Scenario = Scenario {
     outage: OutageKind::Down,
     fleet_size: 100,
     capacity_per_sec: 20.0,
-    announced_ratio: 1.0,
+    capacity_hint_ratio: 1.0,
     load: 2.0,
     batch: 1,
     outage_after: Duration::from_secs(6),
@@ -22,10 +22,10 @@
     seed: 1,
 };
 
-/// The fleet as a whole, and not each gateway, begins at the announced rate: what all sent at first would be
-/// rejected, and the rejections would keep the limit used up for seconds.
+/// The fleet as a whole, and not each gateway, starts at the listed limit. Otherwise the first calls of all gateways
+/// would be rejected, and the rejections would keep the limit used up for seconds.
 #[test]
-fn a_fleet_shares_the_announced_rate_from_the_first_call_on() {
+fn a_fleet_shares_the_listed_limit_from_the_first_call_on() {
     for seed in 1..=3 {
         let observed = run(Scenario { seed, ..FLEET });
         assert!(observed.served_ratio > 0.5, "seed {seed}: {observed}");
@@ -33,7 +33,7 @@
     }
 }
 
-/// A fleet that starts at one moment does not send its first calls at one moment.
+/// Gateways that start at the same moment must not all send their first call at the same moment.
 #[test]
 fn the_first_calls_of_a_fleet_are_spread() {
     for seed in 1..=3 {
@@ -42,10 +42,10 @@
     }
 }
 
-/// Each gateway learns of the limit only with its next call, seconds later: what all of them add meanwhile
-/// must stay small, or rejected calls use up the limit most of the time.
+/// Each gateway learns of the limit only with its next call, seconds later. What all gateways add to their rates
+/// meanwhile must stay small, or rejected calls use up the limit most of the time.
 #[test]
-fn a_fleet_that_wants_more_than_the_limit_is_rarely_rejected() {
+fn a_fleet_with_more_load_than_the_limit_is_rarely_rejected() {
     for seed in 1..=3 {
         let observed = run(Scenario { outage_after: Duration::from_secs(60), seed, ..FLEET });
         assert!(observed.served_ratio > 0.8, "seed {seed}: {observed}");
@@ -53,10 +53,10 @@
     }
 }
 
-/// Rates of the endpoint list and settings may be missing or far off, and a Retry-After absurdly long: a
-/// gateway neither panics, nor floods the destination, nor holds its messages back for good.
+/// Capacity hints and fleet sizes may be missing or far off, and a Retry-After may have no end. A gateway must not
+/// panic, flood the destination, or hold its messages back for good.
 #[test]
-fn odd_rates_fleet_sizes_and_retry_afters_do_no_harm() {
+fn extreme_capacity_hints_fleet_sizes_and_retry_afters_are_handled() {
     for capacity_hints in [CapacityHints::Ignored, CapacityHints::Approximate, CapacityHints::Exact] {
         for capacity_hint in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
             for fleet_size in [0, 1, 100, u32::MAX] {
@@ -73,7 +73,6 @@
                     for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                         calls += 1;
                         calls_after_rejection += usize::from(step >= REJECTED_FROM);
-                        // From then on every response is an endless Retry-After.
                         let outcome = if step < REJECTED_FROM {
                             AttemptOutcome::Delivered
                         } else {
@@ -85,7 +84,7 @@
                 assert!((1..=120).contains(&calls), "{case}: {calls} calls for 120 messages");
                 assert!(
                     calls_after_rejection <= 1,
-                    "{case}: {calls_after_rejection} calls inside an endless Retry-After"
+                    "{case}: {calls_after_rejection} calls during a Retry-After without end"
                 );
                 let mut scheduler = bench.scheduler;
                 assert!(
@@ -97,8 +96,8 @@
     }
 }
 
-/// An endpoint list that is empty, or late, leaves nothing to send to; messages still get their outcome in
-/// time.
+/// Without an endpoint list there is nothing to send to. Messages are rejected at their deadline, or sent if the list
+/// arrives before it.
 #[test]
 fn without_an_endpoint_list_messages_get_their_outcome_in_time() {
     let settings = Settings { fleet_size: 100, ..settings(vec![idempotent()]) };
@@ -111,9 +110,10 @@
     assert!(matches!(bench.advance_until_action(deadline)[..], [Action::StartAttempt { .. }]));
 }
 
-/// After a lowered limit a low-traffic gateway is back at its part within a few calls, not minutes.
+/// After rejections a gateway with low traffic calls so rarely that its rate could take minutes to grow. It must be
+/// back at its share of the listed limit within a few calls.
 #[test]
-fn a_reduced_rate_limit_recovers_to_the_announced_part() {
+fn a_reduced_rate_recovers_to_its_share_of_the_listed_limit() {
     let mut bench =
         TestBench::new(Settings { fleet_size: 100, ..settings(vec![idempotent()]) }, vec![endpoint(7, 1)]);
     let mut last_message = 0;
@@ -135,6 +135,6 @@
             end = bench.now + Duration::from_secs(20);
         }
     }
-    // Its part is one call a second.
+    // The gateway's share is one call a second.
     assert!(served >= 11, "{served} calls in 20 s");
 }
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -1,5 +1,5 @@
-//! What a whole fleet sends to a destination that recovers from an outage: the slow-start budget holds for the sum of
-//! all gateways, though each decides alone.
+//! A whole fleet and a destination that recovers from an outage: the slow-start budget must hold for the sum of what
+//! all gateways send, though each decides on its own.
 
 use super::common::*;
 use delivery_gateway::*;
@@ -12,18 +12,18 @@
 /// Steps of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
 const STEP_SECS: f64 = 0.005;
-/// From the start to the outage.
+/// Time from the start to the outage.
 const OUTAGE_AFTER: Duration = Duration::from_secs(5);
-/// From the start to the recovery.
+/// Time from the start to the recovery.
 const RECOVERY_AFTER: Duration = Duration::from_secs(15);
 /// How long a delivered call takes.
 const DELIVERY_TIME: Duration = Duration::from_millis(200);
 /// How long any other call takes, unless it times out.
 const FAILURE_TIME: Duration = Duration::from_millis(50);
-/// Least ratio of the possible calls that must be served after the recovery.
-const LEAST_SERVED: f64 = 0.2;
+/// Ratio of the possible calls that must be served after the recovery.
+const MIN_SERVED_RATIO: f64 = 0.2;
 
-/// What a fleet is put through.
+/// The fleet, its load and the outage of one run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     /// The outcome of all calls during the outage.
@@ -31,15 +31,15 @@
     fleet_size: u32,
     /// Calls a second that the destination serves when it is warm.
     capacity_per_sec: f64,
-    /// Messages a second, relative to the capacity.
+    /// Messages a second, as a ratio of the capacity.
     load: f64,
     /// Messages that a call may carry.
     batch: usize,
-    /// All processes are killed at the recovery, and know only what their journals hold.
+    /// All processes are killed at the recovery, and restore only what their journals hold.
     killed_at_recovery: bool,
 }
 
-/// A message without a final outcome, and how often it was attempted.
+/// A message without a final outcome, and the number of its attempts.
 struct PendingMessage {
     message: AcceptedMessage,
     attempts: u32,
@@ -49,15 +49,15 @@
 struct Gateway {
     scheduler: Scheduler,
     timer: Option<(Time, u64)>,
-    /// Has handled events since its last decision.
+    /// It has handled events since its last decision.
     has_events: bool,
     /// One of its calls failed or was rejected during the outage.
     saw_outage: bool,
     pending: BTreeMap<MessageId, PendingMessage>,
 }
 
-/// The outcome of an attempt, on its way to the gateway.
-struct Arriving {
+/// The outcome of an attempt that the gateway has not yet received.
+struct PendingOutcome {
     gateway: usize,
     message: MessageId,
     attempt: u16,
@@ -68,28 +68,28 @@
 /// A call since the recovery.
 struct Call {
     at: Time,
-    /// The gateway that sent it saw the outage.
+    /// The gateway that sent it had seen the outage.
     saw_outage: bool,
 }
 
-/// More calls in one overload window than the destination survives.
+/// An overload window with more calls than the destination can take without failing again.
 struct Overload {
     calls: usize,
-    /// Those of gateways that saw the outage.
+    /// Number of these calls by gateways that had seen the outage.
     calls_after_outage: usize,
-    /// Calls that the settings allow.
+    /// Number of calls that the settings allow.
     allowed: f64,
 }
 
-/// What was seen after a recovery.
+/// The result of one run after the recovery.
 struct Recovery {
     /// The first overload, if there was one. The run ends with it.
     overload: Option<Overload>,
-    /// Calls served, relative to what the destination could have served.
+    /// Calls served, as a ratio of what the destination could have served.
     served_ratio: f64,
 }
 
-/// A fleet and its destination, as simulated.
+/// A simulated fleet and its destination.
 struct Fleet {
     scenario: Scenario,
     seed: u64,
@@ -99,12 +99,12 @@
     outage_at: Time,
     recovery_at: Time,
     gateways: Vec<Gateway>,
-    /// Ordered by time, and by the number of the attempt at the same time.
-    arriving: BTreeMap<(Time, usize), Arriving>,
+    /// Outcomes by arrival time, and by the number of the attempt within the same time.
+    pending_outcomes: BTreeMap<(Time, usize), PendingOutcome>,
     last_message: u32,
     attempts: usize,
-    /// Calls that the destination accepts before it rejects.
-    room: f64,
+    /// Calls that the destination accepts now before it rejects.
+    available_calls: f64,
     /// Calls since the recovery.
     calls: Vec<Call>,
     /// Calls served since the recovery.
@@ -150,10 +150,10 @@
             outage_at: start + OUTAGE_AFTER,
             recovery_at: start + RECOVERY_AFTER,
             gateways: Vec::new(),
-            arriving: BTreeMap::new(),
+            pending_outcomes: BTreeMap::new(),
             last_message: 0,
             attempts: 0,
-            room: 1.0,
+            available_calls: 1.0,
             calls: Vec::new(),
             served: 0.0,
             possible: 0.0,
@@ -170,7 +170,7 @@
         fleet
     }
 
-    /// A scheduler that knows the endpoint list and nothing else.
+    /// Returns a scheduler that has the endpoint list and no other state.
     fn new_scheduler(&self, number: u64) -> Scheduler {
         let listed =
             Endpoint { capacity_hint: self.scenario.capacity_per_sec, ..endpoint(ENDPOINT.0, DESTINATION) };
@@ -179,13 +179,14 @@
         scheduler
     }
 
-    /// Lets the fleet live until the destination is warm again, or overloaded.
+    /// Runs the fleet until the destination is warm again, or overloaded.
     fn run(mut self) -> Recovery {
         let end = self.recovery_at + self.settings.limits.warm_up;
         while self.now < end {
             self.now = self.now + STEP;
             let capacity = self.capacity_per_sec();
-            self.room = f64::min(self.room + capacity * STEP_SECS, capacity / 2.0 + 1.0);
+            self.available_calls =
+                f64::min(self.available_calls + capacity * STEP_SECS, capacity / 2.0 + 1.0);
             if self.scenario.killed_at_recovery && self.is_first_step_after_recovery() {
                 self.kill_and_restart_all();
             }
@@ -215,19 +216,20 @@
         self.has_recovered() && self.now - self.recovery_at < STEP
     }
 
-    /// Calls a second that the destination can serve at this moment.
+    /// Returns the calls a second that the destination can serve now.
     fn capacity_per_sec(&self) -> f64 {
         let limits = &self.settings.limits;
-        let warmth = ((self.now - self.recovery_at).as_secs_f64() / limits.warm_up.as_secs_f64()).min(1.0);
+        let warm_up_progress =
+            ((self.now - self.recovery_at).as_secs_f64() / limits.warm_up.as_secs_f64()).min(1.0);
         let ratio = if self.has_recovered() {
-            limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warmth
+            limits.cold_capacity_ratio + (1.0 - limits.cold_capacity_ratio) * warm_up_progress
         } else {
             1.0
         };
         self.scenario.capacity_per_sec * ratio
     }
 
-    /// Replaces each process by one that has the circuits and messages of its journal; calls in flight are lost.
+    /// Replaces each process by one that restores the circuits and messages of its journal. Calls in flight are lost.
     fn kill_and_restart_all(&mut self) {
         for number in 0..self.gateways.len() {
             let mut scheduler = self.new_scheduler(500 + number as u64);
@@ -248,7 +250,7 @@
             gateway.timer = None;
             gateway.has_events = true;
         }
-        self.arriving.clear();
+        self.pending_outcomes.clear();
     }
 
     fn accept_messages_and_fire_timers(&mut self) {
@@ -273,8 +275,9 @@
 
     fn deliver_outcomes(&mut self) {
         let is_out = self.is_out();
-        while let Some(entry) = self.arriving.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            let Arriving { gateway, message, attempt, outcome, sent_at } = entry.remove();
+        while let Some(entry) = self.pending_outcomes.first_entry().filter(|entry| entry.key().0 <= self.now)
+        {
+            let PendingOutcome { gateway, message, attempt, outcome, sent_at } = entry.remove();
             let completes_message = outcome == AttemptOutcome::Delivered;
             let gateway = &mut self.gateways[gateway];
             gateway.scheduler.handle(
@@ -297,7 +300,8 @@
         }
     }
 
-    /// Lets a gateway decide, and sends what it starts. Attempts of one decision share calls, as many as one may carry.
+    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share calls, up to the
+    /// batch size.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
@@ -305,20 +309,20 @@
         let mut actions = Vec::new();
         self.gateways[number].scheduler.decide(self.now, &mut actions);
         let mut call = None;
-        let mut carried = 0;
+        let mut messages_in_call = 0;
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => {
                     self.gateways[number].timer = Some((self.now + after, token));
                 }
                 Action::StartAttempt { message, attempt_timeout, .. } => {
-                    if carried == self.scenario.batch {
+                    if messages_in_call == self.scenario.batch {
                         call = None;
-                        carried = 0;
+                        messages_in_call = 0;
                     }
-                    carried += 1;
-                    let (outcome, takes) = *call.get_or_insert_with(|| self.call(number, attempt_timeout));
-                    self.start_attempt(number, message, outcome, takes);
+                    messages_in_call += 1;
+                    let (outcome, duration) = *call.get_or_insert_with(|| self.call(number, attempt_timeout));
+                    self.start_attempt(number, message, outcome, duration);
                 }
                 Action::Reject { message, .. } | Action::ReportFailure { message } => {
                     self.gateways[number].pending.remove(&message);
@@ -328,7 +332,7 @@
         }
     }
 
-    /// The outcome of a call that is sent now, and how long it takes.
+    /// Returns the outcome of a call that is sent now, and how long it takes.
     fn call(&mut self, gateway: usize, attempt_timeout: Duration) -> (AttemptOutcome, Duration) {
         if self.has_recovered() {
             self.calls.push(Call { at: self.now, saw_outage: self.gateways[gateway].saw_outage });
@@ -337,10 +341,10 @@
             let timed_out = self.scenario.outage == AttemptOutcome::Timeout;
             return (self.scenario.outage, if timed_out { attempt_timeout } else { FAILURE_TIME });
         }
-        if self.room < 1.0 {
+        if self.available_calls < 1.0 {
             return (AttemptOutcome::Rejected(None), FAILURE_TIME);
         }
-        self.room -= 1.0;
+        self.available_calls -= 1.0;
         if self.has_recovered() {
             self.served += 1.0;
         }
@@ -352,7 +356,7 @@
         gateway: usize,
         message: MessageId,
         outcome: AttemptOutcome,
-        takes: Duration,
+        duration: Duration,
     ) {
         self.attempts += 1;
         let Some(pending) = self.gateways[gateway].pending.get_mut(&message) else {
@@ -360,12 +364,12 @@
         };
         let attempt = pending.attempts as u16;
         pending.attempts += 1;
-        let arriving = Arriving { gateway, message, attempt, outcome, sent_at: self.now };
-        self.arriving.insert((self.now + takes, self.attempts), arriving);
+        let pending = PendingOutcome { gateway, message, attempt, outcome, sent_at: self.now };
+        self.pending_outcomes.insert((self.now + duration, self.attempts), pending);
     }
 
-    /// Whether the last overload window had more calls than allowed, beyond what chance explains: two standard
-    /// deviations and two calls.
+    /// Returns the overload if the last overload window had more calls than allowed, beyond what chance explains: two
+    /// standard deviations and two calls.
     fn overload(&self, capacity_per_sec: f64) -> Option<Overload> {
         let limits = &self.settings.limits;
         let recent = || self.calls.iter().filter(|call| self.now - call.at < limits.overload_window);
@@ -380,10 +384,11 @@
     }
 }
 
-/// Cold destinations can be overloaded by the sum of what all gateways send. In fleets of twenty and thirty, no
-/// overload may come by more than two thirds from gateways that saw the outage.
+/// Runs fleets of twenty and thirty gateways through outages of all kinds. A cold destination can be overloaded by the
+/// sum of what all gateways send; in no overload may more than two thirds of the calls be by gateways that had seen the
+/// outage.
 fn assert_slow_start_budget_holds(killed_at_recovery: bool) {
-    let mut broken = Vec::new();
+    let mut overloads = Vec::new();
     for outage in [
         AttemptOutcome::ConnectFailed,
         AttemptOutcome::Timeout,
@@ -397,29 +402,31 @@
             for (load, batch) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
                 let scenario =
                     Scenario { outage, fleet_size, capacity_per_sec, load, batch, killed_at_recovery };
-                broken.extend((1..=3).filter_map(|seed| overload_after_outage(scenario, seed)));
+                overloads.extend((1..=3).filter_map(|seed| overload_after_outage(scenario, seed)));
             }
         }
     }
-    assert!(broken.is_empty(), "{} of 360: {broken:#?}", broken.len());
+    assert!(overloads.is_empty(), "{} of 360 runs: {overloads:#?}", overloads.len());
 }
 
-/// Describes the overload that gateways which saw the outage caused in this run, if they caused one. The budget must
-/// not be kept by sending next to nothing either.
+/// Describes the overload of this run, if there was one and gateways that had seen the outage caused it. Panics if the
+/// fleet kept the budget by sending almost nothing.
 fn overload_after_outage(scenario: Scenario, seed: u64) -> Option<String> {
     let Recovery { overload, served_ratio } = Fleet::new(scenario, seed).run();
-    assert!(served_ratio > LEAST_SERVED, "{scenario:?}, seed {seed}: {served_ratio:.2} served");
+    assert!(served_ratio > MIN_SERVED_RATIO, "{scenario:?}, seed {seed}: {served_ratio:.2} served");
     let Overload { calls, calls_after_outage, allowed } = overload?;
     (calls_after_outage * 3 > calls * 2).then(|| {
         format!("{scenario:?}, seed {seed}: {calls_after_outage} of {calls} calls, {allowed:.1} allowed")
     })
 }
 
+/// Gateways that each keep within the whole budget would overload the destination together.
 #[test]
 fn the_slow_start_budget_holds_for_twenty_and_thirty_processes_together() {
     assert_slow_start_budget_holds(false);
 }
 
+/// Processes that lost their circuits with a kill would start again at the full rate.
 #[test]
 fn the_slow_start_budget_holds_for_killed_processes_together() {
     assert_slow_start_budget_holds(true);
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -1,4 +1,5 @@
-//! Idempotency windows that are as short as the time between restarts.
+//! Idempotency windows that are as short as the time between restarts: a process that restores a message must not send
+//! it after the window of an attempt that an earlier process made.
 
 use super::common::*;
 use delivery_gateway::*;
@@ -8,25 +9,25 @@
 const MESSAGE: MessageId = MessageId(1);
 const ENDPOINT: EndpointId = EndpointId(11);
 const DESTINATION: u16 = 3;
-/// Processes that restore the message one after the other.
+/// Number of processes that restore the message one after the other.
 const PROCESSES: u64 = 3;
-/// Decisions of each process.
+/// Number of decisions of each process, one every 5 ms.
 const DECISIONS: usize = 60;
 
-/// One message whose first attempt may have run, and the process that has restored it.
+/// A message whose first attempt may have run, and the process that has restored it.
 struct Restored {
     bench: TestBench,
     /// When the first attempt was sent.
     first_sent_at: Time,
     seed: u64,
     attempts: u32,
-    /// Attempts since the first process was killed.
+    /// Number of attempts since the first process was killed.
     resent: u32,
     has_failed: bool,
 }
 
 impl Restored {
-    /// Replaces the process by one that has read the message from the journal.
+    /// Replaces the process by one that restores the message from the journal.
     fn restart(&mut self, process: u64) {
         let settings = self.bench.settings.clone();
         let class = &settings.classes[0];
@@ -50,7 +51,7 @@
                 match action {
                     Action::StartAttempt { send_within, .. } => self.attempt(send_within, case),
                     Action::ReportFailure { .. } => self.has_failed = true,
-                    Action::Reject { .. } => panic!("it may have run and cannot be rejected"),
+                    Action::Reject { .. } => panic!("rejected although it may have run"),
                     _ => {}
                 }
             }
@@ -58,12 +59,13 @@
         }
     }
 
-    /// An attempt must be sent inside the window. Rejected or broken, it may be repeated in the same process.
+    /// Checks that an attempt can only be sent inside the window. It ends without a success, so that the same process
+    /// may retry.
     fn attempt(&mut self, send_within: Duration, case: &str) {
         let latest = self.bench.now + send_within;
         let window_end = self.first_sent_at + WINDOW;
         assert!(!self.has_failed, "sent after its final outcome");
-        assert!(latest <= window_end, "{case}: may be sent {:?} late", latest - window_end);
+        assert!(latest <= window_end, "{case}: may be sent {:?} after its window", latest - window_end);
         self.attempts += 1;
         self.resent += 1;
         let outcome =
@@ -84,9 +86,9 @@
     endpoint(ENDPOINT.0, DESTINATION)
 }
 
-/// Restores a message so long after its first attempt, kills the process with the call in flight, and so on. Returns
-/// how often it was sent again.
-fn resends_after(passed: Duration, seed: u64) -> u32 {
+/// Restores a message this time after its first attempt, kills the process, restores the message in the next one, and
+/// so on. Returns how often it was sent again.
+fn resends_after(elapsed: Duration, seed: u64) -> u32 {
     let class = Class {
         idempotency_window: WINDOW,
         latency_objective: ms(700),
@@ -96,10 +98,10 @@
     let settings = Settings { outcomes_need_acknowledgement: true, ..settings(vec![class]) };
     let mut bench = TestBench::new(settings, vec![listed()]);
     let first_sent_at = bench.now;
-    bench.now = first_sent_at + passed;
+    bench.now = first_sent_at + elapsed;
     let mut restored = Restored { bench, first_sent_at, seed, attempts: 1, resent: 0, has_failed: false };
     for process in 0..PROCESSES {
-        let case = format!("restored after {passed:?}, process {process}, seed {seed}");
+        let case = format!("restored after {elapsed:?}, process {process}, seed {seed}");
         restored.restart(process);
         restored.run(&case);
         if restored.has_failed {
@@ -109,15 +111,15 @@
     restored.resent
 }
 
-/// Whenever the first attempt was sent, and however often the process was killed since, nothing is sent after a window
-/// of 1 s.
+/// A message sent after its idempotency window could be processed twice. With a window of 1 s, that must not happen
+/// whenever the first attempt was sent, and however often the process was killed since.
 #[test]
 fn nothing_is_sent_outside_a_one_second_window_over_kills() {
     let mut resent = 0;
-    for passed_ms in (0..1_200).step_by(40) {
+    for elapsed_ms in (0..1_200).step_by(40) {
         for seed in 1..=4 {
-            resent += resends_after(ms(passed_ms), seed);
+            resent += resends_after(ms(elapsed_ms), seed);
         }
     }
-    assert!(resent > 100, "only {resent} were sent again: the window is not used");
+    assert!(resent > 100, "only {resent} attempts after a restore: the window is not used");
 }
--- a/tests/scheduler_guarantees/main.rs
+++ b/tests/scheduler_guarantees/main.rs
@@ -1,5 +1,5 @@
-//! Guarantees of the scheduler that hold for a whole fleet or over restarts. They are tested on the scheduler alone,
-//! without sockets and with a simulated clock.
+//! Tests of what the scheduler guarantees for a whole fleet or over restarts. They run the scheduler alone, without
+//! sockets and with a simulated clock.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -1,25 +1,26 @@
-//! What a restart does with messages that were accepted and never attempted.
+//! Messages that were accepted but never attempted before a restart.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
 const DESTINATIONS: u16 = 40;
-/// Every so many destinations, one has an open circuit.
+/// One of this many destinations has an open circuit.
 const OPEN_CIRCUIT_EVERY: usize = 4;
-/// Classes of messages, one of each kind of idempotency.
+/// Number of classes, one of each kind of idempotency.
 const CLASSES: u32 = 3;
 /// How long a call takes.
 const LATENCY: Duration = Duration::from_millis(40);
 
-/// What became of the restored messages in the time that they had left.
+/// Outcomes of the restored messages until their deadline.
 struct Outcomes {
+    /// Number of messages that were attempted.
     attempted: usize,
-    /// Messages that were given up without an attempt, by class.
+    /// Number of messages that were given up without an attempt, by class.
     given_up: [u32; CLASSES as usize],
 }
 
-/// Restores open circuits for a part of the destinations.
+/// Restores an open circuit for one of [`OPEN_CIRCUIT_EVERY`] destinations.
 fn restore_circuits(bench: &mut TestBench) {
     for destination in (1..=u32::from(DESTINATIONS)).step_by(OPEN_CIRCUIT_EVERY) {
         bench.handle(Event::CircuitRestored(CircuitRecord {
@@ -38,12 +39,12 @@
 fn restore_messages(bench: &mut TestBench, count: u32, time_left: Duration) {
     let classes = bench.settings.classes.clone();
     for id in 0..count {
-        let class = ClassId((id % CLASSES) as u8);
-        let rules = &classes[usize::from(class.0)];
+        let class_id = ClassId((id % CLASSES) as u8);
+        let class = &classes[usize::from(class_id.0)];
         let destination = (id % u32::from(DESTINATIONS) + 1) as u16;
         let message = AcceptedMessage {
             deadline: bench.now + time_left,
-            ..accepted(bench.now, id, (class, rules), destination, None)
+            ..accepted(bench.now, id, (class_id, class), destination, None)
         };
         bench.handle(Event::MessageRestored(RestoredMessage {
             message,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Delivers all that is sent until the messages' deadline.
+/// Delivers every attempt until the messages' deadline.
 fn run_until(bench: &mut TestBench, deadline: Time, messages: u32) -> Outcomes {
     let mut attempted = vec![false; messages as usize];
     let mut given_up = [0; CLASSES as usize];
@@ -78,13 +79,13 @@
     Outcomes { attempted: attempted.into_iter().filter(|attempted| *attempted).count(), given_up }
 }
 
-/// Messages that a restart finds unattempted, with half of their time left, are attempted and not given up early: of
-/// each class, with open circuits at many destinations, and as many messages as may be pending.
+/// Load shedding or open circuits must not give up restored messages that still have half of their time. The test has
+/// messages of each class, as many as may be pending, and open circuits at a quarter of the destinations.
 #[test]
 fn unattempted_messages_are_attempted_after_a_restart() {
     let classes = vec![idempotent_with_key(), non_idempotent(), idempotent()];
     let settings = Settings { outcomes_need_acknowledgement: true, fleet_size: 300, ..settings(classes) };
-    // Ten messages for each destination, and a small part of its rate for them all: 1.3 calls a second, for 10 s.
+    // Each destination has ten messages and, for them all, a small share of its rate: 1.3 calls a second for 10 s.
     let listed = |number: u16| Endpoint { capacity_hint: 400.0, ..endpoint(u32::from(number), number) };
     let endpoints: Vec<Endpoint> = (1..=DESTINATIONS).map(listed).collect();
     let all = settings.max_pending_messages as u32;
@@ -96,7 +97,7 @@
         restore_messages(&mut bench, all, time_left);
         let deadline = bench.now + time_left;
         let Outcomes { attempted, given_up } = run_until(&mut bench, deadline, all);
-        // Load shedding down to what may be pending takes a tenth at most.
+        // Load shedding may reject a tenth at most, down to the number that may be pending.
         assert!(
             given_up.iter().all(|given_up| given_up * 10 <= all / 3),
             "seed {seed}: {given_up:?} of {} each given up",
--- a/tests/scheduler_guarantees/watch.rs
+++ b/tests/scheduler_guarantees/watch.rs
@@ -1,19 +1,19 @@
-//! How soon the watch on the endpoint list is established again: gateways must know of a change of the list before it
-//! counts as announced.
+//! Delays of the watch on the endpoint list: gateways must receive a change of the list before it counts as announced,
+//! as calls to draining endpoints have to stop then.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// A change of the list counts as announced so long after discovery had it and could be reached.
+/// A change of the list counts as announced this time after discovery has it and can be reached.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
-/// Gateways in fleets from very small to the largest expected.
+/// Number of gateways in fleets from very small to the largest expected.
 const FLEET_SIZES: [u32; 4] = [3, 30, 300, 6_900];
 /// Steps of the simulated clock.
 const STEP: Duration = Duration::from_millis(20);
 
-/// Time from the last of so many failures in a row to the next watch request; one step more than
-/// [`ANNOUNCED_AFTER`] at most if there is none until then.
+/// Returns the time from the last of several failures in a row to the next watch request, or the first step after
+/// [`ANNOUNCED_AFTER`] if there is no request until then.
 fn delay_after(failures: u32, fleet_size: u32, seed: u64, failure: &EndpointUpdate) -> Duration {
     let mut scheduler = Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed);
     let start = Time::ZERO + Duration::from_secs(100);
@@ -30,8 +30,8 @@
     delay
 }
 
-/// Backoff after rejected watch requests is limited: the next one is made before a change can count as announced,
-/// however often the watch was rejected and however large the fleet is.
+/// The backoff after rejected watch requests grows with rejections and the size of the fleet. Without a limit a change
+/// would count as announced before the next request.
 #[test]
 fn a_rejected_watch_is_retried_before_a_change_counts_as_announced() {
     let mut late = Vec::new();
@@ -50,8 +50,8 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// A watch that failed, even one given up after all the time that discovery may take to respond, is requested again in
-/// time in every fleet.
+/// A watch request may fail as late as [`WATCH_RESPONSE_TIMEOUT`]. Even then the next one must be made before a change
+/// counts as announced, in a fleet of any size.
 #[test]
 fn a_failed_watch_is_retried_before_a_change_counts_as_announced() {
     for fleet_size in FLEET_SIZES {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Changes that discovery announced before a process started apply to it from its first moment: the first watch request
-/// leaves half of the time in which calls to draining endpoints must stop.
+/// Changes announced before a process started apply to it from its start. So its first watch request must leave half of
+/// the grace period after which calls to draining endpoints have to stop, in a fleet of any size.
 #[test]
 fn the_first_watch_is_in_time_in_every_fleet_size() {
     let drain_grace = Settings::default().limits.drain_grace;
