--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random sequences of events, with a fixed seed: the delivery rules hold for whatever the scheduler does. Outcomes are
-//! random; no endpoint is simulated.
+//! Checks the delivery rules against every action of the scheduler under random sequences of events, with a fixed seed.
+//! Outcomes are random too; no endpoint is simulated.
 
 mod common;
 
@@ -10,22 +10,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sequences for each property.
+/// Number of sequences for each property.
 const CASES: u32 = 60;
 /// Seed of the sequences.
 const SEED: [u8; 32] = [11; 32];
 /// Steps of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-/// Messages that a call may carry at most, in the settings below.
+/// The maximum number of messages in a call, in the settings below.
 const LARGEST_BATCH: usize = 3;
 
-/// One step of a sequence. Where it names one of several messages, that is the number `which`, modulo how many there
-/// are.
+/// One step of a sequence. `which`, or a `usize` alone, selects a message: it is taken modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many milliseconds pass.
+    /// Time passes, in milliseconds.
     Pass(u64),
-    /// An ordering key of 0 is none.
+    /// A key of 0 stands for none.
     Accept {
         class: u8,
         destination: u16,
@@ -73,7 +72,7 @@
     }
 }
 
-/// The zone of an endpoint: endpoints of two zones take turns.
+/// Returns the zone of an endpoint: even ids are in one zone, odd ids in the other.
 fn zone_of(endpoint: u32) -> ZoneId {
     ZoneId((endpoint % 2) as u8)
 }
@@ -95,7 +94,7 @@
     }
 }
 
-/// Six endpoints, two for each destination.
+/// Returns six endpoints, two for each destination.
 fn test_endpoints() -> Vec<Endpoint> {
     (0..6)
         .map(|id| Endpoint {
@@ -118,8 +117,8 @@
     at: Time,
 }
 
-/// What the judge knows of a message.
-struct JudgedMessage {
+/// A message as the rules see it, by the events and actions so far.
+struct CheckedMessage {
     class: usize,
     destination: u16,
     key: u64,
@@ -128,22 +127,22 @@
     /// The first attempt that may have run.
     first_uncertain: Option<SentTo>,
     attempts: u32,
-    /// Has its final outcome, or was abandoned by its client.
+    /// The message has its final outcome, or its client has abandoned it.
     is_completed: bool,
 }
 
-/// Judges each action by the delivery rules, from a record of its own and not from the scheduler's state.
-struct Judge {
+/// Checks each action against the delivery rules, by its own record of messages and not by the scheduler's state.
+struct RuleChecker {
     settings: Settings,
-    messages: BTreeMap<u32, JudgedMessage>,
+    messages: BTreeMap<u32, CheckedMessage>,
     /// Until when destinations must not be called.
     retry_after_ends: BTreeMap<u16, Time>,
-    /// Until when ordering keys are held back after an uncertain attempt.
+    /// Until when ordering keys are held after an uncertain attempt.
     key_holds: BTreeMap<u64, Time>,
     availabilities: BTreeMap<u32, Availability>,
 }
 
-impl Judge {
+impl RuleChecker {
     fn check_all(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Only a message that certainly had no effect may be rejected.
+    /// Only an idempotent message, or one that certainly had no effect, may be rejected.
     fn check_rejection(&mut self, now: Time, id: u32) {
         self.complete(now, id);
         let message = &self.messages[&id];
@@ -170,9 +169,12 @@
     }
 
     fn complete(&mut self, now: Time, id: u32) {
-        let message = self.messages.get_mut(&id).expect("outcomes only for accepted messages");
-        assert!(!message.is_completed, "one final outcome");
-        assert!(now <= message.deadline + self.settings.limits.final_outcome_grace, "in time");
+        let message = self.messages.get_mut(&id).expect("outcome of an accepted message");
+        assert!(!message.is_completed, "more than one final outcome");
+        assert!(
+            now <= message.deadline + self.settings.limits.final_outcome_grace,
+            "final outcome after the grace period"
+        );
         message.is_completed = true;
     }
 
@@ -180,49 +182,57 @@
         let message = &self.messages[&id];
         assert!(
             !message.is_completed && message.in_flight.is_none(),
-            "never two attempts at once, nothing after the final outcome"
+            "two attempts at once, or an attempt after the final outcome"
+        );
+        assert_eq!(
+            self.availabilities[&endpoint],
+            Availability::Ready,
+            "attempt to an endpoint that is not ready"
         );
-        assert_eq!(self.availabilities[&endpoint], Availability::Ready, "nothing to a drained endpoint");
         assert!(
             self.retry_after_ends.get(&message.destination).is_none_or(|end| *end <= now),
-            "Retry-After is kept"
+            "attempt during a Retry-After"
         );
         assert!(message.attempts < self.settings.max_attempts);
         self.check_retry(now, message, endpoint);
         self.check_order(now, id);
     }
 
-    /// After an attempt that may have run, only what deduplicates may be sent again.
-    fn check_retry(&self, now: Time, message: &JudgedMessage, endpoint: u32) {
+    /// After an attempt that may have run, a message may be sent again only if it is idempotent, or is deduplicated
+    /// there.
+    fn check_retry(&self, now: Time, message: &CheckedMessage, endpoint: u32) {
         let Some(first) = message.first_uncertain else { return };
         let class = &self.settings.classes[message.class];
         assert!(
             class.deduplication_scope == DeduplicationScope::Destination
                 || zone_of(first.endpoint) == zone_of(endpoint),
-            "inside the deduplication scope"
+            "retry outside the deduplication scope"
         );
-        assert_ne!(class.idempotency, Idempotency::NonIdempotent, "no retry of a non-idempotent message");
+        assert_ne!(class.idempotency, Idempotency::NonIdempotent, "retry of a non-idempotent message");
         assert!(
             class.idempotency == Idempotency::Idempotent || now < first.at + class.idempotency_window,
-            "inside the idempotency window"
+            "retry outside the idempotency window"
         );
     }
 
-    /// Messages with one ordering key are sent one after the other.
+    /// Messages with the same ordering key are sent one after the other.
     fn check_order(&self, now: Time, id: u32) {
         let message = &self.messages[&id];
         if !self.is_ordered(message) || message.key == 0 {
             return;
         }
         let mut earlier = self.messages.range(..id).map(|(_, earlier)| earlier);
-        let shares_key = |other: &JudgedMessage| self.is_ordered(other) && other.key == message.key;
-        let is_open = |other: &JudgedMessage| !other.is_completed || other.in_flight.is_some();
-        assert!(!earlier.any(|other| shares_key(other) && is_open(other)), "keys in order");
+        let shares_key = |other: &CheckedMessage| self.is_ordered(other) && other.key == message.key;
+        let is_open = |other: &CheckedMessage| !other.is_completed || other.in_flight.is_some();
+        assert!(
+            !earlier.any(|other| shares_key(other) && is_open(other)),
+            "message sent before an earlier one of its ordering key"
+        );
         let hold_ended = self.key_holds.get(&message.key).is_none_or(|end| *end <= now);
-        assert!(message.attempts > 0 || hold_ended, "keys are held back");
+        assert!(message.attempts > 0 || hold_ended, "message sent while its ordering key is held");
     }
 
-    fn is_ordered(&self, message: &JudgedMessage) -> bool {
+    fn is_ordered(&self, message: &CheckedMessage) -> bool {
         self.settings.classes[message.class].is_ordered
     }
 
@@ -231,7 +241,10 @@
         message.in_flight = Some(SentTo { endpoint, at: now });
         message.attempts += 1;
         let in_flight = self.in_flight().len();
-        assert!(in_flight <= self.settings.max_in_flight_calls * LARGEST_BATCH, "slots");
+        assert!(
+            in_flight <= self.settings.max_in_flight_calls * LARGEST_BATCH,
+            "more messages in flight than slots permit"
+        );
     }
 
     /// Records the outcome of a message's attempt; returns the attempt.
@@ -264,15 +277,15 @@
         self.ids(|message| !message.is_completed)
     }
 
-    fn ids(&self, which: impl Fn(&JudgedMessage) -> bool) -> Vec<u32> {
+    fn ids(&self, which: impl Fn(&CheckedMessage) -> bool) -> Vec<u32> {
         self.messages.iter().filter(|(_, message)| which(message)).map(|(id, _)| *id).collect()
     }
 }
 
-/// A scheduler that lives through the steps of a sequence, and its judge.
+/// A scheduler during a sequence of steps, and the checker of its actions.
 struct Run {
     bench: TestBench,
-    judge: Judge,
+    checker: RuleChecker,
     last_message: u32,
     /// All actions so far.
     actions: Vec<Action>,
@@ -282,7 +295,7 @@
     fn new(seed: u64) -> Self {
         let mut bench = new_bench();
         bench.restart(test_settings(), seed, test_endpoints());
-        let judge = Judge {
+        let checker = RuleChecker {
             settings: test_settings(),
             messages: BTreeMap::new(),
             retry_after_ends: BTreeMap::new(),
@@ -292,27 +305,27 @@
                 .map(|endpoint| (endpoint.id.0, endpoint.availability))
                 .collect(),
         };
-        Run { bench, judge, last_message: 0, actions: Vec::new() }
+        Run { bench, checker, last_message: 0, actions: Vec::new() }
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Pass(span) => return self.pass(ms(span)),
             Step::Accept { class, destination, key } => {
-                if self.judge.open().len() >= self.judge.settings.max_pending_messages {
+                if self.checker.open().len() >= self.checker.settings.max_pending_messages {
                     return;
                 }
                 self.accept(class, destination, key);
             }
             Step::Finish { which, outcome: number } => {
-                if let Some(id) = pick(&self.judge.in_flight(), which) {
+                if let Some(id) = pick(&self.checker.in_flight(), which) {
                     self.finish(id, outcome(number));
                 }
             }
             Step::Abandon(which) => {
-                if let Some(id) = pick(&self.judge.open(), which) {
+                if let Some(id) = pick(&self.checker.open(), which) {
                     self.bench.handle(Event::MessageAbandoned(MessageId(id)));
-                    self.judge.messages.get_mut(&id).expect("open").is_completed = true;
+                    self.checker.messages.get_mut(&id).expect("open").is_completed = true;
                 }
             }
             Step::SetAvailability { endpoint, availability: number } => {
@@ -324,7 +337,7 @@
 
     fn decide(&mut self) {
         let actions = self.bench.decide();
-        self.judge.check_all(self.bench.now, &actions);
+        self.checker.check_all(self.bench.now, &actions);
         self.actions.extend(actions);
     }
 
@@ -334,7 +347,8 @@
         while self.bench.now < end {
             self.bench.now = self.bench.now + STEP;
             let now = self.bench.now;
-            let timed_out = self.judge.ids(|message| message.in_flight.is_some() && message.deadline <= now);
+            let timed_out =
+                self.checker.ids(|message| message.in_flight.is_some() && message.deadline <= now);
             timed_out.into_iter().for_each(|id| self.finish(id, AttemptOutcome::Timeout));
             self.decide();
         }
@@ -344,29 +358,29 @@
         self.last_message += 1;
         self.bench.accept(self.last_message, class, destination, (key > 0).then_some(key));
         let class = usize::from(class);
-        let message = JudgedMessage {
+        let message = CheckedMessage {
             class,
             destination,
             key,
-            deadline: self.bench.now + self.judge.settings.classes[class].deadline,
+            deadline: self.bench.now + self.checker.settings.classes[class].deadline,
             in_flight: None,
             first_uncertain: None,
             attempts: 0,
             is_completed: false,
         };
-        self.judge.messages.insert(self.last_message, message);
+        self.checker.messages.insert(self.last_message, message);
     }
 
     fn finish(&mut self, id: u32, outcome: AttemptOutcome) {
         let now = self.bench.now;
-        let attempt = self.judge.record_outcome(now, id, outcome);
+        let attempt = self.checker.record_outcome(now, id, outcome);
         self.bench.finish(id, attempt.endpoint, outcome, now - attempt.at);
     }
 
     fn set_availability(&mut self, endpoint: u32, availability: Availability) {
         let changed = Endpoint { availability, ..test_endpoints()[endpoint as usize].clone() };
         self.bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])));
-        self.judge.availabilities.insert(endpoint, availability);
+        self.checker.availabilities.insert(endpoint, availability);
     }
 }
 
@@ -374,12 +388,12 @@
     ids.get(which.checked_rem(ids.len())?).copied()
 }
 
-/// Plays the steps and then lets all deadlines pass, judges every action, and returns all of them.
-fn play(steps: &[Step], seed: u64) -> Vec<Action> {
+/// Runs the steps and then lets all deadlines pass; checks every action, and returns all of them.
+fn run_steps(steps: &[Step], seed: u64) -> Vec<Action> {
     let mut run = Run::new(seed);
     let remaining = [const { Step::Pass(250) }; 120];
     steps.iter().chain(&remaining).for_each(|step| run.step(step));
-    assert!(run.judge.open().is_empty(), "every message has its final outcome");
+    assert!(run.checker.open().is_empty(), "messages without a final outcome");
     run.actions
 }
 
@@ -388,25 +402,27 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &SEED))
 }
 
+/// Rare orders of events can lead to an attempt or outcome that a delivery rule forbids.
 #[test]
 fn the_delivery_rules_hold_under_random_events() {
     let check = |steps: Vec<Step>| {
-        play(&steps, 3);
+        run_steps(&steps, 3);
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
 }
 
+/// A source of randomness other than the seed would make failures impossible to repeat.
 #[test]
 fn identical_events_give_identical_actions() {
     let check = |steps: Vec<Step>| {
-        prop_assert_eq!(play(&steps, 5), play(&steps, 5));
+        prop_assert_eq!(run_steps(&steps, 5), run_steps(&steps, 5));
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
 }
 
-/// Two schedulers that take turns in one process share no state.
+/// State that schedulers of one process share would change the actions of one when another runs in between.
 #[test]
 fn interleaved_schedulers_act_as_if_alone() {
     let run = |bench: &mut TestBench, step: u32| {
@@ -432,7 +448,8 @@
     }
 }
 
-/// Bytes of the state that is left when so many messages have been completed, in all possible ways.
+/// Returns the size of the serialized state after this number of messages has been completed, with outcomes of all
+/// kinds.
 fn state_bytes_after(messages: u32) -> usize {
     let mut bench = new_bench();
     for id in 0..messages {
@@ -459,11 +476,12 @@
     postcard::to_stdvec(&bench.scheduler).unwrap().len()
 }
 
-/// Completed messages leave nothing behind: the state after ten times as many of them is no larger.
+/// State that is kept of completed messages or removed endpoints would grow without limit. So the state after ten times
+/// as many messages must not be larger.
 #[test]
 fn memory_does_not_grow_with_completed_messages() {
     let few = state_bytes_after(300);
     let many = state_bytes_after(3000);
-    // Larger numbers take some more bytes each.
+    // Larger numbers take a few more bytes each when serialized.
     assert!(many < few + 400, "{few} bytes after 300 messages, {many} after 3000");
 }
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -35,8 +35,7 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
-/// After a suspended process or host the clock jumps: all deadlines pass at once, and every message gets its final
-/// outcome.
+/// A jump of the clock passes all deadlines at once: every message must still get its final outcome.
 #[test]
 fn the_clock_may_jump_far_ahead() {
     let mut bench = single_destination(idempotent_with_key());
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -1,27 +1,27 @@
-//! A decision costs in proportion to what has changed, not to what exists. The test counts what the scheduler visits;
-//! it measures no time.
+//! The work of a decision must grow with what has changed, not with the number of endpoints, destinations, messages or
+//! calls. The tests count what the scheduler visits; they measure no time.
 
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// Endpoints of a large list.
+/// Number of endpoints of a large list.
 const LARGE: usize = 65_536;
-/// Endpoints of a small list.
+/// Number of endpoints of a small list.
 const SMALL: usize = 64;
-/// Destinations with endpoints; the endpoints are spread over them evenly.
+/// Number of destinations that the endpoints of a large list are spread over evenly.
 const DESTINATIONS: usize = 16_384;
-/// Destinations that wait for the end of a Retry-After.
+/// Number of destinations with a pending Retry-After.
 const WAITING: usize = 2_000;
-/// Messages that wait with them.
+/// Number of messages that wait for these destinations.
 const PENDING: usize = 10_000;
-/// Messages that are delivered while visits are counted.
+/// Number of messages that are delivered while visits are counted.
 const ROUNDS: usize = 50;
-/// The first destination of those that get calls which stay in flight.
+/// The first of the destinations with calls that stay in flight.
 const BUSY_DESTINATION: usize = 40;
-/// Far longer than all that happens here: nothing expires, stalls or becomes due meanwhile.
+/// Far longer than any test takes: no message expires, no call becomes unresponsive, and nothing becomes due.
 const LONG: Duration = Duration::from_secs(24 * 3600);
 
-/// A scheduler, its clock, and the number of the last message.
+/// A scheduler and its simulated clock.
 struct TestBench {
     scheduler: Scheduler,
     settings: Settings,
@@ -91,7 +91,7 @@
         }));
     }
 
-    /// Lets the scheduler decide a moment later; returns the attempts that it starts.
+    /// Lets the scheduler decide 1 ms later; returns the attempts that it starts.
     fn step(&mut self) -> Vec<(MessageId, EndpointId)> {
         self.now = self.now + Duration::from_millis(1);
         let mut actions = Vec::new();
@@ -115,29 +115,29 @@
         }));
     }
 
-    /// Lets the last destinations of the list wait for the end of a Retry-After, with messages pending for them.
+    /// Gives the last destinations a long Retry-After, and accepts messages for them.
     fn keep_waiting(&mut self, destinations: usize, messages: usize) {
         let waiting = DESTINATIONS - destinations..DESTINATIONS;
         for to in waiting.clone() {
             self.handle(Event::RetryAfter { endpoint: EndpointId(to as u32), delay: LONG });
         }
         waiting.cycle().take(messages).for_each(|to| self.accept(to));
-        assert_eq!(self.step(), [], "a Retry-After is kept");
+        assert_eq!(self.step(), [], "attempts during a Retry-After");
     }
 
-    /// Leaves so many calls in flight, spread over so many destinations.
+    /// Starts calls that stay in flight, spread over these destinations.
     fn leave_in_flight(&mut self, calls: usize, destinations: usize) {
         (0..calls).for_each(|call| self.accept(BUSY_DESTINATION + call % destinations));
         assert_eq!(self.step().len(), calls);
     }
 
-    /// What is visited while messages for a few destinations are accepted, sent and delivered, one after the other.
+    /// Counts the visits while messages for a few destinations are accepted, sent and delivered, one after the other.
     fn count_visits(&mut self) -> WorkCounters {
         let before = self.scheduler.work_counters();
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
-            assert_eq!(sent.len(), 1, "what may be sent is sent, and it alone");
+            assert_eq!(sent.len(), 1, "only the new message is sent, and at once");
             self.finish(sent[0], AttemptOutcome::Delivered);
             assert_eq!(self.step(), []);
             self.scheduler.take_circuit_changes();
@@ -146,7 +146,7 @@
     }
 }
 
-/// What was visited between two readings of the counters.
+/// Returns the visits between two readings of the counters.
 fn since(before: WorkCounters, after: WorkCounters) -> WorkCounters {
     WorkCounters {
         destinations_visited: after.destinations_visited - before.destinations_visited,
@@ -157,8 +157,8 @@
     }
 }
 
-/// Visits of all kinds together.
-fn all(work: WorkCounters) -> u64 {
+/// Returns the sum of all kinds of visits.
+fn total(work: WorkCounters) -> u64 {
     work.destinations_visited
         + work.messages_compared
         + work.calls_checked
@@ -166,12 +166,12 @@
         + work.endpoints_visited
 }
 
-/// Requires at most so many times the visits of a base, in all and of each kind.
-fn assert_at_most(times: u64, base: WorkCounters, seen: WorkCounters) {
-    assert!(all(base) > 0, "it counts");
-    let figures = |work: WorkCounters| {
+/// Asserts that there were at most `multiple` times the visits of a base, in total and of each kind.
+fn assert_at_most(multiple: u64, base: WorkCounters, seen: WorkCounters) {
+    assert!(total(base) > 0, "no visits were counted");
+    let counts = |work: WorkCounters| {
         [
-            all(work),
+            total(work),
             work.destinations_visited,
             work.messages_compared,
             work.calls_checked,
@@ -179,10 +179,12 @@
             work.endpoints_visited,
         ]
     };
-    let in_bounds = figures(base).into_iter().zip(figures(seen)).all(|(base, seen)| seen <= times * base);
-    assert!(in_bounds, "at most {times} times {base:?}, not {seen:?}");
+    let in_bounds = counts(base).into_iter().zip(counts(seen)).all(|(base, seen)| seen <= multiple * base);
+    assert!(in_bounds, "more than {multiple} times {base:?}: {seen:?}");
 }
 
+/// A scan of all waiting destinations or of the whole list at each step would make steps slower the larger the fleet
+/// is.
 #[test]
 fn a_step_visits_neither_waiting_destinations_nor_the_endpoint_list() {
     let few = TestBench::new(SMALL).count_visits();
@@ -191,7 +193,7 @@
     assert_at_most(3, few, large.count_visits());
 }
 
-/// Each waiting destination has a Retry-After of its own, and some end at each step: only these are visited.
+/// Each waiting destination has a Retry-After of its own, and some end while the test runs: only these may be visited.
 #[test]
 fn only_retry_afters_that_end_are_visited() {
     let mut bench = TestBench::new(LARGE);
@@ -209,7 +211,7 @@
             sent.extend(bench.step());
         }
     }
-    assert_eq!(sent.len(), ROUNDS, "all that became due was sent");
+    assert_eq!(sent.len(), ROUNDS, "messages sent whose Retry-After has ended");
     let visits = since(before, bench.scheduler.work_counters());
     assert!(
         visits.destinations_visited <= 4 * ROUNDS as u64 && visits.messages_compared <= 4 * ROUNDS as u64,
@@ -217,6 +219,7 @@
     );
 }
 
+/// A scan for unresponsive calls at each step would cost more with each call in flight.
 #[test]
 fn calls_in_flight_are_not_scanned() {
     for (few, many) in [((20, 20), (90, 90)), ((20, 2), (90, 9)), ((20, 2), (90, 2))] {
@@ -228,7 +231,7 @@
     }
 }
 
-/// Calls to a destination finish in another order than they were sent; those that are left are not visited.
+/// Calls to a destination finish in the reverse order of their start. Finding one must not visit those that remain.
 #[test]
 fn finished_calls_are_found_without_a_scan() {
     let visits = |calls: usize| {
@@ -247,7 +250,7 @@
     assert_at_most(2, visits(100), visits(450));
 }
 
-/// Each call that finishes lets one more message of a long queue be sent.
+/// Each finished call lets one more message of a long queue be sent. Choosing it must not compare the whole queue.
 #[test]
 fn a_long_queue_is_not_scanned_for_each_message() {
     let visits = |messages: usize| {
@@ -265,6 +268,8 @@
     assert_at_most(2, visits(PENDING / 100), visits(PENDING));
 }
 
+/// Circuits are recorded in the journal when they change. Comparing all of them at each step would cost more with each
+/// destination that had an outage.
 #[test]
 fn no_circuit_is_visited_where_none_changed() {
     let mut bench = TestBench::new(LARGE);
@@ -280,10 +285,14 @@
         }));
     }
     assert_eq!(bench.step(), []);
-    assert_eq!(bench.scheduler.take_circuit_changes().len(), WAITING, "all are reported once");
+    assert_eq!(
+        bench.scheduler.take_circuit_changes().len(),
+        WAITING,
+        "each restored circuit is reported once"
+    );
     assert_eq!(bench.count_visits().circuits_compared, 0);
     assert_eq!(bench.scheduler.take_circuit_changes(), []);
-    // A new one is reported alone.
+    // A circuit that opens is reported alone.
     bench.accept(5);
     let sent = bench.step();
     bench.finish(sent[0], AttemptOutcome::ConnectFailed);
@@ -296,6 +305,7 @@
     assert_eq!(since(before, bench.scheduler.work_counters()).circuits_compared, 1);
 }
 
+/// A delta must cost only visits of its own entries, however long the list is.
 #[test]
 fn a_delta_of_one_endpoint_does_not_scan_the_list() {
     let visits = |endpoints: usize| {
@@ -313,6 +323,9 @@
         since(before, bench.scheduler.work_counters()).endpoints_visited
     };
     let few = visits(SMALL);
-    assert!((4..=16).contains(&few), "each entry once or a few times: {few}");
+    assert!(
+        (4..=16).contains(&few),
+        "each of four entries is visited one to four times, not {few} times in total"
+    );
     assert_eq!(visits(LARGE), few);
 }
