--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -875,7 +875,7 @@
                 return;
             }
             AttemptOutcome::Rejected(_) => {
-                // It was rejected with headroom left: the destination is closed, or hangs with a full queue.
+                // With headroom left, the destination is closed, or hangs with a full queue.
                 let has_headroom = finished
                     .load_report
                     .is_some_and(|report| report.limit_per_sec > 0.0 && report.headroom > HEADROOM_LEFT);
