--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -109,7 +109,7 @@
             classes: &[class(LATENCY_OBJECTIVE_S, "notice", "idempotency_key", 600_000, false)],
             zone: "kingston",
             max_in_flight_calls: DESTINATIONS as u32,
-            batch: 1,
+            max_batch_size: 1,
             // Shedding begins below the limit.
             max_pending_messages: 2 * size as u32,
         };
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -261,7 +261,7 @@
             classes: &classes,
             zone: "kingston",
             max_in_flight_calls: 8,
-            batch: 1,
+            max_batch_size: 1,
             max_pending_messages: 60,
         };
         configuration.write(&self.folder)
@@ -304,10 +304,10 @@
 
     /// Breaks the watches, and leaves requests for new ones unanswered for some time.
     pub fn silence_discovery(&self, duration: Duration) {
-        self.agent.state.is_silent.store(true, Ordering::SeqCst);
+        self.agent.state.is_ignoring_watches.store(true, Ordering::SeqCst);
         self.agent.break_watches();
         thread::sleep(duration);
-        self.agent.state.is_silent.store(false, Ordering::SeqCst);
+        self.agent.state.is_ignoring_watches.store(false, Ordering::SeqCst);
         locked(&self.ledger).discovery_returned(self.number);
     }
 
@@ -322,7 +322,7 @@
         self.configure(endpoints)?;
         self.signal(Signal::HUP);
         thread::sleep(AGENT_MOVE_TIME);
-        previous.state.is_silent.store(true, Ordering::SeqCst);
+        previous.state.is_ignoring_watches.store(true, Ordering::SeqCst);
         previous.break_watches();
         Ok(())
     }
--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -35,7 +35,7 @@
     pub classes: &'a [Value],
     pub zone: &'a str,
     pub max_in_flight_calls: u32,
-    pub batch: u32,
+    pub max_batch_size: u32,
     pub max_pending_messages: u32,
 }
 
@@ -56,7 +56,7 @@
                 "OverShareWorth": 0.2,
                 "WeightSource": "nominal",
                 "FamilyInfo": {
-                    "CallsOut": self.max_in_flight_calls, "KindBatch": [self.batch], "OwnLimits": [false],
+                    "CallsOut": self.max_in_flight_calls, "KindBatch": [self.max_batch_size], "OwnLimits": [false],
                 },
                 "Permissions": {
                     "MostHeld": self.max_pending_messages, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -67,13 +67,13 @@
     /// The response to a request for the complete list.
     pub list: Mutex<String>,
     /// Whether requests for a watch go unanswered.
-    pub is_silent: AtomicBool,
+    pub is_ignoring_watches: AtomicBool,
     /// Milliseconds before a watch is answered.
     pub watch_delay_ms: AtomicU64,
     /// Whether notifications go unanswered.
-    pub hold_notifications: AtomicBool,
+    pub is_holding_notifications: AtomicBool,
     /// Connections that fall silent with the next notifications on them, which nobody sees.
-    pub lost_notifications: AtomicU32,
+    pub connections_to_stall: AtomicU32,
     /// Requests with notifications.
     pub notification_requests: AtomicU32,
     pub watches: Mutex<Watches>,
@@ -132,7 +132,7 @@
                 self.receive_notifications(&request.body, &mut output, seen);
             } else if request.line.starts_with("GET /v1/endpoints ") {
                 self.send_list(&mut output);
-            } else if !self.is_silent.load(Ordering::SeqCst) {
+            } else if !self.is_ignoring_watches.load(Ordering::SeqCst) {
                 self.open_watch(&mut output);
             }
         }
@@ -141,7 +141,7 @@
     /// Whether this is one of the connections that fall silent.
     fn loses_connection(&self) -> bool {
         let less = |left: u32| left.checked_sub(1);
-        self.lost_notifications.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
+        self.connections_to_stall.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
     }
 
     fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, seen: &Sender<StubEvent>) {
@@ -149,7 +149,7 @@
         for line in String::from_utf8_lossy(body).lines() {
             let _ = seen.send(StubEvent::Notification(line.to_owned()));
         }
-        if !self.hold_notifications.load(Ordering::SeqCst) {
+        if !self.is_holding_notifications.load(Ordering::SeqCst) {
             let _ = output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
         }
     }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -409,7 +409,7 @@
             classes: &classes,
             zone: self.zone.get(),
             max_in_flight_calls: self.max_in_flight_calls,
-            batch: self.batch,
+            max_batch_size: self.batch,
             max_pending_messages: self.max_pending_messages,
         };
         configuration.write(&self.folder).unwrap();
@@ -472,12 +472,12 @@
     }
 
     pub fn hold_notifications(&self, hold: bool) {
-        self.discovery.state.hold_notifications.store(hold, Ordering::SeqCst);
+        self.discovery.state.is_holding_notifications.store(hold, Ordering::SeqCst);
     }
 
     /// Makes so many connections fall silent, each with the next notifications on it.
     pub fn lose_notifications(&self, connections: u32) {
-        self.discovery.state.lost_notifications.store(connections, Ordering::SeqCst);
+        self.discovery.state.connections_to_stall.store(connections, Ordering::SeqCst);
     }
 
     /// Announces that an endpoint drains.
@@ -517,7 +517,7 @@
 
     /// Makes discovery accept connections and never answer.
     pub fn set_discovery_silent(&self, silent: bool) {
-        self.discovery.state.is_silent.store(silent, Ordering::SeqCst);
+        self.discovery.state.is_ignoring_watches.store(silent, Ordering::SeqCst);
     }
 
     /// Makes discovery answer watches late.
