--- a/fault-shim/descriptors.rs
+++ b/fault-shim/descriptors.rs
@@ -1,5 +1,5 @@
-//! What a descriptor or path refers to: faults apply to sockets, the state folder and the configuration, and not to
-//! other files.
+//! Classifies descriptors and paths. Faults apply to sockets, the state folder and the configuration, and not to other
+//! files.
 
 use crate::errno::SavedErrno;
 use crate::fault_page::Call;
@@ -10,14 +10,14 @@
 use std::os::unix::ffi::OsStrExt;
 use std::sync::OnceLock;
 
-/// Names the folder of the gateway's state.
+/// The environment variable that holds the path of the gateway's state folder.
 const STATE_VARIABLE: &str = "BALANCER_STATE";
-/// Names the gateway's configuration file.
+/// The environment variable that holds the path of the gateway's configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Longest path that Linux knows.
+/// The maximum length of a path on Linux.
 const PATH_BYTES: usize = libc::PATH_MAX as usize;
 
-/// What a descriptor or path refers to.
+/// The kind of object that a descriptor or path refers to, as far as faults depend on it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     TcpSocket,
@@ -29,7 +29,7 @@
 }
 
 impl Kind {
-    /// The kind of what a path names.
+    /// Returns the kind of a path. It compares the path with the two environment variables as text.
     pub fn of_path(path: &[u8]) -> Self {
         static STATE: OnceLock<Option<Vec<u8>>> = OnceLock::new();
         static CONFIG: OnceLock<Option<Vec<u8>>> = OnceLock::new();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The kind of an open descriptor. `errno` stays as it is.
+    /// Returns the kind of an open descriptor, and `Other` for all if no page is mapped. Preserves `errno`.
     pub fn of_descriptor(fd: c_int) -> Self {
         if MappedPage::get().is_none() {
             return Kind::Other;
@@ -59,12 +59,12 @@
     fn of_open_file(fd: c_int) -> Self {
         let Ok(link) = CString::new(format!("/proc/self/fd/{fd}")) else { return Kind::Other };
         let mut target = [0_u8; PATH_BYTES];
-        // SAFETY: the link's name ends with a zero byte, and no more is written than the buffer holds.
+        // SAFETY: the link's name ends with a NUL byte, and no more is written than the buffer holds.
         let length = unsafe { libc::readlink(link.as_ptr(), target.as_mut_ptr().cast(), target.len()) };
         usize::try_from(length).map_or(Kind::Other, |length| Self::of_path(&target[..length]))
     }
 
-    /// What a read from such a descriptor counts as; `None` if it never fails.
+    /// Returns the call that a read from such a descriptor counts as; `None` if such reads have no faults.
     pub fn read_call(self) -> Option<Call> {
         match self {
             Kind::TcpSocket => Some(Call::TcpRead),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What a write to such a descriptor counts as; `None` if it never fails.
+    /// Returns the call that a write to such a descriptor counts as; `None` if such writes have no faults.
     pub fn write_call(self) -> Option<Call> {
         match self {
             Kind::TcpSocket => Some(Call::TcpWrite),
@@ -86,7 +86,7 @@
     }
 }
 
-/// The address family of a socket; `None` if the descriptor is no socket.
+/// Returns the address family of a socket; `None` if the descriptor is not a socket.
 fn socket_domain(fd: c_int) -> Option<c_int> {
     let mut domain: c_int = 0;
     let mut domain_bytes = size_of::<c_int>() as socklen_t;
@@ -104,7 +104,7 @@
     (result == 0).then_some(domain)
 }
 
-/// A variable of the environment as it was when it was first asked for.
+/// Returns an environment variable as it was at the first call with this `cache`; `None` if it was not set.
 fn variable(name: &str, cache: &'static OnceLock<Option<Vec<u8>>>) -> Option<&'static [u8]> {
     cache.get_or_init(|| std::env::var_os(name).map(|value| value.as_bytes().to_vec())).as_deref()
 }
--- a/fault-shim/faults.rs
+++ b/fault-shim/faults.rs
@@ -1,4 +1,4 @@
-//! Which calls fail, and with what: decided by the page and the random numbers, carried out by the hooks.
+//! Decides which calls fail and how, from the page and the random numbers. The hooks apply the decisions.
 
 use crate::errno::set_errno;
 use crate::fault_page::{Call, ALWAYS, UNLIMITED};
@@ -7,18 +7,18 @@
 use libc::{c_int, size_t};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What a call is to suffer.
+/// A fault that has been chosen for one call.
 #[derive(Clone, Copy)]
 pub enum InjectedFault {
     /// The call is not made and returns this `errno`.
     Error(i32),
     /// A part of the bytes is transferred, without an error.
     Short,
-    /// A part of the bytes is written, and then the disk is full.
+    /// Half of the bytes are written, and then the call returns `ENOSPC`.
     Torn,
-    /// The process is killed before the call, or when half of the bytes are written.
+    /// The process is killed before the call, or after half of the bytes are written.
     KilledBefore,
-    /// The process is killed after the call, before it returns.
+    /// The process is killed after the call, before the call returns.
     KilledAfter,
 }
 
@@ -34,20 +34,20 @@
     }
 }
 
-/// Counts a call, and says what it is to suffer, if anything.
+/// Counts a call, and returns the fault to inject into it; `None` if it is not to fail.
 pub fn next_fault(call: Call) -> Option<InjectedFault> {
     let page = MappedPage::get()?;
     let entry = page.entry(call);
     let number = entry.calls().fetch_add(1, Ordering::SeqCst);
     let drawn = draw(page.seed(), (call as u64) << 32 | u64::from(number));
-    // The lower bits choose the calls, the upper ones the errors.
+    // The lower 32 bits decide whether the call fails, the upper 32 bits choose the error.
     if drawn as u32 % ALWAYS >= entry.rate().load(Ordering::SeqCst) {
         return None;
     }
-    if take_one(entry.skipped()) {
+    if try_decrement(entry.skipped()) {
         return None;
     }
-    if entry.budget().load(Ordering::SeqCst) != UNLIMITED && !take_one(entry.budget()) {
+    if entry.budget().load(Ordering::SeqCst) != UNLIMITED && !try_decrement(entry.budget()) {
         return None;
     }
     let errors: Vec<i32> = entry.errors().into_iter().filter(|error| *error != 0).collect();
@@ -56,12 +56,15 @@
     Some(InjectedFault::from(error))
 }
 
-/// Takes one off a count, unless nothing is left of it.
-fn take_one(count: &AtomicU32) -> bool {
-    count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok()
+/// Decrements a count; returns `false` and changes nothing if the count is zero.
+fn try_decrement(count: &AtomicU32) -> bool {
+    count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| remaining.checked_sub(1)).is_ok()
 }
 
-/// Fails a call that transfers no bytes, or kills the process before it. `Err` is what the hook returns.
+/// Checks a call that transfers no bytes for a fault, and kills the process if that is the fault.
+///
+/// # Errors
+/// Returns the value that the hook has to return, with `errno` set, if the call is to fail.
 pub fn check(call: Call) -> Result<(), c_int> {
     match next_fault(call) {
         Some(InjectedFault::KilledBefore) => kill_process(),
@@ -73,7 +76,7 @@
     }
 }
 
-/// What is made of a read or write.
+/// How a read or write is carried out.
 pub enum Transfer {
     /// This many bytes are transferred.
     Bytes(usize),
@@ -86,11 +89,11 @@
 }
 
 impl Transfer {
-    /// Decides a transfer of so many bytes; one that is not subject to faults has no `call`.
+    /// Decides how to transfer `length` bytes. `call` is `None` if the transfer is not subject to faults.
     pub fn of(call: Option<Call>, length: size_t) -> Self {
         match call.and_then(next_fault) {
             None => Transfer::Bytes(length),
-            // At least one byte: a read of nothing would be the end of the data.
+            // At least one byte: a read of zero bytes would mean the end of the data.
             Some(InjectedFault::Short) => Transfer::Bytes(length.div_ceil(2).max(1).min(length)),
             Some(InjectedFault::Torn) => Transfer::BytesThenError(length / 2, libc::ENOSPC),
             Some(InjectedFault::KilledBefore) => Transfer::BytesThenKill(length / 2),
@@ -100,7 +103,7 @@
     }
 }
 
-/// What is made of a message on a Unix socket, which is transferred whole or not at all.
+/// How a message of `sendmsg` or `recvmsg` is carried out. It is transferred whole or not at all.
 pub enum MessageTransfer {
     Whole,
     KillBefore,
@@ -110,7 +113,7 @@
 }
 
 impl MessageTransfer {
-    /// Decides the transfer of a message; one that is not subject to faults has no `call`.
+    /// Decides how to transfer a message. `call` is `None` if the transfer is not subject to faults.
     pub fn of(call: Option<Call>) -> Self {
         match call.and_then(next_fault) {
             None | Some(InjectedFault::Short) => MessageTransfer::Whole,
@@ -122,11 +125,11 @@
     }
 }
 
-/// Ends the process at once with `SIGKILL`, as the platform may at any moment.
+/// Ends the process at once with `SIGKILL`, as the platform may do at any time.
 pub fn kill_process() -> ! {
-    /// How a shell reports a process that `SIGKILL` ended.
+    /// The exit status with which a shell reports a process that was ended by `SIGKILL`.
     const KILLED_STATUS: c_int = 128 + libc::SIGKILL;
-    // SAFETY: neither call takes memory of this process; `_exit` runs no destructors.
+    // SAFETY: neither call is passed memory of this process, and `_exit` runs no destructors.
     unsafe {
         libc::kill(libc::getpid(), libc::SIGKILL);
         libc::_exit(KILLED_STATUS)
--- a/fault-shim/hooks/clocks.rs
+++ b/fault-shim/hooks/clocks.rs
@@ -1,4 +1,4 @@
-//! The wall clock, which the page can set ahead or back.
+//! Hooks for the wall clock, to which the page adds an offset.
 
 use crate::mapped_page::MappedPage;
 use crate::next_function::real;
@@ -9,13 +9,13 @@
 const NANOS_PER_SEC: i64 = 1_000_000_000;
 
 /// # Safety
-/// `time` must point to a `timespec` that may be written, as the C library demands.
+/// `time` must point to a `timespec` that may be written, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut timespec) -> c_int {
     let result = real!(clock_gettime(clock: c_int, time: *mut timespec) -> c_int);
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset_ms = MappedPage::get().map_or(0, MappedPage::wall_offset_ms);
-        // SAFETY: the C library has written the time there.
+        // SAFETY: the C library has just written a valid `timespec` there.
         add_ms(unsafe { &mut *time }, offset_ms);
     }
     result
--- a/fault-shim/hooks/event_loop.rs
+++ b/fault-shim/hooks/event_loop.rs
@@ -1,4 +1,4 @@
-//! What an event loop is made of: epoll and event descriptors.
+//! Hooks for the system calls of an event loop: epoll and event descriptors.
 
 use crate::fault_page::Call;
 use crate::faults::check;
@@ -13,7 +13,7 @@
     real!(epoll_create1(flags: c_int) -> c_int)
 }
 
-/// Only registering a descriptor can fail: Linux documents no passing error for the others.
+/// Injects faults only into `EPOLL_CTL_ADD`: Linux documents no transient error for the other operations.
 #[no_mangle]
 pub extern "C" fn epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int {
     if operation == libc::EPOLL_CTL_ADD {
--- a/fault-shim/hooks/files.rs
+++ b/fault-shim/hooks/files.rs
@@ -1,4 +1,5 @@
-//! Opening, syncing, locking, renaming and removing files. Only the state folder and the configuration have faults.
+//! Hooks for opening, truncating, syncing, locking, renaming and removing files. Only the state folder and the
+//! configuration have faults.
 
 use crate::descriptors::Kind;
 use crate::errno::fail;
@@ -10,10 +11,10 @@
 use std::ffi::CStr;
 
 /// # Safety
-/// `path` must be a string that ends with a zero byte, as the C library demands.
+/// `path` must be a NUL-terminated string, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    // SAFETY: the caller passes a string that ends with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated string.
     let call = match Kind::of_path(unsafe { CStr::from_ptr(path) }.to_bytes()) {
         Kind::StateFile => Some(Call::StateOpen),
         Kind::ConfigFile => Some(Call::ConfigOpen),
@@ -58,11 +59,11 @@
 }
 
 /// # Safety
-/// `from` and `to` must be strings that end with a zero byte, as the C library demands.
+/// `from` and `to` must be NUL-terminated strings, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     let rename = || real!(rename(from: *const c_char, to: *const c_char) -> c_int);
-    // SAFETY: the caller passes a string that ends with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated string.
     if Kind::of_path(unsafe { CStr::from_ptr(to) }.to_bytes()) != Kind::StateFile {
         return rename();
     }
@@ -78,10 +79,10 @@
 }
 
 /// # Safety
-/// `path` must be a string that ends with a zero byte, as the C library demands.
+/// `path` must be a NUL-terminated string, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    // SAFETY: the caller passes a string that ends with a zero byte.
+    // SAFETY: the caller passes a NUL-terminated string.
     if Kind::of_path(unsafe { CStr::from_ptr(path) }.to_bytes()) == Kind::StateFile {
         if let Err(failed) = check(Call::StateUnlink) {
             return failed;
@@ -90,7 +91,10 @@
     real!(unlink(path: *const c_char) -> c_int)
 }
 
-/// Fails a call if it is made on a file of the state folder. `Err` is what the hook returns.
+/// Checks a call for a fault if `fd` is a file of the state folder.
+///
+/// # Errors
+/// Returns the value that the hook has to return, with `errno` set, if the call is to fail.
 fn check_state_file(fd: c_int, call: Call) -> Result<(), c_int> {
     match Kind::of_descriptor(fd) {
         Kind::StateFile => check(call),
--- a/fault-shim/hooks/mod.rs
+++ b/fault-shim/hooks/mod.rs
@@ -1,8 +1,8 @@
-//! The exported functions, which stand before those of the C library with the same names.
+//! The exported functions, which replace the C library's functions with the same names.
 //!
-//! Each asks whether its call is to fail, and otherwise makes it. What callers owe each function is said by the C
-//! library's documentation: a hook passes its arguments on and, where a comment says so, reads memory that they point
-//! to.
+//! Each hook checks whether its call is to fail, and otherwise calls the C library's function. The requirements on
+//! callers are those of the C library: a hook passes its arguments on and, where a comment says so, reads or writes
+//! memory that they point to.
 
 mod clocks;
 mod event_loop;
--- a/fault-shim/hooks/sockets.rs
+++ b/fault-shim/hooks/sockets.rs
@@ -1,4 +1,4 @@
-//! Creating, connecting and configuring sockets.
+//! Hooks for creating, connecting, configuring and shutting down sockets.
 
 use crate::descriptors::Kind;
 use crate::fault_page::Call;
@@ -54,10 +54,10 @@
     real!(connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
 }
 
-/// Replaces the result of a connection that was established in the background, which `SO_ERROR` reports.
+/// Replaces the result of a non-blocking `connect`, which `SO_ERROR` reports.
 ///
 /// # Safety
-/// `value` must have room for the option's value, as the C library demands.
+/// `value` must have room for the option's value, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn getsockopt(
     fd: c_int,
@@ -76,7 +76,7 @@
     let is_connect_result = level == libc::SOL_SOCKET && name == libc::SO_ERROR;
     if result == 0 && is_connect_result && Kind::of_descriptor(fd) == Kind::TcpSocket {
         if let Some(InjectedFault::Error(error)) = next_fault(Call::ConnectResult) {
-            // SAFETY: the C library has just written a `c_int` there, as `SO_ERROR` is one.
+            // SAFETY: the C library has just written a `c_int` there, because the value of `SO_ERROR` is a `c_int`.
             unsafe { *value.cast::<c_int>() = error };
         }
     }
@@ -119,7 +119,10 @@
     real!(shutdown(fd: c_int, how: c_int) -> c_int)
 }
 
-/// Fails a call if it is made on a TCP socket. `Err` is what the hook returns.
+/// Checks a call for a fault if `fd` is a TCP socket.
+///
+/// # Errors
+/// Returns the value that the hook has to return, with `errno` set, if the call is to fail.
 fn check_tcp(fd: c_int, call: Call) -> Result<(), c_int> {
     match Kind::of_descriptor(fd) {
         Kind::TcpSocket => check(call),
--- a/fault-shim/hooks/transfers.rs
+++ b/fault-shim/hooks/transfers.rs
@@ -1,4 +1,4 @@
-//! Reads and writes, which can fail, be cut short, be torn, or end with the death of the process.
+//! Hooks for reads and writes, which can fail, be cut short, be torn, or be interrupted by a kill of the process.
 
 use crate::descriptors::Kind;
 use crate::errno::fail;
@@ -89,13 +89,13 @@
     }
 }
 
-/// Cut short, it writes a part of the first buffer only: faults are decided by the length of that one.
+/// A short write transfers only a part of the first buffer, because faults are decided by the length of that buffer.
 ///
 /// # Safety
-/// `parts` must point to `count` buffers that may be read, as the C library demands.
+/// `parts` must point to `count` buffers that may be read, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: the caller passes a pointer to its first buffer, or null.
+    // SAFETY: the caller passes a pointer to the first buffer, or null.
     let first = unsafe { parts.as_ref() };
     let first_bytes = first.map_or(std::ptr::null_mut(), |part| part.iov_base);
     let first_length = first.map_or(0, |part| part.iov_len);
--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -1,4 +1,4 @@
-//! The page of shared memory that says which calls fail, mapped into this process.
+//! Maps the page of shared memory that configures which calls fail into this process.
 //!
 //! The page is mapped at the first use and stays mapped until the process ends. Its layout is that of
 //! [`crate::fault_page`].
@@ -14,15 +14,16 @@
 use std::sync::atomic::{AtomicI64, AtomicU32, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The page that this process has mapped.
+/// The page as mapped into this process.
 #[derive(Clone, Copy)]
 pub struct MappedPage {
-    /// Where the mapping begins, aligned to a memory page.
+    /// The start address of the mapping, aligned to a memory page.
     address: usize,
 }
 
 impl MappedPage {
-    /// The page that the environment names; none if it names none, or it cannot be mapped.
+    /// Returns the page, and maps it at the first call. Returns `None` if the environment variable [`PAGE_VARIABLE`] is
+    /// not set or the file cannot be mapped.
     pub fn get() -> Option<Self> {
         static PAGE: OnceLock<Option<MappedPage>> = OnceLock::new();
         *PAGE.get_or_init(Self::map)
@@ -39,32 +40,32 @@
         // SAFETY: the kernel chooses the address, so that the mapping overlaps no other memory.
         let mapped =
             unsafe { libc::mmap(std::ptr::null_mut(), PAGE_BYTES, protection, libc::MAP_SHARED, file, 0) };
-        // The descriptor is closed because it would count against the gateway's own limit.
+        // The descriptor is closed because it would count against the gateway's own descriptor limit.
         // SAFETY: the descriptor was opened above and is used nowhere else; a mapping outlives its descriptor.
         unsafe { libc::close(file) };
         (mapped != libc::MAP_FAILED).then_some(MappedPage { address: mapped as usize })
     }
 
-    /// The seed of all that is drawn at random.
+    /// Returns the seed of all random draws.
     pub fn seed(self) -> u64 {
         // SAFETY: the page begins with the seed, is aligned, and is never unmapped.
         unsafe { &*(self.address as *const AtomicU64) }.load(Ordering::Relaxed)
     }
 
-    /// By how many milliseconds the wall clock is to be ahead of the machine's.
+    /// Returns the offset of the process's wall clock from the machine's, in milliseconds; negative means behind.
     pub fn wall_offset_ms(self) -> i64 {
         let address = self.address + WALL_OFFSET_BYTE;
         // SAFETY: the offset lies inside the page, at a multiple of 8 bytes, and the page is never unmapped.
         unsafe { &*(address as *const AtomicI64) }.load(Ordering::Relaxed)
     }
 
-    /// The part of the page that is about one call.
+    /// Returns the page's entry for a call.
     pub fn entry(self, call: Call) -> Entry {
         Entry { address: self.address + WORD_BYTES * call.entry() }
     }
 }
 
-/// The part of the page that is about one call.
+/// The page's entry for one call.
 #[derive(Clone, Copy)]
 pub struct Entry {
     address: usize,
@@ -77,38 +78,38 @@
         unsafe { &*(address as *const AtomicU32) }
     }
 
-    /// How many calls fail, in parts of [`crate::fault_page::ALWAYS`].
+    /// The rate at which calls fail, from 0 to [`crate::fault_page::ALWAYS`].
     pub fn rate(&self) -> &AtomicU32 {
         self.word(RATE_WORD)
     }
 
-    /// Calls that may still fail, or [`crate::fault_page::UNLIMITED`].
+    /// The number of calls that may still fail, or [`crate::fault_page::UNLIMITED`].
     pub fn budget(&self) -> &AtomicU32 {
         self.word(BUDGET_WORD)
     }
 
-    /// Calls that are still let through before one fails.
+    /// The number of failures still to be skipped.
     pub fn skipped(&self) -> &AtomicU32 {
         self.word(SKIPPED_WORD)
     }
 
-    /// Calls made since the page was created.
+    /// The number of calls made since the page was created.
     pub fn calls(&self) -> &AtomicU32 {
         self.word(CALLS_WORD)
     }
 
-    /// Calls that failed since the page was created.
+    /// The number of calls that failed since the page was created.
     pub fn failures(&self) -> &AtomicU32 {
         self.word(FAILURES_WORD)
     }
 
-    /// The errors of which each failure draws one; zeros stand for none.
+    /// The errors from which each failure draws one; zero marks an unused element.
     pub fn errors(&self) -> [i32; MAX_ERRORS] {
         std::array::from_fn(|error| self.word(ERRORS_WORD + error).load(Ordering::SeqCst) as i32)
     }
 }
 
-/// The C library's `open64`, which fails no call. It has no mode unless it creates a file.
+/// Calls the C library's `open64` without injecting faults. `mode` is only used if the call creates a file.
 pub fn open_real(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     real!(open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int)
 }
--- a/fault-shim/random.rs
+++ b/fault-shim/random.rs
@@ -1,6 +1,7 @@
-//! The random numbers that decide which calls fail: a function of the seed and the call alone, so that they repeat.
+//! The random numbers that decide which calls fail. They depend only on the seed and the call, so that a run can be
+//! repeated.
 
-/// Draws the number of one call with SplitMix64. `sequence` must differ from call to call.
+/// Returns the random number of one call, by SplitMix64. `sequence` must differ from call to call.
 pub fn draw(seed: u64, sequence: u64) -> u64 {
     let mut mixed = seed.wrapping_add(sequence.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -1,8 +1,8 @@
-//! The page of shared memory that tells the fault shim (`fault-shim/`) which system calls of a gateway are to fail.
+//! The page of shared memory that configures which system calls of a gateway the fault shim (`fault-shim/`) fails.
 //!
 //! The page is a file that the shim maps. A test or the soak writes to the file to change the faults of a running
-//! process, and reads from it how often each call was made and failed. This module owns the page's layout and the side
-//! that writes it; the shim includes it for the layout alone.
+//! process, and reads from it how often each call was made and failed. This module owns the page's layout and the
+//! functions that write it. The shim includes this module only for the layout.
 //!
 //! Layout, in little-endian words of 4 bytes: the seed (two words), the offset of the wall clock in milliseconds (two
 //! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, failures,
@@ -15,33 +15,33 @@
 
 /// The environment variable that names the page's file to the shim.
 pub const PAGE_VARIABLE: &str = "FAULT_PAGE";
-/// Errors that one call can be given, of which each failure draws one.
+/// The maximum number of errors for one call. Each failure draws one of them at random.
 pub const MAX_ERRORS: usize = 8;
-/// The budget of a fault that lasts until it is cleared.
+/// The budget of a fault without a limit: it lasts until it is cleared.
 pub const UNLIMITED: u32 = u32::MAX;
-/// The rate at which each call fails; other rates are parts of this.
+/// The rate at which every call fails. A lower rate fails the fraction `rate / ALWAYS` of the calls.
 pub const ALWAYS: u32 = 1 << 16;
 
-/// Bytes of a word.
+/// The size of a word in bytes.
 pub const WORD_BYTES: usize = size_of::<u32>();
-/// Where the seed begins, in bytes.
+/// The byte offset of the seed.
 const SEED_BYTE: usize = 0;
-/// Where the offset of the wall clock begins, in bytes.
+/// The byte offset of the wall clock's offset.
 pub const WALL_OFFSET_BYTE: usize = 2 * WORD_BYTES;
-/// Words before the first entry.
+/// The number of words before the first entry.
 const HEADER_WORDS: usize = 4;
 
-/// Words of an entry, counted from its beginning.
+/// Positions of the words in an entry, counted from its beginning.
 pub const RATE_WORD: usize = 0;
 pub const BUDGET_WORD: usize = 1;
 pub const SKIPPED_WORD: usize = 2;
 pub const CALLS_WORD: usize = 3;
 pub const FAILURES_WORD: usize = 4;
 pub const ERRORS_WORD: usize = 5;
-/// Words of one entry.
+/// The number of words in an entry.
 const ENTRY_WORDS: usize = ERRORS_WORD + MAX_ERRORS;
 
-/// System calls that can fail, told apart by what they are made on.
+/// Groups of system calls that can fail. Calls on different kinds of descriptors or files are separate groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Call {
@@ -50,7 +50,7 @@
     Bind,
     Listen,
     Connect,
-    /// The error of a connection that was established in the background, as `SO_ERROR` reports it.
+    /// The result of a non-blocking `connect`, as `SO_ERROR` reports it.
     ConnectResult,
     SetSocketOption,
     GetSocketName,
@@ -59,8 +59,9 @@
     TcpRead,
     /// `write`, `writev`, `send` and `sendmsg` on a TCP connection.
     TcpWrite,
-    /// The same on a Unix socket.
+    /// `read`, `readv`, `recv` and `recvmsg` on a Unix socket.
     UnixRead,
+    /// `write`, `writev`, `send` and `sendmsg` on a Unix socket.
     UnixWrite,
     SocketPair,
     EpollCreate,
@@ -82,13 +83,14 @@
 }
 
 impl Call {
-    /// Instead of an error number: only a part of the bytes is read or written, without an error.
+    /// Used in place of an error number: only a part of the bytes is read or written, without an error.
     pub const SHORT: i32 = -1;
-    /// Instead of an error number: a part of the bytes is written, and then the disk is full.
+    /// Used in place of an error number: a torn write. Half of the bytes are written, and then the call returns
+    /// `ENOSPC`.
     pub const TORN: i32 = -2;
-    /// Instead of an error number: the process is killed before the call, or when half of the bytes are written.
+    /// Used in place of an error number: the process is killed before the call, or after half of the bytes are written.
     pub const KILLED_BEFORE: i32 = -3;
-    /// Instead of an error number: the process is killed after the call, before it returns.
+    /// Used in place of an error number: the process is killed after the call, before the call returns.
     pub const KILLED_AFTER: i32 = -4;
 
     /// All calls, in the order of their entries.
@@ -123,65 +125,65 @@
         Call::ConfigRead,
     ];
 
-    /// Where the call's entry begins, in words.
+    /// Returns the word offset of the call's entry.
     pub const fn entry(self) -> usize {
         HEADER_WORDS + self as usize * ENTRY_WORDS
     }
 }
 
-/// Bytes of the whole page.
+/// The size of the page in bytes.
 pub const PAGE_BYTES: usize = WORD_BYTES * (HEADER_WORDS + Call::ALL.len() * ENTRY_WORDS);
 
-/// Which calls fail, and how.
+/// A fault: how often a call fails, and with which errors.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// How many of the calls fail, in parts of [`ALWAYS`].
+    /// The rate at which calls fail, from 0 to [`ALWAYS`].
     pub rate: u32,
-    /// Calls that fail at most, or [`UNLIMITED`].
+    /// The maximum number of calls that fail, or [`UNLIMITED`].
     pub budget: u32,
-    /// Calls that succeed before the first failure.
+    /// The number of calls that would fail at this rate but succeed, before the first failure.
     pub skipped: u32,
-    /// Error numbers, or the negative numbers of [`Call`]; unused elements are 0.
+    /// Error numbers, or the negative constants of [`Call`]; unused elements are 0.
     pub errors: [i32; MAX_ERRORS],
 }
 
 impl Fault {
-    /// Fails each call with one of these errors.
+    /// Fails every call with one of these errors, drawn at random. Errors beyond [`MAX_ERRORS`] are ignored.
     pub fn always(errors: &[i32]) -> Self {
         let mut padded = [0; MAX_ERRORS];
         padded.iter_mut().zip(errors).for_each(|(unused, error)| *unused = *error);
         Fault { rate: ALWAYS, budget: UNLIMITED, skipped: 0, errors: padded }
     }
 
-    /// Fails this part of the calls, from 0 to 1.
+    /// Fails this ratio of the calls, from 0 to 1.
     pub fn with_ratio(self, ratio: f64) -> Self {
         Fault { rate: (ratio * f64::from(ALWAYS)) as u32, ..self }
     }
 
-    /// Lets so many calls succeed first.
+    /// Skips the first `skipped` calls that would fail.
     pub fn after(self, skipped: u32) -> Self {
         Fault { skipped, ..self }
     }
 
-    /// Fails so many calls at most.
+    /// Limits the number of failures to `budget`.
     pub fn times(self, budget: u32) -> Self {
         Fault { budget, ..self }
     }
 }
 
-/// What the shim has counted of one call since the page was created.
+/// The shim's counts for one call since the page was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallCounts {
     pub calls: u32,
-    /// Calls that failed.
+    /// The number of calls that failed.
     pub failures: u32,
 }
 
-/// The page as a test or the soak writes it. The methods fail where the page's file cannot be read or written.
+/// The page's file, for tests and the soak. The methods return an error if the file cannot be read or written.
 pub struct FaultPage(File);
 
 impl FaultPage {
-    /// Creates a page on which nothing fails, in place of any that the file held.
+    /// Creates a page without faults; an existing file is truncated first.
     pub fn create(path: &Path, seed: u64) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(PAGE_BYTES as u64)?;
@@ -189,27 +191,27 @@
         Ok(FaultPage(file))
     }
 
-    /// Sets the process's wall clock ahead of the machine's, or back where the offset is negative.
+    /// Sets the offset of the process's wall clock from the machine's; a negative offset sets it back.
     pub fn step_wall_clock(&self, offset_ms: i64) -> io::Result<()> {
         self.0.write_all_at(&offset_ms.to_le_bytes(), WALL_OFFSET_BYTE as u64)
     }
 
-    /// Lets a call fail from now on.
+    /// Sets the fault of a call, which takes effect at once.
     pub fn set(&self, call: Call, fault: Fault) -> io::Result<()> {
         let errors: Vec<u8> = fault.errors.iter().flat_map(|error| error.to_le_bytes()).collect();
         let limits = [fault.budget.to_le_bytes(), fault.skipped.to_le_bytes()].concat();
-        // The rate is written last, as the fault takes effect with it.
+        // The rate is written last, because the fault takes effect with it.
         self.0.write_all_at(&errors, byte_of(call, ERRORS_WORD))?;
         self.0.write_all_at(&limits, byte_of(call, BUDGET_WORD))?;
         self.0.write_all_at(&fault.rate.to_le_bytes(), byte_of(call, RATE_WORD))
     }
 
-    /// Lets a call succeed again.
+    /// Clears the fault of a call, so that it succeeds again.
     pub fn clear(&self, call: Call) -> io::Result<()> {
         self.0.write_all_at(&0_u32.to_le_bytes(), byte_of(call, RATE_WORD))
     }
 
-    /// Reads what the shim has counted of a call.
+    /// Reads the shim's counts for a call.
     pub fn call_counts(&self, call: Call) -> io::Result<CallCounts> {
         let calls = self.read_word(call, CALLS_WORD)?;
         let failures = self.read_word(call, FAILURES_WORD)?;
@@ -223,7 +225,7 @@
     }
 }
 
-/// Where a word of a call's entry begins, in bytes.
+/// Returns the byte offset of a word in a call's entry.
 fn byte_of(call: Call, word: usize) -> u64 {
     (WORD_BYTES * (call.entry() + word)) as u64
 }
--- a/src/bin/testbed/stubs/client.rs
+++ b/src/bin/testbed/stubs/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a gateway.
+//! A client's connection to a gateway, and the encoding of RESP2 commands.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,28 +10,28 @@
 }
 
 impl Client {
-    /// Connects; reads then time out after `read_timeout`.
+    /// Connects to a gateway. Each read fails after `read_timeout` without data.
     ///
     /// # Errors
-    /// The connection does not come up.
+    /// Returns an error if the connection cannot be established.
     pub fn connect(address: SocketAddr, read_timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(read_timeout))?;
         Ok(Client { stream: BufReader::new(stream) })
     }
 
-    /// Sends some bytes.
+    /// Sends all of `bytes`.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection is broken.
     pub fn try_send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.get_mut().write_all(bytes)
     }
 
-    /// The next line, without its end; an empty one at the end of the connection.
+    /// Reads the next line and returns it without its line break; returns an empty line at the end of the connection.
     ///
     /// # Errors
-    /// There is none in time, or the connection is broken.
+    /// Returns an error if no line arrives before the read timeout, or if the connection is broken.
     pub fn try_read_line(&mut self) -> io::Result<String> {
         let mut line = String::new();
         self.stream.read_line(&mut line)?;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A command as it stands on the wire, in RESP2.
+/// Encodes a command as a RESP2 array of bulk strings.
 pub fn encode_command<W: AsRef<[u8]>>(words: &[W]) -> Vec<u8> {
     let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
     for word in words.iter().map(AsRef::as_ref) {
--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -1,21 +1,28 @@
-//! Configurations for gateways.
+//! Configuration files for gateways.
 
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A class of the settings: its latency objective in seconds, name, effect, idempotency window in milliseconds, and
-/// whether it is ordered.
-pub fn class(latency_objective_secs: u64, name: &str, idempotency: &str, window: u64, order: bool) -> Value {
+/// Returns an entry of `Lanes` for the settings. The deadline of the class is eight times its latency objective.
+///
+/// `idempotency` is one of the values of `Effect`. If `is_ordered`, messages of one key are sent one at a time.
+pub fn class(
+    latency_objective_secs: u64,
+    name: &str,
+    idempotency: &str,
+    window_ms: u64,
+    is_ordered: bool,
+) -> Value {
     json!({
-        "Name": name, "Effect": idempotency, "Group": "all", "RepeatWindow": window * 1_000_000,
-        "OneAtATime": order, "Worth": 1.0, "LateShare": 0.5,
+        "Name": name, "Effect": idempotency, "Group": "all", "RepeatWindow": window_ms * 1_000_000,
+        "OneAtATime": is_ordered, "Worth": 1.0, "LateShare": 0.5,
         "Aim": latency_objective_secs * 1_000_000_000, "Deadline": latency_objective_secs * 8 * 1_000_000_000,
     })
 }
 
-/// An entry of the endpoint list, of the one zone and kind that the configuration names.
+/// Returns an entry of the endpoint list, with the only zone and kind that [`Configuration::write`] lists.
 pub fn target(uid: &str, address: SocketAddr, destination: u32, state: &str, capacity_hint: f64) -> Value {
     json!({
         "uid": uid, "endpoint": address.to_string(), "az": "kingston", "model": "banks", "pod_group": destination,
@@ -23,7 +30,7 @@
     })
 }
 
-/// A gateway's configuration.
+/// The values of a gateway's configuration that tests and sweeps vary. [`Configuration::write`] fixes the others.
 pub struct Configuration<'a> {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -40,10 +47,10 @@
 }
 
 impl Configuration<'_> {
-    /// Replaces the configuration in a folder, in one step.
+    /// Replaces `config.json` in a folder atomically, by renaming a complete new file over it.
     ///
     /// # Errors
-    /// It cannot be written; the one before then stays.
+    /// Returns an error if the file cannot be written or renamed; the previous configuration then stays.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         let config = json!({
             "name": "n0", "listen": self.listen.to_string(), "admin_addr": "127.0.0.1:0",
@@ -65,8 +72,8 @@
                 "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 2_000_000_000},
             },
         });
-        let new = folder.join("config.new");
-        std::fs::write(&new, config.to_string())?;
-        std::fs::rename(new, folder.join("config.json"))
+        let new_file = folder.join("config.new");
+        std::fs::write(&new_file, config.to_string())?;
+        std::fs::rename(new_file, folder.join("config.json"))
     }
 }
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! The stub of discovery's agent: endpoint lists, watches on them, and outcome notifications.
+//! The stub of discovery's agent: it serves the endpoint list and watches on it, and receives outcome notifications.
 
 use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,30 +12,31 @@
 use super::http::{read_request, serve};
 use super::locked;
 
-/// A chunk with one empty line.
+/// A heartbeat of a watch: an HTTP chunk that holds one empty line.
 const HEARTBEAT: &str = "1\r\n\n\r\n";
 
-/// An agent that listens, and its address.
+/// An agent that is listening on loopback.
 pub struct Agent {
     pub state: Arc<Discovery>,
     pub address: SocketAddr,
 }
 
 impl Agent {
-    /// Starts an agent; the outcome notifications that it receives go to `seen`.
+    /// Starts an agent. It sends each outcome notification that it receives to `events`.
     ///
     /// # Errors
-    /// It cannot listen.
-    pub fn start(seen: &Sender<StubEvent>) -> io::Result<Self> {
+    /// Returns an error if the agent cannot listen.
+    pub fn start(events: &Sender<StubEvent>) -> io::Result<Self> {
         let state = Arc::new(Discovery::default());
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (shared, seen) = (state.clone(), seen.clone());
-        serve(listener, move |stream| shared.serve_connection(stream, &seen));
+        let (shared, events) = (state.clone(), events.clone());
+        serve(listener, move |stream| shared.serve_connection(stream, &events));
         Ok(Agent { state, address })
     }
 
-    /// Sends some text, whatever it says, on all watches, and on those that open later.
+    /// Sends text as one chunk on all open watches, and on each watch that opens later. The text is not validated, so
+    /// that tests can send malformed lines.
     pub fn announce(&self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         let mut watches = locked(&self.state.watches);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Breaks all open watches.
+    /// Closes the connections of all open watches.
     pub fn break_watches(&self) {
         for watch in locked(&self.state.watches).open.drain(..) {
             let _ = watch.shutdown(Shutdown::Both);
@@ -61,33 +62,34 @@
     }
 }
 
-/// What an agent responds with, and what it has seen.
+/// The behavior of an agent, which may be changed while it serves, and the counts of what it has done.
 #[derive(Default)]
 pub struct Discovery {
-    /// The response to a request for the complete list.
+    /// The body of the response to a request for the complete list, as JSON.
     pub list: Mutex<String>,
-    /// Whether requests for a watch go unanswered.
+    /// Whether the agent leaves requests for a watch unanswered.
     pub is_ignoring_watches: AtomicBool,
-    /// Milliseconds before a watch is answered.
+    /// The delay before the response to a request for a watch, in milliseconds.
     pub watch_delay_ms: AtomicU64,
-    /// Whether notifications go unanswered.
+    /// Whether the agent leaves notifications unanswered. It still passes them on.
     pub is_holding_notifications: AtomicBool,
-    /// Connections that fall silent with the next notifications on them, which nobody sees.
+    /// The number of connections still to be stalled. With the next notifications on such a connection, the agent stops
+    /// responding on it and does not pass them on.
     pub connections_to_stall: AtomicU32,
-    /// Requests with notifications.
+    /// The number of requests with notifications, without those on stalled connections.
     pub notification_requests: AtomicU32,
     pub watches: Mutex<Watches>,
-    /// Watches that it accepts a second; no limit if absent.
+    /// The rate limit on accepted watches; `None` means no limit. The agent rejects other watches with status 503.
     pub watch_limit: Mutex<Option<WatchTokenBucket>>,
-    /// Connections that it has accepted.
+    /// The number of connections accepted.
     pub connections: AtomicU64,
-    /// Watches that it has rejected.
+    /// The number of watches rejected.
     pub rejected_watches: AtomicU64,
-    /// Bytes of lists and changes that it has sent.
+    /// Bytes of lists and changes sent, with their HTTP heads and chunk framing; later heartbeats are not counted.
     pub bytes_sent: AtomicU64,
 }
 
-/// A token bucket of watches, which holds those of one second.
+/// A token bucket that limits watches. It holds at most the tokens of one second.
 pub struct WatchTokenBucket {
     per_sec: f64,
     tokens: f64,
@@ -95,7 +97,7 @@
 }
 
 impl WatchTokenBucket {
-    /// A full bucket.
+    /// Returns a full bucket that is refilled with `per_sec` tokens per second.
     pub fn new(per_sec: f64) -> Self {
         WatchTokenBucket { per_sec, tokens: per_sec, filled_at: Instant::now() }
     }
@@ -111,7 +113,7 @@
     }
 }
 
-/// Open watches, and what has been sent so far: a watch that opens later gets it first.
+/// The open watches, and everything announced so far, which a watch receives first when it opens later.
 #[derive(Default)]
 pub struct Watches {
     pub open: Vec<TcpStream>,
@@ -119,17 +121,17 @@
 }
 
 impl Discovery {
-    fn serve_connection(&self, stream: TcpStream, seen: &Sender<StubEvent>) {
+    fn serve_connection(&self, stream: TcpStream, events: &Sender<StubEvent>) {
         let Ok(mut output) = stream.try_clone() else { return };
         let mut input = BufReader::new(stream);
         self.connections.fetch_add(1, Ordering::SeqCst);
         while let Some(request) = read_request(&mut input) {
             if request.line.starts_with("POST /v1/notices ") {
-                if self.loses_connection() {
+                if self.stalls_connection() {
                     while read_request(&mut input).is_some() {}
                     return;
                 }
-                self.receive_notifications(&request.body, &mut output, seen);
+                self.receive_notifications(&request.body, &mut output, events);
             } else if request.line.starts_with("GET /v1/endpoints ") {
                 self.send_list(&mut output);
             } else if !self.is_ignoring_watches.load(Ordering::SeqCst) {
@@ -138,16 +140,16 @@
         }
     }
 
-    /// Whether this is one of the connections that fall silent.
-    fn loses_connection(&self) -> bool {
-        let less = |left: u32| left.checked_sub(1);
-        self.connections_to_stall.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok()
+    /// Counts down `connections_to_stall`, and returns whether this connection is one of them.
+    fn stalls_connection(&self) -> bool {
+        let decrement = |remaining: u32| remaining.checked_sub(1);
+        self.connections_to_stall.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
     }
 
-    fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, seen: &Sender<StubEvent>) {
+    fn receive_notifications(&self, body: &[u8], output: &mut TcpStream, events: &Sender<StubEvent>) {
         self.notification_requests.fetch_add(1, Ordering::SeqCst);
         for line in String::from_utf8_lossy(body).lines() {
-            let _ = seen.send(StubEvent::Notification(line.to_owned()));
+            let _ = events.send(StubEvent::Notification(line.to_owned()));
         }
         if !self.is_holding_notifications.load(Ordering::SeqCst) {
             let _ = output.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
--- a/src/bin/testbed/stubs/endpoint.rs
+++ b/src/bin/testbed/stubs/endpoint.rs
@@ -1,4 +1,4 @@
-//! The stub of an endpoint: it passes on each call, which whoever receives it answers.
+//! The stub of an endpoint: it passes each call on through a channel, and the receiver of the call responds to it.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -6,49 +6,50 @@
 
 use super::http::{read_request, Request};
 
-/// What stubs have seen the gateway do.
+/// A request of the gateway that a stub has received.
 pub enum StubEvent {
-    /// It has called an endpoint.
+    /// A call to an endpoint.
     Call(Call),
-    /// It has notified discovery's agent of a final outcome, with this line.
+    /// One line of an outcome notification to discovery's agent.
     Notification(String),
 }
 
-/// A call in flight at an endpoint. One that is dropped unanswered is never answered.
+/// A call in flight at an endpoint. A call that is dropped gets no response; its connection stays open until the
+/// gateway closes it.
 pub struct Call {
-    /// The number of the endpoint.
+    /// The number that was given to [`serve_calls`].
     pub endpoint: usize,
     pub path: String,
-    /// The message's id.
+    /// The message's id from `X-Call-Id`; empty if the header is absent.
     pub id: String,
     pub body: Vec<u8>,
-    /// Names are in lower case.
+    /// Header names in lower case, and values.
     pub headers: Vec<(String, String)>,
-    /// The bytes of the response; none breaks the connection.
+    /// Takes the bytes of the response; `None` closes the connection instead.
     answer: Sender<Option<Vec<u8>>>,
-    /// The endpoint's side of the connection that it came on.
+    /// The endpoint's side of the connection that carries the call.
     pub connection: TcpStream,
 }
 
 impl Call {
-    /// Responds without a body. Each of `headers` ends in a line break.
+    /// Responds with an empty body. Each line of `headers` has to end with `\r\n`.
     pub fn answer(self, status: &str, headers: &str) {
         self.answer_raw(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n").as_bytes());
     }
 
-    /// Responds with these bytes, whatever they are.
+    /// Responds with these bytes, which need not be valid HTTP.
     pub fn answer_raw(self, bytes: &[u8]) {
         let _ = self.answer.send(Some(bytes.to_vec()));
     }
 
-    /// Breaks the connection.
+    /// Closes the connection without a response.
     pub fn reset(self) {
         let _ = self.answer.send(None);
     }
 }
 
-/// Serves one connection to an endpoint, until it ends or nobody receives what is seen any more.
-pub fn serve_calls(endpoint: usize, stream: TcpStream, seen: &Sender<StubEvent>) {
+/// Serves one connection to an endpoint, until the connection ends or the receiver of `events` is dropped.
+pub fn serve_calls(endpoint: usize, stream: TcpStream, events: &Sender<StubEvent>) {
     let Ok(mut output) = stream.try_clone() else { return };
     let mut input = BufReader::new(stream);
     while let Some(Request { line, headers, body }) = read_request(&mut input) {
@@ -58,13 +59,13 @@
         let (answer, answered) = channel();
         let Ok(connection) = output.try_clone() else { return };
         let call = Call { endpoint, path, id, body, headers, answer, connection };
-        if seen.send(StubEvent::Call(call)).is_err() {
+        if events.send(StubEvent::Call(call)).is_err() {
             return;
         }
         match answered.recv() {
             Ok(Some(bytes)) => drop(output.write_all(&bytes)),
             Ok(None) => drop(output.shutdown(Shutdown::Both)),
-            // Never answered: the gateway closes the connection.
+            // The call was dropped without a response: wait until the gateway closes the connection.
             Err(_) => drop(input.read(&mut [0])),
         }
     }
--- a/src/bin/testbed/stubs/http.rs
+++ b/src/bin/testbed/stubs/http.rs
@@ -1,19 +1,19 @@
-//! The little of an HTTP/1.1 server that stubs need.
+//! A minimal HTTP/1.1 server for the stubs: requests with `Content-Length`, one thread per connection.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-/// A request, with its whole body.
+/// A request with its complete body.
 pub struct Request {
     /// Method, path and version.
     pub line: String,
-    /// Names are in lower case.
+    /// Header names in lower case, and values.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-/// Reads the next request of a connection; none at its end.
+/// Reads the next request of a connection; returns `None` if the connection ends first.
 pub fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let line = read_line(stream)?;
     let mut headers = Vec::new();
@@ -34,12 +34,12 @@
     Some(line)
 }
 
-/// Serves each connection on a thread of its own.
-pub fn serve(listener: TcpListener, each: impl Fn(TcpStream) + Clone + Send + 'static) {
+/// Accepts connections on a background thread, and calls `handler` for each on a thread of its own.
+pub fn serve(listener: TcpListener, handler: impl Fn(TcpStream) + Clone + Send + 'static) {
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let each = each.clone();
-            thread::spawn(move || each(stream));
+            let handler = handler.clone();
+            thread::spawn(move || handler(stream));
         }
     });
 }
--- a/src/bin/testbed/stubs/mod.rs
+++ b/src/bin/testbed/stubs/mod.rs
@@ -1,8 +1,8 @@
-//! Stubs of what surrounds a real gateway, on loopback: endpoints, discovery's agent and clients; and the gateway's own
+//! Stubs of the peers of a real gateway on loopback: endpoints, discovery's agent and clients; and the gateway's own
 //! process. The tests use them as well.
 //!
-//! The system chooses all ports, what a peer sends is never trusted, and each connection has a thread of its own, which
-//! ends with the connection.
+//! The operating system chooses all ports. What a peer sends is never trusted. Each connection has its own thread,
+//! which ends with the connection.
 
 mod client;
 mod configuration;
@@ -20,7 +20,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks what the threads of stubs share. It stays consistent also if one of them has panicked.
+/// Locks state that the threads of stubs share. A poisoned lock is taken as well, because the state stays consistent
+/// when a thread panics.
 pub fn locked<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/bin/testbed/stubs/process.rs
+++ b/src/bin/testbed/stubs/process.rs
@@ -10,11 +10,11 @@
 
 use super::locked;
 
-/// The lines that a process has logged.
+/// The log lines of a process, shared with the thread that reads them.
 #[derive(Default)]
 struct Log {
     lines: Mutex<Vec<String>>,
-    more: Condvar,
+    line_added: Condvar,
 }
 
 /// A gateway's process. It is killed when dropped.
@@ -24,20 +24,21 @@
 }
 
 impl Process {
-    /// Starts a gateway on the configuration, the state and the temporary files of a folder.
+    /// Starts a gateway on a folder that holds its configuration (`config.json`), state (`state`) and temporary files
+    /// (`tmp`).
     ///
     /// # Errors
-    /// The process cannot be started; the same holds for the variants below.
+    /// Returns an error if the process cannot be started. The same holds for the two variants below.
     pub fn start(binary: &Path, folder: &Path) -> io::Result<Self> {
         Process::start_with(binary, folder, &[])
     }
 
-    /// Starts it with further variables in its environment.
+    /// Starts a gateway with additional environment variables.
     pub fn start_with(binary: &Path, folder: &Path, variables: &[(&str, PathBuf)]) -> io::Result<Self> {
         Process::start_logging_to(binary, folder, variables, Stdio::piped())
     }
 
-    /// Starts it with its log elsewhere; only one that is piped here is read.
+    /// Starts a gateway that logs to `log`. Its lines are only available here if `log` is [`Stdio::piped`].
     pub fn start_logging_to(
         binary: &Path,
         folder: &Path,
@@ -57,50 +58,50 @@
             thread::spawn(move || {
                 for line in BufReader::new(errors).lines().map_while(Result::ok) {
                     locked(&shared.lines).push(line);
-                    shared.more.notify_all();
+                    shared.line_added.notify_all();
                 }
             });
         }
         Ok(Process { child, log })
     }
 
-    /// Waits for so many lines of the log with some words, and returns the last of them.
+    /// Waits until `count` lines of the log contain `text`, and returns the last of these lines.
     ///
     /// # Errors
-    /// All lines, if there are not so many in time.
+    /// Returns all lines so far if there are fewer matching lines after `timeout`.
     pub fn wait_for_log_lines(
         &self,
-        words: &str,
-        times: usize,
+        text: &str,
+        count: usize,
         timeout: Duration,
     ) -> Result<String, Vec<String>> {
         let end = Instant::now() + timeout;
         let mut lines = locked(&self.log.lines);
         loop {
-            let mut matching = lines.iter().filter(|line| line.contains(words));
-            if let Some(line) = times.checked_sub(1).and_then(|before| matching.nth(before)) {
+            let mut matching = lines.iter().filter(|line| line.contains(text));
+            if let Some(line) = count.checked_sub(1).and_then(|before| matching.nth(before)) {
                 return Ok(line.clone());
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(lines.clone());
             }
-            let waited = self.log.more.wait_timeout(lines, left);
+            let waited = self.log.line_added.wait_timeout(lines, remaining);
             lines = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// Whether a line of the log so far has some words.
-    pub fn has_logged(&self, words: &str) -> bool {
-        locked(&self.log.lines).iter().any(|line| line.contains(words))
+    /// Returns whether any line logged so far contains `text`.
+    pub fn has_logged(&self, text: &str) -> bool {
+        locked(&self.log.lines).iter().any(|line| line.contains(text))
     }
 
-    /// All lines of the log so far.
+    /// Returns all lines logged so far.
     pub fn lines(&self) -> Vec<String> {
         locked(&self.log.lines).clone()
     }
 
-    /// A value in the process's `/proc` status, in the unit that it has there.
+    /// Returns a value from the process's `/proc/PID/status`, in the unit of that file; `None` if it cannot be read.
     pub fn status_value(&self, name: &str) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
@@ -115,7 +116,7 @@
     }
 }
 
-/// The address in a line of the log.
+/// Returns the address after `address=` in a log line; `None` if there is none.
 pub fn address_in(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once("address=")?;
     rest.split_whitespace().next()?.parse().ok()
