--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -121,7 +121,7 @@
     #[error("{0} is missing; cargo build --release --examples makes it")]
     Missing(PathBuf),
     #[error("{0} rules were broken")]
-    Broken(usize),
+    RulesBroken(usize),
 }
 
 /// A flag that the first SIGINT or SIGTERM sets.
@@ -200,19 +200,19 @@
         }
     }
     let interrupted = watch_for_signals()?;
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in plan.seed..plan.seed.saturating_add(seeds) {
         if interrupted.load(Ordering::SeqCst) {
             return Err(TestbedError::Interrupted);
         }
         let result = soak::run(&Arc::new(soak::Plan { seed, ..plan.clone() })).map_err(TestbedError::Soak)?;
         print!("{}", result.report);
-        broken += result.broken;
+        violations += result.violations;
     }
-    if broken == 0 {
+    if violations == 0 {
         Ok(())
     } else {
-        Err(TestbedError::Broken(broken))
+        Err(TestbedError::RulesBroken(violations))
     }
 }
 
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak: proper ones, on connections that stay idle at times and with commands that arrive in parts, and
-//! ones that send malformed requests.
+//! The clients of a soak. Well-behaved clients enqueue messages, on connections that are sometimes idle and with
+//! commands that sometimes arrive in two parts. Others send malformed requests.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -11,35 +11,37 @@
 use super::ledger::{Idempotency, Ledger};
 use crate::stubs::{encode_command, locked, Client};
 
-/// A reply that takes longer is counted as late.
-const LATE_REPLY: Duration = Duration::from_millis(400);
-/// Between two parts of a command.
+/// Replies that take longer are counted as late in the report.
+const LATE_REPLY_TIME: Duration = Duration::from_millis(400);
+/// The delay between the two parts of a split command.
 const PART_DELAY: Duration = Duration::from_millis(120);
-/// A gateway that does not reply for so long is unresponsive; many processes share the machine.
+/// The time without a reply after which a gateway counts as unresponsive. It allows for the many processes that share
+/// the machine.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Within this time, noise of the machine included, a malformed request gets an error or a closed connection.
+/// The maximum time until a malformed request gets an error or a closed connection, including scheduling delays of the
+/// machine.
 const MALFORMED_TIMEOUT: Duration = Duration::from_millis(3700);
-/// A connection is idle for so long at times, which is about when gateways close it.
+/// The length of an idle period of a connection, which is about the time after which gateways close it.
 const IDLE_TIME: Duration = Duration::from_millis(2000);
 
-/// What the clients of one gateway share.
+/// The state that the clients of one gateway share.
 #[derive(Clone)]
 pub struct GatewayClients {
     /// The number of the gateway.
     pub gateway: usize,
     pub address: SocketAddr,
-    /// Destinations, numbered from 1.
+    /// The number of destinations. Their numbers begin at 1.
     pub destinations: u32,
     pub ledger: Arc<Mutex<Ledger>>,
-    /// Set at the end of the soak.
-    pub over: Arc<AtomicBool>,
+    /// Set when the soak is over, which ends the clients.
+    pub is_over: Arc<AtomicBool>,
 }
 
 /// A class of the configuration.
 struct ClassOfMessage {
     name: &'static str,
     idempotency: Idempotency,
-    /// Further fields that a command needs.
+    /// Additional fields for the command, each with a leading comma.
     fields: &'static str,
 }
 
@@ -57,22 +59,25 @@
     },
 ];
 
-/// Enqueues messages until the soak is over.
+/// Enqueues messages with random pauses until the soak is over. A message without a reply is a violation, unless the
+/// gateway was restarting.
 pub fn enqueue_messages(clients: &GatewayClients, name: &str, seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut connection: Option<Client> = None;
     let mut number = 0;
-    while !clients.over.load(Ordering::SeqCst) {
+    while !clients.is_over.load(Ordering::SeqCst) {
         number += 1;
         let id = format!("c{}-{name}-{number}", clients.gateway);
         let sent_at = Instant::now();
         let was_idle = connection.is_some();
         let request = Request::new(clients, &id, &mut random);
-        let cut = if random.u8(..) < 32 { random.usize(1..request.bytes.len()) } else { request.bytes.len() };
-        if let Err(error) = request.enqueue(clients, &mut connection, cut) {
+        let split_at =
+            if random.u8(..) < 32 { random.usize(1..request.bytes.len()) } else { request.bytes.len() };
+        if let Err(error) = request.enqueue(clients, &mut connection, split_at) {
             connection = None;
             let is_unresponsive = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-            // What crosses the close of an idle connection is sent once more on a new one.
+            // A request on a reused connection may cross the gateway's close of that connection. It is sent once more
+            // on a new one.
             if was_idle
                 && !is_unresponsive
                 && request.enqueue(clients, &mut connection, request.bytes.len()).is_ok()
@@ -84,24 +89,24 @@
             if !ledger.was_restarting(clients.gateway, sent_at)
                 && error.kind() != ErrorKind::ConnectionRefused
             {
-                ledger.breach(format!("{id} was not answered: {error}"));
+                ledger.record_violation(format!("{id} was not answered: {error}"));
             }
             drop(ledger);
             thread::sleep(Duration::from_millis(100));
         }
-        let rest = if random.u8(..) < 8 { IDLE_TIME } else { Duration::from_millis(random.u64(20..300)) };
-        thread::sleep(rest);
+        let pause = if random.u8(..) < 8 { IDLE_TIME } else { Duration::from_millis(random.u64(20..300)) };
+        thread::sleep(pause);
         if random.u8(..) < 32 {
             connection = None;
         }
     }
 }
 
-/// A command that enqueues a message.
+/// An ENQUEUE command.
 struct Request {
     id: String,
     idempotency: Idempotency,
-    /// Until its deadline.
+    /// The time from sending to the message's deadline.
     time_left: Duration,
     bytes: Vec<u8>,
 }
@@ -118,19 +123,19 @@
         Request { id: id.to_owned(), idempotency: *idempotency, time_left, bytes }
     }
 
-    /// Sends it, the part behind the cut a moment later, and reads the reply.
+    /// Sends the command and reads the reply. The bytes from `split_at` on are sent after [`PART_DELAY`].
     fn enqueue(
         &self,
         clients: &GatewayClients,
         connection: &mut Option<Client>,
-        cut: usize,
+        split_at: usize,
     ) -> io::Result<()> {
         let client = connected(clients, connection)?;
         locked(&clients.ledger).message_enqueued(&self.id, clients.gateway, self.idempotency, self.time_left);
-        client.try_send(&self.bytes[..cut])?;
-        if cut < self.bytes.len() {
+        client.try_send(&self.bytes[..split_at])?;
+        if split_at < self.bytes.len() {
             thread::sleep(PART_DELAY);
-            client.try_send(&self.bytes[cut..])?;
+            client.try_send(&self.bytes[split_at..])?;
         }
         read_reply(clients, client, &self.id)
     }
@@ -150,17 +155,17 @@
         return Err(ErrorKind::UnexpectedEof.into());
     }
     let mut ledger = locked(&clients.ledger);
-    ledger.replied(id, &line);
-    if sent_at.elapsed() > LATE_REPLY {
+    ledger.reply_received(id, &line);
+    if sent_at.elapsed() > LATE_REPLY_TIME {
         ledger.count("late replies");
     }
     Ok(())
 }
 
-/// Sends malformed requests until the soak is over, each of which must get an error or a closed connection.
+/// Sends malformed requests until the soak is over. Each has to get an error or a closed connection in time.
 pub fn send_malformed_requests(clients: &GatewayClients, seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
-    while !clients.over.load(Ordering::SeqCst) {
+    while !clients.is_over.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(random.u64(300..1500)));
         let begun_at = Instant::now();
         let Ok(mut client) = Client::connect(clients.address, MALFORMED_TIMEOUT) else { continue };
@@ -179,7 +184,7 @@
         let mut ledger = locked(&clients.ledger);
         ledger.count("malformed requests");
         if is_unresponsive && !ledger.was_restarting(clients.gateway, begun_at) {
-            ledger.breach(format!(
+            ledger.record_violation(format!(
                 "a malformed request to gateway {} got neither an error nor a close",
                 clients.gateway
             ));
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -1,6 +1,5 @@
-//! Endpoints of a soak: they serve, reject, break connections and stop responding, at random and as their behavior
-//! says.
-//! What each did with an attempt goes to the ledger before the gateway can know it.
+//! The endpoints of a soak. They serve or reject calls, break connections or do not respond, at random and according to
+//! their current behavior. The result of each attempt is recorded in the ledger before the gateway can observe it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -9,15 +8,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::ledger::{is_open, Fate, Ledger};
+use super::ledger::{is_open, AttemptState, Ledger};
 use crate::stubs::{locked, serve, serve_calls, Call, StubEvent};
 
-/// Longest time of an ordinary response.
+/// The maximum latency of a regular response.
 const MAX_LATENCY: Duration = Duration::from_millis(60);
-/// Longest time that a call is left unanswered: longer than any message has.
+/// The maximum time for which a call is left unanswered; longer than the deadline of any message.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(30);
-/// Between two looks at whether the gateway still waits for a call.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// The interval between two checks whether the gateway still waits for a call.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How an endpoint behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,16 +26,16 @@
     Serving,
     /// Accepts calls and answers none.
     Unresponsive,
-    /// Breaks the connection of half of its calls, served or not.
+    /// Breaks the connection of half of its calls, which may or may not have been served.
     Resetting,
     /// Rejects half of its calls, some with a Retry-After.
     Rejecting,
-    /// Responds to half of its calls with what is no HTTP.
+    /// Responds to half of its calls with invalid HTTP.
     Malformed,
 }
 
 impl Behavior {
-    /// Each behavior, by its number.
+    /// All behaviors, each at the index of its number.
     pub const ALL: [Behavior; 5] = [
         Behavior::Serving,
         Behavior::Unresponsive,
@@ -53,22 +52,23 @@
 /// An endpoint.
 pub struct Endpoint {
     pub address: SocketAddr,
-    /// The number of its destination.
+    /// The number of its destination, from 1.
     pub destination: u32,
     behavior: AtomicU8,
 }
 
 impl Endpoint {
-    /// Changes how it behaves with calls from now on.
-    pub fn set(&self, behavior: Behavior) {
+    /// Changes the behavior for calls that arrive from now on.
+    pub fn set_behavior(&self, behavior: Behavior) {
         self.behavior.store(behavior as u8, Ordering::SeqCst);
     }
 }
 
-/// Starts endpoints, which answer each call on a thread of its own.
+/// Starts `endpoints` endpoints, distributed evenly over `destinations` destinations. Each call is answered on a thread
+/// of its own.
 ///
 /// # Errors
-/// An endpoint cannot listen.
+/// Returns an error if an endpoint cannot listen.
 pub fn start(
     endpoints: usize,
     destinations: u32,
@@ -95,7 +95,7 @@
     Ok(all)
 }
 
-/// Notes each call in the ledger, and has it answered.
+/// Records each call in the ledger, and starts a thread that answers it.
 fn dispatch(
     calls: &Receiver<StubEvent>,
     endpoints: &Arc<Vec<Endpoint>>,
@@ -104,8 +104,8 @@
     ledger: &Arc<Mutex<Ledger>>,
 ) {
     let mut random = fastrand::Rng::with_seed(seed);
-    while let Ok(seen) = calls.recv() {
-        let StubEvent::Call(call) = seen else { continue };
+    while let Ok(event) = calls.recv() {
+        let StubEvent::Call(call) = event else { continue };
         let endpoint = &endpoints[call.endpoint];
         let destination = endpoint.destination;
         let Ok(connection) = call.connection.try_clone() else { continue };
@@ -117,15 +117,16 @@
     }
 }
 
-/// Waits, and says whether the gateway still waits for the call then.
-fn wait_while_wanted(call: &Call, duration: Duration) -> bool {
+/// Waits for `duration`, and returns whether the gateway still waits for the call. Returns `false` as soon as the
+/// gateway closes the connection.
+fn wait_while_connected(call: &Call, duration: Duration) -> bool {
     let end = Instant::now() + duration;
     while is_open(&call.connection) {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return true;
         }
-        thread::sleep(left.min(LOOK_INTERVAL));
+        thread::sleep(remaining.min(POLL_INTERVAL));
     }
     false
 }
@@ -143,24 +144,24 @@
     } else {
         MAX_LATENCY.mul_f64(random.f64())
     };
-    if !wait_while_wanted(&call, latency) || behavior == Behavior::Unresponsive {
-        return locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
+    if !wait_while_connected(&call, latency) || behavior == Behavior::Unresponsive {
+        return locked(ledger).attempt_ended(&id, AttemptState::MayHaveRun);
     }
     let misbehaves = random.bool();
     match behavior {
         Behavior::Resetting if misbehaves => {
-            locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
+            locked(ledger).attempt_ended(&id, AttemptState::MayHaveRun);
             call.reset();
         }
         Behavior::Malformed if misbehaves => {
-            locked(ledger).attempt_ended(&id, Fate::MayHaveRun);
+            locked(ledger).attempt_ended(&id, AttemptState::MayHaveRun);
             call.answer_raw(b"HTTP/1.1 2\r\n\r\n");
         }
         Behavior::Rejecting if misbehaves => {
             let retry_after = Duration::from_millis(random.u64(200..1500));
             let has_retry_after = random.bool();
             let mut ledger = locked(ledger);
-            ledger.attempt_ended(&id, Fate::NeverRan);
+            ledger.attempt_ended(&id, AttemptState::NeverRan);
             if has_retry_after {
                 ledger.retry_after(&id, destination, retry_after);
                 call.answer(
@@ -172,7 +173,7 @@
             }
         }
         _ => {
-            locked(ledger).attempt_ended(&id, Fate::Delivered);
+            locked(ledger).attempt_ended(&id, AttemptState::Delivered);
             call.answer("200 OK", "");
         }
     }
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak: which there are, and what each does to a gateway. All are drawn from the soak's seed.
+//! The faults of a soak, and how each is injected into a gateway. All are drawn from the soak's seed.
 
 use rustix::io::Errno;
 use std::io;
@@ -20,7 +20,7 @@
 const ENOSPC: i32 = Errno::NOSPC.raw_os_error();
 const EIO: i32 = Errno::IO.raw_os_error();
 
-/// System calls that fail all through the soak, and with which errors.
+/// The system calls that fail at random during the whole soak, and their errors.
 const BACKGROUND_FAULTS: [(Call, &[i32]); 8] = [
     (Call::Accept, &[ECONNABORTED, ENFILE, ENOBUFS, EINTR]),
     (Call::Connect, &[EADDRNOTAVAIL, ENETUNREACH, EINTR]),
@@ -31,37 +31,38 @@
     (Call::UnixWrite, &[EINTR]),
     (Call::EpollWait, &[EINTR]),
 ];
-/// Ratio of these calls that fails.
+/// The ratio of these calls that fail.
 const BACKGROUND_RATIO: f64 = 0.05;
-/// Steps of the wall clock, in milliseconds.
+/// The offsets to which the wall clock is stepped, in milliseconds.
 const CLOCK_STEPS_MS: [i64; 5] = [0, 3_600_000, -3_600_000, 5_000, -5_000];
 
-/// Lets system calls fail now and then, all through the soak.
+/// Sets the faults that last for the whole soak.
 ///
 /// # Errors
-/// The page of faults cannot be written.
+/// Returns an error if the fault page cannot be written.
 pub fn set_background_faults(faults: &FaultPage) -> io::Result<()> {
     BACKGROUND_FAULTS
         .iter()
         .try_for_each(|(call, errors)| faults.set(*call, Fault::always(errors).with_ratio(BACKGROUND_RATIO)))
 }
 
-/// Lets a gateway meet one fault after the other until the soak is over.
+/// Injects one fault after another into a gateway until the soak is over, and returns the gateway. A process that exits
+/// by itself is a violation, and is restarted.
 pub fn inject_faults(
     mut gateway: Gateway,
     plan: &Plan,
     endpoints: &[Endpoint],
-    over: &AtomicBool,
+    is_over: &AtomicBool,
     mut random: fastrand::Rng,
 ) -> Gateway {
-    while !over.load(Ordering::SeqCst) {
+    while !is_over.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(random.u64(200..2500)));
         gateway.send_heartbeat();
         if gateway.has_exited() {
-            gateway.breach("exited by itself");
+            gateway.record_violation("exited by itself");
             let _ = gateway.restart(plan, endpoints, Restart::Killed);
         } else if let Err(error) = inject_fault(&mut gateway, plan, endpoints, &mut random) {
-            gateway.breach(&format!("could not be given a fault: {error}"));
+            gateway.record_violation(&format!("could not be given a fault: {error}"));
         }
     }
     gateway
@@ -91,7 +92,7 @@
     }
 }
 
-/// Lets the disk fail for some time, and the gateway at times be restarted or handed over meanwhile.
+/// Fails disk writes for a random time. In three of four cases the gateway is restarted or handed over meanwhile.
 fn fail_disk(
     gateway: &mut Gateway,
     plan: &Plan,
@@ -116,9 +117,9 @@
     gateway.clear_disk_faults()
 }
 
-/// Changes how endpoints behave until the soak is over. Afterwards all serve.
-pub fn change_behaviors(endpoints: &[Endpoint], over: &AtomicBool, mut random: fastrand::Rng) {
-    while !over.load(Ordering::SeqCst) {
+/// Changes the behavior of random endpoints until the soak is over. Afterwards all endpoints serve.
+pub fn change_behaviors(endpoints: &[Endpoint], is_over: &AtomicBool, mut random: fastrand::Rng) {
+    while !is_over.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(random.u64(200..1200)));
         let endpoint = &endpoints[random.usize(..endpoints.len())];
         let behavior = if random.bool() {
@@ -126,15 +127,15 @@
         } else {
             Behavior::ALL[random.usize(..Behavior::ALL.len())]
         };
-        endpoint.set(behavior);
+        endpoint.set_behavior(behavior);
     }
-    endpoints.iter().for_each(|endpoint| endpoint.set(Behavior::Serving));
+    endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Serving));
 }
 
-/// How often each system call was made and failed, over all gateways.
+/// Returns, for each system call with failures, the numbers of failures and calls over all gateways, as text.
 ///
 /// # Errors
-/// A page of faults cannot be read.
+/// Returns an error if a fault page cannot be read.
 pub fn fault_counts(gateways: &[Gateway]) -> io::Result<String> {
     let mut counts = Vec::new();
     for call in Call::ALL {
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -1,5 +1,5 @@
-//! One gateway of a soak: its folder, its agent of discovery, the faults of its process, and the processes that run it
-//! one after the other.
+//! One gateway of a soak: its folder, its discovery agent, its fault page, and the processes that run it one after
+//! another.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -18,31 +18,31 @@
 use crate::fault_page::{Call, FaultPage, PAGE_VARIABLE};
 use crate::stubs::{address_in, class, locked, target, Agent, Client, Configuration, Process, StubEvent};
 
-/// From SIGTERM to SIGKILL.
+/// The grace period from SIGTERM to SIGKILL.
 const TERM_TO_KILL: Duration = Duration::from_millis(3700);
-/// From SIGKILL to the next start.
+/// The time from SIGKILL to the next start, and from the start of a successor until a failing disk works again.
 const KILL_TO_START: Duration = Duration::from_millis(600);
-/// A gateway that does not listen, or answer, after this never will.
+/// The maximum time from the start of a process until it listens and replies to PING.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Between two looks at a process that starts or ends.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// From the change of discovery's address until the agent there before goes away.
-const AGENT_MOVE_TIME: Duration = Duration::from_millis(1500);
-/// System calls that fail while a disk does.
+/// The interval between two checks of a process that starts or ends.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The time for which the previous agent keeps running after the address of discovery has changed.
+const AGENT_OVERLAP: Duration = Duration::from_millis(1500);
+/// The system calls that [`Gateway::clear_disk_faults`] resets.
 const DISK_CALLS: [Call; 3] = [Call::StateWrite, Call::StateTruncate, Call::StateRename];
-/// Logged by a gateway that stops itself from breaking a rule.
+/// The text that a gateway logs when its send guard stops an attempt that would break a rule.
 const GUARD_LINE: &str = "it would break a delivery rule";
 
-/// Whether a process is terminated before it is killed.
+/// How a process is ended before the next one is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restart {
-    /// By SIGTERM, and only then by SIGKILL.
+    /// With SIGTERM, and with SIGKILL after a grace period.
     Planned,
-    /// By SIGKILL alone.
+    /// With SIGKILL only.
     Killed,
 }
 
-/// A gateway of a soak.
+/// A gateway of a soak. Its process is killed when this is dropped.
 pub struct Gateway {
     pub number: usize,
     folder: PathBuf,
@@ -51,33 +51,33 @@
     pub faults: FaultPage,
     process: Option<Process>,
     ledger: Arc<Mutex<Ledger>>,
-    /// The revision of its endpoint list.
+    /// The revision of the gateway's endpoint list.
     revision: u32,
-    /// By endpoint: whether the list has it as draining.
+    /// Whether the list has each endpoint as draining, by the endpoint's index.
     draining: Vec<bool>,
-    /// Where its agents pass on outcome notifications.
-    seen: Sender<StubEvent>,
-    /// The log of the processes that have ended.
+    /// Receives the outcome notifications from the gateway's agents.
+    events: Sender<StubEvent>,
+    /// The log lines collected from the gateway's processes so far.
     log: Vec<String>,
 }
 
 impl Gateway {
-    /// A gateway whose process is not started yet.
+    /// Creates a gateway whose process is not started yet.
     ///
     /// # Errors
-    /// Its folder, its agent or its page of faults cannot be made.
+    /// Returns an error if its folder, its agent or its fault page cannot be created.
     pub fn create(
         number: usize,
         folder: PathBuf,
         seed: u64,
         endpoints: &[Endpoint],
         ledger: &Arc<Mutex<Ledger>>,
-        seen: &Sender<StubEvent>,
+        events: &Sender<StubEvent>,
     ) -> io::Result<Self> {
         std::fs::create_dir_all(folder.join("state"))?;
         std::fs::create_dir_all(folder.join("tmp"))?;
         let faults = FaultPage::create(&folder.join("faults"), seed)?;
-        let agent = Agent::start(seen)?;
+        let agent = Agent::start(events)?;
         Ok(Gateway {
             number,
             folder,
@@ -88,15 +88,16 @@
             ledger: ledger.clone(),
             revision: 1,
             draining: vec![false; endpoints.len()],
-            seen: seen.clone(),
+            events: events.clone(),
             log: Vec::new(),
         })
     }
 
-    /// Starts a process, and waits until it answers.
+    /// Starts a process, and waits until it replies to PING.
     ///
     /// # Errors
-    /// It cannot be configured or started. One that does not get ready is a broken rule instead.
+    /// Returns an error if the process cannot be configured or started. A process that does not become ready is
+    /// recorded as a violation instead.
     pub fn start(&mut self, plan: &Plan, endpoints: &[Endpoint]) -> io::Result<()> {
         self.configure(endpoints)?;
         let started_at = Instant::now();
@@ -105,7 +106,7 @@
         let address = listening.ok().and_then(|line| address_in(&line));
         self.process = Some(process);
         let Some(address) = address else {
-            self.breach("did not start");
+            self.record_violation("did not start");
             return Ok(());
         };
         self.address = address;
@@ -132,14 +133,14 @@
                 locked(&self.ledger).gateway_ready(self.number, started_at);
                 return;
             }
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
-        self.breach("never answered PING");
+        self.record_violation("never answered PING");
     }
 
-    /// Notes a rule that this gateway has broken.
-    pub fn breach(&self, what: &str) {
-        locked(&self.ledger).breach(format!("gateway {} {what}", self.number));
+    /// Records that this gateway has broken a rule. `text` is the predicate of a sentence about the gateway.
+    pub fn record_violation(&self, text: &str) {
+        locked(&self.ledger).record_violation(format!("gateway {} {text}", self.number));
     }
 
     // ---- Its process ----
@@ -151,52 +152,53 @@
         }
     }
 
-    /// Whether the process has exited, which only a signal of the soak's may bring about.
+    /// Returns whether the process has exited. Only a signal from the soak may cause that.
     pub fn has_exited(&mut self) -> bool {
         self.process
             .as_mut()
             .is_some_and(|process| process.child.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// Tells the process to end, and gives it the time for that.
+    /// Sends SIGTERM to the process, and waits until it exits or the grace period is over.
     fn terminate(&mut self) {
         self.signal(Signal::TERM);
         let end = Instant::now() + TERM_TO_KILL;
         while !self.has_exited() && Instant::now() < end {
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Ends the process and starts the next one.
     ///
     /// # Errors
-    /// As those of [`Gateway::start`].
+    /// Returns the errors of [`Gateway::start`].
     pub fn restart(&mut self, plan: &Plan, endpoints: &[Endpoint], restart: Restart) -> io::Result<()> {
         locked(&self.ledger).gateway_stops(self.number);
         if restart == Restart::Planned {
             self.terminate();
         }
-        self.keep_log();
-        // Dropped, it is killed.
+        self.collect_log();
+        // Dropping the process kills it.
         self.process = None;
         thread::sleep(KILL_TO_START);
         self.start(plan, endpoints)
     }
 
-    /// Has another process take over from this one while it serves; no client may notice.
+    /// Starts another process that takes over from the serving one. The handover must not disturb any client.
     ///
     /// # Errors
-    /// The next process cannot be started.
+    /// Returns an error if the next process cannot be started.
     pub fn hand_over(&mut self, plan: &Plan) -> io::Result<()> {
         let next = self.spawn(plan)?;
         self.hand_over_to(next);
         Ok(())
     }
 
-    /// The same with a disk that fails when the next process starts, and works again a moment later.
+    /// Hands over like [`Gateway::hand_over`], with a disk that fails when the next process starts and works again
+    /// after [`KILL_TO_START`]. The caller has set the faults.
     ///
     /// # Errors
-    /// The next process cannot be started, or the faults not be cleared.
+    /// Returns an error if the next process cannot be started or the faults cannot be cleared.
     pub fn hand_over_while_disk_fails(&mut self, plan: &Plan) -> io::Result<()> {
         let next = self.spawn(plan)?;
         thread::sleep(KILL_TO_START);
@@ -207,36 +209,36 @@
 
     fn hand_over_to(&mut self, next: Process) {
         if next.wait_for_log_lines(" listening ", 1, READY_TIMEOUT).is_err() {
-            self.breach("was not handed over");
+            self.record_violation("was not handed over");
         }
         self.terminate();
-        self.keep_log();
+        self.collect_log();
         self.process = Some(next);
         locked(&self.ledger).count("hand-overs");
     }
 
-    /// Lets the system calls succeed again that a failing disk lets fail.
+    /// Clears the faults of the disk.
     ///
     /// # Errors
-    /// The page of faults cannot be written.
+    /// Returns an error if the fault page cannot be written.
     pub fn clear_disk_faults(&self) -> io::Result<()> {
         DISK_CALLS.iter().try_for_each(|call| self.faults.clear(*call))
     }
 
-    /// Keeps the process's log, and notes the broken rules that it tells of.
-    pub fn keep_log(&mut self) {
+    /// Adds the process's log to the collected log, and records the violations that it shows.
+    pub fn collect_log(&mut self) {
         let Some(process) = &self.process else { return };
         let lines = process.lines();
         if process.has_logged("panicked") {
-            self.breach("panicked");
+            self.record_violation("panicked");
         }
         for line in lines.iter().filter(|line| line.contains(GUARD_LINE)) {
-            locked(&self.ledger).breach(format!("gateway {}: {line}", self.number));
+            locked(&self.ledger).record_violation(format!("gateway {}: {line}", self.number));
         }
         self.log.extend(lines);
     }
 
-    /// The kept log.
+    /// Returns the collected log.
     pub fn log(&self) -> String {
         self.log.join("\n")
     }
@@ -281,12 +283,12 @@
         json!({"rev": self.revision, "all": true, "targets": self.entries(endpoints)}).to_string()
     }
 
-    /// Sends a heartbeat on its watches.
+    /// Sends a heartbeat on the gateway's watches.
     pub fn send_heartbeat(&self) {
         self.agent.send_heartbeat();
     }
 
-    /// Begins to drain an endpoint, or ends that.
+    /// Changes an endpoint in the list from serving to draining, or back, and announces the change.
     pub fn toggle_draining(&mut self, endpoints: &[Endpoint], index: usize) {
         self.draining[index] = !self.draining[index];
         self.revision += 1;
@@ -302,26 +304,26 @@
         }
     }
 
-    /// Breaks the watches, and leaves requests for new ones unanswered for some time.
+    /// Breaks the watches, and leaves requests for new ones unanswered for `duration`.
     pub fn silence_discovery(&self, duration: Duration) {
         self.agent.state.is_ignoring_watches.store(true, Ordering::SeqCst);
         self.agent.break_watches();
         thread::sleep(duration);
         self.agent.state.is_ignoring_watches.store(false, Ordering::SeqCst);
-        locked(&self.ledger).discovery_returned(self.number);
+        locked(&self.ledger).discovery_reachable_again(self.number);
     }
 
-    /// Moves discovery to another agent, by a new configuration and SIGHUP.
+    /// Moves discovery to a new agent, by a new configuration and SIGHUP.
     ///
     /// # Errors
-    /// The agent cannot be started, or the configuration not be written.
+    /// Returns an error if the agent cannot be started or the configuration cannot be written.
     pub fn move_discovery(&mut self, endpoints: &[Endpoint]) -> io::Result<()> {
-        let agent = Agent::start(&self.seen)?;
+        let agent = Agent::start(&self.events)?;
         *locked(&agent.state.list) = self.snapshot(endpoints);
         let previous = std::mem::replace(&mut self.agent, agent);
         self.configure(endpoints)?;
         self.signal(Signal::HUP);
-        thread::sleep(AGENT_MOVE_TIME);
+        thread::sleep(AGENT_OVERLAP);
         previous.state.is_ignoring_watches.store(true, Ordering::SeqCst);
         previous.break_watches();
         Ok(())
--- a/src/bin/testbed/soak/ledger.rs
+++ b/src/bin/testbed/soak/ledger.rs
@@ -1,65 +1,67 @@
-//! The ledger of a soak: everything that was seen of each message, and which rules of the protocol that broke. It
-//! learns from clients, endpoints and discovery alone, and decides nothing of what happens.
+//! The ledger of a soak: records all events of each message, and checks them against the rules of the protocol.
+//! Clients, endpoints and discovery report the events, and so does the code that starts and stops the gateways'
+//! processes; none come from a gateway itself. The ledger makes no decisions on the course of the soak.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A final outcome is in time so long after a message's deadline, ...
+/// The maximum time from a message's deadline to its final outcome.
 const OUTCOME_GRACE: Duration = Duration::from_millis(300);
-/// ... and so long after its gateway is ready again.
+/// The maximum time from when a restarted gateway is ready to the final outcomes that were not due before the restart
+/// began.
 const RESTART_GRACE: Duration = Duration::from_millis(1500);
-/// Calls that arrive so soon after a Retry-After, or after a final outcome, were already on their way.
+/// Calls that arrive within this time after a Retry-After or a final outcome were already on their way.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
-/// A change of the endpoint list counts as announced so long after discovery had it and could be reached, ...
-const ANNOUNCED: Duration = Duration::from_secs(6);
-/// ... and calls stop so long after that.
+/// The maximum time until a gateway has a change of the endpoint list. It begins when discovery has the change and can
+/// be reached.
+const ANNOUNCE_TIME: Duration = Duration::from_secs(6);
+/// The maximum time after that until calls to a draining endpoint stop.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// A restarted gateway is ready within this time.
-const READY_LIMIT: Duration = Duration::from_secs(10);
-/// How late this machine's threads may see things, as many processes share it.
-const NOISE: Duration = Duration::from_millis(700);
-/// Broken rules that are reported in full.
-const MAX_REPORTED: usize = 20;
-
-/// What sending a message a second time does.
+/// The maximum time from the start of a process until it is ready.
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
+/// The maximum delay with which a thread observes an event, because many processes share the machine.
+const SCHEDULING_DELAY: Duration = Duration::from_millis(700);
+/// The number of violations that are reported in full.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
+
+/// Whether a message may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It takes effect once more.
+    /// A second attempt would take effect again.
     NonIdempotent,
-    /// Nothing, for so long after the first attempt that may have run.
+    /// A second attempt has no effect within this window after the first attempt that may have run.
     IdempotentWithKey(Duration),
 }
 
-/// What an endpoint did with an attempt.
+/// The state of an attempt at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is in flight.
+pub enum AttemptState {
     InFlight,
-    /// Rejected it.
+    /// The endpoint rejected the attempt.
     NeverRan,
-    /// It may have run; the gateway cannot know.
+    /// The gateway cannot determine whether the attempt has run.
     MayHaveRun,
-    /// Served it, and said so.
+    /// The endpoint served the attempt and responded.
     Delivered,
 }
 
 struct Attempt {
     begun_at: Instant,
-    fate: Fate,
-    /// The endpoint's side of the connection, until its response.
+    state: AttemptState,
+    /// The endpoint's side of the connection; `None` once the attempt has ended.
     connection: Option<TcpStream>,
 }
 
 impl Attempt {
-    /// Whether the gateway still waits for it: its connection is open and it was not answered.
+    /// Returns whether the gateway still waits for the attempt: it was not answered and its connection is open.
     fn is_in_flight(&self) -> bool {
-        self.fate == Fate::InFlight && self.connection.as_ref().is_some_and(is_open)
+        self.state == AttemptState::InFlight && self.connection.as_ref().is_some_and(is_open)
     }
 }
 
-/// Whether the other side has neither ended its sending nor broken the connection.
+/// Returns whether the peer has neither shut down its sending side nor broken the connection.
 pub fn is_open(connection: &TcpStream) -> bool {
     let _ = connection.set_nonblocking(true);
     let peeked = connection.peek(&mut [0]);
@@ -70,7 +72,7 @@
     }
 }
 
-/// The reply that a client has had.
+/// The reply that a client has received for a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reply {
     None,
@@ -90,91 +92,95 @@
 }
 
 impl Message {
-    /// Which of the message's own rules an attempt breaks that arrives now; each completes "it was sent ...".
+    /// Returns the rules of this message that are broken by an attempt arriving at `now`. Each text completes the
+    /// sentence "it was sent ...".
     fn rules_broken_by_attempt(&self, now: Instant, max_attempts: usize) -> Vec<String> {
         let mut broken = Vec::new();
         if self.attempts.iter().any(Attempt::is_in_flight) {
             broken.push("while another attempt was in flight".to_owned());
         }
-        let first_run = self.attempts.iter().find(|attempt| attempt.fate != Fate::NeverRan);
+        let first_run = self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan);
         match (self.idempotency, first_run.map(|attempt| attempt.begun_at)) {
-            (Idempotency::NonIdempotent, Some(_)) => broken.push("though it may have run".to_owned()),
-            (Idempotency::IdempotentWithKey(window), Some(first)) if now > first + window + NOISE => {
+            (Idempotency::NonIdempotent, Some(_)) => broken.push("although it may have run".to_owned()),
+            (Idempotency::IdempotentWithKey(window), Some(first))
+                if now > first + window + SCHEDULING_DELAY =>
+            {
                 broken.push(format!("{:?} after its first attempt", now - first));
             }
             _ => {}
         }
         if self.attempts.len() >= max_attempts {
-            broken.push("after its last attempt".to_owned());
+            broken.push("after its last allowed attempt".to_owned());
         }
         let was_notified = self.notified_at.is_some_and(|at| now > at + ARRIVAL_GRACE);
         if was_notified || self.reply == Reply::Rejected {
             broken.push("after its final outcome".to_owned());
         }
-        if now > self.deadline + OUTCOME_GRACE + NOISE {
+        if now > self.deadline + OUTCOME_GRACE + SCHEDULING_DELAY {
             broken.push("after its deadline".to_owned());
         }
         broken
     }
 }
 
-/// A time in which a gateway's process was stopping, absent or starting.
+/// A period during which a gateway's process was stopping, absent or starting.
 struct Restart {
     begun_at: Instant,
+    /// `None` while the restart is in progress.
     ready_at: Option<Instant>,
 }
 
-/// A destination, as one gateway knows it.
+/// A destination together with the gateway that sends to it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct AtDestination {
+struct GatewayDestination {
     gateway: usize,
     destination: u32,
 }
 
-/// An endpoint, as one gateway knows it.
+/// An endpoint together with the gateway that calls it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct AtEndpoint {
+struct GatewayEndpoint {
     gateway: usize,
     endpoint: usize,
 }
 
-/// A time in which a destination is not to be called.
+/// A period during which a destination must not be called.
 struct RetryAfter {
     from: Instant,
     until: Instant,
 }
 
-/// Everything that was seen, by message and by gateway.
+/// All recorded events, by message and by gateway, and the violations found.
 #[derive(Default)]
 pub struct Ledger {
     messages: HashMap<String, Message>,
     restarts: HashMap<usize, Vec<Restart>>,
-    retry_afters: HashMap<AtDestination, RetryAfter>,
-    /// Endpoints that drain, since when discovery has them so.
-    draining: HashMap<AtEndpoint, Instant>,
-    broken: Vec<String>,
+    retry_afters: HashMap<GatewayDestination, RetryAfter>,
+    /// The time since when discovery has each draining endpoint as draining.
+    draining: HashMap<GatewayEndpoint, Instant>,
+    violations: Vec<String>,
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl Ledger {
     /// Counts an event for the report.
-    pub fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    pub fn count(&mut self, name: &'static str) {
+        *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Notes a rule that was broken.
-    pub fn breach(&mut self, what: String) {
-        self.broken.push(what);
+    /// Records a violation of a rule, as a line for the report.
+    pub fn record_violation(&mut self, text: String) {
+        self.violations.push(text);
     }
 
-    /// The rules that were broken so far.
-    pub fn broken(&self) -> &[String] {
-        &self.broken
+    /// Returns the violations recorded so far.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
     // ---- Clients ----
 
-    /// A client is about to send a message, for the first time or once more.
+    /// Records that a client is about to send a message, for the first time or again.
     pub fn message_enqueued(
         &mut self,
         id: &str,
@@ -199,8 +205,8 @@
         self.count("enqueued");
     }
 
-    /// The client has had a reply.
-    pub fn replied(&mut self, id: &str, line: &str) {
+    /// Records the reply that a client has received.
+    pub fn reply_received(&mut self, id: &str, line: &str) {
         let reply = match line {
             "+OK" => Reply::Accepted,
             _ if line.starts_with("-BUSY") => Reply::Rejected,
@@ -216,15 +222,15 @@
         }
     }
 
-    /// Whether a gateway's process was stopping, absent or starting at some time since.
+    /// Returns whether a gateway's process was stopping, absent or starting at any time since `since`.
     pub fn was_restarting(&self, gateway: usize, since: Instant) -> bool {
         let mut restarts = self.restarts.get(&gateway).into_iter().flatten();
-        restarts.any(|restart| restart.ready_at.is_none_or(|ready_at| ready_at + NOISE > since))
+        restarts.any(|restart| restart.ready_at.is_none_or(|ready_at| ready_at + SCHEDULING_DELAY > since))
     }
 
     // ---- Endpoints ----
 
-    /// An attempt has arrived at an endpoint; whether it keeps the rules is checked.
+    /// Records that an attempt has arrived at an endpoint, and checks it against the rules.
     pub fn attempt_arrived(
         &mut self,
         id: &str,
@@ -236,77 +242,84 @@
         let now = Instant::now();
         self.count("attempts");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.breach(format!("{id} was sent, and nobody enqueued it"));
+            return self.record_violation(format!("{id} was sent, and nobody enqueued it"));
         };
         let mut broken = message.rules_broken_by_attempt(now, max_attempts);
         let gateway = message.gateway;
-        message.attempts.push(Attempt { begun_at: now, fate: Fate::InFlight, connection: Some(connection) });
-        if let Some(since) = self.draining.get(&AtEndpoint { gateway, endpoint }) {
-            if now > *since + ANNOUNCED + DRAIN_GRACE + NOISE {
-                broken.push(format!("to endpoint {endpoint}, {:?} after it was to drain", now - *since));
+        message.attempts.push(Attempt {
+            begun_at: now,
+            state: AttemptState::InFlight,
+            connection: Some(connection),
+        });
+        if let Some(since) = self.draining.get(&GatewayEndpoint { gateway, endpoint }) {
+            if now > *since + ANNOUNCE_TIME + DRAIN_GRACE + SCHEDULING_DELAY {
+                broken.push(format!(
+                    "to endpoint {endpoint}, {:?} after discovery listed it as draining",
+                    now - *since
+                ));
             }
         }
         if let Some(RetryAfter { from, until }) =
-            self.retry_afters.get(&AtDestination { gateway, destination })
+            self.retry_afters.get(&GatewayDestination { gateway, destination })
         {
-            if now > *from + ARRIVAL_GRACE + NOISE / 7 && now < *until {
+            if now > *from + ARRIVAL_GRACE + SCHEDULING_DELAY / 7 && now < *until {
                 broken.push(format!("{:?} before the end of a Retry-After", *until - now));
             }
         }
         for rule in broken {
-            self.breach(format!("{id} was sent {rule}"));
+            self.record_violation(format!("{id} was sent {rule}"));
         }
     }
 
-    /// The endpoint is about to end the message's last attempt.
-    pub fn attempt_ended(&mut self, id: &str, fate: Fate) {
+    /// Records the new state of a message's last attempt, just before the endpoint ends it.
+    pub fn attempt_ended(&mut self, id: &str, state: AttemptState) {
         if let Some(message) = self.messages.get_mut(id) {
             if let Some(attempt) = message.attempts.last_mut() {
-                attempt.fate = fate;
+                attempt.state = state;
                 attempt.connection = None;
             }
-            if fate == Fate::Delivered && message.delivered_at.is_none() {
+            if state == AttemptState::Delivered && message.delivered_at.is_none() {
                 message.delivered_at = Some(Instant::now());
             }
         }
     }
 
-    /// An endpoint has rejected an attempt with a Retry-After, which binds its destination. A new process does not know
-    /// of it.
+    /// Records a Retry-After, which applies to the whole destination of the endpoint that sent it. It is dropped when
+    /// the gateway restarts, because a new process does not have it.
     pub fn retry_after(&mut self, id: &str, destination: u32, delay: Duration) {
         if let Some(message) = self.messages.get(id) {
             let now = Instant::now();
-            let at = AtDestination { gateway: message.gateway, destination };
-            let bound = self.retry_afters.entry(at).or_insert(RetryAfter { from: now, until: now });
-            if now + delay > bound.until {
-                *bound = RetryAfter { from: now, until: now + delay };
+            let at = GatewayDestination { gateway: message.gateway, destination };
+            let known = self.retry_afters.entry(at).or_insert(RetryAfter { from: now, until: now });
+            if now + delay > known.until {
+                *known = RetryAfter { from: now, until: now + delay };
             }
         }
     }
 
     // ---- Discovery ----
 
-    /// Discovery's agent was notified of a message's final outcome.
-    pub fn notified(&mut self, id: &str) {
+    /// Records that discovery's agent was notified of a message's final outcome.
+    pub fn notification_received(&mut self, id: &str) {
         self.count("notifications");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.breach(format!("a notification named {id}, which nobody enqueued"));
+            return self.record_violation(format!("a notification named {id}, which nobody enqueued"));
         };
         message.notified_at.get_or_insert_with(Instant::now);
     }
 
-    /// Discovery has an endpoint as draining from now on.
+    /// Records that discovery has an endpoint as draining from now on.
     pub fn endpoint_drains(&mut self, gateway: usize, endpoint: usize) {
-        self.draining.insert(AtEndpoint { gateway, endpoint }, Instant::now());
+        self.draining.insert(GatewayEndpoint { gateway, endpoint }, Instant::now());
     }
 
-    /// Discovery has an endpoint as serving from now on.
+    /// Records that discovery has an endpoint as serving from now on.
     pub fn endpoint_serves(&mut self, gateway: usize, endpoint: usize) {
-        self.draining.remove(&AtEndpoint { gateway, endpoint });
+        self.draining.remove(&GatewayEndpoint { gateway, endpoint });
     }
 
-    /// A gateway can reach discovery again: what discovery has counts from now.
-    pub fn discovery_returned(&mut self, gateway: usize) {
+    /// Records that a gateway can reach discovery again. The time to apply its pending changes begins now.
+    pub fn discovery_reachable_again(&mut self, gateway: usize) {
         let now = Instant::now();
         let own = self.draining.iter_mut().filter(|(at, _)| at.gateway == gateway);
         own.for_each(|(_, since)| *since = now);
@@ -314,12 +327,12 @@
 
     // ---- Processes ----
 
-    /// A gateway's process is terminated or killed.
+    /// Records that a gateway's process is about to be terminated or killed.
     pub fn gateway_stops(&mut self, gateway: usize) {
         self.restarts.entry(gateway).or_default().push(Restart { begun_at: Instant::now(), ready_at: None });
     }
 
-    /// Its next process, started at some time, has answered.
+    /// Records that the process started at `started_at` has replied to PING, and checks how long that took.
     pub fn gateway_ready(&mut self, gateway: usize, started_at: Instant) {
         let now = Instant::now();
         if let Some(restart) = self.restarts.entry(gateway).or_default().last_mut() {
@@ -327,26 +340,26 @@
         }
         self.retry_afters.retain(|at, _| at.gateway != gateway);
         self.count("starts");
-        if now > started_at + READY_LIMIT {
-            self.breach(format!("gateway {gateway} was ready only after {:?}", now - started_at));
+        if now > started_at + MAX_READY_TIME {
+            self.record_violation(format!("gateway {gateway} was ready only after {:?}", now - started_at));
         }
     }
 
     // ---- The end ----
 
-    /// When a message's final outcome is due, restarts included.
-    fn due(&self, message: &Message) -> Instant {
-        let mut due = message.deadline + OUTCOME_GRACE;
+    /// Returns when a message's final outcome is due, with the time that restarts add.
+    fn outcome_due_at(&self, message: &Message) -> Instant {
+        let mut outcome_due_at = message.deadline + OUTCOME_GRACE;
         for restart in self.restarts.get(&message.gateway).into_iter().flatten() {
-            if let Some(ready_at) = restart.ready_at.filter(|_| restart.begun_at <= due) {
-                due = due.max(ready_at + RESTART_GRACE);
+            if let Some(ready_at) = restart.ready_at.filter(|_| restart.begun_at <= outcome_due_at) {
+                outcome_due_at = outcome_due_at.max(ready_at + RESTART_GRACE);
             }
         }
-        due + NOISE
+        outcome_due_at + SCHEDULING_DELAY
     }
 
-    /// Checks that each accepted message has had its final outcome, and in time.
-    pub fn close(&mut self) {
+    /// Checks that each accepted message had its final outcome in time, and counts the delivered messages.
+    pub fn check_final_outcomes(&mut self) {
         let mut broken = Vec::new();
         let mut delivered = 0;
         for (id, message) in &self.messages {
@@ -354,29 +367,29 @@
             if message.reply != Reply::Accepted {
                 continue;
             }
-            let due = self.due(message);
+            let outcome_due_at = self.outcome_due_at(message);
             let outcome_at = [message.delivered_at, message.notified_at].into_iter().flatten().min();
             match outcome_at {
                 None => broken.push(format!("{id} was accepted and has no final outcome")),
-                Some(at) if at > due => {
-                    broken.push(format!("{id} had its final outcome {:?} late", at - due));
+                Some(at) if at > outcome_due_at => {
+                    broken.push(format!("{id} had its final outcome {:?} late", at - outcome_due_at));
                 }
                 Some(_) => {}
             }
         }
         self.counts.insert("delivered", delivered);
-        self.broken.extend(broken);
+        self.violations.extend(broken);
     }
 
-    /// Counts and broken rules, for people.
+    /// Returns the counts and the violations as text.
     pub fn report(&self) -> String {
-        let counts: Vec<String> = self.counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
+        let counts: Vec<String> = self.counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
         let mut text = format!("{}\n", counts.join(", "));
-        for line in self.broken.iter().take(MAX_REPORTED) {
+        for line in self.violations.iter().take(MAX_REPORTED_VIOLATIONS) {
             text.push_str(&format!("BROKEN: {line}\n"));
         }
-        if self.broken.len() > MAX_REPORTED {
-            text.push_str(&format!("BROKEN: {} more\n", self.broken.len() - MAX_REPORTED));
+        if self.violations.len() > MAX_REPORTED_VIOLATIONS {
+            text.push_str(&format!("BROKEN: {} more\n", self.violations.len() - MAX_REPORTED_VIOLATIONS));
         }
         text
     }
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -1,10 +1,10 @@
-//! The soak: a few dozen real gateways on loopback, among endpoints, clients and discovery that misbehave, with system
-//! calls and disks that fail and wall clocks that are stepped, two or three faults at a time, all drawn from one seed.
+//! The soak: runs a few dozen real gateways on loopback among misbehaving endpoints, clients and discovery. System
+//! calls and disks fail and wall clocks are stepped, with two or three faults at a time, all drawn from one seed.
 //!
-//! - `gateway` is one gateway with its processes, its folder and its discovery.
-//! - `faults` draws what happens to gateways and endpoints.
+//! - `gateway` owns one gateway with its processes, its folder and its discovery agent.
+//! - `faults` draws the faults of gateways and the behavior of endpoints.
 //! - `endpoints` respond to calls, `clients` enqueue messages.
-//! - `ledger` follows every message, and notes each rule of the protocol that was broken.
+//! - `ledger` tracks every message, and records each violation of the protocol's rules.
 
 mod clients;
 mod endpoints;
@@ -27,44 +27,44 @@
 use gateway::Gateway;
 use ledger::Ledger;
 
-/// Destinations, which share the endpoints evenly.
+/// The number of destinations. Each has the same number of endpoints.
 const DESTINATIONS: u32 = 4;
 const ENDPOINTS: usize = 12;
-/// Attempts that the configuration allows a message.
+/// The number of attempts per message that the configuration allows.
 const MAX_ATTEMPTS: usize = 8;
 const CLIENTS_PER_GATEWAY: u64 = 3;
-/// From the end of the faults until every accepted message must have its final outcome.
-const LAST_OUTCOMES: Duration = Duration::from_secs(9);
+/// The time from the end of the faults until every accepted message must have its final outcome.
+const OUTCOME_WAIT: Duration = Duration::from_secs(9);
 
-/// What a soak is to be.
+/// The parameters of a soak.
 #[derive(Clone)]
 pub struct Plan {
     /// The seed of all randomness.
     pub seed: u64,
-    /// Gateways that run at a time.
+    /// The number of gateways that run at the same time.
     pub gateways: usize,
-    /// For how long there are clients and faults.
+    /// The time during which clients send messages and faults are injected.
     pub length: Duration,
-    /// The gateway's binary.
+    /// The path of the gateway's binary.
     pub gateway: PathBuf,
-    /// The shim that lets system calls fail.
+    /// The path of the fault shim's library.
     pub shim: PathBuf,
-    /// Where the gateways' logs go if a rule was broken.
+    /// The folder to which the gateways' logs are written if a rule was broken; `None` writes none.
     pub logs: Option<PathBuf>,
 }
 
 /// The result of a soak.
 pub struct SoakResult {
-    /// Rules that were broken.
-    pub broken: usize,
-    /// Counts and broken rules, for people.
+    /// The number of violations of the protocol's rules.
+    pub violations: usize,
+    /// The counts and violations as text.
     pub report: String,
 }
 
 /// Runs one soak.
 ///
 /// # Errors
-/// The soak itself cannot be set up, or its logs not be written.
+/// Returns an error if the soak cannot be set up or its logs cannot be written. Violations are not an error here.
 pub fn run(plan: &Arc<Plan>) -> io::Result<SoakResult> {
     let folder =
         std::env::temp_dir().join(format!("delivery-gateway-soak-{}-{}", std::process::id(), plan.seed));
@@ -73,29 +73,29 @@
     let mut random = fastrand::Rng::with_seed(plan.seed);
     let endpoints = endpoints::start(ENDPOINTS, DESTINATIONS, MAX_ATTEMPTS, random.u64(..), &ledger)?;
     let gateways = start_gateways(plan, &folder, &endpoints, &ledger)?;
-    let over = Arc::new(AtomicBool::new(false));
-    let clients = start_clients(&gateways, &ledger, &over, &mut random);
+    let is_over = Arc::new(AtomicBool::new(false));
+    let clients = start_clients(&gateways, &ledger, &is_over, &mut random);
     let behaviors = {
-        let (endpoints, over, random) = (endpoints.clone(), over.clone(), random.fork());
-        thread::spawn(move || change_behaviors(&endpoints, &over, random))
+        let (endpoints, is_over, random) = (endpoints.clone(), is_over.clone(), random.fork());
+        thread::spawn(move || change_behaviors(&endpoints, &is_over, random))
     };
-    let faults = start_faults(gateways, plan, &endpoints, &over, &mut random);
+    let faults = start_faults(gateways, plan, &endpoints, &is_over, &mut random);
     thread::sleep(plan.length);
-    over.store(true, Ordering::SeqCst);
+    is_over.store(true, Ordering::SeqCst);
     clients.into_iter().chain([behaviors]).for_each(|thread| drop(thread.join()));
     let mut gateways: Vec<Gateway> = faults.into_iter().filter_map(|thread| thread.join().ok()).collect();
-    thread::sleep(LAST_OUTCOMES);
-    gateways.iter_mut().for_each(Gateway::keep_log);
-    locked(&ledger).close();
+    thread::sleep(OUTCOME_WAIT);
+    gateways.iter_mut().for_each(Gateway::collect_log);
+    locked(&ledger).check_final_outcomes();
     let counts = fault_counts(&gateways)?;
     let ledger = locked(&ledger);
-    if !ledger.broken().is_empty() {
+    if !ledger.violations().is_empty() {
         write_logs(plan, &gateways)?;
     }
     let report = format!("seed {}: {}faults: {counts}\n", plan.seed, ledger.report());
     drop(gateways);
     std::fs::remove_dir_all(&folder)?;
-    Ok(SoakResult { broken: ledger.broken().len(), report })
+    Ok(SoakResult { violations: ledger.violations().len(), report })
 }
 
 fn start_gateways(
@@ -104,14 +104,14 @@
     endpoints: &[Endpoint],
     ledger: &Arc<Mutex<Ledger>>,
 ) -> io::Result<Vec<Gateway>> {
-    let (seen, notifications) = channel();
+    let (events, notifications) = channel();
     let reader_ledger = ledger.clone();
     thread::spawn(move || read_notifications(&notifications, &reader_ledger));
     let mut gateways = Vec::new();
     for number in 0..plan.gateways {
         let folder = folder.join(format!("n{number}"));
         let seed = plan.seed.wrapping_add(number as u64);
-        let mut gateway = Gateway::create(number, folder, seed, endpoints, ledger, &seen)?;
+        let mut gateway = Gateway::create(number, folder, seed, endpoints, ledger, &events)?;
         set_background_faults(&gateway.faults)?;
         gateway.start(plan, endpoints)?;
         gateways.push(gateway);
@@ -122,7 +122,7 @@
 fn start_clients(
     gateways: &[Gateway],
     ledger: &Arc<Mutex<Ledger>>,
-    over: &Arc<AtomicBool>,
+    is_over: &Arc<AtomicBool>,
     random: &mut fastrand::Rng,
 ) -> Vec<JoinHandle<()>> {
     let mut threads = Vec::new();
@@ -132,7 +132,7 @@
             address: gateway.address,
             destinations: DESTINATIONS,
             ledger: ledger.clone(),
-            over: over.clone(),
+            is_over: is_over.clone(),
         };
         for number in 0..CLIENTS_PER_GATEWAY {
             let (clients, seed) = (clients.clone(), random.u64(..));
@@ -148,26 +148,26 @@
     gateways: Vec<Gateway>,
     plan: &Arc<Plan>,
     endpoints: &Arc<Vec<Endpoint>>,
-    over: &Arc<AtomicBool>,
+    is_over: &Arc<AtomicBool>,
     random: &mut fastrand::Rng,
 ) -> Vec<JoinHandle<Gateway>> {
     let mut threads = Vec::new();
     for gateway in gateways {
-        let (plan, endpoints, over) = (plan.clone(), endpoints.clone(), over.clone());
+        let (plan, endpoints, is_over) = (plan.clone(), endpoints.clone(), is_over.clone());
         let random = random.fork();
-        threads.push(thread::spawn(move || inject_faults(gateway, &plan, &endpoints, &over, random)));
+        threads.push(thread::spawn(move || inject_faults(gateway, &plan, &endpoints, &is_over, random)));
     }
     threads
 }
 
-/// Reads the outcome notifications of all gateways.
+/// Records the outcome notifications of all gateways, until all senders are dropped.
 fn read_notifications(notifications: &Receiver<StubEvent>, ledger: &Mutex<Ledger>) {
-    while let Ok(seen) = notifications.recv() {
-        let StubEvent::Notification(line) = seen else { continue };
+    while let Ok(event) = notifications.recv() {
+        let StubEvent::Notification(line) = event else { continue };
         let notification: Result<serde_json::Value, _> = serde_json::from_str(&line);
         match notification.as_ref().ok().and_then(|notification| notification["id"].as_str()) {
-            Some(id) => locked(ledger).notified(id),
-            None => locked(ledger).breach(format!("a notification is unreadable: {line}")),
+            Some(id) => locked(ledger).notification_received(id),
+            None => locked(ledger).record_violation(format!("a notification is unreadable: {line}")),
         }
     }
 }
