--- a/src/bin/testbed/bounds.rs
+++ b/src/bin/testbed/bounds.rs
@@ -1,5 +1,4 @@
-//! Keeps a run inside its bounds of time and memory, and ends it when it is interrupted. It owns the counting
-//! allocator.
+//! Checks a run against its bounds of time and memory, and for interruption by a signal. Owns the counting allocator.
 
 use crate::experiment::Bounds;
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -13,68 +12,68 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes that this process has allocated now.
+/// Returns the number of bytes that this process has currently allocated.
 pub fn allocated() -> u64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated.saturating_sub(stats.bytes_deallocated) as u64
 }
 
-/// Why a size was not run, or not completed. The run goes on with the next size.
+/// The reason why a size was not run or not completed. The run continues with the next size.
 #[derive(Clone, Debug, Error)]
 pub enum NotRun {
-    /// A signal has ended the run.
+    /// A signal has interrupted the run.
     #[error("interrupted")]
     Interrupted,
-    /// The run has reached its longest time.
+    /// The run has reached its maximum time.
     #[error("the time of the whole run was up")]
     Time,
-    /// The run has reached its memory bound, in MiB.
+    /// The run has exceeded its memory bound. Both values are in MiB.
     #[error("{used} MiB in use, over the bound of {bound} MiB")]
     Memory { used: u64, bound: u64 },
-    /// The size needs more destinations than there are numbers.
+    /// The size needs a destination number that does not fit the type of destination numbers.
     #[error("destination {0} does not fit the scheduler's destination numbers")]
     Destinations(u64),
-    /// The steps did not do what they are measured for.
+    /// The steps delivered too few messages, so that their cost is not the cost to be measured.
     #[error("the work was not done: {done} messages delivered in {steps} steps")]
     Work { done: u64, steps: u64 },
-    /// Something that the size needs has failed; with what, and why.
+    /// Something that the size needs has failed. The text says what, and why.
     #[error("{0}")]
     Failed(String),
 }
 
 impl NotRun {
-    /// What has failed, and why.
+    /// Returns [`NotRun::Failed`] with what has failed, and the error.
     pub fn failed(what: &str, error: impl std::fmt::Display) -> Self {
         NotRun::Failed(format!("{what}: {error}"))
     }
 }
 
-/// The bounds of a run.
+/// The bounds of a run that has begun. Every loop of a run checks them.
 #[derive(Clone)]
-pub struct Guard {
+pub struct RunBounds {
     interrupted: Arc<AtomicBool>,
     end: Instant,
     memory_bytes: u64,
 }
 
-impl Guard {
-    /// The bounds of a run that begins now; `interrupted` is set by signals.
+impl RunBounds {
+    /// Returns the bounds of a run that begins now. `interrupted` is set by signals.
     pub fn new(bounds: &Bounds, interrupted: Arc<AtomicBool>) -> Self {
-        Guard { interrupted, end: Instant::now() + bounds.time(), memory_bytes: bounds.memory() }
+        RunBounds { interrupted, end: Instant::now() + bounds.time(), memory_bytes: bounds.memory_bytes() }
     }
 
-    /// Whether to go on; every loop asks.
+    /// Checks whether the run may continue.
     ///
     /// # Errors
-    /// [`NotRun::Interrupted`], [`NotRun::Time`] or [`NotRun::Memory`].
+    /// Returns [`NotRun::Interrupted`], [`NotRun::Time`] or [`NotRun::Memory`].
     pub fn check(&self) -> Result<(), NotRun> {
         self.check_with(0)
     }
 
-    /// The same, with bytes that other processes use.
+    /// Checks whether the run may continue, and counts `other_bytes` of other processes towards the memory bound.
     ///
     /// # Errors
-    /// As those of [`Guard::check`].
+    /// Returns the errors of [`RunBounds::check`].
     pub fn check_with(&self, other_bytes: u64) -> Result<(), NotRun> {
         let used = allocated() + other_bytes;
         if self.is_interrupted() {
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Whether a signal has ended the run.
+    /// Returns whether a signal has interrupted the run.
     pub fn is_interrupted(&self) -> bool {
         self.interrupted.load(Ordering::SeqCst)
     }
--- a/src/bin/testbed/endpoint_script.rs
+++ b/src/bin/testbed/endpoint_script.rs
@@ -1,28 +1,28 @@
-//! What simulated endpoints do with calls: after how long they respond, and with what. It owns no clock and no socket.
+//! Simulated endpoints: determines the outcome and latency of each call. Uses no clock and no socket.
 
 use delivery_gateway::{AttemptOutcome, EndpointId, LoadReport, Time};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// How endpoints behave.
+/// The behavior of simulated endpoints.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// From a call to its response ...
+    /// The minimum time from a call to its response.
     pub latency: Duration,
-    /// ... and up to so much longer, by chance.
+    /// The maximum random time that is added to `latency`, drawn uniformly.
     pub jitter: Duration,
-    /// From a call to the refusal of a connection by an endpoint that is down.
+    /// The time from a call to an endpoint that is down until the connection is refused.
     pub connect_failure_latency: Duration,
-    /// Calls a second that one endpoint serves before it rejects others; no limit if absent.
+    /// The calls per second that one endpoint serves; it rejects others. `None` means no limit.
     pub limit_per_sec: Option<f64>,
-    /// The load report of each response.
+    /// The load report that each response carries, if any.
     pub load_report: Option<LoadReport>,
     /// Endpoints that refuse connections.
     pub down: BTreeSet<EndpointId>,
 }
 
 impl Script {
-    /// All calls are served, after some time.
+    /// Returns a script in which every call is served after `latency`.
     pub fn with_latency(latency: Duration) -> Self {
         Script {
             latency,
@@ -35,14 +35,14 @@
     }
 }
 
-/// Calls that an endpoint can serve at once.
+/// The token bucket of an endpoint with a rate limit.
 struct TokenBucket {
     tokens: f64,
     filled_at: Time,
 }
 
 impl TokenBucket {
-    /// Fills up to the tokens of one second, and takes one if there is one.
+    /// Refills the bucket, to at most the tokens of one second or one token, and takes a token if there is one.
     fn try_take(&mut self, now: Time, limit_per_sec: f64) -> bool {
         let filled = self.tokens + (now - self.filled_at).as_secs_f64() * limit_per_sec;
         self.tokens = filled.min(limit_per_sec.max(1.0));
@@ -55,7 +55,7 @@
     }
 }
 
-/// Endpoints that follow a script, with a random source of their own.
+/// Endpoints that follow a script. They have their own random number generator.
 pub struct ScriptedEndpoints {
     script: Script,
     random: fastrand::Rng,
@@ -67,12 +67,12 @@
         ScriptedEndpoints { script, random: fastrand::Rng::with_seed(seed), token_buckets: HashMap::new() }
     }
 
-    /// The load report of each response.
+    /// Returns the load report that each response carries, if any.
     pub fn load_report(&self) -> Option<LoadReport> {
         self.script.load_report
     }
 
-    /// The outcome of a call that is made now, and after how long it is known.
+    /// Returns the outcome of a call made at `now`, and the time until the outcome is known.
     pub fn call(&mut self, now: Time, endpoint: EndpointId) -> (AttemptOutcome, Duration) {
         if self.script.down.contains(&endpoint) {
             return (AttemptOutcome::ConnectFailed, self.script.connect_failure_latency);
--- a/src/bin/testbed/figures.rs
+++ b/src/bin/testbed/figures.rs
@@ -1,4 +1,4 @@
-//! The figures that sweeps measure, with their names, and the budgets that the target has for them.
+//! The figures that sweeps measure, their names in the tables, and their budgets at the target.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -6,63 +6,63 @@
 use crate::bounds::NotRun;
 use crate::experiment::{Kind, Target};
 
-/// What is measured at a size.
+/// A quantity that is measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Figure {
-    /// Processor time of a step relative to that of the smallest size, within each round.
+    /// Processor time of a step relative to that of the smallest size: the median of the ratios within each round.
     StepRatio,
-    /// Processor time of a step.
+    /// Processor time of a step, in nanoseconds.
     StepNs,
-    /// Elapsed time of all but the slowest hundredth of the steps.
+    /// The 99th percentile of the elapsed time of a step, in nanoseconds.
     StepP99Ns,
-    /// Items of its state that the scheduler examined for a step, by its own count.
+    /// The number of items of its state that the scheduler examined per step, by its work counters.
     #[serde(rename = "looked_at")]
     ItemsExamined,
-    /// Memory that was allocated to bring the subject to its size.
+    /// The memory that was allocated to set up the size.
     MemoryBytes,
-    /// The scheduler's state on its way to another process.
+    /// The size of the scheduler's state as encoded for a handover to another process.
     HandOverBytes,
-    /// The complete endpoint list as discovery sends it.
+    /// The size of the complete endpoint list as discovery sends it.
     ListBytes,
-    /// Processor time of reading and applying it.
+    /// Processor time of reading and applying the complete endpoint list, in nanoseconds.
     ListNs,
-    /// From a real gateway's start to its first `+PONG`.
+    /// The time from a real gateway's start to its first `+PONG`.
     ReadyMs,
-    /// Processor time until then.
+    /// Processor time of a real gateway until its first `+PONG`, in nanoseconds.
     ReadyCpuNs,
-    /// The most memory that a real gateway had in use until then.
+    /// The peak resident memory of a real gateway until its first `+PONG`.
     ProcessBytes,
-    /// Size of its journal.
+    /// The size of a real gateway's journal.
     JournalBytes,
-    /// Ratio of the messages in its journal that it attempted after a restart.
+    /// The ratio of the messages in its journal that a real gateway attempted after a restart.
     #[serde(rename = "tried_share")]
     AttemptedRatio,
-    /// Until it had attempted all.
+    /// The time until a restarted gateway had attempted all messages in its journal.
     #[serde(rename = "tried_ms")]
     AllAttemptedMs,
-    /// Until all watch the list for the first time.
+    /// The time until all watchers have their first watch.
     FirstWatchMs,
-    /// Until all have a change.
+    /// The time until all watchers have a change.
     #[serde(rename = "all_have_ms")]
     AllUpdatedMs,
-    /// Processor time of all watchers for one change.
+    /// Processor time of all watchers together for one change, in nanoseconds.
     WatchersNs,
-    /// Bytes that discovery wrote for one change.
+    /// The bytes that discovery sent for one change.
     #[serde(rename = "told_bytes")]
     SentBytes,
-    /// Ratio of the watchers that have a change within the target's time.
+    /// The ratio of the watchers that have a change within the target's time.
     #[serde(rename = "in_force_share")]
     InForceRatio,
-    /// Connections that discovery accepted.
+    /// The number of connections that discovery accepted.
     Connections,
-    /// Watches that it rejected.
+    /// The number of watches that discovery rejected.
     #[serde(rename = "refusals")]
     Rejections,
 }
 
 impl Figure {
-    /// Its name and unit in the table.
+    /// Returns the figure's name and unit in the table.
     pub fn name(self) -> &'static str {
         match self {
             Figure::StepRatio => "step, ratio",
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Whether growth is fitted: not to ratios and tails, nor to rejections, which begin at some size.
+    /// Returns whether growth is fitted to the figure. It is not fitted to ratios, to percentiles, and to rejections,
+    /// which are zero up to some size.
     pub fn is_fitted(self) -> bool {
         !matches!(
             self,
@@ -101,17 +102,17 @@
         )
     }
 
-    /// What a gateway may spend of it at the target; none if the target does not say.
+    /// Returns what a gateway may spend of the figure at the target; `None` if the target has no budget for it.
     pub fn budget(self, kind: Kind, target: &Target) -> Option<f64> {
         match self {
             Figure::StepNs if kind == Kind::ListChange => Some(target.change_ns()),
             Figure::StepNs => Some(target.event_ns()),
-            // Of many simulated gateways together.
+            // The memory of these sweeps is that of many simulated gateways together.
             Figure::MemoryBytes if matches!(kind, Kind::Watchers | Kind::WatchersReconnect) => None,
             Figure::AllUpdatedMs => Some(target.in_force_s * 1e3),
             Figure::MemoryBytes | Figure::ProcessBytes => Some(target.control_memory_mb * 1e6),
             Figure::ReadyMs => Some(target.ready_s * 1e3),
-            // A restarted gateway needs all of it within the time for a change.
+            // A restarted gateway needs the complete list within the time for a change.
             Figure::ListBytes => Some(target.control_bytes_per_s * target.in_force_s),
             Figure::ListNs => Some(target.control_core_ratio * target.in_force_s * 1e9),
             _ => None,
@@ -119,29 +120,29 @@
     }
 }
 
-/// What was measured at a size.
+/// The figures measured at a size.
 pub type Figures = BTreeMap<Figure, f64>;
 
-/// A size, and what was measured at it.
+/// The result of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
     /// The size; its meaning depends on the kind of sweep.
     pub size: u64,
-    /// None where it was not run.
+    /// Empty if the size was not run or not completed.
     pub figures: Figures,
-    /// Why it was not run, or not completed.
+    /// The reason why the size was not run or not completed; `None` if it was completed.
     pub not_run: Option<String>,
-    /// A limitation of its figures.
+    /// A limitation of the figures, for the reader of the report.
     pub note: Option<String>,
 }
 
 impl Point {
-    /// A size that was run.
+    /// Returns the result of a size that was run.
     pub fn ran(size: u64, figures: Figures) -> Self {
         Point { size, figures, not_run: None, note: None }
     }
 
-    /// A size that was not run, or not completed.
+    /// Returns the result of a size that was not run or not completed.
     pub fn not_run(size: u64, reason: &NotRun) -> Self {
         Point { size, figures: Figures::new(), not_run: Some(reason.to_string()), note: None }
     }
--- a/src/bin/testbed/fit.rs
+++ b/src/bin/testbed/fit.rs
@@ -1,35 +1,37 @@
-//! Lines and growth exponents fitted to measured points. Arithmetic alone: no clock, no file.
+//! Fits lines and growth exponents to measured points. Pure arithmetic: uses no clock and no file.
 
-/// A size, and what was measured there.
+/// A size, and the value measured at it.
 pub type Point = (f64, f64);
 
-/// Exponent above which growth is called worse than linear: noise alone moves it by less.
+/// The exponent above which growth counts as worse than linear. Noise alone changes a linear exponent by less.
 const WORSE_THAN_LINEAR_EXPONENT: f64 = 1.15;
-/// The exponent is fitted to the largest sizes, over this factor: a constant hides it least there.
+/// The ratio of the largest to the smallest size to which the exponent is fitted. Only the largest sizes are used,
+/// because a constant part of the cost hides the exponent least there.
 const EXPONENT_RANGE: f64 = 12.0;
-/// Points that it is fitted to at least.
+/// The minimum number of points to which the exponent is fitted.
 const MIN_EXPONENT_POINTS: usize = 3;
 
 /// A line and a power law, fitted to the points of a sweep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Cost of one more unit.
+    /// The cost of one more unit of size.
     pub slope: f64,
-    /// Cost without any.
+    /// The cost at size zero.
     pub constant: f64,
-    /// Distance from the line of the point furthest from it, relative to what was measured there.
+    /// The largest distance of a point from the line, relative to the value measured there.
     pub largest_residual: f64,
-    /// Exponent of the power law that fits the points of `range`.
+    /// The exponent of the power law that fits the points in `range`.
     pub exponent: f64,
-    /// Smallest and largest size that the exponent is fitted to.
+    /// The smallest and largest size to which the exponent is fitted.
     pub range: (f64, f64),
 }
 
 impl Fit {
-    /// Fits at least two points of different sizes, all finite, sizes positive, and none negative; none otherwise.
+    /// Fits a line and a power law to points. Returns `None` unless there are at least two points of different sizes,
+    /// all are finite, all sizes are positive and no value is negative.
     ///
-    /// Distances count relative to what was measured, as noise does: otherwise the largest size alone would determine
-    /// slope and constant.
+    /// Distances are weighted relative to the measured value, because noise is proportional to it. Otherwise the
+    /// largest size alone would determine slope and constant.
     pub fn through(points: &[Point]) -> Option<Self> {
         if points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite() || *x <= 0.0 || *y < 0.0) {
             return None;
@@ -54,16 +56,16 @@
         })
     }
 
-    /// Whether growth is worse than linear, and not by noise alone.
+    /// Returns whether growth is worse than linear by more than noise.
     pub fn is_worse_than_linear(&self) -> bool {
         self.exponent > WORSE_THAN_LINEAR_EXPONENT
     }
 
-    /// The size at which `budget` is passed; none where growth never gets there.
+    /// Returns the size at which `budget` is passed; `None` if growth never reaches it.
     ///
-    /// `points` are those of the fit, in rising order of size. Between two points the line between them counts. Beyond
-    /// the largest the fit is extrapolated, by the power law where growth is worse than linear; below the smallest, by
-    /// the line.
+    /// `points` are those of the fit, in ascending order of size. Between two points the size is interpolated linearly.
+    /// Beyond the largest size the fit is extrapolated, by the power law if growth is worse than linear and by the line
+    /// otherwise. Below the smallest size it is extrapolated by the line.
     pub fn size_at(&self, budget: f64, points: &[Point]) -> Option<f64> {
         let passed = points.windows(2).find(|pair| pair[0].1 <= budget && budget < pair[1].1);
         if let Some([(x, y), (to_x, to_y)]) = passed {
@@ -78,8 +80,8 @@
     }
 }
 
-/// Slope and constant of the line by weighted least squares, of points with `(x, y, weight)`; none if all have one
-/// size.
+/// Fits a line to points `(x, y, weight)` by weighted least squares, and returns its slope and constant. Returns `None`
+/// if all points have the same `x`.
 fn line(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
     let sum = |of: fn((f64, f64, f64)) -> f64| points.clone().map(of).sum::<f64>();
     let weight = sum(|(_, _, w)| w);
@@ -90,7 +92,7 @@
     (slope.is_finite() && spread > 0.0).then_some((slope, y - slope * x))
 }
 
-/// The median; of an even number of values, the mean of the two in the middle. None of no values.
+/// Returns the median; for an even number of values, the mean of the middle two. Returns `None` for no values.
 pub fn median(values: &mut [f64]) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -1,5 +1,5 @@
-//! The sweep of the journal: a real gateway accepts messages that it cannot deliver, is killed, and starts again on
-//! what it left. Measured is the time to its first `+PONG`, and how many of the messages it then attempts.
+//! The sweep of the journal. A real gateway accepts messages that it cannot deliver, is killed, and is started again on
+//! its journal. The sweep measures the time to its first `+PONG`, and how many of the messages it then attempts.
 
 use std::collections::HashSet;
 use std::net::{SocketAddr, TcpListener};
@@ -9,39 +9,40 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-use crate::bounds::{Guard, NotRun};
+use crate::bounds::{NotRun, RunBounds};
 use crate::experiment::Sweep;
 use crate::figures::{Figure, Figures, Point};
 use crate::fit::median;
 use crate::stubs::{address_in, class, encode_command, serve, serve_calls, target};
 use crate::stubs::{Agent, Client, Configuration, Process, StubEvent};
 
-/// Destinations that the messages are for, one endpoint each.
+/// The number of destinations of the messages. Each has one endpoint.
 const DESTINATIONS: u64 = 64;
-/// Messages that are enqueued before their replies are read.
+/// The number of messages that are sent before their replies are read.
 const PIPELINE: u64 = 256;
 const BODY: [u8; 100] = [b'x'; 100];
-/// A gateway that is not ready after this never will be; the platform's own limit.
+/// The maximum time from the start of a gateway until it is ready. The platform has the same limit.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a restarted gateway may take to attempt all messages.
+/// The maximum time in which a restarted gateway has to attempt all messages.
 const ATTEMPTS_TIMEOUT: Duration = Duration::from_secs(12);
-/// Between two attempts to connect to a gateway that starts.
+/// The interval between two attempts to connect to a gateway that is starting, and the time to respond to calls between
+/// two groups of enqueued messages.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(1);
-/// Longest time between two checks of the bounds.
+/// The maximum time between two checks of the bounds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Restarts of each size, whose median counts; after the last one messages are delivered.
+/// The number of restarts of each size. The result is their median. Messages are delivered after the last restart.
 const RESTARTS: usize = 3;
-/// Latency objective of a message. Its deadline is eight times that, far beyond any run.
+/// The latency objective of a message, in seconds. Its deadline is eight times that, which is longer than any run.
 const LATENCY_OBJECTIVE_S: u64 = 100;
 const DEADLINE_MS: u64 = LATENCY_OBJECTIVE_S * 8 * 1000;
-/// Longest time for a reply to a command.
+/// The maximum time for a reply to a command.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Disk for each message: the journal may hold it twice while it is compacted.
+/// The disk space for each message. The journal may contain a message twice during compaction.
 const DISK_BYTES_OF_MESSAGE: u64 = 2000;
-/// Disk beyond that, in MB.
+/// The disk space in addition to that of the messages, in MB.
 const SPARE_DISK_MB: f64 = 3.0;
 
-/// A folder for a gateway's files, which is removed when dropped.
+/// A folder for a gateway's files. It is removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -50,7 +51,7 @@
         let folder = Folder(path);
         for part in ["state", "tmp"] {
             std::fs::create_dir_all(folder.0.join(part))
-                .map_err(|error| NotRun::failed("a folder for the gateway", error))?;
+                .map_err(|error| NotRun::failed("cannot create a folder for the gateway", error))?;
         }
         Ok(folder)
     }
@@ -66,41 +67,41 @@
     }
 }
 
-/// How endpoints respond to calls.
+/// The response of endpoints to calls.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Response {
     Deliver,
-    /// Reject, with a Retry-After of an hour.
+    /// Rejects the call with a Retry-After of an hour.
     RetryLater,
 }
 
-/// Stubs of endpoints and of discovery, for all sizes.
+/// The stubs of endpoints and discovery, which all sizes share.
 struct Stubs {
-    seen: Receiver<StubEvent>,
+    events: Receiver<StubEvent>,
     agent: Agent,
-    /// One address for all endpoints.
+    /// The address that all endpoints share.
     endpoints: SocketAddr,
 }
 
 impl Stubs {
     fn start() -> Result<Self, NotRun> {
-        let failed = |error| NotRun::failed("a stub", error);
-        let (send, seen) = channel();
+        let failed = |error| NotRun::failed("cannot start a stub", error);
+        let (send, events) = channel();
         let agent = Agent::start(&send).map_err(failed)?;
         let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
         let endpoints = listener.local_addr().map_err(failed)?;
         serve(listener, move |stream| serve_calls(0, stream, &send));
-        Ok(Stubs { seen, agent, endpoints })
+        Ok(Stubs { events, agent, endpoints })
     }
 
-    /// Writes the configuration of a gateway that listens at an address.
+    /// Writes the configuration of a gateway that listens on `listen`.
     fn configure(&self, folder: &Folder, listen: SocketAddr, size: u64) -> Result<(), NotRun> {
         let entry = |number: u32| target(&format!("s-{number}"), self.endpoints, number, "SERVING", 1e6);
         let targets: Vec<_> = (1..=DESTINATIONS as u32).map(entry).collect();
         let configuration = Configuration {
             listen,
             discovery: self.agent.address,
-            // Memory is measured, and the run's own bound holds.
+            // No limit in practice: the sweep measures memory, and the bounds of the run limit it.
             memory_mb: 1 << 16,
             sockets: 1024,
             disk_mb: (size * DISK_BYTES_OF_MESSAGE) as f64 / 1e6 + SPARE_DISK_MB,
@@ -110,25 +111,28 @@
             zone: "kingston",
             max_in_flight_calls: DESTINATIONS as u32,
             max_batch_size: 1,
-            // Shedding begins below the limit.
+            // Load shedding begins below the limit, and must not affect the sweep.
             max_pending_messages: 2 * size as u32,
         };
-        configuration.write(&folder.0).map_err(|error| NotRun::failed("the configuration", error))
+        configuration
+            .write(&folder.0)
+            .map_err(|error| NotRun::failed("cannot write the gateway's configuration", error))
     }
 
-    /// Responds to calls until so many messages were attempted, or for some time; gives how many were.
+    /// Responds to calls until `messages` different messages were attempted or `timeout` has passed. Returns the number
+    /// of messages that were attempted.
     fn respond(
         &self,
         response: Response,
         messages: usize,
-        patience: Duration,
-        guard: &Guard,
+        timeout: Duration,
+        bounds: &RunBounds,
     ) -> Result<usize, NotRun> {
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         let mut attempted = HashSet::new();
         while attempted.len() < messages && Instant::now() < end {
-            guard.check()?;
-            match self.seen.recv_timeout(CHECK_INTERVAL) {
+            bounds.check()?;
+            match self.events.recv_timeout(CHECK_INTERVAL) {
                 Ok(StubEvent::Call(call)) => {
                     attempted.insert(call.id.clone());
                     match response {
@@ -146,37 +150,37 @@
     }
 }
 
-/// Measures the sweep. Each size has its point, or the reason why it has none.
-pub fn sweep(sweep: &Sweep, gateway: &Path, guard: &Guard) -> Vec<Point> {
+/// Measures the sweep. Returns a point for each size, with its figures or the reason why it was not run.
+pub fn sweep(sweep: &Sweep, gateway: &Path, bounds: &RunBounds) -> Vec<Point> {
     let stubs = Stubs::start();
-    let point = |size: u64| measure(stubs.as_ref().map_err(Clone::clone)?, gateway, size, guard);
+    let point = |size: u64| measure(stubs.as_ref().map_err(Clone::clone)?, gateway, size, bounds);
     sweep.sizes().map(|size| point(size).unwrap_or_else(|reason| Point::not_run(size, &reason))).collect()
 }
 
-fn measure(stubs: &Stubs, gateway: &Path, size: u64, guard: &Guard) -> Result<Point, NotRun> {
-    guard.check()?;
+fn measure(stubs: &Stubs, gateway: &Path, size: u64, bounds: &RunBounds) -> Result<Point, NotRun> {
+    bounds.check()?;
     let folder = Folder::new(size)?;
-    let address = fill_journal(stubs, gateway, &folder, size, guard)?;
+    let address = fill_journal(stubs, gateway, &folder, size, bounds)?;
     let journal_bytes = folder.journal_bytes();
-    // The same address, as its clients know no other.
+    // The restarted gateways listen on the same address, because clients connect to that address.
     stubs.configure(&folder, address, size)?;
     let mut ready_ms = Vec::new();
     let mut ready_cpu_ns = Vec::new();
     let mut peak_memory_kib = 0;
     let mut last = None;
     for _ in 0..RESTARTS {
-        // The one before has to have ended first.
+        // The previous process has to end before the next one starts.
         drop(last.take());
-        // Nor may its last calls count as attempts of the next one.
-        stubs.respond(Response::RetryLater, usize::MAX, CHECK_INTERVAL, guard)?;
-        let ready = restart(gateway, &folder, address, guard)?;
-        ready_ms.push(ready.ms);
+        // Calls that the previous process has sent must not count as attempts of the next one.
+        stubs.respond(Response::RetryLater, usize::MAX, CHECK_INTERVAL, bounds)?;
+        let ready = restart(gateway, &folder, address, bounds)?;
+        ready_ms.push(ready.ready_ms);
         ready_cpu_ns.push(ready.cpu_ns);
         peak_memory_kib = peak_memory_kib.max(ready.peak_memory_kib);
         last = Some(ready);
     }
     let begun_at = Instant::now();
-    let attempted = stubs.respond(Response::Deliver, size as usize, ATTEMPTS_TIMEOUT, guard)?;
+    let attempted = stubs.respond(Response::Deliver, size as usize, ATTEMPTS_TIMEOUT, bounds)?;
     let took = begun_at.elapsed();
     drop(last);
     info!(size, journal_bytes, attempted, ?took, "restarted");
@@ -192,47 +196,47 @@
     Ok(Point::ran(size, Figures::from_iter(figures)))
 }
 
-/// Has a gateway accept the messages, kills it, and gives the address at which it listened.
+/// Starts a gateway, enqueues the messages, and kills the gateway. Returns the address on which it listened.
 fn fill_journal(
     stubs: &Stubs,
     gateway: &Path,
     folder: &Folder,
     size: u64,
-    guard: &Guard,
+    bounds: &RunBounds,
 ) -> Result<SocketAddr, NotRun> {
     stubs.configure(folder, ([127, 0, 0, 1], 0).into(), size)?;
     let process = start(gateway, folder)?;
-    let address = listening_address(&process, guard)?;
-    enqueue_messages(stubs, address, size, guard, &process)?;
+    let address = listening_address(&process, bounds)?;
+    enqueue_messages(stubs, address, size, bounds, &process)?;
     Ok(address)
 }
 
 fn start(gateway: &Path, folder: &Folder) -> Result<Process, NotRun> {
-    Process::start(gateway, &folder.0).map_err(|error| NotRun::failed("the gateway cannot be started", error))
+    Process::start(gateway, &folder.0).map_err(|error| NotRun::failed("cannot start the gateway", error))
 }
 
-/// Waits until a gateway has logged where it listens.
-fn listening_address(process: &Process, guard: &Guard) -> Result<SocketAddr, NotRun> {
+/// Waits until a gateway has logged the address on which it listens, and returns the address.
+fn listening_address(process: &Process, bounds: &RunBounds) -> Result<SocketAddr, NotRun> {
     let end = Instant::now() + READY_TIMEOUT;
     while Instant::now() < end {
-        guard.check()?;
+        bounds.check()?;
         if let Ok(line) = process.wait_for_log_lines("listening", 1, CHECK_INTERVAL) {
-            let no_address = || NotRun::Failed("the gateway logs no address".to_owned());
+            let no_address = || NotRun::Failed("the gateway's listening line has no address".to_owned());
             return address_in(&line).ok_or_else(no_address);
         }
     }
-    Err(NotRun::Failed(format!("the gateway does not come up within {READY_TIMEOUT:?}")))
+    Err(NotRun::Failed(format!("the gateway did not listen within {READY_TIMEOUT:?}")))
 }
 
-/// Enqueues the messages, and has each destination reject calls with a Retry-After.
+/// Enqueues the messages. Endpoints reject calls with a Retry-After, so that the messages stay pending.
 fn enqueue_messages(
     stubs: &Stubs,
     address: SocketAddr,
     size: u64,
-    guard: &Guard,
+    bounds: &RunBounds,
     process: &Process,
 ) -> Result<(), NotRun> {
-    let failed = |error| NotRun::failed("enqueueing", error);
+    let failed = |error| NotRun::failed("cannot enqueue messages", error);
     let mut client = Client::connect(address, REPLY_TIMEOUT).map_err(failed)?;
     let mut enqueued = 0;
     while enqueued < size {
@@ -242,15 +246,15 @@
         for _ in 0..count {
             let reply = client.try_read_line().map_err(failed)?;
             if reply != "+OK" {
-                return Err(NotRun::Failed(format!("a message was answered '{reply}'")));
+                return Err(NotRun::Failed(format!("the reply to ENQUEUE was '{reply}' instead of '+OK'")));
             }
         }
         enqueued += count;
-        stubs.respond(Response::RetryLater, DESTINATIONS as usize, CONNECT_INTERVAL, guard)?;
-        check_with_process(guard, process)?;
+        stubs.respond(Response::RetryLater, DESTINATIONS as usize, CONNECT_INTERVAL, bounds)?;
+        check_with_process(bounds, process)?;
     }
-    // Calls that are still on their way arrive at once.
-    stubs.respond(Response::RetryLater, DESTINATIONS as usize, 4 * CHECK_INTERVAL, guard)?;
+    // Also rejects calls that are still on their way, which arrive within a short time.
+    stubs.respond(Response::RetryLater, DESTINATIONS as usize, 4 * CHECK_INTERVAL, bounds)?;
     Ok(())
 }
 
@@ -261,26 +265,26 @@
     encode_command(&[b"ENQUEUE", &b"0"[..], id.as_bytes(), fields.as_bytes(), &BODY])
 }
 
-/// Checks the bounds of the run, with the memory of a gateway.
-fn check_with_process(guard: &Guard, process: &Process) -> Result<(), NotRun> {
-    guard.check_with(process.status_value("VmRSS").unwrap_or(0) << 10)
+/// Checks the bounds of the run, and counts the resident memory of a gateway towards the memory bound.
+fn check_with_process(bounds: &RunBounds, process: &Process) -> Result<(), NotRun> {
+    bounds.check_with(process.status_value("VmRSS").unwrap_or(0) << 10)
 }
 
-/// A restarted gateway, as of its first `+PONG`.
+/// A restarted gateway, and its figures at its first `+PONG`.
 struct ReadyGateway {
-    /// It is killed when this is dropped.
+    /// The process is killed when this is dropped.
     _process: Process,
-    ms: f64,
+    ready_ms: f64,
     cpu_ns: f64,
     peak_memory_kib: u64,
 }
 
-/// Starts a gateway on what the one before left, and waits until it serves.
+/// Starts a gateway on the files that the previous process left, and waits until it replies to PING.
 fn restart(
     gateway: &Path,
     folder: &Folder,
     address: SocketAddr,
-    guard: &Guard,
+    bounds: &RunBounds,
 ) -> Result<ReadyGateway, NotRun> {
     let begun_at = Instant::now();
     let process = start(gateway, folder)?;
@@ -288,28 +292,28 @@
         match Client::connect(address, REPLY_TIMEOUT) {
             Ok(client) => break client,
             Err(error) if begun_at.elapsed() > READY_TIMEOUT => {
-                return Err(NotRun::failed("the gateway", error));
+                return Err(NotRun::failed("cannot connect to the restarted gateway", error));
             }
             Err(_) => {
-                check_with_process(guard, &process)?;
+                check_with_process(bounds, &process)?;
                 thread::sleep(CONNECT_INTERVAL);
             }
         }
     };
-    client.try_send(&encode_command(&["PING"])).map_err(|error| NotRun::failed("PING", error))?;
-    let reply = client.try_read_line().map_err(|error| NotRun::failed("PING", error))?;
+    client.try_send(&encode_command(&["PING"])).map_err(|error| NotRun::failed("no reply to PING", error))?;
+    let reply = client.try_read_line().map_err(|error| NotRun::failed("no reply to PING", error))?;
     if reply != "+PONG" {
-        return Err(NotRun::Failed(format!("PING was answered '{reply}'")));
+        return Err(NotRun::Failed(format!("the reply to PING was '{reply}' instead of '+PONG'")));
     }
-    let ms = begun_at.elapsed().as_secs_f64() * 1e3;
+    let ready_ms = begun_at.elapsed().as_secs_f64() * 1e3;
     let cpu_ns = processor_time_ns(&process)?;
     let peak_memory_kib = process.status_value("VmHWM").unwrap_or(0);
-    Ok(ReadyGateway { _process: process, ms, cpu_ns, peak_memory_kib })
+    Ok(ReadyGateway { _process: process, ready_ms, cpu_ns, peak_memory_kib })
 }
 
-/// Processor time that a process has used so far.
+/// Returns the processor time that a process has used so far, in nanoseconds.
 fn processor_time_ns(process: &Process) -> Result<f64, NotRun> {
     let schedule = std::fs::read_to_string(format!("/proc/{}/schedstat", process.child.id()));
     let spent = schedule.ok().and_then(|text| text.split(' ').next()?.parse().ok());
-    spent.ok_or_else(|| NotRun::Failed("the gateway's processor time cannot be read".to_owned()))
+    spent.ok_or_else(|| NotRun::Failed("cannot read the gateway's processor time".to_owned()))
 }
--- a/src/bin/testbed/list_changes.rs
+++ b/src/bin/testbed/list_changes.rs
@@ -1,4 +1,4 @@
-//! An endpoint list and its changes in discovery's own form, for the sweep over lists that change.
+//! Encodes an endpoint list and its changes as discovery sends them, for the sweep over lists that change.
 
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory, EndpointState};
 use delivery_gateway::{Endpoint, EndpointUpdate, Settings};
@@ -8,27 +8,33 @@
 use crate::processor_time::processor_time;
 use crate::simulated_gateway::directory_for;
 
-/// Entries that change in turn.
+/// The maximum number of entries that change, one after another.
 const CHANGING_ENTRIES: usize = 256;
 
 /// The changes of an endpoint list, and the directory that applies them.
 pub struct ListChanges {
     directory: EndpointDirectory,
-    /// Each as a line of the watch.
+    /// Each change, encoded as a line of the watch.
     lines: Vec<Vec<u8>>,
+    /// The index of the next line to be applied.
     next: usize,
 }
 
-/// A list that has been read, and what that took.
+/// An endpoint list that has been read, and the cost of reading it.
 pub struct ReadList {
+    /// The changes to apply after the complete list.
     pub changes: ListChanges,
     /// The complete list, for the scheduler.
     pub snapshot: EndpointUpdate,
+    /// [`Figure::ListBytes`] and [`Figure::ListNs`].
     pub figures: Figures,
 }
 
 impl ListChanges {
-    /// Encodes a list and its changes, and reads the complete list as a gateway does at its start.
+    /// Encodes a list and its changes, and reads the complete list as a gateway does when it starts.
+    ///
+    /// # Errors
+    /// Returns an error if the list cannot be encoded or decoded.
     pub fn read(endpoints: &[Endpoint], settings: &Settings) -> Result<ReadList, NotRun> {
         let entries = endpoints.iter().map(|endpoint| entry(endpoint, EndpointState::Serving)).collect();
         let list = encode(&DiscoveryUpdate { revision: 1, is_snapshot: true, endpoints: entries })?;
@@ -43,25 +49,29 @@
         Ok(ReadList { changes: ListChanges { directory, lines, next: 0 }, snapshot, figures })
     }
 
-    /// Applies the next change, as the watch and the real event loop do.
+    /// Decodes and applies the next change, as the watch and the real event loop do. The changes repeat in a cycle.
+    ///
+    /// # Errors
+    /// Returns an error if the change cannot be decoded.
     pub fn apply_next(&mut self) -> Result<EndpointUpdate, NotRun> {
         let update = self.directory.apply(&decode(&self.lines[self.next])?);
         self.next = (self.next + 1) % self.lines.len();
         Ok(update)
     }
 
-    /// Forgets what has been removed, as the real event loop does after it has handled an update.
+    /// Removes endpoints that are no longer listed from the directory, as the real event loop does after each update.
     pub fn remove_unlisted_endpoints(&mut self) {
         self.directory.remove_unlisted_endpoints(|_| false);
     }
 
-    /// Bytes that the encoded changes take.
+    /// Returns the memory of the encoded changes, in bytes.
     pub fn bytes(&self) -> u64 {
         self.lines.iter().map(|line| (line.capacity() + size_of::<Vec<u8>>()) as u64).sum()
     }
 }
 
-/// Some entries of the list begin to drain one after the other, and then serve again.
+/// Encodes changes in which some entries of the list begin to drain one after another, and then serve again in the same
+/// order.
 fn change_lines(endpoints: &[Endpoint]) -> Result<Vec<Vec<u8>>, NotRun> {
     let mut lines = Vec::new();
     for state in [EndpointState::Draining, EndpointState::Serving] {
@@ -86,9 +96,9 @@
 }
 
 fn encode(update: &DiscoveryUpdate) -> Result<Vec<u8>, NotRun> {
-    serde_json::to_vec(update).map_err(|error| NotRun::failed("the list", error))
+    serde_json::to_vec(update).map_err(|error| NotRun::failed("cannot encode the endpoint list", error))
 }
 
 fn decode(line: &[u8]) -> Result<DiscoveryUpdate, NotRun> {
-    serde_json::from_slice(line).map_err(|error| NotRun::failed("the list", error))
+    serde_json::from_slice(line).map_err(|error| NotRun::failed("cannot decode the endpoint list", error))
 }
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -1,17 +1,18 @@
-//! The testbed: experiments with gateways, on this machine alone.
+//! The testbed: runs experiments with gateways on this machine.
 //!
-//! - `testbed scale FILE.toml` measures how the cost of a gateway grows with what it knows, holds and does. Simulated
-//!   gateways share this process, real ones are started beside it. `experiment` reads the file; `scheduler_sweep`,
-//!   `watch_sweep` and `journal_sweep` measure, within the limits of `bounds`; `report` has the results.
-//! - `testbed soak` runs real gateways among faults, and checks the rules of the protocol; see `soak`.
+//! - `testbed scale FILE.toml` measures how the cost of a gateway grows with the size of its state and its load.
+//!   Simulated gateways run in this process; real gateways are started as child processes. `experiment` reads the file;
+//!   `scheduler_sweep`, `watch_sweep` and `journal_sweep` measure, within the limits of `bounds`; `report` formats the
+//!   results.
+//! - `testbed soak` runs real gateways with injected faults, and checks the rules of the protocol; see `soak`.
 //!
-//! Only loopback is used, every loop is bounded, and all that was started ends with it.
+//! The testbed uses only loopback. Every loop is bounded, and all processes that were started end with the testbed.
 #![forbid(unsafe_code)]
 
 mod bounds;
 mod endpoint_script;
 mod experiment;
-// The tests use more of it.
+// Tests include this module and use more of it.
 #[allow(dead_code)]
 mod fault_page;
 mod figures;
@@ -25,7 +26,7 @@
 mod scheduler_sweep;
 mod simulated_gateway;
 mod soak;
-// The tests use more of them.
+// Tests include this module and use more of it.
 #[allow(dead_code)]
 mod stubs;
 mod watch_sweep;
@@ -47,76 +48,77 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-use crate::bounds::Guard;
+use crate::bounds::RunBounds;
 use crate::experiment::{ExperimentError, Kind};
 use crate::report::Report;
 
 /// The exit code of a run that a signal ended.
 const INTERRUPTED: u8 = 130;
 
-/// Experiments with gateways, on this machine alone.
+/// Runs experiments with gateways on this machine, over loopback only.
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Measures how cost grows with size, and where the target's budgets are passed.
+enum Command {
+    /// Measures how the cost of a gateway grows with size, and at which sizes the target's budgets are exceeded.
     Scale {
-        /// The experiment.
+        /// The experiment file (TOML).
         file: PathBuf,
-        /// Runs this sweep alone; may come several times.
+        /// Runs only this sweep; may be given several times.
         #[arg(long, value_name = "NAME")]
         only: Vec<String>,
-        /// Writes all figures there as well, as JSON.
+        /// Also writes all results to this file, as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// The gateway's binary; the one beside this if absent.
+        /// The gateway's binary; defaults to `delivery-gateway` next to this program.
         #[arg(long = "courier", value_name = "FILE")]
         gateway: Option<PathBuf>,
     },
-    /// Runs real gateways among faults, one soak for each seed, and reports which rules were broken.
+    /// Runs real gateways with injected faults, one soak for each seed, and reports violations of the protocol's rules.
     Soak {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Soaks, each with the next seed.
+        /// The number of soaks; each uses the next seed.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Gateways that run at a time.
+        /// The number of gateways that run at the same time.
         #[arg(long = "couriers", default_value_t = 24, value_parser = clap::value_parser!(u16).range(1..=100))]
         gateways: u16,
-        /// Length of each soak, in seconds.
+        /// The length of each soak, in seconds.
         #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(1..=3600))]
         seconds: u64,
-        /// The gateway's binary; the one beside this if absent.
+        /// The gateway's binary; defaults to `delivery-gateway` next to this program.
         #[arg(long = "courier", value_name = "FILE")]
         gateway: Option<PathBuf>,
-        /// The shim that lets system calls fail; the one that `cargo build --examples` puts beside this if absent.
+        /// The fault shim's library; defaults to the one that `cargo build --examples` puts in `examples` next to this
+        /// program.
         #[arg(long, value_name = "FILE")]
         shim: Option<PathBuf>,
-        /// Where the gateways' logs go if a rule was broken.
+        /// The folder to which the gateways' logs are written if a rule was broken.
         #[arg(long, value_name = "FOLDER")]
         logs: Option<PathBuf>,
     },
 }
 
-/// Why a run failed.
+/// The reason why a run failed.
 #[derive(Debug, Error)]
 enum TestbedError {
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error("{0} cannot be written: {1}")]
     Json(PathBuf, std::io::Error),
-    #[error("the figures cannot be written as JSON: {0}")]
+    #[error("the results cannot be encoded as JSON: {0}")]
     Figures(#[from] serde_json::Error),
-    #[error("signals cannot be waited for: {0}")]
+    #[error("the signal handlers cannot be registered: {0}")]
     Signals(std::io::Error),
     #[error("interrupted")]
     Interrupted,
-    #[error("the soak cannot be set up: {0}")]
+    #[error("the soak cannot be set up or its logs cannot be written: {0}")]
     Soak(std::io::Error),
     #[error("{0} is missing; cargo build --release --examples makes it")]
     Missing(PathBuf),
@@ -124,7 +126,7 @@
     RulesBroken(usize),
 }
 
-/// A flag that the first SIGINT or SIGTERM sets.
+/// Returns a flag that is set by SIGINT and SIGTERM.
 fn watch_for_signals() -> Result<Arc<AtomicBool>, TestbedError> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
@@ -133,32 +135,33 @@
     Ok(interrupted)
 }
 
-/// A program that was built together with this one.
-fn sibling(name: &str) -> PathBuf {
+/// Returns the path of a file in the folder of this program.
+fn sibling_path(name: &str) -> PathBuf {
     std::env::current_exe().unwrap_or_default().with_file_name(name)
 }
 
-/// Runs one experiment. What is wrong with it is found before anything is started or written.
+/// Runs one experiment and prints its report. The experiment is validated before anything is started or written.
 fn scale(
     file: &Path,
     only: &[String],
     json: Option<PathBuf>,
     gateway: Option<PathBuf>,
 ) -> Result<(), TestbedError> {
-    let machine = experiment::machine_memory()?;
-    let experiment = experiment::read(file, machine, only)?;
-    let gateway = gateway.unwrap_or_else(|| sibling("delivery-gateway"));
+    let machine_bytes = experiment::machine_memory_bytes()?;
+    let experiment = experiment::read(file, machine_bytes, only)?;
+    let gateway = gateway.unwrap_or_else(|| sibling_path("delivery-gateway"));
     if experiment.sweep.iter().any(|sweep| sweep.kind().is_real()) && !gateway.is_file() {
         return Err(ExperimentError::NoGateway(gateway).into());
     }
     let json = json.map(JsonFile::create).transpose()?;
-    let guard = Guard::new(&experiment.bounds, watch_for_signals()?);
-    let mut report = Report::new(experiment.seed, experiment.bounds.memory(), experiment.target.clone());
+    let bounds = RunBounds::new(&experiment.bounds, watch_for_signals()?);
+    let mut report =
+        Report::new(experiment.seed, experiment.bounds.memory_bytes(), experiment.target.clone());
     for sweep in &experiment.sweep {
         let points = match sweep.kind() {
-            Kind::Journal => journal_sweep::sweep(sweep, &gateway, &guard),
-            Kind::Watchers | Kind::WatchersReconnect => watch_sweep::sweep(&experiment, sweep, &guard),
-            _ => scheduler_sweep::sweep(&experiment, sweep, &guard),
+            Kind::Journal => journal_sweep::sweep(sweep, &gateway, &bounds),
+            Kind::Watchers | Kind::WatchersReconnect => watch_sweep::sweep(&experiment, sweep, &bounds),
+            _ => scheduler_sweep::sweep(&experiment, sweep, &bounds),
         };
         println!("{}", report.add(sweep.kind(), points));
     }
@@ -166,14 +169,15 @@
     if let Some(json) = json {
         json.write(&report.json()?)?;
     }
-    if guard.is_interrupted() {
-        warn!("interrupted: what was not measured by then is reported as not run");
+    if bounds.is_interrupted() {
+        warn!("interrupted; sizes that were not measured yet are reported as not run");
         return Err(TestbedError::Interrupted);
     }
     Ok(())
 }
 
-/// The file for the figures. It is created before the run, so that a run whose figures cannot be written is not begun.
+/// The file for the results as JSON. It is created before the run, so that a run is not begun if its results cannot be
+/// written.
 struct JsonFile {
     path: PathBuf,
     file: File,
@@ -192,7 +196,7 @@
     }
 }
 
-/// Runs the soaks of some seeds, one after the other, and prints the report of each.
+/// Runs one soak for each of `seeds` consecutive seeds, one after another, and prints the report of each.
 fn soak(plan: soak::Plan, seeds: u64) -> Result<(), TestbedError> {
     for file in [&plan.gateway, &plan.shim] {
         if !file.is_file() {
@@ -217,7 +221,8 @@
 }
 
 fn init_log() {
-    // Thousands of watches that fail and reconnect would log it: they are counted.
+    // The gateway library logs only errors here: thousands of watches that fail and reconnect would each log a line.
+    // They are counted instead.
     let levels =
         Targets::new().with_default(LevelFilter::INFO).with_target("delivery_gateway", LevelFilter::ERROR);
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
@@ -226,15 +231,15 @@
 
 fn main() -> ExitCode {
     init_log();
-    let result = match Arguments::parse().verb {
-        Verb::Scale { file, only, json, gateway } => scale(&file, &only, json, gateway),
-        Verb::Soak { seed, seeds, gateways, seconds, gateway, shim, logs } => {
+    let result = match Arguments::parse().command {
+        Command::Scale { file, only, json, gateway } => scale(&file, &only, json, gateway),
+        Command::Soak { seed, seeds, gateways, seconds, gateway, shim, logs } => {
             let plan = soak::Plan {
                 seed,
                 gateways: gateways.into(),
                 length: Duration::from_secs(seconds),
-                gateway: gateway.unwrap_or_else(|| sibling("delivery-gateway")),
-                shim: shim.unwrap_or_else(|| sibling("examples").join("libfault_shim.so")),
+                gateway: gateway.unwrap_or_else(|| sibling_path("delivery-gateway")),
+                shim: shim.unwrap_or_else(|| sibling_path("examples").join("libfault_shim.so")),
                 logs,
             };
             soak(plan, seeds)
--- a/src/bin/testbed/report.rs
+++ b/src/bin/testbed/report.rs
@@ -1,4 +1,5 @@
-//! The report of a run: tables for people, JSON for programs, and which budget is passed first.
+//! The report of a run: tables as text, all results as JSON, and a list of the budgets that are passed, smallest size
+//! first.
 
 use serde::{Serialize, Serializer};
 use std::fmt::Write;
@@ -7,29 +8,29 @@
 use crate::figures::{Figure, Point};
 use crate::fit::Fit;
 
-/// A figure's growth with the size.
+/// The growth of a figure with the size, as fitted to the points of a sweep.
 #[derive(Debug, Serialize)]
 struct Growth {
     figure: Figure,
     slope: f64,
     constant: f64,
-    /// Of the point furthest from the line, relative to what was measured.
+    /// The largest distance of a point from the line, relative to the value measured there.
     largest_residual: f64,
     exponent: f64,
     exponent_range: (f64, f64),
     worse_than_linear: bool,
     budget: Option<f64>,
-    /// The size at which the budget is passed; none where growth never gets there.
+    /// The size at which the budget is passed; `None` if growth never reaches it or the figure has no budget.
     #[serde(serialize_with = "finite")]
     passed_at: Option<f64>,
-    /// That size relative to the target's.
+    /// `passed_at` divided by the size at the target.
     #[serde(serialize_with = "finite", rename = "share_of_target")]
     ratio_to_target: Option<f64>,
-    /// Whether that size lies outside the sizes measured.
+    /// Whether `passed_at` is outside of the measured sizes.
     extrapolated: bool,
 }
 
-/// JSON has no infinite numbers.
+/// Serializes a number that is not finite as null, because JSON has no such numbers.
 fn finite<S: Serializer>(value: &Option<f64>, serializer: S) -> Result<S::Ok, S::Error> {
     value.filter(|value| value.is_finite()).serialize(serializer)
 }
@@ -54,13 +55,13 @@
 }
 
 impl Report {
-    /// A report without results.
+    /// Creates a report without results.
     pub fn new(seed: u64, memory_bound_bytes: u64, target: Target) -> Self {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         Report { seed, cores, memory_bound_bytes, target, sweeps: Vec::new() }
     }
 
-    /// Adds the results of a sweep, and gives its table.
+    /// Adds the results of a sweep, and returns its table.
     pub fn add(&mut self, kind: Kind, points: Vec<Point>) -> String {
         let target_size = self.target.size(kind);
         let mut figures: Vec<Figure> =
@@ -101,7 +102,8 @@
         })
     }
 
-    /// Where each budget is passed, the smallest size relative to the target first; and which sizes were not run.
+    /// Returns a table of the sizes at which budgets are passed, the smallest relative to the target first, and the
+    /// list of sizes that were not run.
     pub fn summary(&self) -> String {
         let mut out = String::from("Where the target's budgets are passed, the first limit first:\n");
         out.push_str(&summary_line(["sweep", "figure", "budget", "passed at", "target size", "share"]));
@@ -126,7 +128,7 @@
         out
     }
 
-    /// The budgets that growth passes somewhere, in rising order of that size relative to the target's.
+    /// Returns the budgets that are passed at some size, in ascending order of the size relative to the target's.
     fn passed_budgets(&self) -> Vec<PassedBudget<'_>> {
         let mut passed = Vec::new();
         for sweep in &self.sweeps {
@@ -139,10 +141,10 @@
         passed
     }
 
-    /// All results as JSON.
+    /// Returns all results as JSON.
     ///
     /// # Errors
-    /// They cannot be encoded.
+    /// Returns an error if the results cannot be encoded.
     pub fn json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(self)
     }
@@ -160,7 +162,7 @@
 }
 
 impl SweepReport {
-    /// A line for each size with the figures, and a line for the growth of each figure.
+    /// Returns a table with a line for each size and a line for the growth of each figure.
     fn table(&self, figures: &[Figure]) -> String {
         let mut out = format!("{} (target size {})\n", self.kind, short(self.target_size));
         let _ = write!(out, "  {:>12}", "size");
@@ -198,7 +200,7 @@
 fn growth_line(growth: &Growth) -> String {
     let (from, to) = growth.exponent_range;
     format!(
-        "  {}: {} a unit and {}, points within {:.0}%; exponent {:.2} from {} to {}{}\n",
+        "  {}: {} per unit plus {}, points within {:.0}%; exponent {:.2} from {} to {}{}\n",
         growth.figure.name(),
         short(growth.slope),
         short(growth.constant),
@@ -210,7 +212,7 @@
     )
 }
 
-/// About three digits, with a suffix for thousands.
+/// Formats a number with about three digits, and with a suffix for powers of a thousand.
 fn short(value: f64) -> String {
     let units = [(1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")];
     match units.iter().find(|(unit, _)| value.abs() >= *unit) {
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -1,68 +1,75 @@
-//! The subject of a sweep of the scheduler: a simulated gateway that is brought to a size, and then stepped.
+//! The test rig for a sweep of the scheduler: sets up a simulated gateway at a size, and then runs it step by step.
 //!
-//! A step is one message accepted, sent, and responded to after the script's latency, at the rate of events that the
-//! target has for one gateway; while a list changes, it is one changed entry, read as a line of the watch, and no
-//! message. What the sweep does not vary is the same at all its sizes.
+//! In a step, one message is accepted and sent; its response arrives after the script's latency. Steps follow each
+//! other at the target's rate of events for one gateway. In [`Kind::ListChange`] a step instead reads one changed entry
+//! as a line of the watch, and sends no message. Everything that the sweep does not vary is the same at all its sizes.
 
 use delivery_gateway::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::bounds::{Guard, NotRun};
+use crate::bounds::{NotRun, RunBounds};
 use crate::endpoint_script::Script;
 use crate::experiment::{Experiment, Kind, Work};
 use crate::figures::{Figure, Figures};
 use crate::layout::{
-    destination, endpoint_id, Layout, ACTIVE_DESTINATIONS, AMPLE_RATE, WAITING_DESTINATIONS,
+    destination, endpoint_id, Layout, ACTIVE_DESTINATIONS, AMPLE_RATE_PER_SEC, WAITING_DESTINATIONS,
 };
 use crate::list_changes::ListChanges;
 use crate::processor_time::processor_time;
 use crate::simulated_gateway::SimulatedGateway;
 
-/// A Retry-After, and half of a deadline, that outlasts any run.
-const BEYOND_ANY_RUN: Duration = Duration::from_secs(3600);
-/// [`Kind::Loaded`]: of so many endpoints ...
+/// The duration of a Retry-After, and half of a deadline, that is longer than any run.
+const LONGER_THAN_ANY_RUN: Duration = Duration::from_secs(3600);
+/// The number of endpoints to which [`LOADED_DESTINATIONS`] refers.
 const LOADED_ENDPOINTS: u64 = 65_536;
-/// ... so many destinations wait for a Retry-After ...
+/// The number of destinations that wait for a Retry-After in [`Kind::Loaded`], for every [`LOADED_ENDPOINTS`]
+/// endpoints.
 const LOADED_DESTINATIONS: u64 = 2000;
-/// ... with so many messages each.
+/// The number of pending messages of each of these destinations.
 const LOADED_MESSAGES: u64 = 5;
-/// [`Kind::Down`]: one in so many destinations that are down has a message that waits.
-const DOWN_WITH_MESSAGE: u64 = 10;
-/// How long ago outages began that are set up.
+/// In [`Kind::Down`], one in this number of the destinations that are down has a message that waits.
+const DOWN_DESTINATIONS_PER_MESSAGE: u64 = 10;
+/// The time since the start of the simulated outages.
 const DOWN_SINCE: Duration = Duration::from_secs(60);
-/// Failure score of an outage that is set up: enough for an open circuit.
+/// The failure score of a simulated outage, which is sufficient for an open circuit.
 const DOWN_FAILURE_SCORE: u32 = 6;
-/// Call slots beyond the calls in flight: destinations may have as many calls as slots are free.
+/// The number of call slots in addition to those of the calls in flight. The number of free slots limits the calls of
+/// a destination.
 const SPARE_SLOTS: usize = 1024;
-/// Messages that may be pending beyond twice those of the sweep: shedding begins below the limit, and is no part of any
-/// sweep.
+/// The number of messages that may be pending in addition to twice those of the sweep. Load shedding begins below the
+/// limit, and must not occur in any sweep.
 const SPARE_MESSAGES: usize = 100_000;
 const MAX_ATTEMPTS: u32 = 12;
-/// Steps beyond those until the first response, and between two checks of the bounds meanwhile.
+/// The number of steps after the first responses until measuring begins, and between two checks of the bounds until
+/// then.
 const SETTLING_STEPS: u64 = 20;
-/// Entries or messages that are set up between two checks of the bounds.
+/// The number of destinations or messages that are set up between two checks of the bounds.
 const SETUP_BETWEEN_CHECKS: u64 = 1024;
 
-/// A simulated gateway that has been brought to a size.
+/// A simulated gateway that has been set up at a size.
 pub struct SchedulerRig {
     pub gateway: SimulatedGateway,
     kind: Kind,
-    /// Destinations that messages are sent to in turn.
+    /// The destinations to which messages are sent in turn.
     destinations: Vec<DestinationId>,
     next_destination: usize,
-    /// Simulated time of a step.
-    period: Duration,
+    /// The simulated time of a step.
+    step_period: Duration,
+    /// The changes of the endpoint list; `None` except in [`Kind::ListChange`].
     list_changes: Option<ListChanges>,
-    /// Bytes that are the rig's and not the gateway's.
+    /// The memory of the rig itself, in bytes, which does not count as the gateway's.
     pub own_bytes: u64,
-    /// What was measured while it was brought to its size.
+    /// The figures that were measured during setup.
     pub figures: Figures,
 }
 
 impl SchedulerRig {
-    /// Brings a gateway to a size.
-    pub fn build(experiment: &Experiment, kind: Kind, size: u64, guard: &Guard) -> Result<Self, NotRun> {
+    /// Sets up a gateway at a size.
+    ///
+    /// # Errors
+    /// Returns an error if a bound of the run is reached, or if the size cannot be set up.
+    pub fn build(experiment: &Experiment, kind: Kind, size: u64, bounds: &RunBounds) -> Result<Self, NotRun> {
         let Layout { endpoints, active_destinations } = Layout::of(kind, size)?;
         let settings = settings(experiment, kind, size);
         let script = script(&experiment.work, kind, size, &endpoints);
@@ -89,42 +96,43 @@
             kind,
             destinations,
             next_destination: 0,
-            period: period(experiment, kind, size),
+            step_period: step_period(experiment, kind, size),
             list_changes,
             own_bytes,
             figures,
         };
-        rig.bring_to(size, guard)?;
+        rig.set_up(size, bounds)?;
         Ok(rig)
     }
 
-    fn bring_to(&mut self, size: u64, guard: &Guard) -> Result<(), NotRun> {
+    /// Adds the destinations that wait and the pending messages of the sweep.
+    fn set_up(&mut self, size: u64, bounds: &RunBounds) -> Result<(), NotRun> {
         match self.kind {
             Kind::QueuesRetryAfter | Kind::QueuesTokenBucket | Kind::Down => {
                 for number in 0..size {
-                    check_at_times(number, guard)?;
-                    self.make_wait(number)?;
+                    check_periodically(number, bounds)?;
+                    self.add_waiting_destination(number)?;
                 }
             }
             Kind::PendingSpread => {
                 for number in ACTIVE_DESTINATIONS..ACTIVE_DESTINATIONS + WAITING_DESTINATIONS {
-                    self.retry_after(number)?;
+                    self.apply_retry_after(number)?;
                 }
                 for number in 0..size {
-                    check_at_times(number, guard)?;
+                    check_periodically(number, bounds)?;
                     let waiting = ACTIVE_DESTINATIONS + number % WAITING_DESTINATIONS;
                     self.gateway.enqueue(destination(waiting)?);
                 }
             }
             Kind::PendingAtOne => {
                 for number in 0..size {
-                    check_at_times(number, guard)?;
+                    check_periodically(number, bounds)?;
                     self.gateway.enqueue(destination(0)?);
                 }
             }
             Kind::Loaded => {
                 for number in 0..loaded_destinations(size) {
-                    self.retry_after(Layout::first_endpoint_of(number))?;
+                    self.apply_retry_after(Layout::first_endpoint_of(number))?;
                     for _ in 0..LOADED_MESSAGES {
                         self.gateway.enqueue(destination(number)?);
                     }
@@ -136,22 +144,22 @@
         Ok(())
     }
 
-    /// The endpoint at an index has its destination wait.
-    fn retry_after(&mut self, index: u64) -> Result<(), NotRun> {
+    /// Makes a destination wait for a Retry-After of its endpoint at `index`.
+    fn apply_retry_after(&mut self, index: u64) -> Result<(), NotRun> {
         let endpoint = endpoint_id(index)?;
-        self.gateway.handle(Event::RetryAfter { endpoint, delay: BEYOND_ANY_RUN });
+        self.gateway.handle(Event::RetryAfter { endpoint, delay: LONGER_THAN_ANY_RUN });
         Ok(())
     }
 
-    /// Makes one more destination one of those that the sweep counts.
-    fn make_wait(&mut self, number: u64) -> Result<(), NotRun> {
+    /// Adds a destination that waits or is down, by the kind of the sweep. `number` counts them from 0.
+    fn add_waiting_destination(&mut self, number: u64) -> Result<(), NotRun> {
         let waiting = destination(ACTIVE_DESTINATIONS + number)?;
         let mut has_message = true;
         match self.kind {
-            Kind::QueuesRetryAfter => self.retry_after(ACTIVE_DESTINATIONS + number)?,
+            Kind::QueuesRetryAfter => self.apply_retry_after(ACTIVE_DESTINATIONS + number)?,
             Kind::Down => {
                 self.open_circuit(waiting);
-                has_message = number.is_multiple_of(DOWN_WITH_MESSAGE);
+                has_message = number.is_multiple_of(DOWN_DESTINATIONS_PER_MESSAGE);
             }
             _ => {}
         }
@@ -174,9 +182,12 @@
         self.gateway.handle(Event::CircuitRestored(record));
     }
 
-    /// Takes one step.
+    /// Runs one step.
+    ///
+    /// # Errors
+    /// Returns an error if a change of the endpoint list cannot be decoded.
     pub fn step(&mut self) -> Result<(), NotRun> {
-        self.gateway.advance(self.period);
+        self.gateway.advance(self.step_period);
         if let Some(changes) = &mut self.list_changes {
             let update = changes.apply_next()?;
             self.gateway.handle(Event::EndpointsUpdated(update));
@@ -189,23 +200,26 @@
         Ok(())
     }
 
-    /// Steps until the first responses have arrived, so that as many calls are in flight as will be from then on.
-    pub fn settle(&mut self, latency: Duration, guard: &Guard) -> Result<(), NotRun> {
-        let steps = (latency.as_secs_f64() / self.period.as_secs_f64() * 1.1) as u64 + SETTLING_STEPS;
+    /// Runs steps until the first responses have arrived. From then on the number of calls in flight stays constant.
+    ///
+    /// # Errors
+    /// Returns an error if a bound of the run is reached or a step fails.
+    pub fn settle(&mut self, latency: Duration, bounds: &RunBounds) -> Result<(), NotRun> {
+        let steps = (latency.as_secs_f64() / self.step_period.as_secs_f64() * 1.1) as u64 + SETTLING_STEPS;
         for step in 0..steps {
             if step % SETTLING_STEPS == 0 {
-                guard.check()?;
+                bounds.check()?;
             }
             self.step()?;
         }
         Ok(())
     }
 
-    /// Checks that the steps did what they are measured for.
+    /// Checks that the measured steps have delivered messages. [`Kind::ListChange`] sends none, and always passes.
     ///
     /// # Errors
-    /// [`NotRun::Work`] if fewer than four in five messages were delivered.
-    pub fn check(&self, delivered_before: u64, steps: u64) -> Result<(), NotRun> {
+    /// Returns [`NotRun::Work`] if fewer than four in five messages were delivered.
+    pub fn check_deliveries(&self, delivered_before: u64, steps: u64) -> Result<(), NotRun> {
         let done = self.gateway.counts.delivered - delivered_before;
         if self.kind == Kind::ListChange || done * 10 >= steps * 8 {
             Ok(())
@@ -219,7 +233,7 @@
     let calls_in_flight = if kind == Kind::CallsInFlight { 2 * size as usize } else { 0 };
     Settings {
         fleet_size: experiment.target.gateways as u32,
-        classes: vec![Class { deadline: BEYOND_ANY_RUN * 2, ..Class::default() }],
+        classes: vec![Class { deadline: LONGER_THAN_ANY_RUN * 2, ..Class::default() }],
         max_in_flight_calls: calls_in_flight + SPARE_SLOTS,
         max_pending_messages: 2 * size as usize + SPARE_MESSAGES,
         max_attempts: MAX_ATTEMPTS,
@@ -240,25 +254,27 @@
         jitter: Duration::from_millis(work.jitter_ms),
         connect_failure_latency: Duration::from_millis(*work.down_ms.get_ref()),
         limit_per_sec: work.limit_per_s,
-        // Nothing is left of the limit, so that the learnt rate does not grow.
+        // The headroom is zero, so that the learned rate does not grow.
         load_report: (kind == Kind::PendingAtOne)
-            .then_some(LoadReport { headroom: 0.0, limit_per_sec: AMPLE_RATE }),
+            .then_some(LoadReport { headroom: 0.0, limit_per_sec: AMPLE_RATE_PER_SEC }),
         down,
     }
 }
 
-/// Simulated time of a step.
-fn period(experiment: &Experiment, kind: Kind, size: u64) -> Duration {
+/// Returns the simulated time of a step.
+fn step_period(experiment: &Experiment, kind: Kind, size: u64) -> Duration {
     match kind {
-        // As many calls are in flight as are sent in the time that one takes.
+        // `size` calls are sent during the latency of one call, so that this number of calls is in flight.
         Kind::CallsInFlight => experiment.work.latency().div_f64(size as f64),
-        // As many messages are accepted as can be sent, so that the queue stays as it is.
-        Kind::PendingAtOne => Duration::from_secs_f64((AMPLE_RATE / experiment.target.gateways).recip()),
+        // Messages are accepted at the rate at which they can be sent, so that the queue length stays constant.
+        Kind::PendingAtOne => {
+            Duration::from_secs_f64((AMPLE_RATE_PER_SEC / experiment.target.gateways).recip())
+        }
         _ => Duration::from_secs_f64(experiment.target.event_ns() / 1e9),
     }
 }
 
-/// Hands a complete list to the scheduler; the time that this takes adds to that of reading the list.
+/// Passes a complete list to the scheduler, and adds the processor time to that of reading the list in `figures`.
 fn handle_snapshot(
     gateway: &mut SimulatedGateway,
     snapshot: EndpointUpdate,
@@ -271,15 +287,15 @@
     figures
 }
 
-/// Destinations that wait in [`Kind::Loaded`].
+/// Returns the number of destinations that wait in [`Kind::Loaded`].
 fn loaded_destinations(endpoints: u64) -> u64 {
     endpoints * LOADED_DESTINATIONS / LOADED_ENDPOINTS
 }
 
-/// Checks the bounds now and then while something is set up.
-fn check_at_times(number: u64, guard: &Guard) -> Result<(), NotRun> {
+/// Checks the bounds during setup, once in [`SETUP_BETWEEN_CHECKS`] calls. `number` counts the calls.
+fn check_periodically(number: u64, bounds: &RunBounds) -> Result<(), NotRun> {
     if number.is_multiple_of(SETUP_BETWEEN_CHECKS) {
-        guard.check()?;
+        bounds.check()?;
     }
     Ok(())
 }
--- a/src/bin/testbed/scheduler_sweep.rs
+++ b/src/bin/testbed/scheduler_sweep.rs
@@ -1,22 +1,22 @@
-//! Measures the sweeps of the scheduler: all sizes side by side, interleaved over rounds, in processor time of this
-//! thread and in bytes of the counting allocator.
+//! Measures the sweeps of the scheduler. All sizes are set up at the same time and measured in turn in each round, in
+//! processor time of this thread and in bytes of the counting allocator.
 
 use hdrhistogram::Histogram;
 use std::time::Instant;
 use tracing::info;
 
-use crate::bounds::{allocated, Guard, NotRun};
+use crate::bounds::{allocated, NotRun, RunBounds};
 use crate::experiment::{Experiment, Sweep};
 use crate::figures::{Figure, Point};
 use crate::fit::median;
 use crate::processor_time::processor_time;
 use crate::scheduler_rig::SchedulerRig;
 
-/// Steps that a size is measured for at least in a round, however long they take.
+/// The minimum number of steps for which a size is measured in a round, regardless of the time they take.
 const MIN_STEPS: u64 = 8;
-/// Longest time of a step that the histogram tells apart from others.
+/// The maximum value of the histogram of step times, in nanoseconds. Longer steps are recorded as this value.
 const LONGEST_STEP_NS: u64 = 10_000_000_000;
-/// Decimal digits to which it does.
+/// The precision of the histogram in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 2;
 
 /// A size that is being measured.
@@ -24,21 +24,22 @@
     size: u64,
     rig: SchedulerRig,
     memory_bytes: u64,
-    /// By round: processor time of a step.
+    /// The mean processor time of a step in each round, in nanoseconds.
     step_ns_by_round: Vec<f64>,
+    /// The number of items that the scheduler has examined in all measured steps.
     items_examined: u64,
-    /// Elapsed time of each step, in nanoseconds.
-    steps: Histogram<u64>,
+    /// The elapsed time of each step, in nanoseconds.
+    step_times: Histogram<u64>,
 }
 
 impl Measured {
-    fn build(experiment: &Experiment, sweep: &Sweep, size: u64, guard: &Guard) -> Result<Self, NotRun> {
-        guard.check()?;
-        let steps = Histogram::new_with_bounds(1, LONGEST_STEP_NS, HISTOGRAM_DIGITS)
-            .map_err(|error| NotRun::failed("the histogram", error))?;
+    fn build(experiment: &Experiment, sweep: &Sweep, size: u64, bounds: &RunBounds) -> Result<Self, NotRun> {
+        bounds.check()?;
+        let step_times = Histogram::new_with_bounds(1, LONGEST_STEP_NS, HISTOGRAM_DIGITS)
+            .map_err(|error| NotRun::failed("cannot create the histogram", error))?;
         let before = allocated();
-        let mut rig = SchedulerRig::build(experiment, sweep.kind(), size, guard)?;
-        rig.settle(experiment.work.longest_latency(), guard)?;
+        let mut rig = SchedulerRig::build(experiment, sweep.kind(), size, bounds)?;
+        rig.settle(experiment.work.max_latency(), bounds)?;
         let memory_bytes = allocated().saturating_sub(before + rig.own_bytes);
         info!(
             kind = %sweep.kind(),
@@ -46,15 +47,15 @@
             calls_in_flight = rig.gateway.calls_in_flight(),
             circuit_records = rig.gateway.circuit_records(),
             memory_bytes,
-            "set up"
+            "scheduler set up"
         );
-        Ok(Measured { size, rig, memory_bytes, step_ns_by_round: Vec::new(), items_examined: 0, steps })
+        Ok(Measured { size, rig, memory_bytes, step_ns_by_round: Vec::new(), items_examined: 0, step_times })
     }
 
-    /// Measures some steps.
-    fn run_round(&mut self, experiment: &Experiment, guard: &Guard) -> Result<(), NotRun> {
+    /// Measures steps until the maximum number of steps or the maximum time for one round is reached.
+    fn run_round(&mut self, experiment: &Experiment, bounds: &RunBounds) -> Result<(), NotRun> {
         let max_steps = *experiment.work.steps.get_ref();
-        let max_time = experiment.work.block();
+        let max_time = experiment.work.block_time();
         let begun_at = Instant::now();
         let processor_time_before = processor_time();
         let delivered_before = self.rig.gateway.counts.delivered;
@@ -63,18 +64,18 @@
         while steps < max_steps && (steps < MIN_STEPS || begun_at.elapsed() < max_time) {
             let step_begun_at = Instant::now();
             self.rig.step()?;
-            self.steps.saturating_record(step_begun_at.elapsed().as_nanos() as u64);
+            self.step_times.saturating_record(step_begun_at.elapsed().as_nanos() as u64);
             steps += 1;
         }
         let spent = processor_time() - processor_time_before;
         self.step_ns_by_round.push(spent.as_nanos() as f64 / steps as f64);
         self.items_examined += self.rig.gateway.items_examined() - examined_before;
-        self.rig.check(delivered_before, steps)?;
-        guard.check()
+        self.rig.check_deliveries(delivered_before, steps)?;
+        bounds.check()
     }
 
-    /// The point of this size. Times are by the ratio to the smallest size within each round, as the machine's speed
-    /// changes from round to round, but hardly within one.
+    /// Returns the point of this size. The step time is the median over the rounds of the ratio to the smallest size in
+    /// the same round, because the machine's speed changes from round to round, but hardly within a round.
     fn point(&self, smallest_ns_by_round: &[f64]) -> Point {
         let rounds = self.step_ns_by_round.iter().zip(smallest_ns_by_round);
         let mut ratios: Vec<f64> = rounds.map(|(own, smallest)| own / smallest).collect();
@@ -84,36 +85,41 @@
         figures.extend([
             (Figure::StepRatio, ratio),
             (Figure::StepNs, ratio * smallest_ns),
-            (Figure::ItemsExamined, self.items_examined as f64 / self.steps.len().max(1) as f64),
-            (Figure::StepP99Ns, self.steps.value_at_quantile(0.99) as f64),
+            (Figure::ItemsExamined, self.items_examined as f64 / self.step_times.len().max(1) as f64),
+            (Figure::StepP99Ns, self.step_times.value_at_quantile(0.99) as f64),
             (Figure::MemoryBytes, self.memory_bytes as f64),
         ]);
         match self.rig.gateway.handover_bytes() {
             Ok(bytes) => drop(figures.insert(Figure::HandOverBytes, bytes as f64)),
-            Err(error) => return Point::not_run(self.size, &NotRun::failed("the hand-over", error)),
+            Err(error) => {
+                return Point::not_run(
+                    self.size,
+                    &NotRun::failed("cannot encode the scheduler's state", error),
+                )
+            }
         }
         Point::ran(self.size, figures)
     }
 }
 
-/// Measures a sweep of the scheduler. Each size has its point, or the reason why it has none.
-pub fn sweep(experiment: &Experiment, sweep: &Sweep, guard: &Guard) -> Vec<Point> {
+/// Measures a sweep of the scheduler. Returns a point for each size, with its figures or the reason why it was not run.
+pub fn sweep(experiment: &Experiment, sweep: &Sweep, bounds: &RunBounds) -> Vec<Point> {
     let mut points: Vec<Point> = Vec::new();
     let mut measured: Vec<Measured> = Vec::new();
     for size in sweep.sizes() {
-        match Measured::build(experiment, sweep, size, guard) {
+        match Measured::build(experiment, sweep, size, bounds) {
             Ok(built) => measured.push(built),
             Err(reason) => points.push(Point::not_run(size, &reason)),
         }
     }
     for round in 0..*experiment.work.rounds.get_ref() {
-        // Another size begins each round, so that other load on the machine falls on all alike.
+        // Each round starts with a different size, so that other load on the machine affects all sizes equally.
         if let Some(first) = (!measured.is_empty()).then(|| round as usize % measured.len()) {
             measured.rotate_left(first.min(1));
         }
         let mut index = 0;
         while index < measured.len() {
-            match measured[index].run_round(experiment, guard) {
+            match measured[index].run_round(experiment, bounds) {
                 Ok(()) => index += 1,
                 Err(reason) => points.push(Point::not_run(measured.remove(index).size, &reason)),
             }
--- a/src/bin/testbed/simulated_gateway.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -1,5 +1,5 @@
-//! A simulated gateway: the real scheduler, stepped on a simulated clock as the real gateway's event loop steps it,
-//! with scripted endpoints in the place of sockets. It opens no socket and reads no clock.
+//! A simulated gateway: runs the real scheduler on a simulated clock, in the same steps as the real gateway's event
+//! loop, with scripted endpoints instead of sockets. Opens no socket and reads no clock.
 
 use delivery_gateway::discovery::EndpointDirectory;
 use delivery_gateway::*;
@@ -8,10 +8,10 @@
 
 use crate::endpoint_script::{Script, ScriptedEndpoints};
 
-/// The simulated clock at the start. Times before it have to be expressible.
+/// The simulated time at the start. It is well above zero, because times before it have to be representable.
 const START_TIME: Time = Time(1_000_000_000_000_000);
 
-/// A directory for the one kind and the one zone of the experiments.
+/// Returns an endpoint directory with the only kind and the only zone of the experiments.
 pub fn directory_for(settings: &Settings) -> EndpointDirectory {
     EndpointDirectory::new(&ParsedSettings {
         settings: settings.clone(),
@@ -24,7 +24,7 @@
     })
 }
 
-/// A call whose outcome is not known yet.
+/// A call in flight. Its outcome is drawn when it starts and reported when it ends.
 struct CallInFlight {
     message: MessageId,
     endpoint: EndpointId,
@@ -32,14 +32,15 @@
     sent_at: Time,
 }
 
-/// When a call in flight ends; calls that end at one time do so in the order of their numbers.
+/// The key of a call in flight: the time at which it ends. Calls that end at the same time end in the order of their
+/// numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CallEnd {
     at: Time,
     number: u64,
 }
 
-/// What a simulated gateway has done.
+/// The counts of what a simulated gateway has done.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Messages accepted.
@@ -52,33 +53,33 @@
     pub delivered: u64,
 }
 
-/// A gateway whose clock is advanced by [`SimulatedGateway::advance`] alone.
+/// A simulated gateway. Only [`SimulatedGateway::advance`] advances its clock.
 pub struct SimulatedGateway {
     scheduler: Scheduler,
     endpoints: ScriptedEndpoints,
-    /// The time that a message has.
+    /// The time from a message's acceptance to its deadline.
     deadline: Duration,
     now: Time,
-    /// The timer that the scheduler has set: when it fires, and with which token.
+    /// The timer that the scheduler has set: the time at which it fires, and its token.
     timer: Option<(Time, u64)>,
     calls: BTreeMap<CallEnd, CallInFlight>,
-    /// Attempts of the messages that have no final outcome.
+    /// The number of attempts of each message that has had an attempt and no final outcome.
     attempts: HashMap<MessageId, u16>,
     /// Messages whose final outcome is acknowledged in the next step.
     unacknowledged: Vec<MessageId>,
-    /// What the real gateway would have in its journal.
+    /// The circuit records that the real gateway would have in its journal.
     circuits: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
-    /// Kept for its memory.
+    /// An empty buffer that is kept to reuse its memory.
     actions: Vec<Action>,
-    watch_requested: bool,
+    is_watch_requested: bool,
     last_message: u32,
     last_call: u64,
-    /// What it has done so far.
+    /// The counts so far.
     pub counts: Counts,
 }
 
 impl SimulatedGateway {
-    /// A gateway with these settings, whose scheduler and endpoints draw from the seed.
+    /// Creates a gateway. The random numbers of its scheduler and of its endpoints depend on the seed.
     pub fn new(settings: Settings, seed: u64, script: Script) -> Self {
         let deadline = settings.classes.first().map(|class| class.deadline).unwrap_or_default();
         let settings = Settings { outcomes_need_acknowledgement: true, ..settings };
@@ -93,24 +94,24 @@
             unacknowledged: Vec::new(),
             circuits: BTreeMap::new(),
             actions: Vec::new(),
-            watch_requested: false,
+            is_watch_requested: false,
             last_message: 0,
             last_call: 0,
             counts: Counts::default(),
         }
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Hands an event to the scheduler.
+    /// Passes an event to the scheduler.
     pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(self.now, event);
     }
 
-    /// Enqueues a message, as a client does; it may be rejected.
+    /// Enqueues a message as a client does. The scheduler may reject it.
     pub fn enqueue(&mut self, destination: DestinationId) {
         self.last_message += 1;
         let message = AcceptedMessage {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Advances the clock, and hands the scheduler everything that has happened by then.
+    /// Advances the clock, and passes all events to the scheduler that are due by then.
     pub fn advance(&mut self, by: Duration) {
         self.now = self.now + by;
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= self.now) {
@@ -163,19 +164,19 @@
         }));
     }
 
-    /// Lets the scheduler decide once, carries out what it wants done, and takes its circuit changes, as the real event
-    /// loop does in each turn.
+    /// Lets the scheduler decide once, executes its actions, and takes its circuit changes, as the real event loop does
+    /// in each iteration.
     pub fn decide(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.decide(self.now, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
         self.take_circuit_changes();
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { message, endpoint, .. } => self.start_attempt(message, endpoint),
             Action::CancelAttempt { message, .. } => self.cancel_attempt(message),
@@ -184,8 +185,8 @@
                 self.unacknowledged.push(message);
             }
             Action::SetTimer { after, token } => self.timer = Some((self.now + after, token)),
-            Action::WatchEndpoints { .. } => self.watch_requested = true,
-            // There are no connections to close.
+            Action::WatchEndpoints { .. } => self.is_watch_requested = true,
+            // A simulated gateway has no connections.
             Action::CloseIdleConnections { .. } => {}
         }
     }
@@ -210,7 +211,7 @@
         self.calls.insert(CallEnd { at, number: self.last_call }, call);
     }
 
-    /// What the real event loop does after each decision, to record circuits as they change.
+    /// Takes the changes of circuits and applies them to the records, as the real event loop does after each decision.
     fn take_circuit_changes(&mut self) {
         for CircuitChange { destination, endpoint, record } in self.scheduler.take_circuit_changes() {
             match record {
@@ -220,24 +221,24 @@
         }
     }
 
-    /// After how long to watch the endpoint list for the first time.
+    /// Returns the delay before the first watch of the endpoint list.
     pub fn initial_watch_delay(&mut self) -> Duration {
         self.scheduler.initial_watch_delay()
     }
 
-    /// Whether the scheduler has requested a watch since this was last called.
-    pub fn takes_watch_request(&mut self) -> bool {
-        std::mem::take(&mut self.watch_requested)
+    /// Returns whether the scheduler has requested a watch since the last call of this function.
+    pub fn take_watch_request(&mut self) -> bool {
+        std::mem::take(&mut self.is_watch_requested)
     }
 
-    /// How long until a timer fires or a call ends; none if neither will.
+    /// Returns the time until the timer fires or a call ends, whichever is first; `None` if neither is pending.
     pub fn next_event_in(&self) -> Option<Duration> {
         let timer = self.timer.map(|(at, _)| at);
         let call = self.calls.first_key_value().map(|(end, _)| end.at);
         [timer, call].into_iter().flatten().min().map(|at| at - self.now)
     }
 
-    /// Items of its state that the scheduler has examined so far.
+    /// Returns the number of items of its state that the scheduler has examined so far.
     pub fn items_examined(&self) -> u64 {
         let WorkCounters {
             destinations_visited,
@@ -249,26 +250,26 @@
         destinations_visited + messages_compared + calls_checked + circuits_compared + endpoints_visited
     }
 
-    /// Circuits that are recorded now.
+    /// Returns the number of circuits that are recorded.
     pub fn circuit_records(&self) -> usize {
         self.circuits.len()
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of the scheduler's state on its way to another process.
+    /// Returns the size of the scheduler's state as encoded for a handover to another process, in bytes.
     ///
     /// # Errors
-    /// The state cannot be encoded.
+    /// Returns an error if the state cannot be encoded.
     pub fn handover_bytes(&self) -> Result<u64, postcard::Error> {
         Ok(postcard::to_io(&self.scheduler, ByteCounter(0))?.0)
     }
 }
 
-/// Counts what is written to it.
+/// Counts the bytes written to it, and discards them.
 struct ByteCounter(u64);
 
 impl std::io::Write for ByteCounter {
--- a/src/bin/testbed/watch_sweep.rs
+++ b/src/bin/testbed/watch_sweep.rs
@@ -1,8 +1,8 @@
-//! The sweeps of the endpoint watch: many simulated gateways with the real directory, the real watch and the real
-//! decisions on when to reconnect, on real time and loopback, at one discovery.
+//! The sweeps of the endpoint watch. Many simulated gateways watch one discovery, with the real directory, the real
+//! watch and the real decisions on when to reconnect, in real time and over loopback.
 //!
-//! Measured is how long all of them need until they have a change, as it is announced on open watches and as all
-//! reconnect at once; and what that costs both sides.
+//! The sweeps measure the time until all gateways have a change, both when it is announced on open watches and when all
+//! gateways reconnect at once, and the cost to the gateways and to discovery.
 
 use delivery_gateway::discovery::{DiscoveryUpdate, EndpointDirectory, EndpointWatch, WatchEvent};
 use delivery_gateway::*;
@@ -17,7 +17,7 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tracing::info;
 
-use crate::bounds::{allocated, Guard, NotRun};
+use crate::bounds::{allocated, NotRun, RunBounds};
 use crate::endpoint_script::Script;
 use crate::experiment::{Experiment, Kind, Sweep};
 use crate::figures::{Figure, Figures, Point};
@@ -27,24 +27,25 @@
 use crate::stubs::discovery::{Discovery, WatchTokenBucket};
 use crate::stubs::{locked, target, Agent};
 
-/// Descriptors of a watcher: its own socket, and three of the stub.
+/// The number of file descriptors for a watcher: its own socket, and three of discovery's stub.
 const DESCRIPTORS_OF_WATCHER: u64 = 4;
-/// Descriptors of the rest of this process.
+/// The number of file descriptors for the rest of this process.
 const OTHER_DESCRIPTORS: u64 = 200;
-/// Longest time until all watch the list for the first time.
+/// The maximum time until all watchers have their first watch.
 const FIRST_WATCH_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest time until all have a change that was announced; after a reconnection, beyond the target's time for that.
+/// The maximum time until all watchers have an announced change; after a reconnection, in addition to the target's time
+/// for a change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Changes that are announced on open watches, one after the other.
+/// The number of changes that are announced on open watches, one after another.
 const CHANGES: u64 = 9;
-/// Interval of heartbeats on open watches.
+/// The interval between heartbeats on open watches.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time between two checks of the bounds.
+/// The maximum time between two checks of the bounds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a watcher reports.
+/// An event that a watcher reports.
 enum WatcherProgress {
-    /// Its watch is up.
+    /// Its watch is established.
     Watching,
     /// It has applied the list up to this revision.
     Updated(u64),
@@ -55,19 +56,19 @@
     gateway: SimulatedGateway,
     directory: EndpointDirectory,
     begun_at: Instant,
-    /// Real time up to which the gateway's clock has advanced.
-    advanced: Duration,
+    /// The real time since `begun_at` to which the gateway's clock has advanced.
+    advanced_to: Duration,
 }
 
 impl Watcher {
-    /// Advances the gateway's clock to the present.
-    fn catch_up(&mut self) {
+    /// Advances the gateway's clock to the current real time.
+    fn advance_to_now(&mut self) {
         let now = self.begun_at.elapsed();
-        self.gateway.advance(now - self.advanced);
-        self.advanced = now;
+        self.gateway.advance(now - self.advanced_to);
+        self.advanced_to = now;
     }
 
-    /// Follows the endpoint list as the real gateway's event loop does, until the watch ends.
+    /// Runs the watch and steps the scheduler as the real gateway's event loop does, until the watch ends.
     async fn run(
         mut self,
         agent: watch::Receiver<String>,
@@ -89,12 +90,12 @@
                 },
                 () = tokio::time::sleep(next.unwrap_or_default()), if next.is_some() => None,
             };
-            self.catch_up();
+            self.advance_to_now();
             if let Some(event) = event {
                 self.handle(event, &progress);
             }
             self.gateway.decide();
-            if self.gateway.takes_watch_request() {
+            if self.gateway.take_watch_request() {
                 request_watch.send_replace(());
             }
         }
@@ -115,23 +116,24 @@
     }
 }
 
-/// Measures a sweep of the watch. Each size has its point, or the reason why it has none.
-pub fn sweep(experiment: &Experiment, sweep: &Sweep, guard: &Guard) -> Vec<Point> {
-    let point = |size| measure(experiment, sweep.kind(), size, guard);
+/// Measures a sweep of the watch. Returns a point for each size, with its figures or the reason why it was not run.
+pub fn sweep(experiment: &Experiment, sweep: &Sweep, bounds: &RunBounds) -> Vec<Point> {
+    let point = |size| measure(experiment, sweep.kind(), size, bounds);
     sweep.sizes().map(|size| point(size).unwrap_or_else(|reason| Point::not_run(size, &reason))).collect()
 }
 
-fn measure(experiment: &Experiment, kind: Kind, size: u64, guard: &Guard) -> Result<Point, NotRun> {
-    guard.check()?;
+fn measure(experiment: &Experiment, kind: Kind, size: u64, bounds: &RunBounds) -> Result<Point, NotRun> {
+    bounds.check()?;
     check_descriptors(size)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| NotRun::failed("the runtime", error))?;
-    let agent = Agent::start(&channel().0).map_err(|error| NotRun::failed("discovery's stub", error))?;
+    let runtime = runtime.map_err(|error| NotRun::failed("cannot create the async runtime", error))?;
+    let agent =
+        Agent::start(&channel().0).map_err(|error| NotRun::failed("cannot start discovery's stub", error))?;
     let agent = Arc::new(agent);
     let heartbeats = send_heartbeats(agent.clone());
     let point = LocalSet::new().block_on(&runtime, async {
-        let mut fleet = Fleet::new(experiment, size, agent.clone(), guard);
-        fleet.begin().await?;
+        let mut fleet = Fleet::new(experiment, size, agent.clone(), bounds);
+        fleet.wait_for_first_watches().await?;
         match kind {
             Kind::WatchersReconnect => fleet.reconnect(experiment).await,
             _ => fleet.follow_changes().await,
@@ -142,13 +144,13 @@
     point
 }
 
-/// Whether this process may have as many descriptors as the watchers need.
+/// Returns an error if the watchers need more file descriptors than this process may open.
 fn check_descriptors(size: u64) -> Result<(), NotRun> {
     let needed = DESCRIPTORS_OF_WATCHER * size + OTHER_DESCRIPTORS;
     match getrlimit(Resource::Nofile).current {
-        Some(allowed) if allowed < needed => {
-            Err(NotRun::Failed(format!("it needs {needed} descriptors, of which {allowed} are allowed")))
-        }
+        Some(allowed) if allowed < needed => Err(NotRun::Failed(format!(
+            "the size needs {needed} file descriptors, but the limit is {allowed}"
+        ))),
         _ => Ok(()),
     }
 }
@@ -164,7 +166,7 @@
     end
 }
 
-/// What discovery's stub has counted.
+/// The counts of discovery's stub at one time.
 struct DiscoveryCounts {
     connections: f64,
     rejections: f64,
@@ -181,32 +183,34 @@
     }
 }
 
-/// The watchers of one size. They end when it is dropped.
+/// The watchers of one size. They end when this is dropped.
 struct Fleet<'a> {
     size: u64,
     agent: Arc<Agent>,
-    guard: &'a Guard,
+    bounds: &'a RunBounds,
     progress: mpsc::UnboundedReceiver<WatcherProgress>,
     watchers: Vec<JoinHandle<()>>,
-    /// The watches end when this is dropped.
+    /// Provides the watchers with the agent's address. The watches end when this is dropped.
     _agent_address: watch::Sender<String>,
     /// The entries of the endpoint list.
     entries: Vec<Value>,
+    /// The current revision of the endpoint list.
     revision: u64,
     memory_bytes: u64,
+    /// Not a number until [`Fleet::wait_for_first_watches`] has succeeded.
     first_watch_ms: f64,
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts the watchers, which know the list already.
-    fn new(experiment: &Experiment, size: u64, agent: Arc<Agent>, guard: &'a Guard) -> Self {
+    /// Starts the watchers, which already have the complete list.
+    fn new(experiment: &Experiment, size: u64, agent: Arc<Agent>, bounds: &'a RunBounds) -> Self {
         let before = allocated();
         let (report, progress) = mpsc::unbounded_channel();
         let (agent_address, addresses) = watch::channel(agent.address.to_string());
         let entries = list_entries(*experiment.discovery.entries.get_ref() as u32);
         let revision = 1;
         let list = json!({"rev": revision, "all": true, "targets": entries});
-        // What is written here can be read.
+        // Decoding cannot fail, because the list was encoded above.
         let list: DiscoveryUpdate = serde_json::from_value(list).unwrap_or_default();
         let settings = Settings { fleet_size: size as u32, ..Settings::default() };
         let mut watchers = Vec::new();
@@ -215,7 +219,8 @@
             let mut gateway = SimulatedGateway::new(settings.clone(), experiment.seed + number, script);
             let mut directory = directory_for(&settings);
             gateway.handle(Event::EndpointsUpdated(directory.apply(&list)));
-            let watcher = Watcher { gateway, directory, begun_at: Instant::now(), advanced: Duration::ZERO };
+            let watcher =
+                Watcher { gateway, directory, begun_at: Instant::now(), advanced_to: Duration::ZERO };
             let run = watcher.run(addresses.clone(), revision, report.clone());
             watchers.push(tokio::task::spawn_local(run));
         }
@@ -223,7 +228,7 @@
         Fleet {
             size,
             agent,
-            guard,
+            bounds,
             progress,
             watchers,
             _agent_address: agent_address,
@@ -234,17 +239,18 @@
         }
     }
 
-    /// Waits until so many watchers have reported some progress, and gives how many did in time.
+    /// Waits until `watchers` awaited progress reports have arrived or `timeout` has passed. Returns the number of
+    /// reports that arrived in time.
     async fn wait_for(
         &mut self,
         watchers: u64,
         is_awaited: impl Fn(&WatcherProgress) -> bool,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<u64, NotRun> {
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         let mut count = 0;
         while count < watchers && Instant::now() < end {
-            self.guard.check()?;
+            self.bounds.check()?;
             if let Ok(Some(progress)) = tokio::time::timeout(CHECK_INTERVAL, self.progress.recv()).await {
                 count += u64::from(is_awaited(&progress));
             }
@@ -252,32 +258,36 @@
         Ok(count)
     }
 
-    /// The same, until they have the present revision of the list.
-    async fn wait_for_update(&mut self, watchers: u64, patience: Duration) -> Result<u64, NotRun> {
+    /// Waits until `watchers` watchers have the current revision of the list or `timeout` has passed. Returns the
+    /// number of watchers that got it in time.
+    async fn wait_for_update(&mut self, watchers: u64, timeout: Duration) -> Result<u64, NotRun> {
         let revision = self.revision;
         let is_update = move |progress: &WatcherProgress| match progress {
             WatcherProgress::Updated(own) => *own == revision,
             WatcherProgress::Watching => false,
         };
-        self.wait_for(watchers, is_update, patience).await
+        self.wait_for(watchers, is_update, timeout).await
     }
 
-    /// Waits until all watch the list.
-    async fn begin(&mut self) -> Result<(), NotRun> {
+    /// Waits until all watchers have their first watch.
+    async fn wait_for_first_watches(&mut self) -> Result<(), NotRun> {
         let begun_at = Instant::now();
         let is_watching = |progress: &WatcherProgress| matches!(progress, WatcherProgress::Watching);
         let watching = self.wait_for(self.size, is_watching, FIRST_WATCH_TIMEOUT).await?;
         if watching < self.size {
-            let reason = format!("{watching} of {} watch after {FIRST_WATCH_TIMEOUT:?}", self.size);
+            let reason = format!(
+                "only {watching} of {} watchers have a watch after {FIRST_WATCH_TIMEOUT:?}",
+                self.size
+            );
             return Err(NotRun::Failed(reason));
         }
         self.first_watch_ms = millis(begun_at.elapsed());
-        info!(watchers = self.size, first_watch_ms = self.first_watch_ms, "all watch");
+        info!(watchers = self.size, first_watch_ms = self.first_watch_ms, "all watchers have a watch");
         Ok(())
     }
 
-    /// The next change of one entry, as a line of the watch.
-    fn change(&mut self) -> String {
+    /// Changes the state of one entry, increments the revision, and returns the change as a line of the watch.
+    fn change_entry(&mut self) -> String {
         let index = self.revision as usize % self.entries.len();
         self.revision += 1;
         let entry = &mut self.entries[index];
@@ -286,13 +296,13 @@
         format!("{}\n", json!({"rev": self.revision, "all": false, "targets": [entry]}))
     }
 
-    /// Measures changes that are announced on open watches.
+    /// Measures changes that are announced on open watches, one after another.
     async fn follow_changes(mut self) -> Result<Point, NotRun> {
         let mut all_updated_ms = Vec::new();
         let mut watchers_ns = Vec::new();
         let before = DiscoveryCounts::of(&self.agent.state);
         for _ in 0..CHANGES {
-            let line = self.change();
+            let line = self.change_entry();
             let begun_at = Instant::now();
             let processor_time_before = processor_time();
             let agent = self.agent.clone();
@@ -302,7 +312,10 @@
             watchers_ns.push((processor_time() - processor_time_before).as_nanos() as f64);
             let _ = announcing.join();
             if updated < self.size {
-                return Err(NotRun::Failed(format!("{updated} of {} have the change", self.size)));
+                return Err(NotRun::Failed(format!(
+                    "only {updated} of {} watchers have the change after {CHANGE_TIMEOUT:?}",
+                    self.size
+                )));
             }
         }
         let after = DiscoveryCounts::of(&self.agent.state);
@@ -313,16 +326,16 @@
             (Figure::SentBytes, Some((after.bytes_sent - before.bytes_sent) / CHANGES as f64)),
             (Figure::MemoryBytes, Some(self.memory_bytes as f64)),
         ];
-        Ok(Point::ran(self.size, present(figures)))
+        Ok(Point::ran(self.size, measured_figures(figures)))
     }
 
-    /// Measures a change that happens just as all watches break at once, at a discovery of limited capacity.
+    /// Measures a change that happens just as all watches break, at a discovery that limits new watches per second.
     async fn reconnect(mut self, experiment: &Experiment) -> Result<Point, NotRun> {
         let state = self.agent.state.clone();
         let before = DiscoveryCounts::of(&state);
         let watches_per_s = *experiment.discovery.watches_per_s.get_ref() as f64;
         *locked(&state.watch_limit) = Some(WatchTokenBucket::new(watches_per_s));
-        let line = self.change();
+        let line = self.change_entry();
         let begun_at = Instant::now();
         self.agent.break_watches();
         self.agent.announce(&line);
@@ -334,7 +347,7 @@
         };
         let took_ms = millis(begun_at.elapsed());
         let after = DiscoveryCounts::of(&state);
-        info!(watchers = self.size, in_time, late, took_ms, "reconnected");
+        info!(watchers = self.size, in_time, late, took_ms, "watchers reconnected");
         let figures = [
             (Figure::AllUpdatedMs, Some(took_ms)),
             (Figure::InForceRatio, Some(in_time as f64 / self.size as f64)),
@@ -342,10 +355,11 @@
             (Figure::Rejections, Some(after.rejections - before.rejections)),
             (Figure::SentBytes, Some(after.bytes_sent - before.bytes_sent)),
         ];
-        let never = self.size - in_time - late;
-        let note =
-            (never > 0).then(|| format!("{never} did not have it even then: 'all updated' is a lower bound"));
-        Ok(Point { note, ..Point::ran(self.size, present(figures)) })
+        let never_updated = self.size - in_time - late;
+        let note = (never_updated > 0).then(|| {
+            format!("{never_updated} watchers did not get the change: 'all updated' is a lower bound")
+        });
+        Ok(Point { note, ..Point::ran(self.size, measured_figures(figures)) })
     }
 }
 
@@ -355,14 +369,15 @@
     }
 }
 
-/// So many entries of an endpoint list, which nobody calls.
+/// Returns `count` entries of an endpoint list. No calls are made to them.
 fn list_entries(count: u32) -> Vec<Value> {
     let address = ([127, 0, 0, 1], 9).into();
     let entry = |number| target(&format!("s-{number}"), address, number, "SERVING", 10.0);
     (1..=count).map(entry).collect()
 }
 
-fn present(figures: impl IntoIterator<Item = (Figure, Option<f64>)>) -> Figures {
+/// Drops figures that were not measured.
+fn measured_figures(figures: impl IntoIterator<Item = (Figure, Option<f64>)>) -> Figures {
     figures.into_iter().filter_map(|(figure, value)| Some((figure, value?))).collect()
 }
 
