--- a/fault-shim/faults.rs
+++ b/fault-shim/faults.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// How a message of `sendmsg` or `recvmsg` is carried out. It is transferred whole or not at all.
+/// How a message on a Unix socket is transferred by `sendmsg` or `recvmsg`: whole or not at all.
 pub enum MessageTransfer {
     Whole,
     KillBefore,
--- a/src/bin/testbed/endpoint_script.rs
+++ b/src/bin/testbed/endpoint_script.rs
@@ -42,7 +42,8 @@
 }
 
 impl TokenBucket {
-    /// Refills the bucket, to at most the tokens of one second or one token, and takes a token if there is one.
+    /// Refills the bucket, whose capacity is the tokens of one second but at least one token, and takes a token if
+    /// there is one.
     fn try_take(&mut self, now: Time, limit_per_sec: f64) -> bool {
         let filled = self.tokens + (now - self.filled_at).as_secs_f64() * limit_per_sec;
         self.tokens = filled.min(limit_per_sec.max(1.0));
--- a/src/bin/testbed/layout.rs
+++ b/src/bin/testbed/layout.rs
@@ -7,7 +7,8 @@
 
 /// The number of destinations to which messages are sent, unless the sweep has another.
 pub const ACTIVE_DESTINATIONS: u64 = 64;
-/// The number of destinations to which messages are sent in [`Kind::CallsInFlight`].
+/// The number of destinations to which messages are sent in [`Kind::CallsInFlight`], where very many calls are in
+/// flight.
 const ACTIVE_DESTINATIONS_OF_MANY_CALLS: u64 = 1024;
 /// The number of destinations for which the messages of [`Kind::PendingSpread`] wait.
 pub const WAITING_DESTINATIONS: u64 = 64;
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -22,7 +22,8 @@
 const TERM_TO_KILL: Duration = Duration::from_millis(3700);
 /// The time from SIGKILL to the next start, and from the start of a successor until a failing disk works again.
 const KILL_TO_START: Duration = Duration::from_millis(600);
-/// The maximum time from the start of a process until it listens and replies to PING.
+/// The maximum time from the start of a process until it listens and replies to PING. A slower process counts as one
+/// that never becomes ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// The interval between two checks of a process that starts or ends.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
