--- a/src/bin/delivery-gateway/budget.rs
+++ b/src/bin/delivery-gateway/budget.rs
@@ -11,7 +11,7 @@
 /// those may be idle.
 const DESCRIPTORS_PER_IDLE_CLIENT: usize = 6;
 /// The maximum number of long requests that are read at the same time, per MB of memory. A long request has more than a
-/// few KiB and at most 68 KiB, so that they take up to an eighth of the memory.
+/// few KiB and at most 68 KiB. Together they take up to about an eighth of the memory.
 const LONG_REQUESTS_PER_MB: f64 = 2.0;
 
 /// The shares of the gateway's parts.
--- a/src/bin/delivery-gateway/config.rs
+++ b/src/bin/delivery-gateway/config.rs
@@ -15,7 +15,7 @@
 
 /// The paths that the environment variables set.
 pub struct Environment {
-    /// The folder of the journal and the lock, which outlast the process.
+    /// The folder of the files that outlast the process: the journal's files and the lock file.
     pub state_folder: PathBuf,
     /// The configuration file.
     pub config_path: PathBuf,
@@ -87,7 +87,7 @@
         .await
     }
 
-    /// Returns the address of the admin endpoint. None if it is not set or empty.
+    /// Returns the address of the admin endpoint. None if it is unset or empty.
     pub fn admin_address(&self) -> Option<String> {
         let address = std::env::var(ADMIN_ADDRESS_VARIABLE).ok().or_else(|| self.admin_address.clone());
         address.filter(|address| !address.is_empty())
@@ -101,8 +101,8 @@
         Ok(settings_from_json(&self.settings)?)
     }
 
-    /// Returns the seed of the scheduler's random numbers. Any text is a valid seed, but each gateway needs its
-    /// own, so that no two gateways make the same random decisions.
+    /// Returns the seed of the scheduler's random numbers. Any text is a valid seed, but each gateway needs its own, so
+    /// that no two gateways make the same random decisions.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| u64::from(crc32fast::hash(self.seed.as_bytes())))
--- a/src/bin/delivery-gateway/event_loop/catalog.rs
+++ b/src/bin/delivery-gateway/event_loop/catalog.rs
@@ -25,7 +25,7 @@
 
     /// Returns the id of a class; None if the settings don't have it.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
-        self.class_names.iter().position(|class_name| class_name == name).map(|at| ClassId(at as u8))
+        self.class_names.iter().position(|class_name| class_name == name).map(|index| ClassId(index as u8))
     }
 
     pub(super) fn class(&self, id: ClassId) -> &Class {
@@ -34,8 +34,8 @@
 
     /// Returns the id of a tenant. A tenant that the settings don't have gets `u32::MAX`, which has no quota.
     fn tenant_id(&self, name: &str) -> TenantId {
-        let at = self.tenant_names.iter().position(|tenant_name| tenant_name == name);
-        TenantId(at.and_then(|at| u32::try_from(at).ok()).unwrap_or(u32::MAX))
+        let index = self.tenant_names.iter().position(|tenant_name| tenant_name == name);
+        TenantId(index.and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX))
     }
 
     /// Translates an accepted message for the scheduler. None if the settings don't have its class.
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -1,4 +1,5 @@
-//! Starts the attempts that the scheduler has decided on, and records their results.
+//! Starts the attempts that the scheduler has decided on, and records their results. Withdraws calls that are still
+//! connecting when their destination sends a `Retry-After`.
 //!
 //! The send guard checks each attempt first. An attempt that it blocks is not sent. Each attempt is recorded in the
 //! journal before its call starts, because the next process must treat it as possibly processed.
@@ -37,7 +38,7 @@
 struct Batch {
     messages: Vec<OutgoingMessage>,
     body_bytes: usize,
-    /// The longest attempt timeout of the messages.
+    /// The timeout of the call: the longest attempt timeout of its messages.
     attempt_timeout: Duration,
 }
 
@@ -108,7 +109,7 @@
         })
     }
 
-    /// Records an attempt before it is sent. Returns false if that failed; the attempt must not be sent then, because
+    /// Records an attempt before it is sent. Returns false if that failed. The attempt must not be sent then, because
     /// the next process would not find it in the journal.
     fn record_attempt(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> bool {
         let zone = self.directory.zone(endpoint).0;
@@ -117,7 +118,7 @@
         self.journal_errors.log_failure(recorded)
     }
 
-    /// Checks an attempt with the send guard.
+    /// Checks an attempt with the send guard. An error is the delivery rule that the attempt would break.
     fn check_rules(&mut self, now: Time, message: MessageId, endpoint: EndpointId) -> Result<(), Breach> {
         // A message that is not in the journal, or an endpoint that is not in the directory, gets no call anyway.
         let Some(pending) = self.journal.state.pending.get(&message.0) else { return Ok(()) };
@@ -226,8 +227,8 @@
             self.apply_retry_after(endpoint, delay);
             self.scheduler.handle(now, Event::RetryAfter { endpoint, delay });
         }
-        // The scheduler rates an endpoint by the last outcome of a call. The outcomes NotSent and AttemptsExhausted
-        // have no information about the endpoint and are passed first.
+        // The scheduler rates an endpoint by the last outcome of a call. NotSent and AttemptsExhausted have no
+        // information about the endpoint, so they are passed first.
         let mut results: Vec<(MessageId, AttemptResult)> =
             messages.iter().copied().zip(result.attempts.iter().copied()).collect();
         results.sort_by_key(|(_, result)| {
--- a/src/bin/delivery-gateway/event_loop/in_flight.rs
+++ b/src/bin/delivery-gateway/event_loop/in_flight.rs
@@ -34,7 +34,7 @@
 
 impl CallHandle {
     /// Creates the handle of a call of this process. The call sets `is_sent`, and stops when the receiver gets a reason
-    /// or is closed.
+    /// or the handle aborts the call.
     pub(super) fn new(is_sent: Rc<Cell<bool>>) -> (Rc<Self>, oneshot::Receiver<StopReason>) {
         CallHandle::stoppable(is_sent, None)
     }
@@ -131,9 +131,9 @@
 
     /// Withdraws the calls that are still connecting to the selected endpoints. Once connected, they would be new work
     /// for an endpoint that is draining, or calls before its `Retry-After` has passed.
-    pub(super) fn withdraw(&self, which: impl Fn(EndpointId) -> bool) {
+    pub(super) fn withdraw(&self, is_selected: impl Fn(EndpointId) -> bool) {
         let unsent = self.attempts.values().filter(|attempt| !attempt.call.is_sent.get());
-        for attempt in unsent.filter(|attempt| which(attempt.endpoint)) {
+        for attempt in unsent.filter(|attempt| is_selected(attempt.endpoint)) {
             attempt.call.stop(StopReason::Withdrawn);
         }
     }
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -66,9 +66,10 @@
 /// The time window in which the process ends after a shutdown request.
 #[derive(Clone, Copy)]
 struct Shutdown {
-    /// The process ends at this time or, if messages are pending then, as soon as none is.
+    /// From this time on, the process ends as soon as no message is pending, no call is in flight and all records are
+    /// written.
     earliest: Instant,
-    /// The process ends at this time even if messages are pending.
+    /// The process ends at this time in any case.
     latest: Instant,
 }
 
@@ -96,7 +97,7 @@
     guard: SendGuard,
     persisted_circuits: PersistedCircuitWriter,
     deferred_outcomes: DeferredOutcomes,
-    /// The time of the next attempt to write deferred records. None if there are none.
+    /// The time of the next attempt to write what could not be written to the journal. None if everything is written.
     flush_retry_at: Option<Instant>,
     timer: Option<Timer>,
     shutdown: Option<Shutdown>,
@@ -119,7 +120,7 @@
 fn start_clock(journal: &mut Journal) -> Clock {
     let clock = Clock::new(journal.clock_reading());
     if !journal.clock_reading().is_some_and(|last| clock.continues(last)) {
-        // A failed write is retried later. The next record to be written reports the same error.
+        // A failed write is retried later. Writing the next records reports the same error.
         let _ = journal.record_clock(clock.reading());
     }
     clock
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -14,7 +14,7 @@
 use crate::events::OutcomeNotification;
 use crate::journal::FinalOutcome;
 
-/// The interval between attempts to write deferred records.
+/// The interval between attempts to write records whose write has failed.
 const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 struct DeferredOutcome {
--- a/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
+++ b/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
@@ -23,7 +23,7 @@
 }
 
 impl PersistedCircuitWriter {
-    /// Marks all persisted circuits for removal. Those changed before the next write are kept.
+    /// Marks all persisted circuits for removal. A circuit that is changed before the next write is updated instead.
     fn mark_all_removed<'a>(&mut self, persisted: impl Iterator<Item = &'a CircuitKey>) {
         self.unwritten = persisted.map(|key| (key.clone(), None)).collect();
     }
--- a/src/bin/delivery-gateway/event_loop/reporting.rs
+++ b/src/bin/delivery-gateway/event_loop/reporting.rs
@@ -1,4 +1,4 @@
-//! Logs the load every [`REPORT_SWEEPS`] sweeps, and logs late or long steps and journal errors at a limited rate.
+//! Logs the load every [`REPORT_SWEEPS`] sweeps, and logs late timers, long steps and journal errors at a limited rate.
 
 use std::time::Duration;
 use tracing::{error, info, warn};
@@ -42,7 +42,8 @@
 }
 
 impl JournalErrorLog {
-    /// Logs the error of a failed write. Returns true if the write succeeded.
+    /// Logs the error of a failed write, and returns whether the write succeeded. A failed write is retried later, or
+    /// the step that depends on it is not taken.
     pub(super) fn log_failure(&mut self, written: Result<(), JournalError>) -> bool {
         let Err(error) = written else { return true };
         if let Some(suppressed) = self.lines.due() {
@@ -54,11 +55,11 @@
 
 impl EventLoop {
     /// Records how late a timer fired or how long a step took, and logs it above [`LATENESS_LOG_THRESHOLD`].
-    pub(super) fn record_lateness(&mut self, late: Duration, what: &str) {
+    pub(super) fn record_lateness(&mut self, late: Duration, log_text: &str) {
         self.counters.max_lateness = self.counters.max_lateness.max(late);
         if late > LATENESS_LOG_THRESHOLD {
             if let Some(suppressed) = self.lines.lateness.due() {
-                warn!(?late, suppressed, "{what}");
+                warn!(?late, suppressed, "{log_text}");
             }
         }
     }
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -123,8 +123,7 @@
         });
     }
 
-    /// Encodes the snapshot for a successor. This process must make no decisions while the successor owns the state
-    /// folder.
+    /// Encodes the snapshot for a successor. This process must make no decisions while the successor may make them.
     ///
     /// # Errors
     /// The snapshot cannot be encoded.
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -100,7 +100,7 @@
     AlreadyAccepted,
     /// The message was not accepted. The client may retry after this delay, or at once if there is none.
     Rejected(Option<Duration>),
-    /// The message was not accepted, and a retry would fail as well. Contains the error text.
+    /// The message was not accepted, and the client should not retry. Contains the error text.
     Error(&'static str),
 }
 
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
-    /// The time from the start of the attempt to its result.
+    /// The time from the start of the call to its result.
     pub latency: Duration,
     /// Whether the message is completed and needs no notification.
     pub completes_message: bool,
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -29,8 +29,9 @@
 use crate::resp2::{ClientServer, TransferredConnection};
 use crate::start_error::StartError;
 
-/// The maximum time to wait until clients' connections and notifications can be handed over. Clients wait 400 ms for a
-/// reply; a connection that takes longer than this has a client that doesn't read.
+/// The maximum time to wait for the notification in flight, and then for clients' connections, before a handover. Both
+/// waits together are shorter than the 400 ms for which clients wait for a reply. A connection that is not transferred
+/// in time has a client that doesn't read.
 const PAUSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// The interval between checks whether the last call has ended.
 const CALLS_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -55,7 +56,7 @@
     }
 }
 
-/// The gateway's service: the parts that a handover passes to another process.
+/// The gateway's service: the parts that a handover concerns, and the parameters to create the event loop again.
 pub struct Gateway {
     event_loop: EventLoop,
     events: UnboundedReceiver<GatewayEvent>,
--- a/src/bin/delivery-gateway/handover/error.rs
+++ b/src/bin/delivery-gateway/handover/error.rs
@@ -17,7 +17,7 @@
     ConnectionClosed,
     #[error("the owner refuses a handover for now; this process asks again")]
     Refused,
-    #[error("expected the descriptors of the owner's listener and lock; this process ends, and the owner continues")]
+    #[error("the owner's listener and lock did not arrive; this process ends, and the owner continues")]
     MissingDescriptors,
     #[error("cannot decode the handover snapshot: {0}; this process ends, and the owner continues")]
     Snapshot(#[from] postcard::Error),
--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -1,5 +1,5 @@
-//! Computes the fingerprint of a build, which covers the format and the meaning of a handover snapshot. A snapshot is
-//! passed only between processes with the same fingerprint; others continue from the journal.
+//! Computes the fingerprint of a build and its settings, which covers the format and the meaning of a handover
+//! snapshot. A snapshot is passed only between processes with the same fingerprint; others continue from the journal.
 
 use delivery_gateway::ParsedSettings;
 
@@ -85,7 +85,7 @@
     fingerprint(STATE_SOURCES, parsed)
 }
 
-/// Returns the fingerprint of a build whose snapshot is defined by `sources`.
+/// Returns the fingerprint of a build whose snapshot is defined by `sources`, with these settings.
 pub fn fingerprint(sources: &[SourceFile], parsed: &ParsedSettings) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for source in sources {
--- a/src/bin/delivery-gateway/handover/messages.rs
+++ b/src/bin/delivery-gateway/handover/messages.rs
@@ -1,5 +1,10 @@
 //! The messages between the two processes of a handover. The order of variants and of fields is the wire format between
-//! two builds. Additions go to the end; any other change has to raise [`FORMAT`].
+//! two builds. Additions go to the end, which keeps the bytes of existing variants and fields; any other change has to
+//! raise [`FORMAT`].
+//!
+//! A reader ignores bytes after the last field that its build expects. A message with a variant that its build doesn't
+//! have, or one that ends before the last expected field, counts as malformed and ends the connection. A field added
+//! before other bytes of a message, also in a nested type, shifts these, so that they may be misread.
 
 use bytes::Bytes;
 use delivery_gateway::{EndpointId, MessageId};
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -205,7 +205,7 @@
     });
 }
 
-/// Returns the end of a call that was in flight when its process ended.
+/// Returns the event that ends a call whose process has ended.
 fn broken_call(message: MessageId, endpoint: EndpointId) -> GatewayEvent {
     let attempt = AttemptResult {
         outcome: AttemptOutcome::Reset,
--- a/src/bin/delivery-gateway/journal/error.rs
+++ b/src/bin/delivery-gateway/journal/error.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A failed operation on one of the journal's files.
+/// An operation on one of the journal's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
     Open,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Says what happens after the error.
+    /// Returns what happens after the operation has failed.
     fn consequence(self) -> &'static str {
         match self {
             FileOperation::Open | FileOperation::Replay | FileOperation::ReadClock => {
@@ -58,7 +58,7 @@
     NoRoomToCompact { available: u64 },
     /// Nothing was written, because an earlier failed write has left a torn tail.
     #[error(
-        "cannot truncate the torn tail that a failed write left in the journal; no message is accepted until then"
+        "a failed write left a torn tail in the journal that cannot be truncated yet; no message is accepted"
     )]
     TornTail,
 }
--- a/src/bin/delivery-gateway/journal/frame.rs
+++ b/src/bin/delivery-gateway/journal/frame.rs
@@ -38,8 +38,8 @@
     pub bytes: u64,
 }
 
-/// Reads the next record of a file that has `remaining` bytes left. None at the end of the file, or if the record is
-/// torn or damaged.
+/// Reads the next record of a file that has `remaining` bytes left. None at the end of the file, at
+/// [`END_OF_RECORDS`], or if the record is torn or damaged.
 ///
 /// # Errors
 /// The file cannot be read.
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -49,7 +49,8 @@
 /// The minimum time between a failed compaction and the next one.
 const COMPACTION_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The journal of one state folder. Only the process that holds the folder's lock may open it.
+/// The journal of one state folder. One process at a time owns the folder, by its lock, and only that process may use
+/// the journal.
 pub struct Journal {
     file: JournalFile,
     space: DiskSpace,
@@ -117,7 +118,7 @@
         self.file.is_untouched()
     }
 
-    /// Writes the deferred records, the endpoint list and the clock's reading if they are deferred.
+    /// Writes everything that is deferred: records, the endpoint list and the clock's reading. Truncates a torn tail.
     ///
     /// # Errors
     /// A write still fails; its record stays deferred.
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -101,7 +101,7 @@
     pub first_uncertain_attempt: Option<SentRecord>,
     /// The attempt in flight. After a restart, it counts as possibly processed.
     pub in_flight: Option<SentRecord>,
-    /// The final outcome, whose notification has not been acknowledged yet.
+    /// The final outcome, whose notification has not been acknowledged yet. None if the message has no final outcome.
     pub final_outcome: Option<FinalOutcome>,
 }
 
--- a/src/bin/delivery-gateway/journal/space.rs
+++ b/src/bin/delivery-gateway/journal/space.rs
@@ -3,7 +3,8 @@
 use super::error::JournalError;
 use super::record::AcceptedRecord;
 
-/// The maximum fraction of the disk space for live bytes. A message that would exceed it is not accepted.
+/// The maximum fraction of the disk space for live bytes, which the pending messages would take in a compacted file. A
+/// message that would exceed it is not accepted.
 const LIVE_FRACTION: f64 = 0.43;
 /// The file is compacted before it exceeds this fraction of the disk space, so that the old and the new file fit side
 /// by side.
@@ -38,7 +39,7 @@
         size > self.fraction(COMPACTION_FRACTION)
     }
 
-    /// Checks that the live bytes may grow to `needed`.
+    /// Checks that the live bytes may grow to `needed` bytes.
     ///
     /// # Errors
     /// `needed` exceeds the maximum; the message must not be accepted.
--- a/src/bin/delivery-gateway/journal/state.rs
+++ b/src/bin/delivery-gateway/journal/state.rs
@@ -12,7 +12,7 @@
 pub struct JournalState {
     /// Pending messages by their numbers. Messages are numbered in the order of acceptance.
     pub pending: BTreeMap<u32, PendingMessage>,
-    /// The number of the last accepted message. 0 if there was none.
+    /// The highest number of a message in the records; 0 if there is none. The next message gets the next number.
     pub last_number: u32,
     /// The revision of the endpoint list. 0 if no list was recorded.
     pub endpoints_revision: u64,
--- a/src/bin/delivery-gateway/listener.rs
+++ b/src/bin/delivery-gateway/listener.rs
@@ -42,8 +42,8 @@
     retry_transient("getting the address of the listener", || async { listener.local_addr() }).await
 }
 
-/// Serves the admin endpoint. Retries until the address can be bound, because the gateway delivers messages even
-/// without an admin endpoint.
+/// Serves the admin endpoint. Retries until the address can be bound. A failure doesn't end the process, because the
+/// gateway delivers messages without an admin endpoint.
 pub async fn serve_admin(address: String, endpoint: Rc<AdminEndpoint>) {
     loop {
         match bind(&address).await {
