--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -226,7 +226,7 @@
         self.in_flight.stop(message, reason);
     }
 
-    /// Aborts all calls, and doesn't wait for their ends.
+    /// Aborts all calls, without waiting until they have ended.
     pub fn drop_calls(&self) {
         self.in_flight.abort_all();
     }
--- a/src/bin/delivery-gateway/handover/codec.rs
+++ b/src/bin/delivery-gateway/handover/codec.rs
@@ -82,22 +82,22 @@
     /// Removes a frame from the buffer. None if it has not arrived completely.
     fn take_frame<M: DeserializeOwned>(&mut self) -> Result<Option<Received<M>>, Malformed> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
-        let [a, b, c, d, descriptors] = *header;
+        let [a, b, c, d, descriptor_count] = *header;
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
         if length > MAX_MESSAGE_BYTES {
             return Err(Malformed);
         }
-        let mut descriptors = usize::from(descriptors);
+        let mut descriptor_count = usize::from(descriptor_count);
         if self.has_lost_descriptors {
-            descriptors = descriptors.min(self.descriptors.len());
+            descriptor_count = descriptor_count.min(self.descriptors.len());
         }
         let end = HEADER_BYTES + length;
-        if self.buffer.len() < end || self.descriptors.len() < descriptors {
+        if self.buffer.len() < end || self.descriptors.len() < descriptor_count {
             return Ok(None);
         }
         let message = postcard::from_bytes(&self.buffer[HEADER_BYTES..end]).map_err(|_| Malformed)?;
         self.buffer.drain(..end);
-        let descriptors = self.descriptors.drain(..descriptors).collect();
+        let descriptors = self.descriptors.drain(..descriptor_count).collect();
         Ok(Some(Received { message, descriptors }))
     }
 
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -43,7 +43,8 @@
 }
 
 /// Becomes the owner of a state folder: at once if it has no owner, else as soon as the owner hands over or ends.
-/// `socket` is the path on which the owner listens. Returns None if there is no owner; only the journal is left then.
+/// `socket` is the path on which the owner listens. Returns None if there is no owner. This process then
+/// continues from the journal alone.
 ///
 /// # Errors
 /// The lock cannot be requested, or the state handed over cannot be used. A retry would fail as well, so this process
--- a/src/bin/delivery-gateway/journal/file.rs
+++ b/src/bin/delivery-gateway/journal/file.rs
@@ -86,9 +86,9 @@
     /// Truncates a torn tail or, if that fails, writes [`END_OF_RECORDS`] over its start. It stays torn if both fail.
     pub fn truncate_tail(&mut self) {
         if self.has_torn_tail {
-            let cleaned = self.file.set_len(self.end).is_ok()
+            let is_clean = self.file.set_len(self.end).is_ok()
                 || self.file.write_all_at(&END_OF_RECORDS, self.end).is_ok();
-            self.has_torn_tail = !cleaned;
+            self.has_torn_tail = !is_clean;
         }
     }
 
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -61,7 +61,7 @@
     /// Records that are applied to the state but not yet written to the file, the oldest first.
     deferred: VecDeque<Record>,
     /// Whether the file's endpoint list is older than the state's.
-    endpoints_deferred: bool,
+    has_deferred_endpoints: bool,
     /// The size of a compacted copy that could not be removed; 0 if there is none.
     leftover_copy_bytes: u64,
     /// The time of the last failed compaction. None if a later one has succeeded.
@@ -88,7 +88,7 @@
             live_bytes: state.pending.values().map(|pending| live_bytes(&pending.message)).sum(),
             state,
             deferred: VecDeque::new(),
-            endpoints_deferred: false,
+            has_deferred_endpoints: false,
             leftover_copy_bytes,
             compaction_failed_at: None,
             clock,
@@ -98,7 +98,7 @@
     /// Returns whether the files hold all of the state, and no torn tail.
     pub fn is_flushed(&self) -> bool {
         self.has_all_records()
-            && !self.endpoints_deferred
+            && !self.has_deferred_endpoints
             && self.clock.is_written()
             && !self.file.has_torn_tail()
     }
@@ -124,7 +124,7 @@
     /// A write still fails; its record stays deferred.
     pub fn flush(&mut self) -> Result<(), JournalError> {
         self.flush_records()?;
-        if self.endpoints_deferred {
+        if self.has_deferred_endpoints {
             self.write_all_endpoints()?;
         }
         if !self.clock.is_written() {
@@ -210,13 +210,13 @@
     /// # Errors
     /// The update is not written. The whole list is deferred, and written later.
     pub fn record_endpoints(&mut self, update: DiscoveryUpdate) -> Result<(), JournalError> {
-        if self.endpoints_deferred {
+        if self.has_deferred_endpoints {
             self.state.apply_endpoints(update);
             return self.write_all_endpoints();
         }
         let written = self.write_endpoints(&update);
         self.state.apply_endpoints(update);
-        self.endpoints_deferred = written.is_err();
+        self.has_deferred_endpoints = written.is_err();
         written
     }
 
@@ -311,7 +311,7 @@
             frames.extend(encode_frame(&record)?);
         }
         self.append(&frames)?;
-        self.endpoints_deferred = false;
+        self.has_deferred_endpoints = false;
         Ok(())
     }
 
@@ -341,7 +341,7 @@
             Ok(CompactedFile { file, size }) => {
                 self.file.replace_with(file, size);
                 self.leftover_copy_bytes = 0;
-                self.endpoints_deferred = false;
+                self.has_deferred_endpoints = false;
                 self.compaction_failed_at = None;
                 self.deferred.clear();
                 Ok(())
