--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -123,8 +123,7 @@
         });
     }
 
-    /// Encodes the snapshot for a successor. This process must make no decisions while the successor owns the state
-    /// folder.
+    /// Encodes the snapshot for a successor. This process must make no decisions while the successor may make them.
     ///
     /// # Errors
     /// The snapshot cannot be encoded.
@@ -227,7 +226,7 @@
         self.in_flight.stop(message, reason);
     }
 
-    /// Aborts all calls, and doesn't wait for their ends.
+    /// Aborts all calls, without waiting until they have ended.
     pub fn drop_calls(&self) {
         self.in_flight.abort_all();
     }
