--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,7 +1,8 @@
 //! The simulator's wire: decodes batches of records and encodes replies. Numbers are big-endian, without padding.
 //!
-//! Only this module and `translation` have the wire's own names for fields. All input is checked: a truncated batch or
-//! an unknown record is an error, never a panic or a large allocation.
+//! The wire's own names for fields are mapped to the terms of the code here. Outside of this module they occur only in
+//! the error texts of `translation`. All input is checked: a truncated batch or an unknown record is an error, never a
+//! panic or a large allocation.
 
 mod error;
 mod reader;
--- a/src/bin/simulator-adapter/wire/reader.rs
+++ b/src/bin/simulator-adapter/wire/reader.rs
@@ -18,8 +18,8 @@
         self.at
     }
 
-    /// Returns the number of bytes that are left.
-    pub fn left(&self) -> usize {
+    /// Returns the number of bytes that have not been read yet.
+    pub fn remaining(&self) -> usize {
         self.body.len() - self.at
     }
 
--- a/src/bin/simulator-adapter/wire/records.rs
+++ b/src/bin/simulator-adapter/wire/records.rs
@@ -114,9 +114,9 @@
     for index in 0..count {
         records.push(record(&mut reader, index)?);
     }
-    match reader.left() {
+    match reader.remaining() {
         0 => Ok(Batch { clock, records }),
-        left => Err(WireError::TrailingBytes { at: reader.at(), left }),
+        count => Err(WireError::TrailingBytes { at: reader.at(), count }),
     }
 }
 
