--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -42,8 +42,9 @@
 pub const DECAY: Setting<Decay> = setting("FamilyInfo.Decay", Decay::Linear);
 /// The value of a message beyond its tenant's quota, relative to one within the quota. Default: 1.
 pub const OVER_QUOTA_VALUE_RATIO: Setting<f64> = setting("OverShareWorth", 1.0);
-/// The cost of a message by the zone of its endpoint, as a list of numbers in the order of [`ZONE_NAMES`]. Costs are
-/// only compared, so that any unit will do. Default: an empty list, and 0 for a zone beyond its end.
+/// The cost of a message to an endpoint with limits of its own, by the endpoint's zone, as a list of numbers in the
+/// order of [`ZONE_NAMES`]. Costs are only compared, so any unit will do. Default: an empty list, and 0 for a zone
+/// beyond its end.
 pub const ZONE_COSTS: &str = "FamilyInfo.FeeByZone";
 
 // ---- Destinations ----
@@ -106,8 +107,8 @@
 
     /// The latency objective: a message delivered within this time has its full value. In nanoseconds. Default: 3 s.
     pub const LATENCY_OBJECTIVE: Setting<Duration> = setting("Aim", Duration::from_secs(3));
-    /// The time from when a message is enqueued until its deadline, after which it is not delivered. In nanoseconds.
-    /// Default: 20 s.
+    /// The maximum time from when a message is enqueued until its deadline, after which it is not delivered. A client
+    /// may set an earlier deadline. In nanoseconds. Default: 20 s.
     pub const DEADLINE: Setting<Duration> = setting("Deadline", Duration::from_secs(20));
     /// The effect of sending a message again: `read_like`, `idempotency_key` or `non_idempotent`. Default:
     /// `non_idempotent`.
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// The settings whose paths have one prefix.
+/// The settings whose paths begin with the same prefix.
 pub struct Section<'a> {
     values: &'a Values,
     /// Empty for the root, otherwise a path that ends in a dot.
@@ -148,7 +148,7 @@
         self.find(path).unwrap_or_default()
     }
 
-    /// Returns the entries of a list of scalars without empty ones.
+    /// Returns the entries of a list of scalars, without the empty ones.
     pub fn entries(&self, path: &str) -> Vec<&str> {
         self.text(path).split(',').filter(|entry| !entry.is_empty()).collect()
     }
@@ -194,7 +194,7 @@
     }
 }
 
-/// A JSON number with a decimal point but no fraction is written as a whole number if it is below this.
+/// A JSON number with a decimal point but no fraction is written as a whole number if its magnitude is below this.
 const MAX_WHOLE_FLOAT: f64 = 1e15;
 
 /// Converts a JSON scalar to the line form. A whole number with a decimal point loses the decimal point. A comma, which
--- a/src/discovery/update.rs
+++ b/src/discovery/update.rs
@@ -73,8 +73,9 @@
     pub destination: u32,
     /// Whether the endpoint accepts new calls.
     pub state: EndpointState,
-    /// The capacity of the destination in calls per second, for the whole fleet. The setting
-    /// [`CapacityHints`](crate::CapacityHints) says whether it is used.
+    /// The listed rate limit in calls per second, for the whole fleet: that of the endpoint if it has limits of its
+    /// own, otherwise that of its destination. 0 or less if none is listed. [`CapacityHints`](crate::CapacityHints)
+    /// says whether it is used.
     pub capacity_hint: f64,
 }
 
--- a/src/discovery/update_decoder/mod.rs
+++ b/src/discovery/update_decoder/mod.rs
@@ -59,7 +59,7 @@
         if is_object_open && is_blank {
             return Err(DiscoveryError::UnterminatedUpdate);
         }
-        // An indented line never ends an object, so that decoding is not attempted there.
+        // An indented line never ends an object, so decoding is not attempted there.
         if is_object_open && line[0].is_ascii_whitespace() {
             self.line_start = line_end + 1;
             return Ok(None);
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -29,7 +29,7 @@
 pub enum WatchEvent {
     /// The complete endpoint list, or its changes, has arrived.
     Updated(DiscoveryUpdate),
-    /// The first bytes of the watch have arrived, so that it is established.
+    /// The first bytes of the watch have arrived: it is established.
     Established,
     /// The watch failed: [`EndpointUpdate::WatchFailed`], or [`EndpointUpdate::WatchRejected`] if the agent is
     /// overloaded.
