--- a/src/bin/delivery-gateway/admin/http.rs
+++ b/src/bin/delivery-gateway/admin/http.rs
@@ -29,7 +29,7 @@
 /// Why a connection has no request to serve.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The connection is broken, so that no response can be sent.
+    /// The connection is broken, so no response can be sent.
     #[error("the connection broke before the request was complete: {0}")]
     Connection(#[from] io::Error),
     #[error("the request is malformed or ends early")]
--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -103,7 +103,7 @@
         }
         () = eviction.notified() => Err(RequestError::Evicted),
     };
-    // The rest takes little time, so that the connection is no longer evicted.
+    // The rest takes little time, so the connection is no longer evicted.
     drop(eviction);
     let is_evicted = matches!(request, Err(RequestError::Evicted));
     let response = match request {
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -80,7 +80,7 @@
 enum EndWithoutHead {
     Broken,
     TimedOut,
-    /// The call was stopped. None if the `stop` sender was dropped, so that no one waits for the result.
+    /// The call was stopped. None if the `stop` sender was dropped because no one waits for the result.
     Stopped(Option<StopReason>),
 }
 
@@ -132,8 +132,8 @@
         late
     }
 
-    /// Sends the call on a connection. Returns `Continue` if the connection was stale, so that the call has to be sent
-    /// on another one.
+    /// Sends the call on a connection. Returns `Continue` if the connection was stale and the call has to be sent on
+    /// another one.
     async fn send(&mut self, acquired: AcquiredConnection) -> ControlFlow<CallResult> {
         let AcquiredConnection { mut connection, origin } = acquired;
         // The call ends for all of its messages when the first of them expires: from then on the endpoint may treat the
@@ -191,7 +191,7 @@
         idle_time: Option<Duration>,
     ) -> AttemptOutcome {
         match end {
-            // No byte of the call was written, so that it has not run.
+            // No byte of the call was written, so it has not run.
             EndWithoutHead::Stopped(reason) if wire.is_call_unwritten() => outcome_if_stopped_unsent(reason),
             EndWithoutHead::Broken | EndWithoutHead::TimedOut if wire.is_call_unwritten() => {
                 AttemptOutcome::ConnectFailed
--- a/src/bin/delivery-gateway/http_client/connection.rs
+++ b/src/bin/delivery-gateway/http_client/connection.rs
@@ -38,7 +38,7 @@
     sender: SendRequest<Full<Bytes>>,
     /// Observes the connection's bytes below the HTTP library.
     pub wire: Rc<Wire>,
-    /// Requests the connection's own task to close it, and to send on the enclosed channel when that is done.
+    /// Signals the connection's own task to close it, and to send on the enclosed channel when that is done.
     abort: oneshot::Sender<oneshot::Sender<()>>,
     /// When the last call ended; when the connection was opened if it has carried none.
     pub idle_since: Instant,
@@ -70,7 +70,7 @@
     }
 
     /// Waits until the connection can carry a call: the last response has been read, and the connection's task has
-    /// checked for bytes behind it.
+    /// checked for bytes after it.
     ///
     /// # Errors
     /// The connection is closed.
--- a/src/bin/delivery-gateway/http_client/descriptors.rs
+++ b/src/bin/delivery-gateway/http_client/descriptors.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Counts the file descriptors in use, of which there are `max`.
+/// Counts the file descriptors in use against a maximum.
 pub struct Descriptors {
     max: usize,
     open: Rc<Cell<usize>>,
--- a/src/bin/delivery-gateway/http_client/pool.rs
+++ b/src/bin/delivery-gateway/http_client/pool.rs
@@ -16,7 +16,7 @@
 /// The ratio of an endpoint's own idle timeout after which an idle connection is closed here, so that no call is sent
 /// on a connection that the endpoint is closing.
 const IDLE_LIMIT_RATIO: f64 = 0.7;
-/// The time that a connection must be idle before it is reused, so that bytes right behind a response are detected
+/// The time that a connection must be idle before it is reused, so that bytes right after a response are detected
 /// before they could be taken for the next response. Opening a new connection would take longer.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(5);
 
@@ -148,7 +148,7 @@
     }
 
     /// Takes the idle connection that was used last among those that have been idle for [`MIN_IDLE_BEFORE_REUSE`], and
-    /// waits until there is one. Returns None if the endpoint has no idle connection.
+    /// waits until there is one. Returns None if there is no usable idle connection to this address.
     async fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
             let reusable_at = {
@@ -240,7 +240,7 @@
                 ?idle_time,
                 ?latency,
                 suppressed,
-                "call reset by the endpoint; it may have run"
+                "call reset before its response; it may have run"
             );
         }
     }
--- a/src/bin/delivery-gateway/http_client/request.rs
+++ b/src/bin/delivery-gateway/http_client/request.rs
@@ -57,7 +57,7 @@
     /// Builds the HTTP request of the call. `time_budget` is the time that the endpoint has for it.
     ///
     /// # Errors
-    /// The message's id or idempotency key is no valid header value.
+    /// The message's id or idempotency key is not a valid header value.
     pub fn request(&self, time_budget: Duration) -> hyper::http::Result<Request<Full<Bytes>>> {
         let [message] = self.messages.as_slice() else {
             let request = self.post(BATCH_PATH, time_budget).header("Content-Type", "application/json");
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -14,7 +14,7 @@
 
 /// Names of the response headers on the wire.
 mod header {
-    /// Retry-After in milliseconds: the endpoint requests no calls for this time.
+    /// Retry-After in milliseconds: no call is to be sent to the endpoint for this time.
     pub const RETRY_AFTER_MS: &str = "X-Come-Back-Ms";
     /// `1` on a 503 if the destination had no capacity for the call, which has not run.
     pub const NOT_STARTED: &str = "X-Line-Busy";
@@ -51,14 +51,15 @@
         self.0.headers().get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// Returns the Retry-After of the response, at most [`MAX_RETRY_AFTER`]; None if it is absent, zero or no number.
+    /// Returns the Retry-After of the response, at most [`MAX_RETRY_AFTER`]; None if it is absent, zero or not a whole
+    /// number.
     pub fn retry_after(self) -> Option<Duration> {
         let ms: u64 = self.get(header::RETRY_AFTER_MS)?.trim().parse().ok()?;
         (ms > 0).then(|| Duration::from_millis(ms).min(MAX_RETRY_AFTER))
     }
 
-    /// Returns whether both Content-Length and Transfer-Encoding are present. One of them may be wrong, so that the end
-    /// of the body is uncertain and the connection must not be reused.
+    /// Returns whether both Content-Length and Transfer-Encoding are present. One of them may be wrong, so the end of
+    /// the body is uncertain and the connection must not be reused.
     pub fn has_ambiguous_length(self) -> bool {
         let headers = self.0.headers();
         headers.contains_key("content-length") && headers.contains_key("transfer-encoding")
@@ -136,7 +137,7 @@
     }
 }
 
-/// Parses a load report. Returns None if a value is missing, no number or out of range.
+/// Parses a load report. Returns None if a value is missing, not a number or out of range.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let value = |name: &str| -> Option<f64> {
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
--- a/src/bin/delivery-gateway/http_client/status_line.rs
+++ b/src/bin/delivery-gateway/http_client/status_line.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// The length in bytes of a status line up to and including the space behind the status: `HTTP/1.1 200 `.
+/// The length in bytes of a status line up to and including the space after the status: `HTTP/1.1 200 `.
 const STATUS_END: usize = 13;
 /// The maximum number of interim responses (1xx) before the response itself. The connection fails on a further one.
 const MAX_INTERIM_RESPONSES: u32 = 16;
@@ -14,17 +14,17 @@
     /// The first [`STATUS_END`] bytes of the current line.
     line: Vec<u8>,
     /// Whether the current line belongs to the head of an interim response, which an empty line ends.
-    in_interim_head: bool,
+    is_in_interim_head: bool,
     interim_responses: u32,
 }
 
 impl StatusLineReader {
-    /// Returns the status; None until it has been read, 0 if the line is no status line.
+    /// Returns the status; None until it has been read, 0 if the line is not a status line.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
 
-    /// Parses further bytes of the response. Bytes behind the status are ignored.
+    /// Parses further bytes of the response. Bytes after the status are ignored.
     ///
     /// # Errors
     /// More than [`MAX_INTERIM_RESPONSES`] interim responses precede the response.
@@ -37,7 +37,7 @@
                 self.end_line()?;
             } else if byte != b'\r' && self.line.len() < STATUS_END {
                 self.line.push(byte);
-                if !self.in_interim_head && self.line.len() == STATUS_END {
+                if !self.is_in_interim_head && self.line.len() == STATUS_END {
                     self.read_status(byte)?;
                 }
             }
@@ -46,22 +46,22 @@
     }
 
     fn end_line(&mut self) -> io::Result<()> {
-        if self.in_interim_head && self.line.is_empty() {
-            self.in_interim_head = false;
-        } else if !self.in_interim_head {
-            // The line may end right behind the status, without a space and a reason phrase.
+        if self.is_in_interim_head && self.line.is_empty() {
+            self.is_in_interim_head = false;
+        } else if !self.is_in_interim_head {
+            // The line may end right after the status, without a space and a reason phrase.
             self.read_status(b' ')?;
         }
         self.line.clear();
         Ok(())
     }
 
-    /// Parses the status of the current line. `terminator` is the byte behind the status. The status of an interim
+    /// Parses the status of the current line. `terminator` is the byte after the status. The status of an interim
     /// response is skipped.
     fn read_status(&mut self, terminator: u8) -> io::Result<()> {
         match parse_status(&self.line).filter(|_| terminator == b' ') {
             Some(100..=199) => {
-                self.in_interim_head = true;
+                self.is_in_interim_head = true;
                 self.interim_responses += 1;
                 if self.interim_responses > MAX_INTERIM_RESPONSES {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "too many interim responses"));
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -1,7 +1,8 @@
 //! Sends notifications of final outcomes to the platform through discovery's agent. One request carries many, and each
 //! notification is sent until it is acknowledged: a duplicate does no harm, but a lost one does.
 //!
-//! A notification is dropped only if the platform rejects that one with 400. Any other failure is retried without end.
+//! A notification is dropped only if the platform rejects it with 400 in a request of its own. Any other failure is
+//! retried without end.
 
 use bytes::Bytes;
 use delivery_gateway::discovery::{
@@ -23,7 +24,7 @@
 /// The initial timeout of a request. After it the batch is sent again on another connection, since the connection may
 /// be dead while the agent still works, and the timeout doubles up to [`AGENT_RESPONSE_TIMEOUT`].
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The pause after a failure on a new connection.
+/// The pause after a failure on a new connection, unless the failure was a timeout.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum number of notifications in one request.
 const MAX_BATCH: usize = 200;
--- a/src/bin/delivery-gateway/resp2/codec.rs
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -18,8 +18,8 @@
 const MAX_LENGTH_LINE_BYTES: usize = 32;
 const LINE_END: &[u8; 2] = b"\r\n";
 
-/// Why bytes cannot be decoded as a request. The start of the next request is then unknown, so that the connection has
-/// to be closed. The client gets the text.
+/// Why bytes cannot be decoded as a request. The start of the next request is then unknown, so the connection has to
+/// be closed. The client gets the text.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RespError {
     /// The bytes are not an array of bulk strings.
@@ -37,7 +37,7 @@
     Ok,
     /// The gateway is serving.
     Pong,
-    /// The message was rejected. The duration, if any, is the time after which to enqueue it again.
+    /// The message was rejected. It may be enqueued again, after the duration if there is one.
     Busy(Option<Duration>),
     /// The request is invalid, or cannot be served; with the text for the client.
     Error(&'a str),
@@ -108,7 +108,7 @@
 /// A line that holds a count or a length.
 struct LengthLine {
     value: usize,
-    /// The offset in the buffer of the first byte behind the line.
+    /// The offset in the buffer of the first byte after the line.
     end: usize,
 }
 
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -29,13 +29,13 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The time limit for the first request of a new connection while the process shuts down or is a lame duck.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// The size from which buffered replies to pipelined requests are written.
+/// The size at which buffered replies to pipelined requests are written.
 const MAX_BUFFERED_REPLY_BYTES: usize = 4 << 10;
 /// The number of requests of one connection that are served before other connections get their turn.
 const REQUESTS_PER_TURN: u32 = 16;
 
-/// A client connection to be served from the state that it is in: a new one, or one transferred by the predecessor. No
-/// reply is left to be written.
+/// A client connection to be served from the state that it is in: a new one, or one transferred between processes during
+/// a handover. All replies have been written.
 pub struct TransferredConnection {
     pub stream: TcpStream,
     /// The bytes of the next request that have been read.
@@ -83,7 +83,7 @@
 enum ServeOutcome {
     /// The reply was written or buffered.
     Answered,
-    /// The event loop has ended, so that there is no reply.
+    /// The event loop has ended, so there is no reply.
     GatewayEnded,
 }
 
@@ -287,7 +287,8 @@
         }
     }
 
-    /// Reads without waiting. Returns None if there was nothing to read, contrary to the runtime's notification.
+    /// Reads without waiting. Returns None if there was nothing to read, contrary to the runtime's notification, or if
+    /// the system is short of memory.
     async fn try_read(&mut self) -> io::Result<Option<ReadOutcome>> {
         self.input.reserve(READ_BYTES);
         let ClientConnection { stream, input, .. } = self;
--- a/src/bin/delivery-gateway/resp2/connection_slots.rs
+++ b/src/bin/delivery-gateway/resp2/connection_slots.rs
@@ -208,7 +208,7 @@
     pub fn set_state(&self, state: ConnectionState) {
         if let Some(slot) = self.slots.table.borrow_mut().occupied.get_mut(&self.number) {
             if slot.state == ConnectionState::Evicted {
-                // The evicted connection stays open, so that another one has to be evicted.
+                // The evicted connection stays open, so another one has to be evicted.
                 self.slots.changed.notify_one();
             }
             slot.state = state;
--- a/src/bin/delivery-gateway/resp2/server.rs
+++ b/src/bin/delivery-gateway/resp2/server.rs
@@ -99,7 +99,7 @@
 }
 
 /// Accepts one connection, and returns the maximum time for which its first request may have waited unread. A slot is
-/// freed before the connection arrives, so that it does not stay in the listener's queue.
+/// freed before the connection arrives, so that the connection does not wait in the listener's queue.
 async fn accept(listener: &TcpListener, slots: &ConnectionSlots) -> io::Result<(TcpStream, Duration)> {
     let started = Instant::now();
     slots.free_slot().await;
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -13,7 +13,7 @@
 /// Why a decoded batch cannot be carried out. None of its replies are sent.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    /// An instance cannot be started, because a setting is invalid.
+    /// An instance cannot be started, because its settings cannot be read.
     #[error("instance {instance}: {error}")]
     Settings { instance: u16, error: SettingError },
     /// A field of a record has an unknown value.
--- a/src/socket/retry.rs
+++ b/src/socket/retry.rs
@@ -40,12 +40,12 @@
 
     /// Returns whether to retry after this error, and logs the first error that is retried.
     fn should_retry(&mut self, error: &io::Error) -> bool {
-        let retries = is_transient(error) && Instant::now() < self.deadline;
-        if retries && !self.is_logged {
+        let is_retried = is_transient(error) && Instant::now() < self.deadline;
+        if is_retried && !self.is_logged {
             warn!(%error, operation = self.operation, "transient system error; retrying");
             self.is_logged = true;
         }
-        retries
+        is_retried
     }
 }
 
