--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -34,8 +34,8 @@
 /// The number of requests of one connection that are served before other connections get their turn.
 const REQUESTS_PER_TURN: u32 = 16;
 
-/// A client connection to be served from the state that it is in: a new one, or one transferred between processes during
-/// a handover. All replies have been written.
+/// A client connection to be served from the state that it is in: a new one, or one transferred between processes
+/// during a handover. All replies have been written.
 pub struct TransferredConnection {
     pub stream: TcpStream,
     /// The bytes of the next request that have been read.
@@ -193,8 +193,8 @@
             time_left: deadline.saturating_duration_since(Instant::now()),
             unread_for,
         };
-        // Sent before the slot is freed: whoever waits for the last slot to be freed then finds the connection in the
-        // channel.
+        // Sent before the slot is freed, so that a task that waits for the last slot to be freed finds the connection
+        // in the channel.
         let _ = transfers.send(connection);
         drop(slot);
     }
--- a/src/discovery/update_decoder/tests.rs
+++ b/src/discovery/update_decoder/tests.rs
@@ -51,7 +51,7 @@
     assert!(end.is_ok());
 }
 
-/// Guards against a heartbeat that is taken for a part of an incomplete update, which would never end.
+/// Guards against waiting without end for the rest of an update that breaks off before a heartbeat.
 #[test]
 fn a_blank_line_inside_an_update_is_an_error() {
     let (seen, end) = revisions(&[&format!("{DELTA}\n{{\n  \"rev\": 8,\n\n")]);
