--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -19,9 +19,9 @@
     Timeout,
     /// The connection could not be opened; the message did not run.
     ConnectFailed,
-    /// The connection broke before the response; the message may have run.
+    /// The connection broke before any part of the response arrived; the message may have run.
     Reset,
-    /// The response could not be parsed; the message may have run.
+    /// The response was incomplete or could not be parsed; the message may have run.
     MalformedResponse,
     /// Cancelled by [`Action::CancelAttempt`](super::Action::CancelAttempt); the message may have run.
     Cancelled,
--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -1,4 +1,5 @@
-//! Circuit breaker records, which are kept over a restart, and the status of routes for the log.
+//! Circuit breaker records, which are kept over a restart, and the status of routes for the log. A route is a
+//! destination, or one endpoint of it if its endpoints have their own limits.
 
 use std::time::Duration;
 
@@ -13,16 +14,18 @@
     pub destination: DestinationId,
     /// The endpoint, if the route is a single endpoint with its own limits.
     pub endpoint: Option<EndpointId>,
-    /// When a call last succeeded; while the circuit is open, the last success before it opened.
+    /// When a call last succeeded. While the circuit is open, the start of the outage: the last success
+    /// before it, or an earlier time at which an unanswered call was sent.
     pub last_success_at: Time,
-    /// Sum of the weights of the failures since then.
+    /// Sum of the weights of the failures since the last success.
     pub failure_score: u32,
-    /// While the circuit is open: whether calls were lost and not just rejected. None while it is closed.
+    /// While the circuit is open: whether calls were lost or have no response, rather than just rejected.
+    /// None while it is closed.
     pub has_lost_calls: Option<bool>,
     /// Start of the active slow start; none if there is none. May lie in the future, if the destination has
     /// announced when it is back.
     pub slow_start_since: Option<Time>,
-    /// Calls per second that this gateway had served by the route before the outage.
+    /// Calls per second of this gateway that the route served before the outage.
     pub baseline_per_sec: f64,
 }
 
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -16,7 +16,8 @@
     pub destination: DestinationId,
     /// Ordering key, if the message has one; ignored unless its class is ordered.
     pub key: Option<OrderingKey>,
-    /// Time at which the message is given up, on the scheduler's clock.
+    /// End of the time for delivery, on the scheduler's clock. A message that is not delivered by then is
+    /// rejected or reported as failed.
     pub deadline: Time,
     /// True if another gateway that crashed had accepted the message before. If it is idempotent with a key,
     /// it may have run there.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -13,9 +13,9 @@
 
 /// The ratio of the maximum number of pending messages above which messages of least value are shed.
 const SHED_ABOVE_RATIO: f64 = 0.93;
-/// The first part of a message's time, as a ratio of its deadline, in which shedding it has a cost if it was
-/// never sent: its client has waited in vain, while the client of a rejected message can go elsewhere at
-/// once.
+/// The time after a message was enqueued in which shedding it has a cost, as a ratio of its class's deadline.
+/// Its client has waited in vain, while the client of a message rejected on arrival can go elsewhere at once.
+/// A message with an attempt that may have run has no such cost.
 const EARLY_SHED_DEADLINE_RATIO: f64 = 0.7;
 /// The cost of shedding a message early, as a ratio of its full value.
 const EARLY_SHED_COST_VALUE_RATIO: f64 = 0.3;
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -1,5 +1,6 @@
 //! The circuit breaker of a route. It opens after failures or a missing response, and then only permits
-//! half-open probes, until one of them succeeds or the destination announces its return.
+//! half-open probes. It closes when a call succeeds, when the destination announces its return, or when
+//! operators enable the endpoint again.
 //!
 //! It owns the failure score, the open interval and the time of the last success. Probes back off with jitter
 //! and stay within this gateway's share of the overload budget, as the probes of many gateways alone could
@@ -12,8 +13,7 @@
 
 /// Failure score that opens a closed circuit.
 const OPENING_SCORE: u32 = 6;
-/// Failure score from which a failure counts as keeping an open circuit open, which reschedules the next
-/// probe.
+/// Failure score from which a failure keeps an open circuit open and reschedules its next probe.
 const REOPENING_SCORE: u32 = 3;
 /// The initial delay between probes, as a ratio of the overload window.
 const BASE_PROBE_DELAY_WINDOW_RATIO: f64 = 0.1;
@@ -41,12 +41,12 @@
     Certain,
 }
 
-/// A call that did not deliver.
+/// A call that did not deliver its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The destination rejected it without processing it.
     Rejected(Severity),
-    /// It failed in any other way, so its messages may have been lost.
+    /// It ended without success in any other way.
     Lost(Severity),
 }
 
--- a/src/scheduler/endpoint_selection.rs
+++ b/src/scheduler/endpoint_selection.rs
@@ -31,9 +31,10 @@
         self.eligible_endpoints(id).any(|endpoint| endpoint.failures == 0)
     }
 
-    /// Returns the endpoint of a route for a message: inside the deduplication scope of a retry, the one with
-    /// the fewest calls in flight; endpoints to be avoided come last. Ties go by each gateway's own random
-    /// order, as otherwise all gateways with few calls would choose the same endpoint.
+    /// Returns the endpoint of a route for a message: the one with the fewest calls in flight, within the
+    /// deduplication scope of a retry. Endpoints that failed recently come last. Ties go by the number of
+    /// failures, then by each gateway's own random order, as otherwise all gateways with few calls would
+    /// choose the same endpoint.
     pub(super) fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         self.eligible_endpoints(id)
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -78,7 +78,7 @@
 
 /// The inputs that determine how a rejection changes the rate.
 pub struct Rejection {
-    /// Number of messages that wait for the destination.
+    /// Number of messages in the queue of the destination, including those in flight.
     pub waiting_messages: f64,
     /// The maximum number of messages in one call.
     pub batch_size: usize,
@@ -259,8 +259,8 @@
     is_listed.then(|| endpoint.capacity_hint.clamp(MIN_LISTED_LIMIT_PER_SEC, MAX_LISTED_LIMIT_PER_SEC))
 }
 
-/// Returns the listed limit of an endpoint. Without one, it assumes one call per second for each call that
-/// may be in flight.
+/// Returns the listed limit of an endpoint. If none is listed, one call per second for each call that may be
+/// in flight is assumed.
 fn assumed_limit_per_sec(settings: &Settings, endpoint: &Endpoint) -> f64 {
     listed_limit_per_sec(settings, endpoint).unwrap_or(settings.max_in_flight_calls as f64)
 }
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -49,8 +49,8 @@
         })
     }
 
-    /// Returns the destination with the longest queue, the number of messages in it and the status of the
-    /// destination's routes; none if no message waits.
+    /// Returns the destination with the longest queue, the number of messages in it (including those in
+    /// flight) and the status of the destination's routes; none if all queues are empty.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
         let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
         let (destination, waiting) = (*destination, queue.len());
--- a/src/scheduler/shutdown.rs
+++ b/src/scheduler/shutdown.rs
@@ -1,5 +1,5 @@
-//! The scheduled end of this process. It stops calls that would most likely still be in flight then, and owns
-//! the time of the end.
+//! The scheduled end of this process. No call is started that would most likely still be in flight then. This
+//! module owns the time of the end.
 
 use crate::model::Time;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,8 @@
         self.at.is_some()
     }
 
-    /// Returns whether a call of this duration would be over before the end of the process.
+    /// Returns whether a call of this duration would be over by the end of the process. Always true if no end
+    /// is scheduled.
     pub fn has_time_for(&self, now: Time, call_duration: Duration) -> bool {
         self.at.is_none_or(|end| now + call_duration <= end)
     }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -14,8 +14,8 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// How long a message may wait for a cheaper route, as a ratio of its latency objective. The rest of the
-/// objective is needed for the call.
+/// The maximum age of a message that waits for a cheaper route, as a ratio of its latency objective. The rest
+/// of the objective is needed for the call.
 const MAX_COST_WAIT_OBJECTIVE_RATIO: f64 = 0.25;
 
 /// A call that may be started now.
@@ -74,7 +74,8 @@
         self.slots_filled_at = now;
     }
 
-    /// Orders destinations by calls in flight, then by the value of their candidate.
+    /// Orders destinations by calls in flight, the fewest first, then by the value per second of their
+    /// candidate, the highest first.
     fn compare_for_slot(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
         let by_calls = self.calls_in_flight_to(a.destination).cmp(&self.calls_in_flight_to(b.destination));
         by_calls.then(b.value_per_sec.total_cmp(&a.value_per_sec))
@@ -144,7 +145,7 @@
             let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
             if let Some(cheaper_route) = cheaper_route.filter(|cheaper_route| cheaper_route.cost < cost) {
                 if self.can_wait_for(&cheaper_route, destination, chosen.id) {
-                    // The best message, and with it how long it can wait, changes from moment to moment.
+                    // The best message, and with it how long it can wait, changes all the time.
                     revisit.at_every_step = true;
                     keep_earliest(&mut revisit.send_at, Some(cheaper_route.free_at));
                     continue;
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -3,8 +3,8 @@
 //!
 //! A recovering destination has only a part of its capacity, and fails again if it gets more than a multiple
 //! of that during the overload window. Half-open probes, slow starts and the minimum rate after rejections
-//! share one budget. This module owns the start of the slow start; it stops no call itself, but its budget
-//! limits the rate of `rate_limit` and delays the probes of `circuit_breaker`.
+//! share one budget, which limits the rate of `rate_limit` and delays the probes of `circuit_breaker`. This
+//! module owns the start time of the slow start.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
 use super::traffic::Traffic;
@@ -24,7 +24,7 @@
 }
 
 impl SlowStart {
-    /// Begins a slow start at time `at`.
+    /// Begins a slow start at time `at`, possibly in the future.
     pub fn begin(&mut self, at: Time) {
         self.since = Some(at);
     }
@@ -34,7 +34,7 @@
         self.since = None;
     }
 
-    /// Restores the slow start from before a restart; none if there was none.
+    /// Restores the start of the slow start from before a restart; none if there was none.
     pub fn restore(&mut self, since: Option<Time>) {
         self.since = since;
     }
@@ -44,7 +44,7 @@
         self.since
     }
 
-    /// Returns whether a slow start is active.
+    /// Returns whether a slow start is active, even if it begins in the future.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
@@ -55,7 +55,8 @@
         self.since.map(|since| since + duration)
     }
 
-    /// Returns the progress of the slow start from 0 to 1; none if none is active or its time has elapsed.
+    /// Returns the progress of the slow start, from 0 to below 1; 0 before its start. None if none is active
+    /// or its time has elapsed.
     pub fn warm_up_progress(&self, now: Time, settings: &Settings) -> Option<f64> {
         let progress = (now - self.since?).as_secs_f64() / warm_up_secs(settings);
         (progress < 1.0).then_some(progress)
--- a/src/scheduler/state/call.rs
+++ b/src/scheduler/state/call.rs
@@ -31,8 +31,8 @@
     pub messages: Vec<MessageId>,
     /// Number of messages whose attempt has not finished.
     pub unfinished_attempts: usize,
-    /// How long the connection had been idle before the call; none if it was new or busy, or if that is not
-    /// certain.
+    /// How long the connection had been idle before the call. None if the connection was new, or if another
+    /// call to the endpoint was in flight, so that the connection of this one is not certain.
     pub connection_idle: Option<Duration>,
     /// Whether the response has been missing for too long.
     pub is_unresponsive: bool,
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -17,7 +17,7 @@
     pub enqueued_at: Time,
     /// Number of attempts made so far, including one in flight.
     pub attempts: u32,
-    /// The call in flight that carries the message; none if it waits.
+    /// The call in flight that carries the message; none if no attempt is in flight.
     pub call: Option<CallId>,
     /// The first attempt that may have been processed. It determines the idempotency window and the
     /// deduplication scope.
--- a/src/scheduler/traffic.rs
+++ b/src/scheduler/traffic.rs
@@ -1,5 +1,5 @@
-//! The ordinary traffic of this gateway on a route: demand, and calls served. It stops no call; `rate_limit`
-//! and `slow_start` derive rates from it.
+//! The ordinary traffic of this gateway on a route: demand, and calls served. The overload budget of
+//! `slow_start` and the rate after a rejection in `rate_limit` depend on it.
 //!
 //! The calls that all gateways had served on a route before an outage add up to the capacity of the
 //! destination, whatever the number of waiting messages. Both rates are averaged over the length of a slow
@@ -10,11 +10,11 @@
 use crate::model::{Settings, Time};
 use serde::{Deserialize, Serialize};
 
-/// The number of messages over the length of a slow start below which traffic is low: too few to estimate a
-/// rate.
+/// Traffic is low below this number of messages over the length of a slow start: they are too few to estimate
+/// a rate.
 const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
-/// The maximum expected demand, as a multiple of the calls served before. During an outage clients send
-/// everything again, which inflates demand.
+/// The maximum expected demand, as a multiple of the calls per second served before the outage. During an
+/// outage clients send everything again, which inflates demand.
 const MAX_DEMAND_BASELINE_MULTIPLE: f64 = 1.5;
 
 /// Demand for a route, and calls served on it.
@@ -58,7 +58,8 @@
         self.demand_per_sec(now, settings) * warm_up_secs(settings) < LOW_TRAFFIC_MESSAGES
     }
 
-    /// Returns the calls per second that were served in ordinary times.
+    /// Returns the calls per second that were served before the last success. The rate does not fall while
+    /// the route recovers.
     pub fn baseline_per_sec(&self) -> f64 {
         self.baseline_per_sec
     }
