--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,15 @@
-//! The delivery gateway's scheduler, and the code that the programs around it share: the configuration parser, the
-//! client of the endpoint list ([`discovery`]) and socket helpers ([`socket`]).
+//! The delivery gateway's scheduler, and the code that the programs around it share: the configuration
+//! parser, the client of the endpoint list ([`discovery`]) and socket helpers ([`socket`]).
 //!
-//! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and returns
-//! what to do ([`Action`]). It performs no I/O and has no shared state: the seed is its only source of randomness, and
-//! the caller passes the time. Call [`Scheduler::handle`] for every event of a step, then [`Scheduler::decide`] once.
+//! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and
+//! returns what to do ([`Action`]). It performs no I/O, reads no clock and has no shared state: the seed is
+//! its only source of randomness, and the caller passes the time. Call [`Scheduler::handle`] for every event
+//! of a step, then [`Scheduler::decide`] once.
 //!
 //! ```
 //! use delivery_gateway::{AcceptedMessage, Action, Availability, Class, Endpoint, EndpointUpdate, Event};
-//! use delivery_gateway::{ClassId, DestinationId, DestinationKindId, EndpointId, MessageId, TenantId, ZoneId};
-//! use delivery_gateway::{Idempotency, Scheduler, Settings, Time};
+//! use delivery_gateway::{ClassId, DestinationId, DestinationKindId, EndpointId, MessageId, TenantId};
+//! use delivery_gateway::{Idempotency, Scheduler, Settings, Time, ZoneId};
 //! use std::time::Duration;
 //!
 //! let class = Class { idempotency: Idempotency::NonIdempotent, ..Class::default() };
@@ -25,7 +26,10 @@
 //! }));
 //! let mut actions = Vec::new();
 //! scheduler.decide(now, &mut actions);
-//! assert!(matches!(actions[0], Action::StartAttempt { message: MessageId(1), endpoint: EndpointId(11), .. }));
+//! assert!(matches!(
+//!     actions[0],
+//!     Action::StartAttempt { message: MessageId(1), endpoint: EndpointId(11), .. }
+//! ));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -33,7 +33,7 @@
         /// The failed message.
         message: MessageId,
     },
-    /// Cancels an attempt in flight. The endpoint may have processed the message all the same.
+    /// Cancels an attempt in flight. The endpoint may still process the message, or may have done so.
     CancelAttempt {
         /// The message of the attempt.
         message: MessageId,
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -37,7 +37,7 @@
     /// Operators switched lame duck mode on or off. In this mode the gateway finishes its pending messages
     /// and, after a grace period, accepts no new ones.
     LameDuck(bool),
-    /// A response that accepted messages had a Retry-After all the same. For rejections see
+    /// A response had a Retry-After although it accepted messages. For rejections see
     /// [`AttemptOutcome::Rejected`](super::AttemptOutcome::Rejected).
     RetryAfter {
         /// The endpoint that sent the response.
@@ -45,7 +45,7 @@
         /// Time from now during which the endpoint's route may not be called.
         delay: Duration,
     },
-    /// An attempt ended with some outcome.
+    /// A started attempt ended, whatever its outcome.
     AttemptFinished(FinishedAttempt),
     /// No client waits for this message any more: it needs no final outcome.
     MessageAbandoned(MessageId),
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -28,8 +28,8 @@
 
     /// Handles the end of an attempt. The last attempt of a call to end completes the call.
     pub(super) fn on_attempt_finished(&mut self, now: Time, finished: FinishedAttempt) {
-        // The first message of a call whose outcome has a Retry-After puts it into force, whatever the state
-        // of that message.
+        // A Retry-After applies from the first message of the call that reports it, whatever the state of
+        // that message.
         if let AttemptOutcome::Rejected(Some(delay)) = finished.outcome {
             self.on_retry_after(now, finished.endpoint, delay);
         }
@@ -176,8 +176,8 @@
         let report = finished.load_report;
 
         route.rate_limit.adopt_reported_limit(report);
-        // A timeout is a sample too, of at least its duration. Without it, attempt timeouts would stay too
-        // short while the destination is slow, and each retry would arrive while the previous attempt is
+        // A timeout is a sample too: the latency is at least as long. Without it, attempt timeouts would stay
+        // too short while the destination is slow, and each retry would arrive while the previous attempt is
         // still running.
         if let AttemptOutcome::Delivered | AttemptOutcome::Timeout | AttemptOutcome::Cancelled = outcome {
             route.latency.record_starting_from(&self.latency, finished.latency);
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -1,5 +1,5 @@
-//! Decides whether a call may reuse an idle connection. It owns the risk of losing a call by the idle time of
-//! its connection. It stops no call; a call that may not reuse a connection opens a new one.
+//! Decides whether a call may reuse an idle connection. If not, the call opens a new one. This module owns
+//! the estimated risk of losing a call, by the idle time of its connection.
 //!
 //! Some networks drop idle connections without notice to either end, and the next call on such a connection
 //! is lost. One gateway calls each endpoint too rarely to estimate this risk per endpoint, so it is estimated
@@ -84,7 +84,8 @@
         IdleConnections::Close
     }
 
-    /// Returns whether the idle time of its connection most likely caused the loss of a call.
+    /// Returns whether a call was most likely lost because its connection had been idle for `idle`. False if
+    /// the idle time is not certain (none).
     pub fn likely_caused_loss(&self, settings: &Settings, idle: Option<Duration>) -> bool {
         let bucket = idle.and_then(|idle| idle_bucket(settings, idle));
         let risk = bucket.map_or(0.0, |bucket| self.idle_risks[bucket]);
--- a/src/scheduler/idempotency.rs
+++ b/src/scheduler/idempotency.rs
@@ -8,8 +8,8 @@
 use super::state::message::Message;
 use crate::model::*;
 
-/// The ratio at the end of an idempotency window that is not used, as the call must still arrive inside the
-/// window.
+/// The ratio of an idempotency window that is left unused at its end, as the call must still arrive inside
+/// the window.
 const WINDOW_MARGIN_RATIO: f64 = 0.1;
 
 /// Returns whether another attempt may follow one that may have been processed.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Schedules the end of this process. Each step visits all destinations from now on, as the calls that
-    /// can still complete in time change from moment to moment.
+    /// can still complete in time change all the time.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
         self.ready_index.must_visit_all = true;
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -130,26 +130,26 @@
     /// Returns the destinations to visit now, in order, and removes the change marks. Each destination has to
     /// be scheduled or marked as changed again afterwards.
     pub fn take_destinations_to_visit(&mut self, now: Time, free_slots: usize) -> BTreeSet<DestinationId> {
-        let mut due = std::mem::take(&mut self.changed);
+        let mut to_visit = std::mem::take(&mut self.changed);
         for due_queue in [&self.send_times, &self.recheck_times] {
-            due.extend(
+            to_visit.extend(
                 due_queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, destination)| *destination),
             );
         }
-        due.extend(
+        to_visit.extend(
             self.free_slots_at_least
                 .iter()
                 .take_while(|(required, _)| *required <= free_slots)
                 .map(|(_, destination)| *destination),
         );
-        due.extend(
+        to_visit.extend(
             self.free_slots_below
                 .iter()
                 .rev()
                 .take_while(|(below, _)| *below > free_slots)
                 .map(|(_, destination)| *destination),
         );
-        due
+        to_visit
     }
 
     /// Schedules the next visit of a destination where the last visit found nothing to send.
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -29,7 +29,7 @@
         Duration::from_secs_f64(typical_secs.max(min_secs))
     }
 
-    /// Marks the calls that have become unresponsive. Returns when the next call will.
+    /// Marks the calls that have become unresponsive. Returns when the next one becomes unresponsive, if any.
     pub(super) fn mark_unresponsive_calls(&mut self, now: Time) -> Option<Time> {
         while let Some(route_id) = self.ready_index.response_checks.first_due(now) {
             let oldest = self.oldest_responsive_call(route_id);
@@ -44,8 +44,8 @@
         self.ready_index.response_checks.first_at()
     }
 
-    /// Schedules the check of the oldest responsive call of a route for the time at which it becomes
-    /// unresponsive. Calls become unresponsive in the order in which they were sent.
+    /// Schedules the check of a route for the time at which its oldest responsive call becomes unresponsive.
+    /// Calls of a route become unresponsive in the order in which they were sent.
     pub(super) fn schedule_response_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.unresponsive_after(id));
@@ -60,7 +60,7 @@
         Some(*oldest)
     }
 
-    /// Cancels the oldest unresponsive call if no slot is free and messages wait.
+    /// Cancels the oldest unresponsive call that may be cancelled, if no slot is free and messages wait.
     pub(super) fn cancel_unresponsive_call(&mut self, now: Time) {
         let has_waiting_messages = self.open_messages > self.calls.len();
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -1,8 +1,8 @@
 //! The backoff of the watch on the endpoint list: delays the first watch, and each new one after a failure or
 //! a rejection. It owns the number of rejections and the time of the next request.
 //!
-//! All gateways lose the watch at the same moment, and together they must send fewer requests than discovery
-//! can answer. So delays grow with the size of the fleet and are random.
+//! All gateways lose the watch at the same moment, and together they must not send requests faster than
+//! discovery can answer them. So delays grow with the size of the fleet and are random.
 
 use super::backoff;
 use super::derived_settings::fleet_size;
@@ -23,7 +23,7 @@
 /// that starts to drain within the drain grace period, and the answer itself may take
 /// [`WATCH_RESPONSE_TIMEOUT`].
 const MAX_REJECTION_DELAY: Duration = Duration::from_secs(5);
-/// The first watch is spread over this time per gateway of the fleet, up to
+/// The time per gateway of the fleet over which the first watch is spread, limited by
 /// [`MAX_START_SPREAD_DRAIN_GRACE_RATIO`].
 const START_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
 /// The maximum spread of the first watch, as a ratio of the drain grace period, which keeps running while a
@@ -52,7 +52,7 @@
         self.retry_at = None;
     }
 
-    /// Schedules a request after the watch broke or could not be started.
+    /// Schedules a request after the watch broke or could not be started. The number of rejections stays.
     pub fn on_failed(&mut self, now: Time) {
         self.retry_at = Some(now + DELAY_AFTER_FAILURE);
     }
