--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -114,7 +114,7 @@
     }
 
     /// Gives up the messages whose deadline, or last time for sending, has passed. A message in flight may
-    /// still be delivered during the first half of the grace time for final outcomes.
+    /// still be delivered during the first half of the grace period for final outcomes.
     pub(super) fn give_up_expired(&mut self, now: Time) {
         while let Some(deadline) = self.deadlines.first().copied().filter(|deadline| deadline.at <= now) {
             self.deadlines.remove(&deadline);
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -68,8 +68,9 @@
     /// Decides whether the next call to an endpoint reuses one of the endpoint's idle connections.
     pub fn decide(&mut self, now: Time, settings: &Settings, call: &NextCall) -> IdleConnections {
         let max_risk = if call.is_resendable { MAX_RISK_RESENDABLE } else { MAX_RISK_NON_IDEMPOTENT };
-        // While another call is in flight, the next one may use a connection that has been idle for longer,
-        // so the highest risk from this idle time on counts.
+        // A connection whose idle time is too short to count as idle has no risk. While another call is in
+        // flight, the next one may use a connection that has been idle for longer, so the highest risk from
+        // this idle time on counts.
         let fallback_bucket = if call.is_only_call { IDLE_BUCKETS } else { 0 };
         let risks = &self.idle_risks[idle_bucket(settings, call.idle).unwrap_or(fallback_bucket)..];
         let risk =
@@ -92,14 +93,14 @@
         risk > MAX_RISK_NON_IDEMPOTENT + self.baseline_risk * BASELINE_RISK_MULTIPLE
     }
 
-    /// Records a call that was lost.
+    /// Records a call that was lost. If its connection had been idle, delays the next probe.
     pub fn record_loss(&mut self, now: Time, settings: &Settings, idle: Option<Duration>) {
         if self.record(settings, idle, 1.0) {
             self.next_probe_at = now + probe_interval(settings);
         }
     }
 
-    /// Records a call that delivered.
+    /// Records a call that delivered. If its connection had been idle, permits the next probe at once.
     pub fn record_success(&mut self, now: Time, settings: &Settings, idle: Option<Duration>) {
         if self.record(settings, idle, 0.0) {
             self.next_probe_at = now;
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// This gateway's share of a quota, in even shares. It is more than one, as traffic is not spread evenly.
+/// This gateway's share of a quota, as a multiple of an even share. It is more than one, as traffic is not
+/// spread evenly.
 const LOCAL_QUOTA_EVEN_SHARES: f64 = 1.25;
 
 /// The token buckets of the tenants at this gateway.
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -17,8 +17,8 @@
 const CUT_RATIOS: [f64; 3] = [0.75, 0.5, 0.0];
 /// The minimum time between two cuts. Rejections in between were caused by the same rate.
 const MIN_CUT_INTERVAL: Duration = Duration::from_millis(500);
-/// The initial rate of a route, in even shares of the listed limit. More than one share is risky: if all
-/// gateways together sent more than the limit, rejected calls would use it up.
+/// The initial rate of a route, as a multiple of an even share of the listed limit. More than one share is
+/// risky: if all gateways together sent more than the limit, rejected calls would use it up.
 const INITIAL_RATE_EVEN_SHARES: f64 = 1.0;
 /// The minimum initial rate of a route, in calls per shortest deadline.
 const MIN_INITIAL_CALLS_PER_DEADLINE: f64 = 0.25;
