--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -1,5 +1,5 @@
-//! Decides whether a call may reuse an idle connection. It owns the risk of losing a call by the idle time of
-//! its connection. It stops no call; a call that may not reuse a connection opens a new one.
+//! Decides whether a call may reuse an idle connection. If not, the call opens a new one. This module owns
+//! the estimated risk of losing a call, by the idle time of its connection.
 //!
 //! Some networks drop idle connections without notice to either end, and the next call on such a connection
 //! is lost. One gateway calls each endpoint too rarely to estimate this risk per endpoint, so it is estimated
@@ -68,8 +68,9 @@
     /// Decides whether the next call to an endpoint reuses one of the endpoint's idle connections.
     pub fn decide(&mut self, now: Time, settings: &Settings, call: &NextCall) -> IdleConnections {
         let max_risk = if call.is_resendable { MAX_RISK_RESENDABLE } else { MAX_RISK_NON_IDEMPOTENT };
-        // While another call is in flight, the next one may use a connection that has been idle for longer,
-        // so the highest risk from this idle time on counts.
+        // A connection whose idle time is too short to count as idle has no risk. While another call is in
+        // flight, the next one may use a connection that has been idle for longer, so the highest risk from
+        // this idle time on counts.
         let fallback_bucket = if call.is_only_call { IDLE_BUCKETS } else { 0 };
         let risks = &self.idle_risks[idle_bucket(settings, call.idle).unwrap_or(fallback_bucket)..];
         let risk =
@@ -84,21 +85,22 @@
         IdleConnections::Close
     }
 
-    /// Returns whether the idle time of its connection most likely caused the loss of a call.
+    /// Returns whether a call was most likely lost because its connection had been idle for `idle`. False if
+    /// the idle time is not certain (none).
     pub fn likely_caused_loss(&self, settings: &Settings, idle: Option<Duration>) -> bool {
         let bucket = idle.and_then(|idle| idle_bucket(settings, idle));
         let risk = bucket.map_or(0.0, |bucket| self.idle_risks[bucket]);
         risk > MAX_RISK_NON_IDEMPOTENT + self.baseline_risk * BASELINE_RISK_MULTIPLE
     }
 
-    /// Records a call that was lost.
+    /// Records a call that was lost. If its connection had been idle, delays the next probe.
     pub fn record_loss(&mut self, now: Time, settings: &Settings, idle: Option<Duration>) {
         if self.record(settings, idle, 1.0) {
             self.next_probe_at = now + probe_interval(settings);
         }
     }
 
-    /// Records a call that delivered.
+    /// Records a call that delivered. If its connection had been idle, permits the next probe at once.
     pub fn record_success(&mut self, now: Time, settings: &Settings, idle: Option<Duration>) {
         if self.record(settings, idle, 0.0) {
             self.next_probe_at = now;
