--- a/fault-shim/hooks/sockets.rs
+++ b/fault-shim/hooks/sockets.rs
@@ -1,4 +1,4 @@
-//! Hooks for creating, connecting, configuring and shutting down sockets.
+//! Hooks for creating, binding, connecting, configuring and shutting down sockets, and for accepting connections.
 
 use crate::descriptors::Kind;
 use crate::fault_page::Call;
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -55,11 +55,11 @@
     SetSocketOption,
     GetSocketName,
     Shutdown,
-    /// `read`, `readv`, `recv` and `recvmsg` on a TCP connection.
+    /// `read`, `recv` and `recvmsg` on a TCP connection.
     TcpRead,
     /// `write`, `writev`, `send` and `sendmsg` on a TCP connection.
     TcpWrite,
-    /// `read`, `readv`, `recv` and `recvmsg` on a Unix socket.
+    /// `read`, `recv` and `recvmsg` on a Unix socket.
     UnixRead,
     /// `write`, `writev`, `send` and `sendmsg` on a Unix socket.
     UnixWrite,
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -60,7 +60,7 @@
 ];
 
 /// Enqueues messages with random pauses until the soak is over. A message without a reply is a violation, unless the
-/// gateway was restarting.
+/// gateway was restarting or refused the connection.
 pub fn enqueue_messages(clients: &GatewayClients, name: &str, seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut connection: Option<Client> = None;
@@ -69,7 +69,7 @@
         number += 1;
         let id = format!("c{}-{name}-{number}", clients.gateway);
         let sent_at = Instant::now();
-        let was_idle = connection.is_some();
+        let is_reused = connection.is_some();
         let request = Request::new(clients, &id, &mut random);
         let split_at =
             if random.u8(..) < 32 { random.usize(1..request.bytes.len()) } else { request.bytes.len() };
@@ -78,7 +78,7 @@
             let is_unresponsive = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
             // A request on a reused connection may cross the gateway's close of that connection. It is sent once more
             // on a new one.
-            if was_idle
+            if is_reused
                 && !is_unresponsive
                 && request.enqueue(clients, &mut connection, request.bytes.len()).is_ok()
             {
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -13,7 +13,7 @@
 
 /// The maximum latency of a regular response.
 const MAX_LATENCY: Duration = Duration::from_millis(60);
-/// The maximum time for which a call is left unanswered; longer than the deadline of any message.
+/// The maximum time for which a call is left unanswered; longer than any message has until its deadline.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(30);
 /// The interval between two checks whether the gateway still waits for a call.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -77,22 +77,22 @@
     ledger: &Arc<Mutex<Ledger>>,
 ) -> std::io::Result<Arc<Vec<Endpoint>>> {
     let (send, calls) = channel();
-    let mut all = Vec::new();
+    let mut started = Vec::new();
     for number in 0..endpoints {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let send = send.clone();
         serve(listener, move |stream| serve_calls(number, stream, &send));
-        all.push(Endpoint {
+        started.push(Endpoint {
             address,
             destination: number as u32 % destinations + 1,
             behavior: AtomicU8::new(0),
         });
     }
-    let all = Arc::new(all);
-    let (endpoints, ledger) = (all.clone(), ledger.clone());
+    let started = Arc::new(started);
+    let (endpoints, ledger) = (started.clone(), ledger.clone());
     thread::spawn(move || dispatch(&calls, &endpoints, max_attempts, seed, &ledger));
-    Ok(all)
+    Ok(started)
 }
 
 /// Records each call in the ledger, and starts a thread that answers it.
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -31,7 +31,7 @@
     (Call::UnixWrite, &[EINTR]),
     (Call::EpollWait, &[EINTR]),
 ];
-/// The ratio of these calls that fail.
+/// The ratio of these calls that fails, from 0 to 1.
 const BACKGROUND_RATIO: f64 = 0.05;
 /// The offsets to which the wall clock is stepped, in milliseconds.
 const CLOCK_STEPS_MS: [i64; 5] = [0, 3_600_000, -3_600_000, 5_000, -5_000];
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -29,7 +29,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The time for which the previous agent keeps running after the address of discovery has changed.
 const AGENT_OVERLAP: Duration = Duration::from_millis(1500);
-/// The system calls that [`Gateway::clear_disk_faults`] resets.
+/// The system calls that fail while the disk fails. [`Gateway::clear_disk_faults`] clears their faults.
 const DISK_CALLS: [Call; 3] = [Call::StateWrite, Call::StateTruncate, Call::StateRename];
 /// The text that a gateway logs when its send guard stops an attempt that would break a rule.
 const GUARD_LINE: &str = "it would break a delivery rule";
@@ -56,7 +56,7 @@
     revision: u32,
     /// Whether the list has each endpoint as draining, by the endpoint's index.
     draining: Vec<bool>,
-    /// Receives the outcome notifications from the gateway's agents.
+    /// The channel to which the gateway's agents send the outcome notifications.
     events: Sender<StubEvent>,
     /// The log lines collected from the gateway's processes so far.
     log: Vec<String>,
--- a/src/bin/testbed/soak/ledger.rs
+++ b/src/bin/testbed/soak/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger of a soak: records all events of each message, and checks them against the rules of the protocol.
 //! Clients, endpoints and discovery report the events, and so does the code that starts and stops the gateways'
-//! processes; none come from a gateway itself. The ledger makes no decisions on the course of the soak.
+//! processes; none come from a gateway itself. The ledger does not influence the course of the soak.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
@@ -9,15 +9,15 @@
 
 /// The maximum time from a message's deadline to its final outcome.
 const OUTCOME_GRACE: Duration = Duration::from_millis(300);
-/// The maximum time from when a restarted gateway is ready to the final outcomes that were not due before the restart
+/// The maximum time from when a restarted gateway is ready to a final outcome that was not yet due when the restart
 /// began.
 const RESTART_GRACE: Duration = Duration::from_millis(1500);
 /// Calls that arrive within this time after a Retry-After or a final outcome were already on their way.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(100);
-/// The maximum time until a gateway has a change of the endpoint list. It begins when discovery has the change and can
-/// be reached.
+/// The maximum time until a gateway has a change of the endpoint list, from when discovery has the change and can be
+/// reached.
 const ANNOUNCE_TIME: Duration = Duration::from_secs(6);
-/// The maximum time after that until calls to a draining endpoint stop.
+/// The maximum time after [`ANNOUNCE_TIME`] until calls to a draining endpoint stop.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 /// The maximum time from the start of a process until it is ready.
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Records the new state of a message's last attempt, just before the endpoint ends it.
+    /// Records how a message's last attempt ended. Has to be called before the gateway can observe the response.
     pub fn attempt_ended(&mut self, id: &str, state: AttemptState) {
         if let Some(message) = self.messages.get_mut(id) {
             if let Some(attempt) = message.attempts.last_mut() {
@@ -290,9 +290,9 @@
         if let Some(message) = self.messages.get(id) {
             let now = Instant::now();
             let at = GatewayDestination { gateway: message.gateway, destination };
-            let known = self.retry_afters.entry(at).or_insert(RetryAfter { from: now, until: now });
-            if now + delay > known.until {
-                *known = RetryAfter { from: now, until: now + delay };
+            let current = self.retry_afters.entry(at).or_insert(RetryAfter { from: now, until: now });
+            if now + delay > current.until {
+                *current = RetryAfter { from: now, until: now + delay };
             }
         }
     }
@@ -318,7 +318,7 @@
         self.draining.remove(&GatewayEndpoint { gateway, endpoint });
     }
 
-    /// Records that a gateway can reach discovery again. The time to apply its pending changes begins now.
+    /// Records that a gateway can reach discovery again. The gateway's time to apply pending changes begins now.
     pub fn discovery_reachable_again(&mut self, gateway: usize) {
         let now = Instant::now();
         let own = self.draining.iter_mut().filter(|(at, _)| at.gateway == gateway);
--- a/src/bin/testbed/stubs/configuration.rs
+++ b/src/bin/testbed/stubs/configuration.rs
@@ -7,7 +7,8 @@
 
 /// Returns an entry of `Lanes` for the settings. The deadline of the class is eight times its latency objective.
 ///
-/// `idempotency` is one of the values of `Effect`. If `is_ordered`, messages of one key are sent one at a time.
+/// `idempotency` is one of the values of `Effect`, and `window_ms` the idempotency window. If `is_ordered`, messages of
+/// one key are sent one at a time.
 pub fn class(
     latency_objective_secs: u64,
     name: &str,
@@ -22,7 +23,8 @@
     })
 }
 
-/// Returns an entry of the endpoint list, with the only zone and kind that [`Configuration::write`] lists.
+/// Returns an entry of the endpoint list, in the zone `kingston` and of the kind `banks`, which is the only kind that
+/// [`Configuration::write`] lists.
 pub fn target(uid: &str, address: SocketAddr, destination: u32, state: &str, capacity_hint: f64) -> Value {
     json!({
         "uid": uid, "endpoint": address.to_string(), "az": "kingston", "model": "banks", "pod_group": destination,
--- a/src/bin/testbed/stubs/endpoint.rs
+++ b/src/bin/testbed/stubs/endpoint.rs
@@ -10,7 +10,7 @@
 pub enum StubEvent {
     /// A call to an endpoint.
     Call(Call),
-    /// One line of an outcome notification to discovery's agent.
+    /// One outcome notification to discovery's agent, as a line of JSON.
     Notification(String),
 }
 
