--- a/src/bin/testbed/bounds.rs
+++ b/src/bin/testbed/bounds.rs
@@ -36,15 +36,15 @@
     /// The steps delivered too few messages, so that their cost is not the cost to be measured.
     #[error("the work was not done: {done} messages delivered in {steps} steps")]
     Work { done: u64, steps: u64 },
-    /// Something that the size needs has failed. The text says what, and why.
+    /// Something that the size needs has failed. The text names the failure and its cause.
     #[error("{0}")]
     Failed(String),
 }
 
 impl NotRun {
-    /// Returns [`NotRun::Failed`] with what has failed, and the error.
-    pub fn failed(what: &str, error: impl std::fmt::Display) -> Self {
-        NotRun::Failed(format!("{what}: {error}"))
+    /// Returns [`NotRun::Failed`] with a description of the failure, and the error that caused it.
+    pub fn failed(failure: &str, error: impl std::fmt::Display) -> Self {
+        NotRun::Failed(format!("{failure}: {error}"))
     }
 }
 
--- a/src/bin/testbed/experiment.rs
+++ b/src/bin/testbed/experiment.rs
@@ -25,8 +25,8 @@
 pub enum ExperimentError {
     #[error("{0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    #[error("{path}:{line}: {what}")]
-    Invalid { path: PathBuf, line: usize, what: String },
+    #[error("{path}:{line}: {problem}")]
+    Invalid { path: PathBuf, line: usize, problem: String },
     #[error("--only {name}: the file has no such sweep; it has {known}")]
     NoSweep { name: String, known: String },
     #[error("the gateway's binary {0} is missing; build it first: cargo build --release --locked")]
@@ -286,18 +286,18 @@
 }
 
 impl Source<'_> {
-    fn error_at(&self, at: Option<Range<usize>>, what: impl Into<String>) -> ExperimentError {
+    fn error_at(&self, at: Option<Range<usize>>, problem: impl Into<String>) -> ExperimentError {
         let start = at.map_or(0, |span| span.start.min(self.text.len()));
         let line = 1 + self.text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count();
-        ExperimentError::Invalid { path: self.path.to_owned(), line, what: what.into() }
+        ExperimentError::Invalid { path: self.path.to_owned(), line, problem: problem.into() }
     }
 
     fn check_range(&self, value: &Spanned<u64>, name: &str, max: u64) -> Result<(), ExperimentError> {
         if (1..=max).contains(value.get_ref()) {
             return Ok(());
         }
-        let what = format!("{name} is {}; it has to be between 1 and {max}", value.get_ref());
-        Err(self.error_at(Some(value.span()), what))
+        let problem = format!("{name} is {}; it has to be between 1 and {max}", value.get_ref());
+        Err(self.error_at(Some(value.span()), problem))
     }
 }
 
@@ -339,8 +339,8 @@
     source.check_range(&experiment.discovery.watches_per_s, "discovery.watches_per_s", 1_000_000)?;
     let real = experiment.sweep.iter().any(|sweep| sweep.kind().is_real());
     if real && *processes.get_ref() < PROCESSES_OF_REAL_SWEEP {
-        let what = format!("bounds.processes: a sweep with real gateways needs {PROCESSES_OF_REAL_SWEEP}");
-        return Err(source.error_at(Some(processes.span()), what));
+        let problem = format!("bounds.processes: a sweep with real gateways needs {PROCESSES_OF_REAL_SWEEP}");
+        return Err(source.error_at(Some(processes.span()), problem));
     }
     for sweep in &experiment.sweep {
         check_sweep(&source, sweep, experiment.bounds.memory_bytes())?;
@@ -360,26 +360,26 @@
 fn check_sweep(source: &Source, sweep: &Sweep, memory_bytes: u64) -> Result<(), ExperimentError> {
     let kind = sweep.kind();
     if sweep.sizes.len() < MIN_SIZES {
-        let what = format!("sweep {kind} has {} sizes; give at least {MIN_SIZES}", sweep.sizes.len());
-        return Err(source.error_at(Some(sweep.kind.span()), what));
+        let problem = format!("sweep {kind} has {} sizes; give at least {MIN_SIZES}", sweep.sizes.len());
+        return Err(source.error_at(Some(sweep.kind.span()), problem));
     }
     if let Some(zero) = sweep.sizes.iter().find(|size| *size.get_ref() == 0) {
         return Err(source.error_at(Some(zero.span()), format!("sweep {kind} has a size of zero; remove it")));
     }
     if let Some(pair) = sweep.sizes.windows(2).find(|pair| pair[0].get_ref() >= pair[1].get_ref()) {
-        let what = format!("sweep {kind}: {} is not above the size before it", pair[1].get_ref());
-        return Err(source.error_at(Some(pair[1].span()), what));
+        let problem = format!("sweep {kind}: {} is not above the size before it", pair[1].get_ref());
+        return Err(source.error_at(Some(pair[1].span()), problem));
     }
     let estimated_bytes = sweep.estimated_bytes();
     if estimated_bytes > memory_bytes {
         let last = sweep.sizes.last().map(Spanned::span);
-        let what = format!(
+        let problem = format!(
             "sweep {kind} would take about {} MiB with all its sizes, over bounds.memory_mb = {}; \
              leave out the largest or raise the bound",
             estimated_bytes >> 20,
             memory_bytes >> 20
         );
-        return Err(source.error_at(last, what));
+        return Err(source.error_at(last, problem));
     }
     Ok(())
 }
--- a/src/bin/testbed/figures.rs
+++ b/src/bin/testbed/figures.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Returns whether growth is fitted to the figure. It is not fitted to ratios, to percentiles, and to rejections,
-    /// which are zero up to some size.
+    /// Returns whether growth is fitted to the figure. It is not fitted to ratios, percentiles or rejections.
+    /// Rejections are zero up to some size.
     pub fn is_fitted(self) -> bool {
         !matches!(
             self,
@@ -102,7 +102,7 @@
         )
     }
 
-    /// Returns what a gateway may spend of the figure at the target; `None` if the target has no budget for it.
+    /// Returns the figure's budget at the target, in the figure's unit; `None` if the target has none for it.
     pub fn budget(self, kind: Kind, target: &Target) -> Option<f64> {
         match self {
             Figure::StepNs if kind == Kind::ListChange => Some(target.change_ns()),
--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -32,7 +32,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The number of restarts of each size. The result is their median. Messages are delivered after the last restart.
 const RESTARTS: usize = 3;
-/// The latency objective of a message, in seconds. Its deadline is eight times that, which is longer than any run.
+/// The latency objective of a message, in seconds. Its deadline is eight times that, so that no message
+/// expires while a size is measured.
 const LATENCY_OBJECTIVE_S: u64 = 100;
 const DEADLINE_MS: u64 = LATENCY_OBJECTIVE_S * 8 * 1000;
 /// The maximum time for a reply to a command.
--- a/src/bin/testbed/layout.rs
+++ b/src/bin/testbed/layout.rs
@@ -15,9 +15,10 @@
 /// The capacity hint of a destination that serves more calls than any sweep sends to it, in calls per second for the
 /// whole fleet.
 pub const AMPLE_RATE_PER_SEC: f64 = 1e6;
-/// The capacity hint of a destination whose messages wait for its token bucket, in calls per second.
+/// The capacity hint of a destination whose messages wait for its token bucket, in calls per second for the whole
+/// fleet.
 const SCARCE_RATE_PER_SEC: f64 = 0.1;
-/// The capacity hint of a destination whose messages wait for another reason, in calls per second.
+/// The capacity hint of a destination whose messages wait for another reason, in calls per second for the whole fleet.
 const MODEST_RATE_PER_SEC: f64 = 10.0;
 /// The number of endpoints at the target for every [`DESTINATIONS_OF_RATIO`] destinations.
 const ENDPOINTS_OF_RATIO: u64 = 23;
--- a/src/bin/testbed/report.rs
+++ b/src/bin/testbed/report.rs
@@ -1,5 +1,5 @@
-//! The report of a run: tables as text, all results as JSON, and a list of the budgets that are passed, smallest size
-//! first.
+//! The report of a run: tables as text, all results as JSON, and a list of the budgets that are passed, the smallest
+//! size relative to the target first.
 
 use serde::{Serialize, Serializer};
 use std::fmt::Write;
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -1,8 +1,9 @@
 //! The test rig for a sweep of the scheduler: sets up a simulated gateway at a size, and then runs it step by step.
 //!
 //! In a step, one message is accepted and sent; its response arrives after the script's latency. Steps follow each
-//! other at the target's rate of events for one gateway. In [`Kind::ListChange`] a step instead reads one changed entry
-//! as a line of the watch, and sends no message. Everything that the sweep does not vary is the same at all its sizes.
+//! other at the target's rate of events for one gateway, except where [`step_period`] sets another rate. In
+//! [`Kind::ListChange`] a step instead reads one changed entry as a line of the watch, and sends no message. Everything
+//! that the sweep does not vary is the same at all its sizes.
 
 use delivery_gateway::*;
 use std::collections::BTreeSet;
--- a/src/bin/testbed/scheduler_sweep.rs
+++ b/src/bin/testbed/scheduler_sweep.rs
@@ -74,8 +74,9 @@
         bounds.check()
     }
 
-    /// Returns the point of this size. The step time is the median over the rounds of the ratio to the smallest size in
-    /// the same round, because the machine's speed changes from round to round, but hardly within a round.
+    /// Returns the point of this size. The step time is the smallest size's median, multiplied by the median of the
+    /// ratios to the smallest size in the same round, because the machine's speed changes from round to round, but
+    /// hardly within a round.
     fn point(&self, smallest_ns_by_round: &[f64]) -> Point {
         let rounds = self.step_ns_by_round.iter().zip(smallest_ns_by_round);
         let mut ratios: Vec<f64> = rounds.map(|(own, smallest)| own / smallest).collect();
@@ -113,7 +114,7 @@
         }
     }
     for round in 0..*experiment.work.rounds.get_ref() {
-        // Each round starts with a different size, so that other load on the machine affects all sizes equally.
+        // The rounds start with different sizes, so that other load on the machine affects all sizes equally.
         if let Some(first) = (!measured.is_empty()).then(|| round as usize % measured.len()) {
             measured.rotate_left(first.min(1));
         }
--- a/src/bin/testbed/watch_sweep.rs
+++ b/src/bin/testbed/watch_sweep.rs
@@ -196,6 +196,7 @@
     entries: Vec<Value>,
     /// The current revision of the endpoint list.
     revision: u64,
+    /// The memory that was allocated to create all watchers.
     memory_bytes: u64,
     /// Not a number until [`Fleet::wait_for_first_watches`] has succeeded.
     first_watch_ms: f64,
@@ -343,7 +344,7 @@
         let in_time = self.wait_for_update(self.size, in_force).await?;
         let late = match self.size - in_time {
             0 => 0,
-            left => self.wait_for_update(left, CHANGE_TIMEOUT).await?,
+            remaining => self.wait_for_update(remaining, CHANGE_TIMEOUT).await?,
         };
         let took_ms = millis(begun_at.elapsed());
         let after = DiscoveryCounts::of(&state);
