--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -33,10 +33,10 @@
     let mut half = gateway.admin_connection();
     half.write_all(b"GET /_ready HTTP/1.1\r\nHo").unwrap();
     half.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(status(half), 400);
+    assert_eq!(response_status(half), 400);
     let mut long = gateway.admin_connection();
     let _ = long.write_all(format!("GET /_ready HTTP/1.1\r\nX: {}", "x".repeat(20_000)).as_bytes());
-    assert_eq!(status(long), 431);
+    assert_eq!(response_status(long), 431);
 }
 
 /// Callers that keep their connections without a whole request delay nobody, however many they are.
@@ -56,11 +56,11 @@
     assert_eq!(gateway.admin_request("GET /_ready"), 200);
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
-    assert_eq!(slow.next().map(status), Some(408));
+    assert_eq!(slow.next().map(response_status), Some(408));
     // The last ones are still connected.
     let mut last = slow.next_back().unwrap();
     last.write_all(b"\r\n").unwrap();
-    assert_eq!(status(last), 200);
+    assert_eq!(response_status(last), 200);
 }
 
 /// The change holds whatever the endpoint list says, after a second request, and over a restart, until it is
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -8,7 +8,7 @@
 /// An environment with one call slot, so that messages enqueued behind one that occupies it wait together.
 fn one_slot() -> TestEnvironment {
     let mut environment = TestEnvironment::new(1, 3.0);
-    (environment.batch, environment.max_in_flight_calls) = (4, 1);
+    (environment.max_batch_size, environment.max_in_flight_calls) = (4, 1);
     environment
 }
 
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -1,28 +1,28 @@
 //! Guarantees of a gateway that involve its sockets, journal and watch together. Where a guarantee names a time, the
-//! test lets a message with just that deadline time out, and checks what has happened by then.
+//! test enqueues a message with exactly that deadline, waits until it times out, and checks what has happened by then.
 
 mod environment;
 
 use environment::*;
 
-/// Deadline of the message that measures the time in which a change of the endpoint list has to be learned, in
-/// milliseconds: a change counts as announced this long after it.
+/// The time after which a change of the endpoint list counts as announced, in milliseconds. The gateway has to apply
+/// the change by then. It is the deadline of the message that measures this time.
 const ANNOUNCED_AFTER_MS: u32 = 6_000;
-/// Clients that connect and stay idle.
+/// The number of clients that connect and stay idle.
 const IDLE_CLIENTS: usize = 300;
-/// Descriptors that a gateway under test may have open.
+/// The maximum number of descriptors of a gateway under test.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// Fewest messages that fill a journal of the size used here.
+/// The minimum number of messages that fill the journal of a gateway under test.
 const FULL_JOURNAL_MESSAGES: usize = 5_000;
 
-/// A test environment in which each endpoint has a destination of its own and the settings are patient.
+/// Creates an environment with long deadlines in which each endpoint has a destination of its own.
 fn one_destination_each(endpoints: usize) -> TestEnvironment {
     let mut environment = TestEnvironment::with_long_deadlines(endpoints, 3.0);
     environment.destination_per_endpoint = true;
     environment
 }
 
-/// Enqueues a message whose deadline is the time in which a change counts as announced; its call gets no response.
+/// Enqueues a message whose deadline is `ANNOUNCED_AFTER_MS`, and returns its call, which must get no response.
 fn start_announcement_timer(
     environment: &TestEnvironment,
     gateway: &RunningGateway,
@@ -35,9 +35,9 @@
     call
 }
 
-/// Waits until the timer's message has failed, and checks that a message for the drained destination is returned: it
-/// would be sent if the gateway had not learned of the drain.
-fn assert_drain_is_known(environment: &TestEnvironment, gateway: &RunningGateway, drained: u16) {
+/// Waits until the timer's message has failed, and checks that a message for the drained destination is returned. It
+/// would be sent if the gateway had not applied the drain.
+fn assert_drain_is_applied(environment: &TestEnvironment, gateway: &RunningGateway, drained: u16) {
     assert_eq!(environment.notification(), r#"{"id":"six","state":"failed"}"#);
     let fields = format!("c=salary,d=500,dest={drained}");
     assert_eq!(gateway.client().request(&["ENQUEUE", "0", "after", fields.as_str(), "x"]), "+OK");
@@ -45,8 +45,8 @@
     assert!(notification.contains(r#""id":"after","state":"returned""#), "{notification}");
 }
 
-/// A watch that falls silent is replaced before what it missed counts as announced. The watches of the test's discovery
-/// are silent after their first line.
+/// A watch may stop sending without being closed, so that the gateway misses changes. It is replaced before a missed
+/// change counts as announced. The test's discovery sends no heartbeats after the first line of a watch.
 #[test]
 fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_announced() {
     let environment = one_destination_each(2);
@@ -54,22 +54,24 @@
     let _in_flight = start_announcement_timer(&environment, &gateway, 2);
     gateway.wait_for_log_line("endpoint watch failed");
     environment.drain(0);
-    assert_drain_is_known(&environment, &gateway, 1);
+    assert_drain_is_applied(&environment, &gateway, 1);
 }
 
-/// A watch request that discovery accepted and never answered is given up, and the next one is made in time too.
+/// A watch request may be accepted by discovery and get no response during an outage. The gateway gives it up and
+/// repeats it early enough to apply a change in time once discovery responds.
 #[test]
 fn a_watch_is_reestablished_in_time_after_an_outage_of_discovery() {
     let environment = one_destination_each(2);
     environment.set_discovery_silent(true);
     let gateway = environment.start();
     gateway.wait_for_log_line("endpoint watch failed");
-    // The next request is made meanwhile and gets no response either: none made before the recovery is answered.
+    // The next request is sent during this wait. It gets no response either, as no request from before the recovery
+    // does.
     environment.expect_no_call();
     environment.drain(0);
     let _in_flight = start_announcement_timer(&environment, &gateway, 2);
     environment.set_discovery_silent(false);
-    assert_drain_is_known(&environment, &gateway, 1);
+    assert_drain_is_applied(&environment, &gateway, 1);
 }
 
 /// Connects clients that stay idle, every other one after a request.
@@ -85,7 +87,7 @@
     assert!(open <= DESCRIPTOR_LIMIT, "{open} descriptors");
 }
 
-/// Enqueues a message from a new client, and has its call answered.
+/// Enqueues a message from a new client and answers its call.
 fn deliver_from_new_client(environment: &TestEnvironment, gateway: &RunningGateway, id: &str) {
     assert_eq!(gateway.client().enqueue(id, "0", "salary", 2, b"x"), "+OK");
     let call = environment.call();
@@ -93,8 +95,8 @@
     call.answer("200 OK", "");
 }
 
-/// Idle clients use up the descriptors while discovery is down: new clients are still served, final outcomes are still
-/// notified, and the endpoint list is read once discovery is back.
+/// Idle clients may use up the descriptors while discovery is down. New clients are still served, final outcomes are
+/// still notified, and the endpoint list is read once discovery responds, as idle connections are evicted.
 #[test]
 fn descriptors_used_up_by_idle_clients_block_nothing_while_discovery_is_down() {
     let mut environment = one_destination_each(2);
@@ -108,7 +110,7 @@
     }
     gateway.wait_for_log_line("endpoint watch failed");
     connect_idle_clients(&gateway, &mut idle);
-    // A failure is notified with the descriptors that are left.
+    // The notification of the failure needs a descriptor too.
     assert_eq!(gateway.client().enqueue("lost", "0", "salary", 2, b"x"), "+OK");
     environment.call().reset();
     assert_eq!(environment.notification(), r#"{"id":"lost","state":"failed"}"#);
@@ -117,13 +119,13 @@
     connect_idle_clients(&gateway, &mut idle);
     gateway.wait_for_log_line("endpoint list updated");
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
-    // The descriptors may be used up at a restart too.
+    // The clients may use up the descriptors right after a restart too.
     let gateway = gateway.kill_and_restart();
     let _idle: Vec<Client> = (0..IDLE_CLIENTS).map(|_| gateway.client()).collect();
     deliver_from_new_client(&environment, &gateway, "again");
 }
 
-/// Makes the destinations wait: each gets a long Retry-After, which a restart ends.
+/// Lets destinations 1, 2 and 4 answer with a long Retry-After, so that their messages wait until a restart ends it.
 fn send_long_retry_after(environment: &TestEnvironment, gateway: &RunningGateway, client: &mut Client) {
     for (id, destination) in [("wait1", 1), ("wait2", 2), ("wait4", 4)] {
         assert_eq!(client.enqueue(id, "0", "salary", destination, b"x"), "+OK");
@@ -132,7 +134,7 @@
     }
 }
 
-/// Enqueues messages for a waiting destination until the gateway rejects one, as its journal is full.
+/// Enqueues messages for a delayed destination until the gateway rejects one because its journal is full.
 fn fill_journal(client: &mut Client) {
     let mut accepted = 0;
     loop {
@@ -146,7 +148,7 @@
     assert!(accepted > FULL_JOURNAL_MESSAGES, "{accepted} messages fill the journal");
 }
 
-/// Waits until all these messages have been sent; none of them may get a final outcome before.
+/// Waits until all these messages have been sent. No unattempted message may get a final outcome before.
 fn assert_all_are_sent(environment: &TestEnvironment, ids: &[&str]) {
     let mut unsent = ids.to_vec();
     while !unsent.is_empty() {
@@ -156,21 +158,21 @@
                 call.answer("200 OK", "");
             }
             StubEvent::Notification(line) => {
-                assert!(!line.contains("untried"), "given up with no call: {line}")
+                assert!(!line.contains("untried"), "final outcome without a call: {line}")
             }
         }
     }
 }
 
-/// A process with a journal as full as it gets is ready within 10 s of its start, and attempts what was never
-/// attempted: messages that have 10 s left at the kill, idempotent or not, still get their calls.
+/// Replaying a full journal takes the longest. The process is ready within 10 s nevertheless: messages without an
+/// attempt that have 10 s left at the kill, idempotent or not, still get their calls.
 #[test]
 fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
     let mut environment = one_destination_each(4);
     environment.max_pending_messages = 100_000;
     let gateway = environment.start();
     let mut client = gateway.client();
-    // Two calls whose completion frees room, as a full journal accepts nothing.
+    // Two calls whose completion frees room later, since a full journal accepts no message.
     let in_flight: Vec<Call> = ["room1", "room2"]
         .iter()
         .map(|id| {
@@ -183,7 +185,7 @@
     in_flight.into_iter().for_each(|call| call.answer("200 OK", ""));
     for (id, class, destination) in [("untried2", "salary", 2), ("untried4", "notice,k=k4", 4)] {
         let fields = format!("c={class},d=10000,dest={destination}");
-        // The responses that free the room may still be on their way.
+        // The gateway may not have read the responses that free the room yet.
         while client.request(&["ENQUEUE", "9", id, fields.as_str(), "x"]) != "+OK" {}
     }
     environment.expect_no_call();
@@ -192,22 +194,22 @@
     assert_all_are_sent(&environment, &["untried2", "untried4"]);
 }
 
-/// An idempotency window may be shorter than a restart takes: a call that was in flight at the kill and may have run is
-/// not sent again by the next process once the window has ended, and its message fails at once.
+/// An idempotency window may be shorter than a restart takes. A call that was in flight at the kill may have run, so
+/// that the next process must not send it again after the window has ended: its message fails at once.
 #[test]
 fn no_message_is_resent_after_an_idempotency_window_that_ended_before_the_restart() {
     let environment = one_destination_each(2);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // Its idempotency window of 0.4 s begins here.
+    // The message's idempotency window of 0.4 s begins here.
     assert_eq!(client.enqueue("w1", "0", "brief,k=w1", 1, b"x"), "+OK");
     let _in_flight = environment.call();
-    // Half a second has passed when this one fails.
+    // This message fails half a second later.
     assert_eq!(client.request(&["ENQUEUE", "0", "t1", "c=salary,d=500,dest=2", "x"]), "+OK");
     let _unresponsive = environment.call();
     assert_eq!(environment.notification(), r#"{"id":"t1","state":"failed"}"#);
     let gateway = gateway.kill_and_restart();
-    // The other message may be notified once more, if the kill came before the acknowledgement was recorded.
+    // The other message is notified again if the kill came before its acknowledgement was recorded.
     let mut notification = environment.notification();
     while notification.contains(r#""id":"t1""#) {
         notification = environment.notification();
--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -1,4 +1,7 @@
-//! A gateway among endpoints that serve, reject and reset calls, audited by the delivery rules, message by message.
+//! Audits gateways against the delivery rules, message by message, while endpoints serve, reject and reset calls.
+//!
+//! The audit panics when a rejected message is sent, when a non-idempotent message that may have run is sent again,
+//! when a message has more than eight attempts, and when an accepted message has no final outcome in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -6,37 +9,37 @@
 
 use super::{Call, RunningGateway, StubEvent, TestEnvironment};
 
-/// Longer than a gateway takes for a reply; real clients wait for less, but the machine may be busy.
-const ANSWER: Duration = Duration::from_secs(3);
-/// Every accepted message has its outcome by then.
-const ENDS: Duration = Duration::from_secs(30);
+/// Limits how long a client waits for a reply. Real clients wait for less, but a test machine may be busy.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Limits how long accepted messages may take to get their final outcomes.
+const OUTCOMES_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whether a client may find its connection closed without a reply: where the system reported the connection as broken
-/// to the gateway, or failed to accept it.
+/// Says whether a client may find its connection closed without a reply. That is permitted where the system reported
+/// the connection to the gateway as broken, or failed to accept it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ClientExpectation {
     AreAnswered,
     MayBeDisconnected,
 }
 
-/// What is known of one message.
+/// The requests, calls and outcomes observed for one message.
 #[derive(Default)]
 struct Message {
     is_non_idempotent: bool,
-    accepted: bool,
-    refused: bool,
-    /// Calls that ran, or whose outcome nobody knows.
-    may_have_run: usize,
+    is_accepted: bool,
+    is_rejected: bool,
+    /// The number of calls that ran or whose outcome the gateway cannot know.
+    uncertain_calls: usize,
     calls: usize,
-    delivered: bool,
-    notified: bool,
+    is_delivered: bool,
+    is_notified: bool,
 }
 
 /// Audits gateways among endpoints that serve, reject and reset calls.
 pub struct DeliveryAudit<'a> {
     environment: &'a TestEnvironment,
     messages: BTreeMap<String, Message>,
-    /// Ids of accepted messages without an outcome so far.
+    /// The ids of accepted messages without a final outcome.
     pub pending: BTreeSet<String>,
     calls: usize,
 }
@@ -56,37 +59,40 @@
     ) {
         let class = if is_non_idempotent { "salary" } else { "notice,k=aa" };
         let mut message = Message { is_non_idempotent, ..Message::default() };
-        let ask = || -> io::Result<String> {
-            let mut client = gateway.try_client(ANSWER)?;
+        let try_enqueue = || -> io::Result<String> {
+            let mut client = gateway.try_client(REPLY_TIMEOUT)?;
             client.send_enqueue(id, "0", class, 1, &[b'x'; 3000]);
             client.try_read_line()
         };
-        let answer = ask();
-        match answer {
+        let reply = try_enqueue();
+        match reply {
             Ok(line) if line == "+OK" => {
-                message.accepted = true;
+                message.is_accepted = true;
                 self.pending.insert(id.to_owned());
             }
-            Ok(line) if line.starts_with('-') => message.refused = true,
+            Ok(line) if line.starts_with('-') => message.is_rejected = true,
             other => {
-                assert!(clients == ClientExpectation::MayBeDisconnected, "{id} was not answered: {other:?}")
+                assert!(clients == ClientExpectation::MayBeDisconnected, "{id} got no reply: {other:?}")
             }
         }
         self.messages.insert(id.to_owned(), message);
         self.observe(Duration::ZERO);
     }
 
-    /// Observes calls and notifications, for so long at most or until no message is pending any more.
+    /// Answers calls and records notifications until `limit` has passed or no message is pending. With a limit of zero
+    /// it handles all events that have arrived.
     pub fn observe(&mut self, limit: Duration) {
         let end = Instant::now() + limit;
-        while let Some(seen) = self.environment.event_within(end.saturating_duration_since(Instant::now())) {
-            match seen {
+        while let Some(event) = self.environment.event_within(end.saturating_duration_since(Instant::now())) {
+            match event {
                 StubEvent::Call(call) => self.serve(call),
                 StubEvent::Notification(line) => {
                     let notification: serde_json::Value = serde_json::from_str(&line).unwrap();
                     let id = notification["id"].as_str().unwrap();
-                    self.messages.get_mut(id).unwrap_or_else(|| panic!("nobody's notice: {line}")).notified =
-                        true;
+                    self.messages
+                        .get_mut(id)
+                        .unwrap_or_else(|| panic!("notification for an unknown message: {line}"))
+                        .is_notified = true;
                     self.pending.remove(id);
                 }
             }
@@ -96,36 +102,37 @@
         }
     }
 
-    /// Serves two calls of four; one is rejected, and the connection of one is reset.
+    /// Checks that the call is permitted and answers it: of four calls two are served, one is rejected, and the
+    /// connection of one is reset. Non-idempotent messages are served instead of reset.
     fn serve(&mut self, call: Call) {
         self.calls += 1;
         let message = self.messages.entry(call.id.clone()).or_default();
-        assert!(!message.refused, "{} was sent though its client was refused", call.id);
+        assert!(!message.is_rejected, "{} was sent although its request was rejected", call.id);
         assert!(
-            !(message.is_non_idempotent && message.may_have_run > 0),
-            "{} may have run, and came again",
+            !(message.is_non_idempotent && message.uncertain_calls > 0),
+            "{} is non-idempotent, may have run and was sent again",
             call.id
         );
         message.calls += 1;
-        assert!(message.calls <= 8, "{} has had all its attempts", call.id);
+        assert!(message.calls <= 8, "{} was sent more than 8 times", call.id);
         match self.calls % 4 {
             1 => call.answer("503 Service Unavailable", ""),
             3 if !message.is_non_idempotent => {
-                message.may_have_run += 1;
+                message.uncertain_calls += 1;
                 call.reset();
             }
             _ => {
-                message.may_have_run += 1;
-                message.delivered = true;
+                message.uncertain_calls += 1;
+                message.is_delivered = true;
                 self.pending.remove(&call.id);
                 call.answer("200 OK", "");
             }
         }
     }
 
-    /// Waits until every accepted message has its outcome.
+    /// Waits until every accepted message has its final outcome; panics after 30 s. `what` names the case.
     pub fn wait_for_outcomes(&mut self, what: &str) {
-        self.observe(ENDS);
-        assert!(self.pending.is_empty(), "{what}: no end for {:?}", self.pending);
+        self.observe(OUTCOMES_TIMEOUT);
+        assert!(self.pending.is_empty(), "{what}: no final outcome for {:?}", self.pending);
     }
 }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -1,9 +1,9 @@
-//! The environment of a gateway under test, on loopback sockets: endpoints whose every response the test chooses,
-//! discovery's agent with the endpoint list and the notifications, clients, and the gateway's own process.
+//! Runs a gateway under test on loopback sockets, with endpoints whose responses the test chooses, discovery's agent
+//! with the endpoint list and the notifications, clients, and the gateway's own process.
 //!
-//! What the gateway does is observed in order: [`TestEnvironment::call`] and [`TestEnvironment::notification`] return
-//! the next thing and fail where it is another one.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Calls and notifications of the gateway arrive as events in one order. [`TestEnvironment::call`] and
+//! [`TestEnvironment::notification`] return the next event and panic if it is of the other kind or does not arrive.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 pub mod audit;
 
@@ -28,10 +28,10 @@
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
 pub use stubs::{Agent, Call, Client, StubEvent};
 
-/// Where this names a seed, all gateways of all tests run with the faults below.
-const EVERYWHERE_VARIABLE: &str = "FAULTS_EVERYWHERE";
-/// Faults that change nothing of what a test may expect.
-const EVERYWHERE: [(SystemCall, &[i32]); 9] = [
+/// Names the environment variable with a seed. If it is set, the gateways of all tests run with `TRANSIENT_FAULTS`.
+const FAULT_SEED_VARIABLE: &str = "FAULTS_EVERYWHERE";
+/// The faults that a gateway has to handle without a visible difference, so that every test has to pass with them.
+const TRANSIENT_FAULTS: [(SystemCall, &[i32]); 9] = [
     (SystemCall::Accept, &[libc::ECONNABORTED, libc::ENFILE, libc::EINTR]),
     (SystemCall::Connect, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR]),
     (SystemCall::Socket, &[libc::ENFILE, libc::ENOBUFS]),
@@ -42,22 +42,23 @@
     (SystemCall::EpollWait, &[libc::EINTR]),
     (SystemCall::StateWrite, &[libc::EINTR, SystemCall::SHORT]),
 ];
-const EVERYWHERE_PART: f64 = 0.1;
+/// The ratio of system calls that fail with `TRANSIENT_FAULTS`.
+const TRANSIENT_FAULT_RATIO: f64 = 0.1;
 
-/// The idempotency window of the class `brief`.
+/// The idempotency window of messages of the class `brief`.
 pub const BRIEF_IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(400);
 
-/// Far longer than anything here takes; only a failing test waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long to watch that nothing happens.
-const QUIET: Duration = Duration::from_millis(300);
+/// Limits each wait for the gateway. It is far longer than any step takes, so that only a failing test reaches it.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// The time without an event after which a test takes it that none will follow.
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 impl Call {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
 
-    /// The messages of a batch: id, key, body in Base64.
+    /// Returns id, idempotency key and Base64 body of each message of a batch.
     pub fn batch_messages(&self) -> Vec<(String, Option<String>, String)> {
         assert_eq!(self.path, "/hook/batch");
         let items: Vec<Value> = serde_json::from_slice(&self.body).unwrap();
@@ -66,7 +67,7 @@
         items.iter().map(each).collect()
     }
 
-    /// Answers a batch with the state of each message.
+    /// Answers a batch with the given state of each message. `headers` are header lines that end with CRLF.
     pub fn answer_batch(self, headers: &str, states: &[(&str, &str)]) {
         let states = states.iter().map(|(id, state)| json!({"id": id, "state": state}));
         let body = Value::from_iter(states).to_string();
@@ -74,17 +75,17 @@
         self.answer_raw((head + &body).as_bytes());
     }
 
-    /// The endpoint's side of the connection, for what arrives on it beside the response.
+    /// Returns the endpoint's side of the connection, to send bytes besides the response or to read after it.
     pub fn stream(&self) -> TcpStream {
         self.connection.try_clone().unwrap()
     }
 
-    /// The gateway's side of the connection that this call came on.
+    /// Returns the gateway's address on the connection of this call, which identifies the connection.
     pub fn gateway_address(&self) -> SocketAddr {
         self.connection.peer_addr().unwrap()
     }
 
-    /// Whether the gateway has shut down its sending side of this call's connection.
+    /// Returns whether the gateway has shut down its sending side of this call's connection.
     pub fn is_closed(&self) -> bool {
         let mut connection = &self.connection;
         connection.set_nonblocking(true).unwrap();
@@ -92,15 +93,15 @@
     }
 }
 
-/// A socket that is bound, and its address.
-fn bound() -> (Socket, SocketAddr) {
+/// Binds a socket to a port that the system chooses, without listening; returns it with its address.
+fn bind_socket() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, address)
 }
 
-/// A listener whose accept queue is full.
+/// A listener whose accept queue is full, so that connections to it are not established.
 pub struct HangingListener {
     listener: TcpListener,
     endpoint: usize,
@@ -110,35 +111,38 @@
 pub struct TestEnvironment {
     folder: PathBuf,
     endpoints: Vec<SocketAddr>,
-    /// Sockets that are bound and do not listen: connecting to one is rejected, and nobody else gets its
-    /// port.
+    /// Sockets that are bound and do not listen. Connections to them are refused, and no other process can get their
+    /// ports.
     refusing: Vec<Socket>,
     discovery: Agent,
-    seen: Receiver<StubEvent>,
-    send: Sender<StubEvent>,
-    /// Latency objective of the classes in seconds; their deadline is eight times as long.
+    events: Receiver<StubEvent>,
+    event_sender: Sender<StubEvent>,
+    /// The latency objective of all classes in seconds. Their deadline is eight times as long.
     pub latency_objective_secs: u64,
     pub max_pending_messages: u32,
     pub max_in_flight_calls: u32,
-    /// Messages that one call may carry.
-    pub batch: u32,
+    /// The maximum number of messages in one call.
+    pub max_batch_size: u32,
+    /// The maximum number of descriptors of the gateway.
     pub sockets: u32,
     pub memory_mb: u32,
-    /// Size of the fleet in the settings, and the capacity hint of each endpoint in calls a second.
+    /// The number of gateways in the fleet.
     pub fleet_size: u32,
+    /// The capacity hint of each endpoint, in calls per second.
     pub capacity_hint: f64,
-    /// Each endpoint has a destination of its own, from 1 on.
+    /// Whether each endpoint has a destination of its own, numbered from 1. If not, all have destination 1.
     pub destination_per_endpoint: bool,
-    /// The destination of each endpoint; for those not named here the fields above decide.
+    /// The destinations of the first endpoints. `destination_per_endpoint` decides for endpoints beyond its end.
     pub destinations: Vec<u32>,
-    /// Name of the zone in the settings: processes with different names do not share state.
+    /// The name of the zone in the settings. Processes with different zone names have different fingerprints, so that
+    /// a successor does not take over the predecessor's state but reads the journal.
     pub zone: Cell<&'static str>,
-    /// Endpoints in the list of the configuration; all if there are fewer.
+    /// The maximum number of endpoints in the list of the configuration.
     pub listed_endpoints: Cell<usize>,
-    /// Where clients connect; the system chooses the port unless it is set.
+    /// The address that gateways listen on for clients. The system chooses the port if it is 0.
     pub listen: Cell<SocketAddr>,
     pub disk_mb: f64,
-    /// System calls of the gateways that fail; none where they are started without the shim.
+    /// The system calls of the gateways that fail. None if gateways are started without the fault shim.
     faults: Option<FaultPage>,
     fault_seed: Cell<u64>,
     _cleanup: Cleanup,
@@ -148,7 +152,7 @@
     folder.join(format!("faults-{seed}"))
 }
 
-/// Removes the folder of an environment at its end.
+/// Removes the folder of an environment when it is dropped.
 struct Cleanup(PathBuf);
 
 impl Drop for Cleanup {
@@ -158,36 +162,36 @@
 }
 
 impl TestEnvironment {
-    /// Endpoints of destination 1, all serving, and a disk of some size.
+    /// Starts that many endpoints, all serving destination 1, and discovery's agent. `disk_mb` limits the journal.
     pub fn new(endpoints: usize, disk_mb: f64) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let own =
+        let folder_name =
             format!("delivery-gateway-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-        let folder = std::env::temp_dir().join(own);
+        let folder = std::env::temp_dir().join(folder_name);
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::create_dir_all(folder.join("tmp")).unwrap();
-        let (send, seen) = channel();
+        let (event_sender, events) = channel();
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
         let mut addresses = Vec::new();
         for number in 0..endpoints {
             let listener = bind();
             addresses.push(listener.local_addr().unwrap());
-            let send = send.clone();
-            serve(listener, move |stream| serve_calls(number, stream, &send));
+            let event_sender = event_sender.clone();
+            serve(listener, move |stream| serve_calls(number, stream, &event_sender));
         }
-        let discovery = Agent::start(&send).unwrap();
+        let discovery = Agent::start(&event_sender).unwrap();
         let mut environment = TestEnvironment {
             _cleanup: Cleanup(folder.clone()),
             folder,
             endpoints: addresses,
             refusing: Vec::new(),
             discovery,
-            seen,
-            send,
+            events,
+            event_sender,
             latency_objective_secs: 3,
             max_pending_messages: 400,
             max_in_flight_calls: 16,
-            batch: 1,
+            max_batch_size: 1,
             sockets: 1024,
             memory_mb: 192,
             fleet_size: 1,
@@ -201,23 +205,24 @@
             faults: None,
             fault_seed: Cell::new(0),
         };
-        if let Some(seed) = std::env::var(EVERYWHERE_VARIABLE).ok().and_then(|seed| seed.parse().ok()) {
+        if let Some(seed) = std::env::var(FAULT_SEED_VARIABLE).ok().and_then(|seed| seed.parse().ok()) {
             environment.faults = Some(environment.replace_faults(seed));
-            for (call, errors) in EVERYWHERE {
-                environment.fail(call, Fault::always(errors).with_ratio(EVERYWHERE_PART));
+            for (call, errors) in TRANSIENT_FAULTS {
+                environment.fail(call, Fault::always(errors).with_ratio(TRANSIENT_FAULT_RATIO));
             }
         }
         environment
     }
 
-    /// An environment in which system calls of the gateways can be made to fail, with long deadlines.
+    /// Creates an environment with long deadlines whose gateways run with the fault shim, so that [`Self::fail`] can
+    /// make their system calls fail. The seed decides which calls fail where a fault has a ratio.
     pub fn with_faults(endpoints: usize, seed: u64) -> Self {
         let mut environment = TestEnvironment::with_long_deadlines(endpoints, 3.0);
         environment.faults = Some(environment.replace_faults(seed));
         environment
     }
 
-    /// Processes that start from now on have faults of their own; those that run keep theirs.
+    /// Creates a new page of faults for processes that start later; running processes keep theirs.
     pub fn replace_faults(&self, seed: u64) -> FaultPage {
         self.fault_seed.set(seed);
         FaultPage::create(&fault_page_path(&self.folder, seed), seed).unwrap()
@@ -227,69 +232,71 @@
         self.faults.as_ref().expect("an environment with faults")
     }
 
-    /// Makes a system call of the gateways fail from now on.
+    /// Makes a system call of the gateways fail from now on. Panics without the fault shim.
     pub fn fail(&self, call: SystemCall, fault: Fault) {
         self.faults().set(call, fault).unwrap();
     }
 
-    /// Environment variables that load the shim into a process.
+    /// Returns the environment variables that load the fault shim into a process; none without faults.
     fn fault_variables(&self) -> Vec<(&'static str, PathBuf)> {
         if self.faults.is_none() {
             return Vec::new();
         }
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let shim = binary.with_file_name("examples").join("libfault_shim.so");
-        assert!(shim.exists(), "the shim is built by `cargo test` or `cargo build --examples`: {shim:?}");
+        assert!(shim.exists(), "{shim:?} is missing: `cargo test` or `cargo build --examples` builds it");
         let page = fault_page_path(&self.folder, self.fault_seed.get());
         vec![("LD_PRELOAD", shim), (fault_page::PAGE_VARIABLE, page)]
     }
 
-    /// A compacted copy that was not renamed to the journal before its process died.
+    /// Writes what a process leaves behind that is killed during a compaction: an incomplete copy of the journal that
+    /// was not renamed.
     pub fn write_unfinished_journal_copy(&self) {
         std::fs::write(self.folder.join("state/journal.new"), b"half a copy").unwrap();
     }
 
-    /// An environment with long deadlines.
+    /// Creates an environment with a latency objective of 100 s instead of 3 s, so that no deadline passes in a test.
     pub fn with_long_deadlines(endpoints: usize, disk_mb: f64) -> Self {
         TestEnvironment { latency_objective_secs: 100, ..TestEnvironment::new(endpoints, disk_mb) }
     }
 
-    /// Grows to so many endpoints; the new ones share one address.
+    /// Adds endpoints up to the given number. The new ones share one address.
     pub fn grow_to(&mut self, endpoints: usize) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.endpoints.resize(endpoints, listener.local_addr().unwrap());
-        let send = self.send.clone();
-        serve(listener, move |stream| serve_calls(endpoints, stream, &send));
+        let event_sender = self.event_sender.clone();
+        serve(listener, move |stream| serve_calls(endpoints, stream, &event_sender));
     }
 
-    /// Gives an endpoint an address that rejects connections.
+    /// Gives an endpoint an address that refuses connections.
     pub fn reject_connections(&mut self, endpoint: usize) {
-        let (socket, address) = bound();
+        let (socket, address) = bind_socket();
         self.endpoints[endpoint] = address;
         self.refusing.push(socket);
     }
 
-    /// Gives an endpoint an address whose connections are not established, as the accept queue is full, until
-    /// the returned listener is released.
+    /// Gives an endpoint an address with a full accept queue: connections to it are not established until the returned
+    /// listener is passed to [`Self::release`].
     pub fn hang_connections(&mut self, endpoint: usize) -> HangingListener {
-        let (socket, address) = bound();
+        let (socket, address) = bind_socket();
         socket.listen(0).unwrap();
         let mut fillers = Vec::new();
-        while let Ok(filler) = TcpStream::connect_timeout(&address, QUIET) {
+        while let Ok(filler) = TcpStream::connect_timeout(&address, QUIET_PERIOD) {
             fillers.push(filler);
         }
         self.endpoints[endpoint] = address;
         HangingListener { listener: socket.into(), endpoint, _fillers: fillers }
     }
 
-    /// Lets pending connections be established.
+    /// Accepts the pending connections of the listener and serves the calls on them.
     pub fn release(&self, hanging: HangingListener) {
-        let (send, endpoint) = (self.send.clone(), hanging.endpoint);
-        serve(hanging.listener, move |stream| serve_calls(endpoint, stream, &send));
+        let (event_sender, endpoint) = (self.event_sender.clone(), hanging.endpoint);
+        serve(hanging.listener, move |stream| serve_calls(endpoint, stream, &event_sender));
     }
 
-    /// Announces that other endpoints at the same address have replaced one: `times` of them, one after the
-    /// other, with ids that contain `number`.
+    /// Announces that an endpoint was removed and replaced at its address by `times` endpoints, one after the other.
+    /// Only the last one is left. `number` is the round, counted from 0 without gaps: it is a part of the uids and of
+    /// the revision, and the last endpoint of the round before is removed too.
     pub fn announce_replaced(&self, endpoint: usize, number: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
@@ -307,20 +314,21 @@
         if number > 0 {
             targets.push(entry(format!("s-{endpoint}-{}-{}", number - 1, times - 1), "DELETED"));
         }
-        self.tell(10 + number, &targets);
+        self.announce_delta(10 + number, &targets);
     }
 
     fn target(&self, endpoint: usize, state: &str) -> Value {
-        let otherwise = if self.destination_per_endpoint { endpoint as u32 + 1 } else { 1 };
-        let destination = self.destinations.get(endpoint).copied().unwrap_or(otherwise);
+        let default_destination = if self.destination_per_endpoint { endpoint as u32 + 1 } else { 1 };
+        let destination = self.destinations.get(endpoint).copied().unwrap_or(default_destination);
         target(&format!("s-{endpoint}"), self.endpoints[endpoint], destination, state, self.capacity_hint)
     }
 
+    /// Starts a gateway and waits until it listens.
     pub fn start(&self) -> RunningGateway<'_> {
         self.start_beside().listening()
     }
 
-    /// Puts a folder where an earlier gateway had bound its Unix socket, so that the next one cannot bind it.
+    /// Puts a folder where an earlier gateway had bound its Unix socket, so that the next gateway cannot bind its own.
     pub fn refuse_unix_sockets(&self) {
         for entry in std::fs::read_dir(self.folder.join("tmp")).unwrap() {
             let path = entry.unwrap().path();
@@ -331,7 +339,7 @@
         }
     }
 
-    /// Lets the next one bind it after all.
+    /// Removes the folders of [`Self::refuse_unix_sockets`], so that the socket can be bound again.
     pub fn permit_unix_sockets(&self) {
         for entry in std::fs::read_dir(self.folder.join("tmp")).unwrap() {
             let path = entry.unwrap().path();
@@ -341,52 +349,54 @@
         }
     }
 
-    /// Starts a process that may have to wait for another one.
+    /// Starts a gateway beside a running one, and waits only until its admin endpoint is open: it may have to wait for
+    /// the handover before it listens.
     pub fn start_beside(&self) -> RunningGateway<'_> {
-        self.start_process().with_door()
+        self.start_process().wait_for_admin_endpoint()
     }
 
-    /// Starts a process that may end at any time.
+    /// Starts a gateway without waiting for anything, for tests in which it may end at any time.
     pub fn start_process(&self) -> RunningGateway<'_> {
         self.configure(&self.discovery);
         RunningGateway::start(self)
     }
 
-    /// Starts a gateway whose log goes elsewhere, at an address that the environment chooses.
+    /// Starts a gateway with another destination for its log. The environment chooses its address, which it cannot read
+    /// from the log, and waits until it accepts connections. There is no address of its admin endpoint.
     pub fn start_logging_to(&self, log: Stdio) -> RunningGateway<'_> {
-        let (_socket, address) = bound();
+        let (_socket, address) = bind_socket();
         drop(_socket);
         self.listen.set(address);
         self.configure(&self.discovery);
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process = Process::start_logging_to(binary, &self.folder, &self.fault_variables(), log).unwrap();
         let gateway = RunningGateway { environment: self, process, address, admin: address };
-        let end = Instant::now() + PATIENCE;
-        while gateway.try_client(PATIENCE).is_err() {
-            assert!(Instant::now() < end, "the gateway never listens");
+        let end = Instant::now() + STEP_TIMEOUT;
+        while gateway.try_client(STEP_TIMEOUT).is_err() {
+            assert!(Instant::now() < end, "the gateway does not listen within {STEP_TIMEOUT:?}");
             thread::sleep(Duration::from_millis(5));
         }
         gateway
     }
 
-    /// Another agent of discovery, which has an endpoint as draining.
+    /// Starts another agent of discovery, whose snapshot of revision 5 has one endpoint as draining.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
-        let agent = Agent::start(&self.send).unwrap();
+        let agent = Agent::start(&self.event_sender).unwrap();
         let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
         let targets: Vec<Value> = (0..self.endpoints.len()).map(|at| self.target(at, state(at))).collect();
         *locked(&agent.state.list) = json!({"rev": 5, "all": true, "targets": targets}).to_string();
         agent
     }
 
-    /// Replaces the configuration with invalid text.
+    /// Replaces the configuration by invalid JSON.
     pub fn write_invalid_configuration(&self) {
         std::fs::write(self.folder.join("config.json"), "{\"name\":").unwrap();
     }
 
-    /// Writes the configuration, with discovery at some agent.
+    /// Writes the configuration, with the given agent as discovery.
     pub fn configure(&self, agent: &Agent) {
-        let known = self.endpoints.len().min(self.listed_endpoints.get());
-        let targets: Vec<Value> = (0..known).map(|at| self.target(at, "SERVING")).collect();
+        let listed = self.endpoints.len().min(self.listed_endpoints.get());
+        let targets: Vec<Value> = (0..listed).map(|at| self.target(at, "SERVING")).collect();
         let classes = [
             class(self.latency_objective_secs, "notice", "idempotency_key", 10_000, true),
             class(
@@ -409,30 +419,31 @@
             classes: &classes,
             zone: self.zone.get(),
             max_in_flight_calls: self.max_in_flight_calls,
-            batch: self.batch,
+            batch: self.max_batch_size,
             max_pending_messages: self.max_pending_messages,
         };
         configuration.write(&self.folder).unwrap();
     }
 
-    /// The next call or notification of the gateway.
+    /// Returns the next call or notification of the gateway.
     pub fn next_event(&self) -> StubEvent {
-        self.seen.recv_timeout(PATIENCE).expect("the gateway does something")
+        self.events.recv_timeout(STEP_TIMEOUT).expect("no call or notification arrived within 20 s")
     }
 
-    /// The next call or notification, if one arrives in time.
+    /// Returns the next call or notification, or None if none arrives within the limit.
     pub fn event_within(&self, limit: Duration) -> Option<StubEvent> {
-        self.seen.recv_timeout(limit).ok()
+        self.events.recv_timeout(limit).ok()
     }
 
+    /// Returns the next event, which has to be a call.
     pub fn call(&self) -> Call {
         match self.next_event() {
             StubEvent::Call(call) => call,
-            StubEvent::Notification(line) => panic!("a call was due, not the notification {line}"),
+            StubEvent::Notification(line) => panic!("expected a call, got the notification {line}"),
         }
     }
 
-    /// The next call; notifications may be repeated meanwhile.
+    /// Returns the next call and drops notifications before it, which the gateway may repeat.
     pub fn call_among_notifications(&self) -> Call {
         loop {
             if let StubEvent::Call(call) = self.next_event() {
@@ -441,104 +452,111 @@
         }
     }
 
+    /// Returns the JSON line of the next event, which has to be a notification.
     pub fn notification(&self) -> String {
         match self.next_event() {
             StubEvent::Notification(line) => line,
-            StubEvent::Call(call) => panic!("a notification was due, not a call for {}", call.id),
+            StubEvent::Call(call) => panic!("expected a notification, got a call for {}", call.id),
         }
     }
 
-    /// Checks that there is no call for a while; notifications may be repeated.
+    /// Checks that no call arrives within 300 ms. Notifications may, since the gateway repeats them.
     pub fn expect_no_call(&self) {
-        let end = Instant::now() + QUIET;
-        while let Ok(seen) = self.seen.recv_timeout(end.saturating_duration_since(Instant::now())) {
-            if let StubEvent::Call(call) = seen {
-                panic!("no call was due, but {} was", call.id);
+        let end = Instant::now() + QUIET_PERIOD;
+        while let Ok(event) = self.events.recv_timeout(end.saturating_duration_since(Instant::now())) {
+            if let StubEvent::Call(call) = event {
+                panic!("expected no call, got one for {}", call.id);
             }
         }
     }
 
+    /// Checks that neither a call nor a notification arrives within 300 ms.
     pub fn expect_nothing(&self) {
-        match self.seen.recv_timeout(QUIET) {
-            Ok(StubEvent::Call(call)) => panic!("no call was due, but {} was", call.id),
-            Ok(StubEvent::Notification(line)) => panic!("no notification was due, but {line} was"),
+        match self.events.recv_timeout(QUIET_PERIOD) {
+            Ok(StubEvent::Call(call)) => panic!("expected no call, got one for {}", call.id),
+            Ok(StubEvent::Notification(line)) => panic!("expected no notification, got {line}"),
             Err(_) => {}
         }
     }
 
-    /// How many requests with notifications an agent has had.
+    /// Returns the number of requests with notifications that an agent has received.
     pub fn notification_requests_at(&self, agent: &Agent) -> u32 {
         agent.state.notification_requests.load(Ordering::SeqCst)
     }
 
+    /// Makes discovery leave notifications without acknowledgement, or acknowledge them again.
     pub fn hold_notifications(&self, hold: bool) {
         self.discovery.state.hold_notifications.store(hold, Ordering::SeqCst);
     }
 
-    /// Makes so many connections fall silent, each with the next notifications on it.
+    /// Makes discovery read the next notifications without an event or a reply, on that many connections.
     pub fn lose_notifications(&self, connections: u32) {
         self.discovery.state.lost_notifications.store(connections, Ordering::SeqCst);
     }
 
-    /// Announces that an endpoint drains.
+    /// Announces that an endpoint is draining, as revision 2 of the list.
     pub fn drain(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DRAINING")]);
+        self.announce_delta(2, &[self.target(endpoint, "DRAINING")]);
     }
 
-    /// Announces all endpoints, in one line.
+    /// Announces that all endpoints are serving, as one delta.
     pub fn announce_all(&self, rev: u32) {
-        self.tell(rev, &(0..self.endpoints.len()).map(|at| self.target(at, "SERVING")).collect::<Vec<_>>());
+        self.announce_delta(
+            rev,
+            &(0..self.endpoints.len()).map(|at| self.target(at, "SERVING")).collect::<Vec<_>>(),
+        );
     }
 
-    /// The same, indented.
+    /// Returns the update of [`Self::drain`] as indented JSON.
     pub fn indented_drain_update(&self, endpoint: usize) -> String {
         let update = json!({"rev": 2, "all": false, "targets": [self.target(endpoint, "DRAINING")]});
         format!("{update:#}\n")
     }
 
-    /// Announces that an endpoint serves, as a later revision of the list.
+    /// Announces that an endpoint is serving, as the given revision of the list.
     pub fn announce_serving(&self, endpoint: usize, rev: u32) {
-        self.tell(rev, &[self.target(endpoint, "SERVING")]);
+        self.announce_delta(rev, &[self.target(endpoint, "SERVING")]);
     }
 
-    /// Announces that an endpoint is removed.
+    /// Announces that an endpoint is removed, as revision 2 of the list.
     pub fn remove(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DELETED")]);
+        self.announce_delta(2, &[self.target(endpoint, "DELETED")]);
     }
 
-    fn tell(&self, rev: u32, targets: &[Value]) {
+    fn announce_delta(&self, rev: u32, targets: &[Value]) {
         self.announce_text(&format!("{}\n", json!({"rev": rev, "all": false, "targets": targets})));
     }
 
-    /// Sends some text on the watch, whatever it says.
+    /// Sends a text on the watch, which need not be a valid update.
     pub fn announce_text(&self, text: &str) {
         self.discovery.announce(text);
     }
 
-    /// Makes discovery accept connections and never answer.
+    /// Makes discovery leave new watch requests without a response, or answer them again.
     pub fn set_discovery_silent(&self, silent: bool) {
         self.discovery.state.is_silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Makes discovery answer watches late.
+    /// Makes discovery answer each watch only after a delay.
     pub fn delay_discovery(&self, by: Duration) {
         self.discovery.state.watch_delay_ms.store(by.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Waits until discovery has answered a watch.
     pub fn wait_until_watched(&self) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         while self.watches() == 0 {
-            assert!(Instant::now() < end, "the gateway never watches the endpoint list");
+            assert!(Instant::now() < end, "the gateway does not watch the endpoint list");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Watches that discovery has answered.
+    /// Returns the number of watches that discovery has answered.
     pub fn watches(&self) -> usize {
         locked(&self.discovery.state.watches).open.len()
     }
 
+    /// Returns the size of all files in the state folder, in whole blocks of 512 bytes.
     pub fn disk_used_bytes(&self) -> u64 {
         let files = std::fs::read_dir(self.folder.join("state")).unwrap();
         files.map(|file| file.unwrap().metadata().map_or(0, |data| data.len().div_ceil(512) * 512)).sum()
@@ -554,7 +572,7 @@
     }
 }
 
-/// A running gateway; it is killed when dropped.
+/// A running gateway. It is killed when dropped.
 pub struct RunningGateway<'a> {
     environment: &'a TestEnvironment,
     process: Process,
@@ -567,76 +585,77 @@
         let binary = Path::new(env!("CARGO_BIN_EXE_delivery-gateway"));
         let process =
             Process::start_with(binary, &environment.folder, &environment.fault_variables()).unwrap();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        RunningGateway { environment, process, address: nowhere, admin: nowhere }
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+        RunningGateway { environment, process, address: unset, admin: unset }
     }
 
-    /// Waits until its admin endpoint is open.
-    fn with_door(mut self) -> Self {
+    /// Waits until the admin endpoint is open, and reads its address from the log.
+    fn wait_for_admin_endpoint(mut self) -> Self {
         self.admin = address_in(&self.wait_for_log_line("admin endpoint open")).unwrap();
         self
     }
 
-    /// Waits until it serves or has ended; returns whether it serves.
+    /// Waits until the gateway listens or its process has ended. Returns whether it has listened.
     pub fn wait_until_listening_or_ended(&mut self) -> bool {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         while !self.has_logged(" listening ") && !self.has_ended() && Instant::now() < end {
             thread::sleep(Duration::from_millis(5));
         }
         self.has_logged(" listening ")
     }
 
-    /// Waits until it serves.
+    /// Waits until the gateway listens, and reads its address from the log.
     pub fn listening(mut self) -> Self {
         self.address = address_in(&self.wait_for_log_line("listening")).unwrap();
         self
     }
 
-    /// A connection to the admin endpoint.
+    /// Connects to the admin endpoint.
     pub fn admin_connection(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         stream
     }
 
-    /// Sends a request to the admin endpoint, and returns the status of its response.
-    pub fn admin_request(&self, call: &str) -> u16 {
+    /// Sends a request with the given method and path to the admin endpoint. Returns the status of its response.
+    pub fn admin_request(&self, method_and_path: &str) -> u16 {
         let mut stream = self.admin_connection();
-        let _ = stream.write_all(format!("{call} HTTP/1.1\r\nHost: admin\r\n\r\n").as_bytes());
-        status(stream)
+        let _ = stream.write_all(format!("{method_and_path} HTTP/1.1\r\nHost: admin\r\n\r\n").as_bytes());
+        response_status(stream)
     }
 
-    /// Waits for a line of the log that contains some words, and returns it.
+    /// Waits for a line of the log that contains `words`, and returns it.
     pub fn wait_for_log_line(&self, words: &str) -> String {
         self.wait_for_log_lines(words, 1)
     }
 
-    /// Waits for so many such lines, and returns the last of them.
+    /// Waits for `times` lines of the log that contain `words`, and returns the last of them.
     pub fn wait_for_log_lines(&self, words: &str, times: usize) -> String {
         self.process
-            .wait_for_log_lines(words, times, PATIENCE)
-            .unwrap_or_else(|lines| panic!("the log never says '{words}': {lines:#?}"))
+            .wait_for_log_lines(words, times, STEP_TIMEOUT)
+            .unwrap_or_else(|lines| panic!("the log has no {times} lines with '{words}': {lines:#?}"))
     }
 
-    /// Whether a line of the log so far contains some words.
+    /// Returns whether a line of the log so far contains `words`.
     pub fn has_logged(&self, words: &str) -> bool {
         self.process.has_logged(words)
     }
 
     pub fn client(&self) -> Client {
-        Client::connect(self.address, PATIENCE).unwrap()
+        Client::connect(self.address, STEP_TIMEOUT).unwrap()
     }
 
-    /// A client whose replies have to arrive in some time.
+    /// Connects a client with a limit for the connection and for each reply.
     pub fn try_client(&self, limit: Duration) -> std::io::Result<Client> {
         Client::connect(self.address, limit)
     }
 
-    /// Whether the process has ended by now.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         self.process.child.try_wait().unwrap().is_some()
     }
 
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(mut self) -> StoppedGateway<'a> {
         self.process.child.kill().unwrap();
         self.process.child.wait().unwrap();
@@ -647,24 +666,24 @@
         self.kill().restart()
     }
 
-    /// Stops the process (SIGSTOP) while something is done.
-    pub fn while_stopped(&self, act: impl FnOnce()) {
+    /// Runs `action` while the process is stopped with SIGSTOP.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
         self.signal("STOP");
-        act();
+        action();
         self.signal("CONT");
     }
 
-    /// Descriptors that the process has open.
+    /// Returns the number of open descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.child.id())).unwrap().count()
     }
 
-    /// Resident memory of the process, in KiB.
+    /// Returns the resident memory of the process in KiB.
     pub fn resident_memory_kib(&self) -> u64 {
         self.process.status_value("VmRSS").unwrap()
     }
 
-    /// The most that it ever had, in KiB.
+    /// Returns the peak resident memory of the process in KiB.
     pub fn peak_memory_kib(&self) -> u64 {
         self.process.status_value("VmHWM").unwrap()
     }
@@ -682,27 +701,27 @@
         assert!(Command::new("/bin/sh").args(["-c", &signal]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit, and returns its status. Panics after `limit`.
     pub fn wait(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
             if let Some(status) = self.process.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the process did not end in {limit:?}");
+            assert!(Instant::now() < end, "the process did not end within {limit:?}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// The status of the response on a connection to the admin endpoint.
-pub fn status(mut stream: TcpStream) -> u16 {
-    let mut answer = Vec::new();
-    // A reset may follow an answer to what was not read to its end.
-    let _ = stream.read_to_end(&mut answer);
-    let answer = String::from_utf8_lossy(&answer).into_owned();
-    let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok());
-    status.unwrap_or_else(|| panic!("no answer: {answer:?}"))
+/// Reads the response on a connection to the admin endpoint to its end, and returns its status.
+pub fn response_status(mut stream: TcpStream) -> u16 {
+    let mut response = Vec::new();
+    // A reset may follow the response where the gateway has not read the request to its end.
+    let _ = stream.read_to_end(&mut response);
+    let response = String::from_utf8_lossy(&response).into_owned();
+    let status = response.split(' ').nth(1).and_then(|status| status.parse().ok());
+    status.unwrap_or_else(|| panic!("no status line in {response:?}"))
 }
 
 pub struct StoppedGateway<'a> {
@@ -710,18 +729,20 @@
 }
 
 impl<'a> StoppedGateway<'a> {
+    /// Starts the next gateway with the configuration as it is, and waits until it listens.
     pub fn restart(self) -> RunningGateway<'a> {
-        RunningGateway::start(self.environment).with_door().listening()
+        RunningGateway::start(self.environment).wait_for_admin_endpoint().listening()
     }
 }
 
 impl Client {
+    /// Sends bytes and ignores errors.
     pub fn send(&mut self, bytes: &[u8]) {
-        // A gateway that rejects bad input may close before all of it is written.
+        // A gateway that rejects bad input may close the connection before all of it is written.
         let _ = self.try_send(bytes);
     }
 
-    /// Shuts down the sending side.
+    /// Shuts down the sending side of the connection.
     pub fn shutdown_write(&mut self) {
         self.stream.get_mut().shutdown(Shutdown::Write).unwrap();
     }
@@ -736,6 +757,7 @@
         self.try_read_line().unwrap()
     }
 
+    /// Sends a command and returns its reply.
     pub fn request<W: AsRef<[u8]>>(&mut self, words: &[W]) -> String {
         self.send_command(words);
         self.read_line()
@@ -746,19 +768,19 @@
         self.send(&encode_command(words));
     }
 
-    /// Enqueues a message; `class` may carry further fields.
+    /// Enqueues a message with 20 s left and returns the reply. `class` may carry further fields, as in `notice,k=1`.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.send_enqueue(id, key, class, destination, body);
         self.read_line()
     }
 
-    /// Sends a request to enqueue without waiting for its reply.
+    /// Sends the request of [`Self::enqueue`] without waiting for its reply.
     pub fn send_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
         let fields = format!("d=20000,c={class},dest={destination}");
         self.send_command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
-    /// Whether the gateway closes the connection without a reply.
+    /// Returns whether the gateway closes the connection without a reply.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,11 +1,12 @@
-//! The gateway over loopback sockets: each test guards against one way of breaking a promise.
+//! The gateway over loopback sockets: each test guards against one way of breaking a guarantee.
 
 mod environment;
 
 use environment::*;
 use std::time::{Duration, Instant};
 
-/// A message reaches its endpoint as it was enqueued, and no notification follows.
+/// A delivered message reaches its endpoint with the body and idempotency key that it was enqueued with, and no
+/// notification follows.
 #[test]
 fn delivers_an_enqueued_message() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -24,7 +25,8 @@
     environment.expect_nothing();
 }
 
-/// A tenant within its quota is served before one beyond its own, also after a restart.
+/// A tenant beyond its quota would delay one within its quota if messages went in the order of arrival. The tenant of
+/// a message has to be in the journal, so that the same holds after a restart.
 #[test]
 fn a_tenant_beyond_its_quota_is_served_last() {
     for restart in [false, true] {
@@ -65,14 +67,14 @@
             notifications.iter().all(|line| line == r#"{"id":"first","state":"failed"}"#),
             "{notifications:?}"
         );
-        let inside = order.iter().take(3).all(|id| id.starts_with('s'));
-        assert!(inside, "after a restart: {restart}: {order:?}");
+        let south_is_first = order.iter().take(3).all(|id| id.starts_with('s'));
+        assert!(south_is_first, "after a restart: {restart}: {order:?}");
         assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     }
 }
 
-/// Malformed input gets an error and affects no other client: no panic, no recursion, no allocation by an announced
-/// length.
+/// Malformed input gets an error and affects no other client. It would if the parser panicked, recursed into nested
+/// arrays or allocated the length that a request announces.
 #[test]
 fn malformed_requests_get_an_error_and_do_no_harm() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -99,21 +101,22 @@
     assert_eq!(client.request(&["PING"]), "+PONG");
 }
 
-/// A non-idempotent message whose call was in flight when the process was killed may have been processed: it fails at
-/// once, without another call.
+/// A non-idempotent message whose call was in flight when the process was killed may have been processed. It fails at
+/// once, since another call could process it twice.
 #[test]
 fn a_non_idempotent_message_in_flight_at_a_kill_fails() {
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-    let _open = environment.call();
+    let _in_flight = environment.call();
     let gateway = gateway.kill_and_restart();
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
     environment.expect_no_call();
 }
 
-/// An idempotent message is retried under its key, before the message behind it; a delivered one is not sent again.
+/// After a kill, an idempotent message whose call was in flight is retried under its idempotency key before the next
+/// message of its ordering key. A message that was delivered before the kill is not sent again.
 #[test]
 fn idempotent_messages_continue_in_order_after_a_kill() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -122,21 +125,21 @@
     assert_eq!(client.enqueue("k0", "9", "notice,k=k0", 1, b"0"), "+OK");
     environment.call().answer("200 OK", "");
     assert_eq!(client.enqueue("k1", "9", "notice,k=k1", 1, b"1"), "+OK");
-    let open = environment.call();
-    assert_eq!(open.id, "k1");
+    let in_flight = environment.call();
+    assert_eq!(in_flight.id, "k1");
     assert_eq!(client.enqueue("k2", "9", "notice,k=k2", 1, b"2"), "+OK");
     let _gateway = gateway.kill_and_restart();
-    let again = environment.call();
-    assert_eq!((again.id.as_str(), again.header("idempotency-key")), ("k1", Some("k1")));
+    let retry = environment.call();
+    assert_eq!((retry.id.as_str(), retry.header("idempotency-key")), ("k1", Some("k1")));
     environment.expect_no_call();
-    again.answer("200 OK", "");
-    let behind = environment.call();
-    assert_eq!(behind.id, "k2");
-    behind.answer("200 OK", "");
+    retry.answer("200 OK", "");
+    let next = environment.call();
+    assert_eq!(next.id, "k2");
+    next.answer("200 OK", "");
 }
 
-/// A message that was not delivered is completed when its notification is acknowledged: until then nothing is sent for
-/// the next one with its ordering key, and after a kill the notification is sent again instead of another call.
+/// A message that was not delivered is completed when its notification is acknowledged. Until then nothing is sent for
+/// the next message with its ordering key, and after a kill the notification is repeated instead of the call.
 #[test]
 fn an_ordering_key_waits_until_a_notification_is_acknowledged() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -147,7 +150,7 @@
     let first = environment.call();
     assert_eq!(client.enqueue("n2", "9", "notice,k=n2", 1, b"2"), "+OK");
     first.answer("500 Oops", "");
-    // Its idempotency window is short: it fails as soon as it may not be sent again.
+    // The idempotency window of its class is short: the message fails when the window ends.
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
         match environment.next_event() {
@@ -168,14 +171,15 @@
     next.answer("200 OK", "");
 }
 
-/// A refused connection proves that the call was not processed: the non-idempotent message goes to another endpoint.
+/// A refused connection proves that the call was not processed, so that even a non-idempotent message is sent to
+/// another endpoint.
 #[test]
 fn a_non_idempotent_message_is_retried_when_a_connection_is_refused() {
     let mut environment = TestEnvironment::new(2, 3.0);
     environment.reject_connections(0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // While calls stay in flight at the one endpoint, the other has the fewest and is tried.
+    // While calls are in flight at endpoint 1, endpoint 0 has the fewest calls and is tried.
     let ids = ["r1", "r2", "r3"];
     ids.iter().for_each(|id| assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK"));
     let calls: Vec<Call> = ids.iter().map(|_| environment.call()).collect();
@@ -184,7 +188,7 @@
     environment.expect_nothing();
 }
 
-/// A call whose connection breaks after it was sent may have been processed.
+/// A call whose connection is reset after it was sent may have been processed, so that a retry could process it twice.
 #[test]
 fn a_non_idempotent_message_fails_at_once_when_its_connection_is_reset() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -195,8 +199,8 @@
     environment.expect_no_call();
 }
 
-/// 504 says that the attempts are exhausted: the message is returned at once, since nothing was processed. Once
-/// notified, the client may enqueue it again, so that nothing may be sent for it after a restart either.
+/// 504 means that the attempts are exhausted and nothing was processed: the message is returned at once. The client may
+/// enqueue it elsewhere once it is notified, so that no call may be sent for it after a restart either.
 #[test]
 fn a_message_without_attempts_left_is_returned_at_once_and_for_good() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -214,7 +218,7 @@
     environment.expect_no_call();
 }
 
-/// A Retry-After holds for all messages to the destination.
+/// A Retry-After delays all messages to the destination, also those that are enqueued after it was received.
 #[test]
 fn a_retry_after_holds_for_all_messages_to_the_destination() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -231,7 +235,8 @@
     environment.call().answer("200 OK", "");
 }
 
-/// A draining endpoint stays so after a restart, though the configured endpoint list is older and discovery is silent.
+/// A draining endpoint stays draining after a restart: the journal has the newer list, while the configured one still
+/// has the endpoint as serving and discovery does not respond.
 #[test]
 fn a_draining_endpoint_stays_draining_over_a_restart() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -251,19 +256,19 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// On SIGTERM calls in flight finish, new connections are served, idle ones are closed, and the process ends by itself
-/// in time.
+/// On SIGTERM, calls in flight finish, new connections are served, idle ones are closed, and the process exits before
+/// it would be killed.
 #[test]
 fn sigterm_finishes_calls_in_flight_and_accepts_until_the_end() {
     let environment = TestEnvironment::new(1, 3.0);
     let mut gateway = environment.start();
     let mut idle = gateway.client();
     assert_eq!(idle.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
-    let out = environment.call();
+    let in_flight = environment.call();
     gateway.send_sigterm();
     assert!(idle.is_closed());
     assert_eq!(gateway.client().enqueue("t2", "0", "salary", 1, b"x"), "+OK");
-    out.answer("200 OK", "");
+    in_flight.answer("200 OK", "");
     let second = environment.call();
     assert_eq!(second.id, "t2");
     second.answer("200 OK", "");
@@ -271,21 +276,21 @@
     environment.expect_nothing();
 }
 
-/// An unresponsive call does not keep the process until SIGKILL, and its message fails at the next start.
+/// An unresponsive call does not delay the exit until SIGKILL, and its message fails at the next start.
 #[test]
 fn sigterm_does_not_wait_for_an_unresponsive_call() {
     let environment = TestEnvironment::new(1, 3.0);
     let mut gateway = environment.start();
     assert_eq!(gateway.client().enqueue("h1", "0", "salary", 1, b"x"), "+OK");
-    let _hung = environment.call();
+    let _unresponsive = environment.call();
     gateway.send_sigterm();
     assert!(gateway.wait(Duration::from_millis(3700)).success());
     let _gateway = gateway.kill_and_restart();
     assert_eq!(environment.notification(), r#"{"id":"h1","state":"failed"}"#);
 }
 
-/// Messages are accepted only while the journal has room, the old and the new file together stay within the limit, and
-/// all accepted messages are there after a kill.
+/// A journal at its size limit rejects messages instead of losing accepted ones. During a compaction the old and the
+/// new file together stay within the limit, and a restart finds all accepted messages.
 #[test]
 fn a_full_journal_rejects_messages_and_keeps_accepted_ones() {
     let environment = TestEnvironment::with_long_deadlines(1, 0.3);
@@ -296,7 +301,7 @@
     for number in 0..60 {
         match client.enqueue(&format!("f{number}"), "0", "salary", 1, &body).as_str() {
             "+OK" => accepted += 1,
-            answer => assert!(answer.starts_with("-BUSY "), "{answer}"),
+            reply => assert!(reply.starts_with("-BUSY "), "{reply}"),
         }
         assert!(environment.disk_used_bytes() <= 300_000);
     }
@@ -305,14 +310,15 @@
     assert!(gateway.wait_for_log_line("journal replayed").contains(&format!("pending={accepted}")));
 }
 
-/// A torn or damaged tail of the journal is truncated; what stands before it is kept, and the process starts.
+/// A write that a crash has cut short leaves a torn or damaged tail. It is truncated, the records before it are kept,
+/// and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("j1", "0", "salary", 1, b"x"), "+OK");
-    let _out = environment.call();
+    let _in_flight = environment.call();
     drop(client);
     let gateway = gateway.kill();
     environment.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
@@ -321,7 +327,7 @@
     assert_eq!(environment.notification(), r#"{"id":"j1","state":"failed"}"#);
 }
 
-/// An unwritable disk leads to rejections, not to a crash.
+/// A disk limit that leaves no room for one record leads to rejections, not to a crash.
 #[test]
 fn an_unwritable_journal_rejects_messages() {
     let environment = TestEnvironment::new(1, 0.0001);
@@ -330,8 +336,8 @@
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
 }
 
-/// No more messages are pending than the settings allow, those with an unacknowledged outcome included: one more is
-/// rejected with a Retry-After.
+/// Messages whose final outcome is not acknowledged count as pending too: at the limit, one more message is rejected
+/// with a Retry-After.
 #[test]
 fn no_more_messages_are_pending_than_the_settings_allow() {
     let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -343,20 +349,21 @@
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
     let calls = [environment.call(), environment.call()];
-    // Nearly full, the scheduler returns the next one at once; it stays pending until its notification is acknowledged.
+    // Near its limit, the scheduler returns the next message at once. It is pending until its notification is
+    // acknowledged.
     assert_eq!(client.enqueue("m3", "0", "salary", 1, b"x"), "+OK");
     assert!(environment.notification().contains(r#""id":"m3","state":"returned""#));
     let answer = client.enqueue("m4", "0", "salary", 1, b"x");
     let after = answer.strip_prefix("-BUSY ").and_then(|ms| ms.parse::<u64>().ok());
     assert!(after.is_some_and(|ms| ms > 0), "{answer}");
-    // The same id once more is the same message, which is pending already.
+    // A repeated request for a pending message is accepted, since it adds none.
     assert_eq!(client.enqueue("m1", "0", "salary", 1, b"x"), "+OK");
     calls.into_iter().for_each(|call| call.answer("200 OK", ""));
     environment.expect_no_call();
 }
 
-/// A timed-out call closes its connection before the next attempt is sent: with the earlier one still on an open
-/// connection there would be two at once.
+/// A timed-out call closes its connection before the next attempt is sent: on an open connection the endpoint could
+/// still process the earlier one, so that two would run at once.
 #[test]
 fn a_timed_out_call_is_closed_before_the_next_attempt() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -370,7 +377,8 @@
     environment.expect_nothing();
 }
 
-/// Silence of discovery is no empty list: delivery continues, and the watch is established again when it is back.
+/// A discovery that does not respond must not count as an empty endpoint list: delivery continues, and the watch is
+/// established again when discovery responds.
 #[test]
 fn delivery_continues_while_discovery_is_silent() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -387,8 +395,8 @@
     gateway.wait_for_log_line("endpoint list updated");
 }
 
-/// Endpoint lists may be indented, also on the watch, and arrive in pieces; one that breaks off is malformed, and the
-/// watch is established anew with the next line instead of waiting for the rest.
+/// Endpoint lists on the watch may be indented and arrive in pieces. One that breaks off at an empty line is malformed:
+/// the watch is established again instead of waiting for the rest.
 #[test]
 fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -409,7 +417,8 @@
     gateway.wait_for_log_line("endpoint watch failed");
 }
 
-/// A slow discovery is requested once: hanging up early would repeat the request while it is still being served.
+/// A slow discovery is requested once: a client that closes the connection too early repeats the request while
+/// discovery still serves it, and adds to its load.
 #[test]
 fn a_slow_discovery_is_requested_once() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -421,7 +430,7 @@
     assert_eq!(environment.watches(), 1);
 }
 
-/// A notification is sent until it is acknowledged.
+/// A notification without acknowledgement may have been lost, so that it is repeated.
 #[test]
 fn a_notification_is_sent_until_it_is_acknowledged() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -433,7 +442,7 @@
     assert_eq!(environment.notification(), failed);
     assert_eq!(environment.notification(), failed);
     environment.hold_notifications(false);
-    // Those behind it are sent once it is acknowledged.
+    // Notifications queued behind it are sent once it is acknowledged.
     assert_eq!(gateway.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
     loop {
         match environment.next_event() {
@@ -444,39 +453,40 @@
     }
 }
 
-/// A connection to the agent may fall silent while the agent itself responds: a final outcome has 300 ms from its
-/// message's deadline on, so that the notification is resent early on another connection, with those queued behind it.
+/// A connection to the agent may stop responding while the agent itself responds on others. A final outcome has to be
+/// notified within 300 ms of its message's deadline, so that the notification is resent early on another connection,
+/// together with those queued behind it.
 #[test]
-fn a_notification_on_a_connection_that_fell_silent_is_resent_in_time() {
+fn a_notification_on_an_unresponsive_connection_is_resent_in_time() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for id in ["n1", "n2", "n3"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        out.push(environment.call());
+        in_flight.push(environment.call());
     }
     let failed = |id: &str| format!(r#"{{"id":"{id}","state":"failed"}}"#);
-    out.remove(0).reset();
+    in_flight.remove(0).reset();
     assert_eq!(environment.notification(), failed("n1"));
     environment.lose_notifications(1);
-    let begun = Instant::now();
-    out.into_iter().for_each(Call::reset);
+    let reset_at = Instant::now();
+    in_flight.into_iter().for_each(Call::reset);
     let mut notified = [environment.notification(), environment.notification()];
-    assert!(begun.elapsed() < Duration::from_millis(500), "after {:?}", begun.elapsed());
+    assert!(reset_at.elapsed() < Duration::from_millis(500), "after {:?}", reset_at.elapsed());
     notified.sort();
     assert_eq!(notified, ["n2", "n3"].map(failed));
     environment.expect_nothing();
 }
 
-/// A long journal is compacted again and again: it stays within the disk's limit, and keeps pending messages.
+/// A journal that is compacted many times stays within the disk limit and keeps pending messages.
 #[test]
 fn a_long_journal_is_compacted() {
     let environment = TestEnvironment::with_long_deadlines(1, 0.1);
     let gateway = environment.start();
     let mut client = gateway.client();
     assert_eq!(client.enqueue("kept", "0", "salary", 1, b"x"), "+OK");
-    let _open = environment.call();
+    let _in_flight = environment.call();
     let body = vec![b'x'; 2000];
     for number in 0..150 {
         assert_eq!(client.enqueue(&format!("l{number}"), "0", "salary", 1, &body), "+OK");
@@ -488,7 +498,7 @@
     drop(gateway);
 }
 
-/// An idle connection that the endpoint has closed is not reused: a call on it would be lost.
+/// A call on an idle connection that the endpoint has closed would be lost.
 #[test]
 fn a_closed_connection_is_not_reused() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -503,14 +513,15 @@
     environment.expect_nothing();
 }
 
-/// A call whose connection is established only after a Retry-After, or while draining, must not be sent on it.
+/// A call may still be connecting when a Retry-After arrives or draining begins. It must not be sent once its
+/// connection is established.
 #[test]
 fn calls_still_connecting_are_withdrawn_on_a_retry_after() {
     let mut environment = TestEnvironment::new(2, 3.0);
     let hanging = environment.hang_connections(0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // Of two messages one goes to each endpoint, as each has the fewest calls in flight in its turn.
+    // One message goes to each endpoint, since the endpoint without a call in flight is chosen.
     for id in ["v1", "v2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
@@ -527,41 +538,47 @@
     }
 }
 
-/// A retry whose connection is established only after its idempotency window has passed must not be sent on it.
+/// A retry may still be connecting when its idempotency window ends. It must not be sent once its connection is
+/// established, as the endpoint may no longer recognize the repetition.
 #[test]
 fn a_retry_still_connecting_at_the_end_of_its_window_is_not_sent() {
     let mut environment = TestEnvironment::new(2, 3.0);
     let hanging = environment.hang_connections(0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // One goes to each endpoint. The one that responds is disabled then, so that the retry has to go to the other one.
+    // One message goes to each endpoint. The endpoint that responds is then disabled, so that the retry has to go to
+    // the other one.
     for id in ["w1", "w2"] {
         assert_eq!(client.enqueue(id, &id[1..], "brief,k=w", 1, b"x"), "+OK");
     }
     let failed = environment.call();
     assert_eq!(failed.endpoint, 1);
     assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-1"), 200);
-    let (id, sent) = (failed.id.clone(), Instant::now());
+    let (id, answered_at) = (failed.id.clone(), Instant::now());
     failed.answer("500 No", "");
     assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
-    assert!(sent.elapsed() < Duration::from_secs(4), "its connection was waited for: {:?}", sent.elapsed());
+    assert!(
+        answered_at.elapsed() < Duration::from_secs(4),
+        "the failure waited for the connection: {:?}",
+        answered_at.elapsed()
+    );
     environment.release(hanging);
     let other = environment.call();
-    assert_ne!(other.id, id, "it was sent after its window");
+    assert_ne!(other.id, id, "it was sent after its idempotency window");
     other.answer("200 OK", "");
     environment.expect_nothing();
 }
 
-/// A call that several messages share may connect for as long as one of them has time; a message that expires meanwhile
-/// has had its final outcome by then and must not be sent.
+/// A call that several messages share may go on connecting until the last of their deadlines. A message that expires
+/// meanwhile gets its final outcome and must not be sent with the others.
 #[test]
 fn a_message_that_expires_while_its_shared_call_connects_is_not_sent() {
     let mut environment = TestEnvironment::new(1, 3.0);
-    environment.batch = 4;
+    environment.max_batch_size = 4;
     let hanging = environment.hang_connections(0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // Both wait for the endpoint, so that they share a call.
+    // Both messages wait for the disabled endpoint, so that they share a call.
     assert_eq!(gateway.admin_request("POST /_endpoints/detach?id=s-0"), 200);
     for (id, left) in [("short", 2000), ("long", 20_000)] {
         let fields = format!("c=salary,d={left},dest=1");
@@ -582,8 +599,8 @@
     environment.expect_nothing();
 }
 
-/// Idle connections are kept at each endpoint, also where there are more endpoints than call slots: with only as many
-/// as slots, each call would evict a connection that is soon needed again.
+/// Idle connections are kept at each endpoint, also where there are more endpoints than call slots. If only as many as
+/// slots were kept, each call would evict a connection that is needed again soon.
 #[test]
 fn idle_connections_are_kept_at_more_endpoints_than_slots() {
     let mut environment = TestEnvironment::with_long_deadlines(6, 3.0);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! The handover from one process to the next: what is handed over, and what holds when either dies midway.
+//! The handover from one process to the next: which state is handed over, and which guarantees hold when either process
+//! dies during it.
 
 mod environment;
 
@@ -6,27 +7,30 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-const SOON: Duration = Duration::from_secs(10);
+/// Limits how long a predecessor may take to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Clients, the queue behind the listener and in-flight calls are not interrupted, handover after handover.
+/// Clients, connections in the listener's accept queue and in-flight calls are not interrupted, also not by the next
+/// handover of a process that took over itself.
 #[test]
 fn repeated_handovers_interrupt_no_client_and_no_call() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
     let mut predecessor = environment.start();
-    let (mut idle, mut half) = (predecessor.client(), predecessor.client());
+    let (mut idle, mut partial) = (predecessor.client(), predecessor.client());
     assert_eq!(idle.request(&["PING"]), "+PONG");
     for round in 0..3 {
         let id = |name: &str| format!("{name}{round}");
-        // Two of one ordering key: the second waits for the first, which is in flight during the handover.
+        // Two messages of one ordering key: the second waits for the first, which is in flight during the handover.
         assert_eq!(idle.enqueue(&id("first"), "9", "notice,k=a", 1, b"1"), "+OK");
         let in_flight = environment.call();
-        // Connections are closed after 2 s between two requests, and after 1 s within one: nothing slow comes between.
-        assert_eq!(half.request(&["PING"]), "+PONG");
+        // Connections are closed after 2 s between two requests and after 1 s within one, so that nothing slow may come
+        // in between.
+        assert_eq!(partial.request(&["PING"]), "+PONG");
         assert_eq!(idle.enqueue(&id("second"), "9", "notice,k=b", 1, b"2"), "+OK");
-        half.send(b"*1\r\n$4\r\nPI");
+        partial.send(b"*1\r\n$4\r\nPI");
         let successor = environment.start();
-        half.send(b"NG\r\n");
-        assert_eq!(half.read_line(), "+PONG");
+        partial.send(b"NG\r\n");
+        assert_eq!(partial.read_line(), "+PONG");
         assert_eq!(idle.enqueue(&id("third"), "0", "salary", 1, b"3"), "+OK");
         assert_eq!(
             (successor.admin_request("GET /_ready"), predecessor.admin_request("GET /_ready")),
@@ -42,15 +46,15 @@
         let second = environment.call();
         assert_eq!(second.id, id("second"));
         second.answer("200 OK", "");
-        assert!(predecessor.wait(SOON).success());
+        assert!(predecessor.wait(EXIT_TIMEOUT).success());
         predecessor = successor;
-        (idle, half) = (predecessor.client(), predecessor.client());
+        (idle, partial) = (predecessor.client(), predecessor.client());
     }
     environment.expect_nothing();
 }
 
-/// A Retry-After binds the successor too, as does a disabled endpoint; the predecessor's admin endpoint passes requests
-/// on.
+/// Retry-After delays and disabled endpoints apply in the successor too. The predecessor's admin endpoint forwards
+/// requests to it.
 #[test]
 fn retry_after_delays_and_disabled_endpoints_are_handed_over() {
     let mut environment = TestEnvironment::with_long_deadlines(2, 3.0);
@@ -73,9 +77,9 @@
     drop(successor);
 }
 
-/// A lame duck stays one.
+/// Operators have taken a lame duck out of service, so that its successor must not accept clients again.
 #[test]
-fn a_lame_duck_stays_lame() {
+fn lame_duck_mode_is_handed_over() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
     let predecessor = environment.start();
     assert_eq!(predecessor.admin_request("POST /_lameduck/on"), 200);
@@ -85,8 +89,8 @@
     assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
-/// The successor cancels calls that the predecessor has in flight: to disable an endpoint withdraws one that is still
-/// connecting.
+/// The predecessor still has the connections of its calls, so that the successor has to cancel them through it. The
+/// cancelled call is one that is still connecting to an endpoint that is being disabled.
 #[test]
 fn the_successor_cancels_calls_of_the_predecessor() {
     let mut environment = TestEnvironment::new(2, 3.0);
@@ -109,8 +113,8 @@
     environment.expect_nothing();
 }
 
-/// If the predecessor is killed midway, its calls may have run: those that are not idempotent have failed, and the
-/// others are retried, and only then.
+/// If the predecessor is killed while it finishes its calls, they may have run. Their non-idempotent messages fail and
+/// the others are retried, but not before the predecessor has ended.
 #[test]
 fn in_flight_calls_of_a_killed_predecessor_count_as_uncertain() {
     let environment = TestEnvironment::with_long_deadlines(2, 3.0);
@@ -137,21 +141,23 @@
     assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
-/// When it exits, the predecessor drops calls that are still in flight, and the successor learns of it.
+/// The predecessor drops calls that are still in flight when it exits. The successor is notified that their outcomes
+/// are unknown, so that their messages do not stay pending.
 #[test]
-fn calls_beyond_the_predecessors_exit_are_dropped() {
+fn calls_in_flight_at_the_predecessors_exit_are_dropped() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
     let mut predecessor = environment.start();
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     let in_flight = environment.call();
     let _successor = environment.start();
     predecessor.send_sigterm();
-    assert!(predecessor.wait(SOON).success());
+    assert!(predecessor.wait(EXIT_TIMEOUT).success());
     assert!(in_flight.is_closed());
     assert_eq!(environment.notification(), r#"{"id":"u1","state":"failed"}"#);
 }
 
-/// If the successor dies before it has done anything, the predecessor continues where it was, with its calls in flight.
+/// If the successor dies before it has written to the journal, the predecessor resumes service with its own state and
+/// its calls in flight.
 #[test]
 fn the_predecessor_continues_if_the_successor_dies_at_once() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -170,11 +176,12 @@
     assert_eq!(predecessor.admin_request("GET /_ready"), 200);
     assert_eq!(predecessor.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
-    // It can be replaced as before.
+    // A later handover is possible.
     assert_eq!(environment.start().client().request(&["PING"]), "+PONG");
 }
 
-/// If it dies later, the journal holds what it has done; no message has two calls in flight.
+/// If the successor dies after it has written to the journal, the predecessor recovers the state from there. It drops
+/// its own calls before it retries them, so that no message has two calls in flight.
 #[test]
 fn the_predecessor_recovers_from_the_journal_of_a_dead_successor() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -193,7 +200,7 @@
     while notifications.is_empty() || order.len() < 2 {
         match environment.next_event() {
             StubEvent::Call(call) => {
-                // Its first call is dropped before it is retried.
+                // The predecessor drops the first call of k1 before it retries it.
                 assert!(first.is_closed());
                 order.push(call.id.clone());
                 call.answer("200 OK", "");
@@ -207,8 +214,8 @@
     environment.expect_nothing();
 }
 
-/// A successor of another fingerprint continues from the journal: calls finish first; clients, Retry-After delays and
-/// disabled endpoints are handed over.
+/// A successor with another fingerprint cannot decode the predecessor's state and continues from the journal. Calls in
+/// flight finish first; clients, Retry-After delays and disabled endpoints are handed over.
 #[test]
 fn a_successor_of_another_build_continues_from_the_journal() {
     let mut environment = TestEnvironment::with_long_deadlines(3, 3.0);
@@ -224,7 +231,7 @@
     environment.zone.set("elsewhere");
     let successor = environment.start_beside();
     predecessor.wait_for_log_line("finishing calls before the handover");
-    // It accepts messages as before, and starts no call.
+    // The predecessor still accepts messages, but starts no call.
     assert_eq!(client.enqueue("k2", "9", "notice,k=b", 1, b"2"), "+OK");
     assert_eq!(client.enqueue("u3", "0", "salary", 3, b"3"), "+OK");
     assert_eq!(client.enqueue("w2", "0", "salary", 2, b"x"), "+OK");
@@ -235,7 +242,7 @@
         (200, 503)
     );
     predecessor.send_sigterm();
-    assert!(predecessor.wait(SOON).success());
+    assert!(predecessor.wait(EXIT_TIMEOUT).success());
     let second = environment.call();
     assert_eq!(second.id, "k2");
     second.answer("200 OK", "");
@@ -248,7 +255,7 @@
     environment.expect_nothing();
 }
 
-/// A call that takes too long to finish is dropped before the successor continues.
+/// A call that does not finish in time is dropped, since it would delay the successor, which starts without it.
 #[test]
 fn an_unresponsive_call_does_not_delay_a_successor_of_another_build() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -262,22 +269,23 @@
     assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
-/// The owner's lock may be free a moment before its address is: the next process waits for it.
+/// The previous process may release its lock a moment before its address, so that the next process waits for the
+/// address.
 #[test]
 fn an_address_that_is_still_in_use_is_waited_for() {
     let environment = TestEnvironment::new(1, 3.0);
-    let before = TcpListener::bind("127.0.0.1:0").unwrap();
-    environment.listen.set(before.local_addr().unwrap());
+    let previous = TcpListener::bind("127.0.0.1:0").unwrap();
+    environment.listen.set(previous.local_addr().unwrap());
     let gateway = environment.start_beside();
     gateway.wait_for_log_line("address still in use");
     assert_eq!(gateway.admin_request("GET /_ready"), 503);
-    drop(before);
+    drop(previous);
     let gateway = gateway.listening();
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     assert_eq!(gateway.admin_request("GET /_ready"), 200);
 }
 
-/// Where no Unix socket can be bound the gateway logs it and serves.
+/// A gateway that cannot bind its Unix socket logs that no handover is possible, and serves nevertheless.
 #[test]
 fn without_unix_sockets_the_gateway_serves() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -290,7 +298,7 @@
     assert_eq!(environment.call().id, "one");
 }
 
-/// A gateway that could not listen for a successor at first does so as soon as it can.
+/// A gateway that could not bind its Unix socket at the start retries, so that a later handover is possible.
 #[test]
 fn a_handover_is_possible_as_soon_as_its_socket_can_be_bound() {
     let environment = TestEnvironment::new(1, 3.0);
--- a/tests/handover_fingerprint.rs
+++ b/tests/handover_fingerprint.rs
@@ -1,4 +1,5 @@
-//! The fingerprint of handed-over state covers every file that says what such state looks like.
+//! The fingerprint of handed-over state covers every source file that defines its types or their meaning. A file that
+//! is missing from the list would let two builds exchange state that they encode or interpret differently.
 
 #[path = "../src/bin/delivery-gateway/handover/fingerprint.rs"]
 mod fingerprint;
@@ -10,22 +11,23 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The type that the predecessor encodes and the successor decodes.
+/// The name of the type that the predecessor encodes and the successor decodes.
 const SNAPSHOT: &str = "HandoverSnapshot";
-/// Every file in these says what the state means.
+/// The folders in which every file decides on the meaning of the state.
 const STATE_FOLDERS: [&str; 2] = ["src/scheduler", "src/model"];
-/// Translates the snapshot's times.
+/// The file that translates the times in the snapshot.
 const CLOCK: &str = "src/bin/delivery-gateway/clock.rs";
 const PROGRAMS: &str = "src/bin/";
-/// No part of the gateway.
+/// The programs that are no part of the gateway.
 const OTHER_PROGRAMS: [&str; 2] = ["src/bin/simulator-adapter", "src/bin/testbed"];
+/// Names the list in failure messages.
 const LIST: &str = "STATE_SOURCES in src/bin/delivery-gateway/handover/fingerprint.rs";
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All Rust files of a folder but its tests, from the package's root.
+/// Returns all Rust files of a folder except for its tests, as paths from the package's root.
 fn rust_files(folder: &str) -> BTreeSet<String> {
     let mut files = BTreeSet::new();
     for entry in fs::read_dir(root().join(folder)).unwrap() {
@@ -42,31 +44,31 @@
     files
 }
 
-fn listed() -> BTreeSet<String> {
+fn listed_paths() -> BTreeSet<String> {
     STATE_SOURCES.iter().map(|source| source.path.to_owned()).collect()
 }
 
-/// The files of the gateway that are no tests.
+/// Returns the paths and texts of the gateway's source files, without tests.
 fn gateway_sources() -> BTreeMap<String, String> {
     let is_of_gateway = |path: &String| !OTHER_PROGRAMS.iter().any(|program| path.starts_with(program));
     let files = rust_files("src").into_iter().filter(is_of_gateway);
     files.map(|path| (path.clone(), fs::read_to_string(root().join(path)).unwrap())).collect()
 }
 
-/// Words of a text, but for comments.
+/// Returns the identifiers and keywords of a text, without those in comments.
 fn words(text: &str) -> Vec<&str> {
     let code = text.lines().map(|line| line.split("//").next().unwrap_or_default());
     let is_word = |c: char| c.is_alphanumeric() || c == '_';
     code.flat_map(|line| line.split(move |c| !is_word(c))).filter(|word| !word.is_empty()).collect()
 }
 
-/// A type, and the text of its definition.
+/// The name of a type and the text of its definition.
 struct Definition {
     name: String,
     text: String,
 }
 
-/// The types that a file defines, those of a list of ids in a macro included.
+/// Returns the types that a file defines, including the ids that it lists in a macro.
 fn definitions(source: &str) -> Vec<Definition> {
     let lines: Vec<&str> = source.lines().collect();
     let mut definitions = Vec::new();
@@ -84,14 +86,15 @@
     definitions
 }
 
-/// The name of the type whose definition starts with these words.
+/// Returns the name of the type whose definition starts with these words, or None if they start no definition.
 fn defined_type<'a>(words: &[&'a str]) -> Option<&'a str> {
     let kind = words.iter().position(|word| ["struct", "enum", "type", "union"].contains(word))?;
     let is_visibility = |word: &&str| ["pub", "crate", "super"].contains(word);
     words[..kind].iter().all(is_visibility).then(|| words.get(kind + 1).copied()).flatten()
 }
 
-/// A definition from its first line to its end: a bracket that closes at the indentation of the first.
+/// Returns a definition from its first line to its end, which is a closing bracket or semicolon at the indentation of
+/// the first line.
 fn definition_text(lines: &[&str]) -> String {
     let first = lines[0];
     if first.trim_end().ends_with([';', '}']) {
@@ -104,25 +107,25 @@
     lines[..end].join("\n")
 }
 
-/// Where a type is looked for that a file names.
+/// Returns whether a type that the file `user` names may be defined in the file `path`.
 fn is_visible_from(user: &str, path: &str) -> bool {
-    // The library's types are made of none of the program's.
+    // Types of the library contain no types of the program.
     user.starts_with(PROGRAMS) || !path.starts_with(PROGRAMS)
 }
 
-/// The files that define a type and all types that it is made of, with the names of those.
+/// Returns the files that define a type and all types that it contains, with the names of these types.
 fn files_of_type(name: &str, sources: &BTreeMap<String, String>) -> BTreeMap<String, BTreeSet<String>> {
     let defined: BTreeMap<&str, Vec<Definition>> =
         sources.iter().map(|(path, text)| (path.as_str(), definitions(text))).collect();
     let mut files: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-    let mut seen = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     let mut unresolved = vec![(PROGRAMS.to_owned(), name.to_owned())];
     while let Some((user, name)) = unresolved.pop() {
-        if !seen.insert((user.clone(), name.clone())) {
+        if !visited.insert((user.clone(), name.clone())) {
             continue;
         }
         let defines = |path: &str| defined[path].iter().any(|definition| definition.name == name);
-        // A file's own type hides others of its name.
+        // A type of the file itself shadows others of the same name.
         let candidates: Vec<&str> = if defined.contains_key(user.as_str()) && defines(&user) {
             vec![user.as_str()]
         } else {
@@ -157,8 +160,12 @@
 fn every_file_of_the_scheduler_and_the_model_is_listed() {
     for folder in STATE_FOLDERS {
         let files = rust_files(folder);
-        assert!(files.len() > 2, "{folder} has {} files: has it moved?", files.len());
-        let missing: Vec<_> = files.difference(&listed()).cloned().collect();
+        assert!(
+            files.len() > 2,
+            "{folder} has only {} files; update STATE_FOLDERS if it was moved",
+            files.len()
+        );
+        let missing: Vec<_> = files.difference(&listed_paths()).cloned().collect();
         assert!(missing.is_empty(), "{LIST} lacks {missing:?}");
     }
 }
@@ -167,27 +174,28 @@
 fn every_file_that_defines_a_type_of_the_snapshot_is_listed() {
     let files = files_of_type(SNAPSHOT, &gateway_sources());
     let types: BTreeSet<&str> = files.values().flatten().map(String::as_str).collect();
-    // What the snapshot surely holds: the search has come so far.
+    // The snapshot contains these types: the search is incomplete if it has not reached them.
     for name in
         [SNAPSHOT, "Scheduler", "ClockReading", "EndpointIdTable", "InFlightCall", "MessageId", "EndpointId"]
     {
         assert!(types.contains(name), "{name} was not found in {SNAPSHOT}");
     }
-    let listed = listed();
+    let listed = listed_paths();
     let missing: BTreeMap<_, _> = files.iter().filter(|(path, _)| !listed.contains(*path)).collect();
     assert!(missing.is_empty(), "{LIST} lacks files of the snapshot's types: {missing:?}");
     assert!(listed.contains(CLOCK), "{LIST} lacks {CLOCK}");
 }
 
-/// A file that says nothing of the state any more would keep builds apart that could share it.
+/// A listed file that no longer affects the state would give builds different fingerprints although they could hand
+/// over their state.
 #[test]
 fn no_other_file_is_listed() {
     let mut expected: BTreeSet<String> = files_of_type(SNAPSHOT, &gateway_sources()).into_keys().collect();
     expected.extend(STATE_FOLDERS.iter().flat_map(|folder| rust_files(folder)));
     expected.insert(CLOCK.to_owned());
-    let superfluous: Vec<_> = listed().difference(&expected).cloned().collect();
-    assert!(superfluous.is_empty(), "{LIST} names files that say nothing of the state: {superfluous:?}");
-    assert_eq!(STATE_SOURCES.len(), listed().len(), "{LIST} names a file twice");
+    let superfluous: Vec<_> = listed_paths().difference(&expected).cloned().collect();
+    assert!(superfluous.is_empty(), "{LIST} names files that do not affect the state: {superfluous:?}");
+    assert_eq!(STATE_SOURCES.len(), listed_paths().len(), "{LIST} names a file twice");
 }
 
 #[test]
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -1,4 +1,4 @@
-//! The journal's records: those that other builds have written, long lists, torn tails and compaction.
+//! The journal's records: those of other builds, lists that are longer than one record, torn tails and compaction.
 
 mod environment;
 #[path = "../src/bin/delivery-gateway/journal/mod.rs"]
@@ -14,10 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// A journal that was written while destinations had 16 bits: compacted once, then appended to. Messages of
-/// destinations 1, 300 and 65535 are pending, with deadlines decades away. The first of 1 and of 300 were in flight;
-/// the second ones waited behind them, in order. The circuit of 65535 is open, 40000 is not listed any more, and all
-/// else drains.
+/// A journal of a build in which destinations had 16 bits, compacted once and then appended to. Two messages are
+/// pending for each of the destinations 1, 300 and 65535, with deadlines decades away. The first ones of 1 and of 300
+/// were in flight, and the second ones waited behind them under the same ordering key. The circuit of 65535 is open,
+/// destination 40000 is no longer listed, and all endpoints are draining.
 const JOURNAL_WITH_16_BIT_DESTINATIONS: &[&[u8]] = &[
     // Endpoints
     b"\xa3\x00\x00\x00\x9d\xb3\xdd\xc3\x06\x02\x01\x03\x03s-0\x0f127.0.0.1:39731\x08kingston\x05banks\
@@ -74,7 +74,8 @@
       \x03\x08DRAINING\x00\x00\x00\x00\x00@\x8f@",
 ];
 
-/// Each message goes to its destination, and each destination is as it was.
+/// A build with wider destinations could misread the records of an older one. Each message has to go to its
+/// destination, and destinations, endpoints and the open circuit have to be as they were.
 #[test]
 fn a_journal_of_16_bit_destinations_is_read() {
     let mut environment = TestEnvironment::with_long_deadlines(3, 3.0);
@@ -87,25 +88,27 @@
     assert_eq!(client.enqueue("unlisted", "0", "salary", 40000, b"x"), "+OK");
     assert!(client.enqueue("unknown", "0", "salary", 40001, b"x").starts_with("-ERR "));
     environment.announce_all(3);
-    // A line for the circuit would come before this one, had it been closed.
+    // If the circuit had been closed, its log line would precede this one.
     gateway.wait_for_log_line("endpoint list updated revision=3");
     assert!(!gateway.has_logged("open circuits changed"));
-    // An attempt that was in flight may have run: it is retried inside its idempotency window alone.
-    let had_attempt = BTreeMap::from([("low-1", 0), ("mid-1", 1)]);
-    let had_none = BTreeMap::from([("low-2", 0), ("mid-2", 1), ("out-1", 2), ("out-2", 2)]);
-    let mut left: BTreeSet<&str> = had_none.keys().copied().collect();
-    while !left.is_empty() {
+    // An attempt that was in flight may have run. Its message is retried only within its idempotency window.
+    let in_flight_messages = BTreeMap::from([("low-1", 0), ("mid-1", 1)]);
+    let unattempted_messages = BTreeMap::from([("low-2", 0), ("mid-2", 1), ("out-1", 2), ("out-2", 2)]);
+    let mut undelivered: BTreeSet<&str> = unattempted_messages.keys().copied().collect();
+    while !undelivered.is_empty() {
         let call = environment.call_among_notifications();
-        let to = had_none.get(call.id.as_str()).or(had_attempt.get(call.id.as_str()));
-        assert_eq!(to, Some(&call.endpoint), "{}", call.id);
+        let expected_endpoint =
+            unattempted_messages.get(call.id.as_str()).or(in_flight_messages.get(call.id.as_str()));
+        assert_eq!(expected_endpoint, Some(&call.endpoint), "{}", call.id);
         assert_eq!(call.body, call.id.replace('-', " ").as_bytes());
-        left.remove(call.id.as_str());
+        undelivered.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
     gateway.wait_for_log_line("open circuits changed before=1 after=0");
 }
 
-/// Destinations that differ only in the bits above the lowest 16 are kept apart, over compaction and a kill.
+/// Destinations that differ only above their lowest 16 bits would be mixed up if a record or a compaction truncated
+/// them.
 #[test]
 fn destinations_have_32_bits() {
     const WIDE: u32 = 70_000;
@@ -124,7 +127,7 @@
     enqueue(&mut client, "most-2", "2", u32::MAX);
     let mut size = 0;
     for round in 0.. {
-        assert!(round < 100, "the journal is never compacted");
+        assert!(round < 100, "the journal was not compacted");
         let before = std::mem::replace(&mut size, environment.journal().len());
         if size < before {
             break;
@@ -139,14 +142,14 @@
     }
     let gateway = gateway.kill_and_restart();
     drop(in_flight);
-    let to = BTreeMap::from([("wide-1", 0), ("wide-2", 0), ("most-1", 2), ("most-2", 2)]);
-    let mut seen = BTreeSet::new();
-    while seen.len() < to.len() {
+    let endpoints = BTreeMap::from([("wide-1", 0), ("wide-2", 0), ("most-1", 2), ("most-2", 2)]);
+    let mut sent = BTreeSet::new();
+    while sent.len() < endpoints.len() {
         let call = environment.call_among_notifications();
-        // The last one of those that filled the journal may have been in flight.
+        // The last message that filled the journal may have been in flight at the kill.
         if !call.id.starts_with("fill-") {
-            assert_eq!(to.get(call.id.as_str()), Some(&call.endpoint), "{}", call.id);
-            seen.insert(call.id.clone());
+            assert_eq!(endpoints.get(call.id.as_str()), Some(&call.endpoint), "{}", call.id);
+            sent.insert(call.id.clone());
         }
         call.answer("200 OK", "");
     }
@@ -154,7 +157,7 @@
     assert_eq!(environment.call_among_notifications().endpoint, 2);
 }
 
-/// A state folder with a journal alone; it is removed at the end.
+/// A state folder that holds only a journal. It is removed when dropped.
 struct StateFolder(PathBuf);
 
 impl StateFolder {
@@ -164,8 +167,8 @@
         StateFolder(path)
     }
 
-    fn journal(&self, disk: u64) -> Journal {
-        Journal::open(&self.0, disk).unwrap()
+    fn journal(&self, disk_bytes: u64) -> Journal {
+        Journal::open(&self.0, disk_bytes).unwrap()
     }
 
     fn bytes(&self) -> Vec<u8> {
@@ -200,8 +203,8 @@
     );
 }
 
-/// Circuits that change one by one are read as they were, over kills and compactions. A tail that is torn anywhere
-/// loses no more than the last change.
+/// A circuit record could be lost or revert to an earlier one in a kill, a compaction or a torn write. A tail that is
+/// torn at any byte loses only the last change.
 #[test]
 fn circuit_changes_survive_kills_compactions_and_torn_tails() {
     let folder = StateFolder::new("circuits");
@@ -227,11 +230,11 @@
             journal.record_circuits(&[change]).unwrap();
             assert_circuits(&journal, &expected);
             let now = folder.bytes();
-            let grown = now.starts_with(&before.0);
-            compacted += u32::from(!grown);
+            let is_appended = now.starts_with(&before.0);
+            compacted += u32::from(!is_appended);
             if rng.u32(..20) == 0 {
                 drop(journal);
-                if grown && rng.bool() {
+                if is_appended && rng.bool() {
                     let torn = rng.usize(before.0.len()..now.len());
                     std::fs::write(folder.0.join("journal"), &now[..torn]).unwrap();
                     expected = before.1;
@@ -244,7 +247,7 @@
     assert!(compacted > 0);
 }
 
-/// Circuits of more destinations than one record can hold outlast a compaction.
+/// A compaction writes all circuits anew. More of them than fit one record have to be split, or they would be lost.
 #[test]
 fn any_number_of_circuits_is_compacted() {
     const COUNT: u32 = 70_000;
@@ -271,7 +274,8 @@
     assert_circuits(&folder.journal(DISK), &expected);
 }
 
-/// A circuit that opened since the start is open for the next process: it sends one probe at a time.
+/// A circuit that opened after the start is still open in the next process, which sends one probe at a time instead of
+/// all messages to a failing destination.
 #[test]
 fn an_open_circuit_outlasts_a_kill() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -283,21 +287,21 @@
     (0..4).for_each(|_| environment.call().reset());
     gateway.wait_for_log_line("open circuits changed before=0 after=1");
     let gateway = gateway.kill_and_restart();
-    // A line for the circuit would come before the one for the operators, had it been closed.
+    // If the circuit had been closed, its log line would precede the one of the lame duck mode.
     assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     gateway.wait_for_log_line("lame duck mode switched");
     assert!(!gateway.has_logged("open circuits changed"));
     assert_eq!(gateway.admin_request("POST /_lameduck/off"), 200);
-    let mut left = BTreeSet::from(["a", "b", "c", "d"]);
-    while !left.is_empty() {
+    let mut undelivered = BTreeSet::from(["a", "b", "c", "d"]);
+    while !undelivered.is_empty() {
         let call = environment.call();
-        left.remove(call.id.as_str());
+        undelivered.remove(call.id.as_str());
         call.answer("200 OK", "");
     }
     gateway.wait_for_log_line("open circuits changed before=1 after=0");
 }
 
-/// Endpoints whose update would be too long for one record.
+/// Returns endpoints with long uids. With the counts used here their update is too long for one record.
 fn many_endpoints(revision: u64, count: u32) -> Vec<DiscoveredEndpoint> {
     let endpoint = |number| DiscoveredEndpoint {
         uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{revision}-{number}"),
@@ -319,7 +323,7 @@
     DiscoveryUpdate { revision, is_snapshot: false, endpoints: many_endpoints(revision, count) }
 }
 
-/// What a journal holds of the endpoint list.
+/// A summary of the endpoint list in a journal, for comparisons.
 #[derive(Clone, Debug, PartialEq)]
 struct EndpointList {
     revision: u64,
@@ -336,8 +340,8 @@
     }
 }
 
-/// An endpoint list that no record can hold is applied completely or not at all, wherever its tail is torn. What is
-/// left of it changes nothing that comes after it.
+/// An endpoint list that is too long for one record is written as several. If the tail is torn at any byte, the list is
+/// not applied, and what is left of its records affects nothing that is written later.
 #[test]
 fn an_endpoint_list_of_many_records_is_applied_completely_or_not_at_all() {
     const MANY: u32 = 50_000;
@@ -361,9 +365,9 @@
         let torn = rng.usize(small.len()..bytes.len());
         std::fs::write(folder.0.join("journal"), &bytes[..torn]).unwrap();
         assert_eq!(endpoint_list(&folder.journal(DISK)), before, "torn at {torn}");
-        // Either the same list once more, or a change of the one before.
-        let again = rng.bool();
-        if again {
+        // Either the same list is written again, or a change of the list before it.
+        let is_same_list = rng.bool();
+        if is_same_list {
             folder.journal(DISK).record_endpoints(long_snapshot(2, MANY)).unwrap();
             assert_eq!(endpoint_list(&folder.journal(DISK)), after, "torn at {torn}");
         } else {
@@ -374,16 +378,17 @@
     }
 }
 
-/// A long snapshot, a long delta and more destinations than a record holds outlast a compaction.
+/// A compaction writes the endpoint list and the destinations anew. A long snapshot, a long delta and the destinations
+/// are too long for one record here and have to be split, or they would be lost.
 #[test]
 fn a_long_endpoint_list_is_compacted() {
     const MANY: u32 = 50_000;
     const DISK: u64 = 50_000_000;
-    /// From here on, each takes four bytes.
-    const FAR: u32 = 1 << 21;
+    /// The smallest destination that takes four bytes in a record.
+    const FIRST_FOUR_BYTE_DESTINATION: u32 = 1 << 21;
     let folder = StateFolder::new("compacted-list");
     let mut journal = folder.journal(DISK);
-    journal.state.destinations.extend(FAR..FAR + (11 << 17));
+    journal.state.destinations.extend(FIRST_FOUR_BYTE_DESTINATION..FIRST_FOUR_BYTE_DESTINATION + (11 << 17));
     let mut size = 0;
     let mut revision = 0;
     while folder.bytes().len() >= size {
@@ -394,21 +399,21 @@
     }
     let expected = endpoint_list(&journal);
     assert_eq!((expected.revision, expected.count), (revision + 1, 2 * MANY as usize));
-    let again = folder.journal(DISK);
-    assert_eq!(endpoint_list(&again), expected);
-    assert!(again.state.endpoints.keys().eq(journal.state.endpoints.keys()));
-    assert_eq!(again.state.destinations, journal.state.destinations);
+    let reopened = folder.journal(DISK);
+    assert_eq!(endpoint_list(&reopened), expected);
+    assert!(reopened.state.endpoints.keys().eq(journal.state.endpoints.keys()));
+    assert_eq!(reopened.state.destinations, journal.state.destinations);
 }
 
-/// So many endpoints that their list fits no record, first from the configuration and then from the watch: after a kill
-/// all are still listed.
+/// An endpoint list that is too long for one record survives a kill, first when it comes from the configuration and
+/// then when it comes from the watch.
 #[test]
 fn an_endpoint_list_beyond_one_record_outlasts_a_kill() {
     const MANY: u32 = 80_000;
     let mut environment = TestEnvironment::with_long_deadlines(1, 60.0);
     environment.grow_to(MANY as usize);
     environment.destination_per_endpoint = true;
-    // One that stays in flight is pending when the process is killed.
+    // A message whose call stays in flight is pending when the process is killed.
     let send = |gateway: &RunningGateway, id: &str, destination| {
         assert_eq!(gateway.client().enqueue(id, "0", "salary", destination, b"x"), "+OK");
         let call = environment.call_among_notifications();
@@ -416,7 +421,7 @@
         call
     };
     let gateway = environment.start();
-    let _out = send(&gateway, "known", MANY);
+    let _in_flight = send(&gateway, "known", MANY);
     assert!(environment.journal().len() > 4 << 20);
     environment.listed_endpoints.set(1);
     let gateway = gateway.kill_and_restart();
@@ -424,7 +429,7 @@
     send(&gateway, "replayed", MANY - 1).answer("200 OK", "");
     environment.announce_all(2);
     gateway.wait_for_log_line("endpoint list updated revision=2 changed=80000");
-    let _out = send(&gateway, "watched", MANY - 2);
+    let _in_flight = send(&gateway, "watched", MANY - 2);
     let gateway = gateway.kill_and_restart();
     let replayed = gateway.wait_for_log_line("journal replayed");
     assert!(replayed.ends_with("revision=2"), "{replayed}");
@@ -432,8 +437,8 @@
     assert!(!gateway.has_logged("cannot be written"));
 }
 
-/// An attempt without an outcome in the journal may have run, also if another one was started after it: the idempotency
-/// window counts from the first.
+/// An attempt without an outcome in the journal may have run, also if a later attempt has an outcome. The idempotency
+/// window begins with the first uncertain attempt.
 #[test]
 fn an_attempt_without_an_outcome_counts_as_uncertain() {
     const DISK: u64 = 1 << 20;
@@ -466,10 +471,10 @@
     }
 }
 
-/// A gateway that has met no fault leaves a journal in which the build before finds only kinds of record that it reads:
-/// journal time is kept beside it.
+/// A rollback needs a journal that the previous build can read. Without faults a gateway writes only record kinds that
+/// the previous build has; journal time is kept in a file of its own.
 #[test]
-fn a_journal_without_faults_has_only_record_kinds_of_the_build_before() {
+fn a_journal_without_faults_has_only_record_kinds_of_the_previous_build() {
     const LAST_KNOWN_KIND: u8 = 12;
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
     let gateway = environment.start();
@@ -490,7 +495,8 @@
     assert!(records > 5 && at == journal.len(), "{records} records, {at} of {} bytes", journal.len());
 }
 
-/// An endpoint list that the disk has no room for keeps no message from being accepted, attempted and completed.
+/// An endpoint list that the disk has no room for must not prevent messages from being accepted, attempted and
+/// completed.
 #[test]
 fn an_endpoint_list_beyond_the_disk_blocks_no_message() {
     const DISK: u64 = 20_000;
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What a restart, outcomes that need an acknowledgement, and a shutdown ask of the scheduler.
+//! The scheduler's handling of restarts, of final outcomes that need an acknowledgement, and of shutdowns.
 
 mod common;
 
@@ -6,12 +6,15 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
+/// Creates a scheduler with one endpoint of destination 3 and a hold of 100 ms for ordering keys after a restart.
 fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> TestBench {
     let settings = Settings { outcomes_need_acknowledgement, ..settings(classes) };
     let limits = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
     TestBench::new(Settings { limits, ..settings }, vec![endpoint(11, 3)])
 }
 
+/// Returns a message of class 0 as the journal has it. `first_uncertain_attempt` is the time of the first attempt whose
+/// outcome is unknown, if there is one.
 fn restored(
     bench: &TestBench,
     id: u32,
@@ -52,7 +55,8 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
-/// The window begins with the first attempt, which the previous process made, and not with the restart.
+/// The idempotency window begins with the first attempt, which the previous process made. If it began with the restart,
+/// a message could be sent again after its window.
 #[test]
 fn an_idempotency_window_continues_from_the_first_attempt() {
     let mut bench = bench(vec![idempotent_with_key()], true);
@@ -78,8 +82,8 @@
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// Any ordering key may have had a call in flight when the previous process was killed: all are held back, those of new
-/// messages too.
+/// Any ordering key may have had a call in flight when the previous process was killed, so that the next call could run
+/// at the same time. All keys are held back, also those of new messages.
 #[test]
 fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
@@ -94,7 +98,7 @@
     assert!(sent.contains(&1) && sent.contains(&3) && !sent.contains(&2), "{sent:?}");
 }
 
-/// A final outcome that is not acknowledged keeps the ordering key of its message, over a restart too.
+/// A final outcome that is not acknowledged blocks the ordering key of its message, also after a restart.
 #[test]
 fn an_ordering_key_is_free_once_the_outcome_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
@@ -110,9 +114,10 @@
     assert_eq!(bench.start_attempts().len(), 1);
 }
 
-/// A circuit that was open before a restart stays open after it.
+/// Without its restored record, an open circuit would be closed after a restart, and all messages would be sent at
+/// once.
 #[test]
-fn an_open_circuit_is_remembered() {
+fn an_open_circuit_stays_open_after_a_restart() {
     let mut bench = bench(vec![idempotent()], true);
     (1..=3).for_each(|id| bench.accept(id, 0, 3, None));
     for StartedAttempt { message, endpoint, .. } in bench.start_attempts() {
@@ -125,7 +130,7 @@
     assert_eq!(bench.scheduler.circuit_records().count(), 0);
     circuit_records.iter().for_each(|record| bench.handle(Event::CircuitRestored(*record)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
-    // Without the record all ten would go at once.
+    // Without the restored record all ten would be sent at once.
     assert!(bench.start_attempts().len() <= 1);
     assert_eq!(
         bench.scheduler.circuit_records().next().map(|record| record.last_success_at),
@@ -133,7 +138,7 @@
     );
 }
 
-/// No call is started that would not be completed at the shutdown.
+/// A call that is started shortly before the shutdown would be cut off by it, with an unknown outcome.
 #[test]
 fn nothing_is_started_shortly_before_shutdown() {
     let mut bench = bench(vec![idempotent_with_key()], true);
@@ -145,7 +150,7 @@
     assert_eq!(bench.start_attempts(), []);
 }
 
-/// Exhausted attempts complete a message at once; it is rejected where none of them ran.
+/// A message with exhausted attempts gets its final outcome at once. It is rejected, since no attempt ran.
 #[test]
 fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
     let mut bench = bench(vec![non_idempotent()], true);
