--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Responses that are malformed or longer than announced, and endpoints that are added and removed, over loopback
-//! sockets.
+//! Endpoints' responses that are malformed or longer than announced, and endpoints that are added and removed, over
+//! loopback sockets.
 
 mod environment;
 
@@ -7,16 +7,17 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const EMPTY_OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A status line with 200 means delivered, whatever is wrong behind it; the connection is not reused.
+/// A status line with 200 means delivered, whatever is malformed after it. The connection is not reused, as the end of
+/// the response is unknown.
 #[test]
 fn a_status_line_with_200_delivers() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    let mut used = Vec::new();
-    for (number, answer) in [
+    let mut used_connections = Vec::new();
+    for (number, response) in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Noise: \u{1}\u{2}\r\n\r\n",
@@ -29,21 +30,21 @@
     {
         assert_eq!(client.enqueue(&format!("d{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
-        assert!(!used.contains(&call.gateway_address()), "after {answer}");
-        used.push(call.gateway_address());
-        call.answer_raw(answer.as_bytes());
+        assert!(!used_connections.contains(&call.gateway_address()), "after {response}");
+        used_connections.push(call.gateway_address());
+        call.answer_raw(response.as_bytes());
     }
     environment.expect_nothing();
 }
 
-/// A malformed response may have been processed: a non-idempotent message fails soon, and is not sent again. Only a
-/// complete response proves that a call was not processed.
+/// A call with a malformed response may have been processed, so that its non-idempotent message fails within 1 s and is
+/// not sent again. Only a complete response proves that a call was not processed.
 #[test]
 fn a_malformed_response_may_have_been_processed() {
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
     let endless = format!("HTTP/1.1 503 Busy\r\nX-Endless: {}", "x".repeat(100_000));
-    for (number, answer) in [
+    for (number, response) in [
         "\u{0}\u{7}noise\u{1}",
         "noise without any end of a line",
         &endless,
@@ -55,20 +56,25 @@
     {
         let id = format!("s{number}");
         assert_eq!(gateway.client().enqueue(&id, "0", "salary", 1, b"x"), "+OK");
-        // After the first ones the gateway waits before it sends the next.
+        // After the first failures the gateway delays the next call.
         let call = environment.call();
-        let begun = Instant::now();
-        call.answer_raw(answer.as_bytes());
+        let answered_at = Instant::now();
+        call.answer_raw(response.as_bytes());
         assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
-        assert!(begun.elapsed() < Duration::from_secs(1), "{:?} for {answer:.20}", begun.elapsed());
+        assert!(
+            answered_at.elapsed() < Duration::from_secs(1),
+            "{:?} for {response:.20}",
+            answered_at.elapsed()
+        );
     }
     environment.expect_no_call();
 }
 
-/// A new connection is rejected as one too many: its message is retried, and from then on each call closes the
-/// connection that it opened, as the endpoint could not accept others.
+/// An endpoint at its connection limit rejects a new connection with 503 and closes it. The message is retried, and
+/// from then on each call closes the connection that it opened, as an idle one would keep the endpoint from accepting
+/// others.
 #[test]
-fn no_connection_is_kept_where_there_are_too_many() {
+fn no_idle_connection_is_kept_at_an_endpoint_at_its_connection_limit() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
@@ -81,30 +87,31 @@
         let call = environment.call();
         assert_eq!(call.id, *id);
         let mut stream = call.stream();
-        call.answer_raw(WHOLE);
+        call.answer_raw(EMPTY_OK_RESPONSE);
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        assert_eq!(stream.read(&mut [0]).unwrap(), 0, "the connection of {id} is closed");
+        assert_eq!(stream.read(&mut [0]).unwrap(), 0, "the connection of {id} is not closed");
     }
     environment.expect_nothing();
 }
 
-/// A second response right behind one does not answer the next call, whether it arrives with the first one, ...
+/// A second response that arrives together with the first one must not be taken for the response to the next call.
 #[test]
 fn bytes_after_a_response_answer_no_call() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
-    let twice = [WHOLE, WHOLE].concat();
+    let two_responses = [EMPTY_OK_RESPONSE, EMPTY_OK_RESPONSE].concat();
     for number in 0..30 {
         assert_eq!(client.enqueue(&format!("b{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = environment.call();
         assert_eq!(call.id, format!("b{number}"));
-        call.answer_raw(&twice);
+        call.answer_raw(&two_responses);
     }
     environment.expect_nothing();
 }
 
-/// ... or while the next call is on its way: the gateway finds both at once.
+/// A second response that arrives while the next call is being sent must not answer that call either. The gateway is
+/// stopped meanwhile, so that it finds the response and the request for the next call at once.
 #[test]
 fn bytes_that_race_with_the_next_call_answer_no_call() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -116,11 +123,11 @@
         assert_eq!(call.id, format!("r{number}"));
         let mut stream = call.stream();
         call.answer("200 OK", "");
-        // Answered after the delivery is recorded, so that the connection is idle.
+        // PING is answered after the delivery is recorded, so that the connection is idle.
         assert_eq!(client.request(&["PING"]), "+PONG");
         gateway.while_stopped(|| {
             client.send_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
-            let _ = stream.write_all(WHOLE);
+            let _ = stream.write_all(EMPTY_OK_RESPONSE);
         });
         assert_eq!(client.read_line(), "+OK");
         let call = environment.call();
@@ -130,8 +137,8 @@
     environment.expect_nothing();
 }
 
-/// Bytes that arrive a moment after a response could not be told from the next response if the next call had been sent
-/// by then: a connection pauses for 5 ms before it is reused.
+/// Bytes that arrive shortly after a response could not be told from the next response if the next call had already
+/// been sent. A connection pauses for 5 ms before it is reused.
 #[test]
 fn a_connection_pauses_between_two_calls() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -140,19 +147,20 @@
     assert_eq!(client.enqueue("m0", "0", "salary", 1, b"x"), "+OK");
     let mut call = environment.call();
     for number in 1..10 {
-        let (connection, answered) = (call.gateway_address(), Instant::now());
+        let (connection, answered_at) = (call.gateway_address(), Instant::now());
         call.answer("200 OK", "");
-        // The connection is idle, or will be in a moment; only one that is reused has to pause.
+        // The connection is idle or about to be. Only a reused one has to pause.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
         call = environment.call();
-        let rested = answered.elapsed();
-        assert!(call.gateway_address() != connection || rested >= Duration::from_millis(5), "{rested:?}");
+        let pause = answered_at.elapsed();
+        assert!(call.gateway_address() != connection || pause >= Duration::from_millis(5), "{pause:?}");
     }
     call.answer("200 OK", "");
     environment.expect_nothing();
 }
 
-/// Interim responses are skipped, and the connection is kept; an endless series of them is no response.
+/// Interim responses must not be taken for the final one: they are skipped, and the connection is kept. An endless
+/// series of them counts as no response.
 #[test]
 fn interim_responses_are_skipped() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -162,7 +170,7 @@
     assert_eq!(client.enqueue("e1", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
     let connection = call.gateway_address();
-    call.answer_raw(&[hint.repeat(3).as_bytes(), WHOLE].concat());
+    call.answer_raw(&[hint.repeat(3).as_bytes(), EMPTY_OK_RESPONSE].concat());
     environment.expect_nothing();
     assert_eq!(client.enqueue("e2", "0", "salary", 1, b"x"), "+OK");
     let call = environment.call();
@@ -171,8 +179,8 @@
     assert_eq!(environment.notification(), r#"{"id":"e2","state":"failed"}"#);
 }
 
-/// Connections belong to an endpoint, not to its address: a new endpoint at the address of a removed one gets its own,
-/// and keeps them when the endpoint list changes again.
+/// Connections belong to an endpoint, not to its address. A new endpoint at the address of a removed one gets its own
+/// connections, and keeps them when the endpoint list changes again.
 #[test]
 fn a_reused_address_gets_connections_of_its_own() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -188,19 +196,20 @@
         environment.expect_nothing();
         connection
     };
-    let old = deliver("a1");
+    let old_connection = deliver("a1");
     environment.announce_replaced(0, 0, 1);
     gateway.wait_for_log_lines("endpoint list updated", 2);
-    let new = deliver("a2");
-    assert_ne!(new, old);
+    let new_connection = deliver("a2");
+    assert_ne!(new_connection, old_connection);
     environment.remove(1);
     gateway.wait_for_log_lines("endpoint list updated", 3);
-    assert_eq!(deliver("a3"), new);
+    assert_eq!(deliver("a3"), new_connection);
 }
 
-/// Removed endpoints are forgotten: ten thousand of them leave nothing behind.
+/// Endpoints that are replaced again and again would let the memory grow if removed ones were kept. Fifteen thousand
+/// replacements have to fit 1500 KiB.
 #[test]
-fn removed_endpoints_are_forgotten() {
+fn removed_endpoints_free_their_memory() {
     const TIMES: u32 = 1000;
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
@@ -211,13 +220,13 @@
         }
         gateway.resident_memory_kib()
     };
-    // The first rounds grow the buffers.
+    // The buffers grow in the first rounds.
     let before = replace(0..5);
     let after = replace(5..20);
     assert!(after < before + 1500, "{before} KiB before, {after} KiB after");
 }
 
-/// Many endpoints, few descriptors: idle connections are evicted, and the limit holds.
+/// With more endpoints than descriptors, idle connections are evicted instead of exceeding the limit.
 #[test]
 fn descriptors_stay_within_their_limit() {
     let mut environment = TestEnvironment::with_long_deadlines(40, 3.0);
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,8 +1,8 @@
-//! The modules of the library and of each program import one another in one direction only.
+//! The modules of the library and of each program have no import cycles.
 //!
-//! For each folder of modules, the imports between its children (and all that lies below them) form a graph without a
-//! circle. Imports from a child of what its parent defines, and from a parent of what its children define, are part
-//! of a module's own structure and do not count; what a parent merely re-exports counts as its child's.
+//! For each module, the imports between its child modules, with all modules below them, form an acyclic graph. Imports
+//! by a child of what its parent defines, and by a parent of what its children define, are part of a module's own
+//! structure and do not count. What a parent only re-exports counts as its child's.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -10,7 +10,7 @@
 
 type ModulePath = Vec<String>;
 
-/// The modules of one crate, by their paths; the root has the empty path.
+/// The code of the modules of one crate by their paths. The root has the empty path.
 struct Crate {
     modules: BTreeMap<ModulePath, String>,
 }
@@ -24,7 +24,8 @@
         Crate { modules }
     }
 
-    /// The module that a path of names, from the crate's root on, leads to, following re-exports.
+    /// Returns the module that defines the item at a path from the crate's root. Follows re-exports, up to 8 in a row;
+    /// `depth` is the number of re-exports followed so far.
     fn owner(&self, path: &[String], depth: usize) -> ModulePath {
         let length =
             (0..=path.len()).rev().find(|length| self.modules.contains_key(&path[..*length])).unwrap();
@@ -51,14 +52,14 @@
         module
     }
 
-    /// Imports between the children of each module: who imports whom.
+    /// Returns the imports between the children of each module, as pairs of the importing and the imported child.
     fn edges(&self) -> BTreeMap<ModulePath, BTreeSet<(String, String)>> {
         let mut edges: BTreeMap<ModulePath, BTreeSet<(String, String)>> = BTreeMap::new();
         for (module, code) in &self.modules {
             for path in imports(code).iter().chain(&inline_paths(code)) {
                 let Some(path) = absolute(module, path) else { continue };
                 let target = self.owner(&path, 0);
-                let shared = module.iter().zip(&target).take_while(|(one, other)| one == other).count();
+                let shared = module.iter().zip(&target).take_while(|(own, imported)| own == imported).count();
                 if let (Some(from), Some(to)) = (module.get(shared), target.get(shared)) {
                     let at = edges.entry(module[..shared].to_vec()).or_default();
                     at.insert((from.clone(), to.clone()));
@@ -75,13 +76,13 @@
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
         let module = [at.clone(), vec![name.clone()]].concat();
         if path.is_dir() {
-            // Programs are crates of their own.
+            // Programs are crates of their own: their folders have no mod.rs.
             if path.join("mod.rs").exists() {
                 modules.insert(module.clone(), code_of(&path.join("mod.rs")));
                 read_modules(&path, &module, root, modules);
             }
         } else if path != root && path.extension().is_some_and(|kind| kind == "rs") && name != "mod" {
-            // Tests beside a module may use all of it.
+            // Unit tests beside a module may use everything in it.
             if name != "tests" {
                 modules.insert(module, code_of(&path));
             }
@@ -89,7 +90,7 @@
     }
 }
 
-/// A file without comments and strings.
+/// Returns the text of a file without comments and strings.
 fn code_of(file: &Path) -> String {
     let text = fs::read_to_string(file).unwrap();
     let mut code = String::new();
@@ -116,7 +117,7 @@
     code
 }
 
-/// The paths of all `use` declarations, with their braces resolved.
+/// Returns the paths of all `use` declarations, with their braces expanded.
 fn imports(code: &str) -> Vec<ModulePath> {
     let mut found = Vec::new();
     for (at, _) in code.match_indices("use ") {
@@ -164,7 +165,7 @@
     path.split("::").map(|name| name.trim().to_owned()).filter(|name| !name.is_empty()).collect()
 }
 
-/// Paths outside of `use` declarations that begin at the crate or at a parent module.
+/// Returns the paths that begin with `crate` or `super`, also those outside of `use` declarations.
 fn inline_paths(code: &str) -> Vec<ModulePath> {
     let starts = ["crate::", "super::"].into_iter().flat_map(|start| code.match_indices(start));
     let path = |at: usize| {
@@ -174,7 +175,8 @@
     starts.map(|(at, _)| path(at)).collect()
 }
 
-/// A path from the crate's root on; none where it leads out of the crate or is relative to the module itself.
+/// Returns a path as one from the crate's root, or None if it leads out of the crate or is relative to the module
+/// itself.
 fn absolute(module: &[String], path: &[String]) -> Option<ModulePath> {
     let mut base = module.to_vec();
     let mut rest = path;
@@ -194,7 +196,7 @@
     Some([base, rest.to_vec()].concat())
 }
 
-/// Whether a module defines something of this name.
+/// Returns whether a module defines an item of this name.
 fn defines(code: &str, name: &str) -> bool {
     ["struct", "enum", "fn", "const", "type", "trait", "static"].iter().any(|kind| {
         code.match_indices(&format!("{kind} {name}")).any(|(at, found)| {
@@ -204,44 +206,45 @@
     })
 }
 
-/// A circle among the edges, if there is one.
-fn circle(edges: &BTreeSet<(String, String)>) -> Option<Vec<String>> {
-    let mut left: BTreeSet<&(String, String)> = edges.iter().collect();
+/// Returns the edges that remain when those to modules without imports are removed repeatedly. They contain a cycle.
+/// Returns None if no edge remains.
+fn cycle(edges: &BTreeSet<(String, String)>) -> Option<Vec<String>> {
+    let mut remaining: BTreeSet<&(String, String)> = edges.iter().collect();
     loop {
-        let importers: BTreeSet<&String> = left.iter().map(|(from, _)| from).collect();
-        let before = left.len();
-        // What imports nothing that is left is in no circle.
-        left.retain(|(_, to)| importers.contains(to));
-        if left.is_empty() {
+        let importers: BTreeSet<&String> = remaining.iter().map(|(from, _)| from).collect();
+        let before = remaining.len();
+        // An edge to a module without remaining imports is in no cycle.
+        remaining.retain(|(_, to)| importers.contains(to));
+        if remaining.is_empty() {
             return None;
         }
-        if left.len() == before {
-            return Some(left.iter().map(|(from, to)| format!("{from} -> {to}")).collect());
+        if remaining.len() == before {
+            return Some(remaining.iter().map(|(from, to)| format!("{from} -> {to}")).collect());
         }
     }
 }
 
 #[test]
-fn no_modules_import_each_other_in_a_circle() {
+fn modules_have_no_import_cycles() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut roots = vec![source.join("lib.rs")];
     for program in fs::read_dir(source.join("bin")).unwrap() {
         roots.push(program.unwrap().path().join("main.rs"));
     }
     assert_eq!(roots.len(), 4, "{roots:?}");
-    let mut circles = Vec::new();
+    let mut cycles = Vec::new();
     for root in roots {
         for (parent, edges) in Crate::read(&root).edges() {
-            if let Some(circle) = circle(&edges) {
-                circles.push(format!("{} {}: {}", root.display(), parent.join("::"), circle.join(", ")));
+            if let Some(cycle) = cycle(&edges) {
+                cycles.push(format!("{} {}: {}", root.display(), parent.join("::"), cycle.join(", ")));
             }
         }
     }
-    assert!(circles.is_empty(), "{}", circles.join("\n"));
+    assert!(cycles.is_empty(), "{}", cycles.join("\n"));
 }
 
 #[test]
-fn a_circle_is_found_through_re_exports_and_braces() {
+fn an_import_cycle_is_found_through_re_exports_and_braces() {
     let module = |path: &[&str], code: &str| {
         (path.iter().map(|name| (*name).to_owned()).collect::<ModulePath>(), code.to_owned())
     };
@@ -251,10 +254,10 @@
         module(&["b"], "pub struct Shared; fn run() { super::a::Own; }"),
         module(&["c"], "pub struct Deep; pub struct Other;"),
     ];
-    let crate_with_circle = Crate { modules: modules.into_iter().collect() };
-    let edges = crate_with_circle.edges().remove(&Vec::new()).unwrap();
-    let named = |from: &str, to: &str| (from.to_owned(), to.to_owned());
-    assert_eq!(edges, BTreeSet::from([named("a", "b"), named("a", "c"), named("b", "a")]));
-    assert_eq!(circle(&edges).unwrap(), ["a -> b", "b -> a"]);
-    assert_eq!(circle(&BTreeSet::from([named("a", "b"), named("a", "c"), named("b", "c")])), None);
+    let crate_with_cycle = Crate { modules: modules.into_iter().collect() };
+    let edges = crate_with_cycle.edges().remove(&Vec::new()).unwrap();
+    let edge = |from: &str, to: &str| (from.to_owned(), to.to_owned());
+    assert_eq!(edges, BTreeSet::from([edge("a", "b"), edge("a", "c"), edge("b", "a")]));
+    assert_eq!(cycle(&edges).unwrap(), ["a -> b", "b -> a"]);
+    assert_eq!(cycle(&BTreeSet::from([edge("a", "b"), edge("a", "c"), edge("b", "c")])), None);
 }
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -1,19 +1,24 @@
-//! Calls that carry several messages to one endpoint, over loopback sockets.
+//! Batches, which are calls with several messages to one endpoint, over loopback sockets.
 
 mod environment;
 
 use environment::*;
 use std::time::{Duration, Instant};
 
-/// An environment with one call slot, so that messages enqueued behind one that occupies it wait together.
+/// Creates an environment with one call slot and batches of four, so that messages wait together while the slot is in
+/// use.
 fn one_slot() -> TestEnvironment {
     let mut environment = TestEnvironment::new(1, 3.0);
     (environment.max_batch_size, environment.max_in_flight_calls) = (4, 1);
     environment
 }
 
-/// Enqueues messages behind one that occupies the slot, and then completes that one.
-fn enqueue_behind_one(environment: &TestEnvironment, gateway: &RunningGateway, messages: &[(&str, &str)]) {
+/// Occupies the call slot with a message, enqueues the others meanwhile, and then completes the first one.
+fn enqueue_while_slot_is_in_use(
+    environment: &TestEnvironment,
+    gateway: &RunningGateway,
+    messages: &[(&str, &str)],
+) {
     let mut client = gateway.client();
     assert_eq!(client.enqueue("first", "0", "salary", 1, b"x"), "+OK");
     let first = environment.call();
@@ -24,12 +29,13 @@
     first.answer("200 OK", "");
 }
 
-/// Messages that wait for an endpoint that takes several at once go in one call, and each has an outcome of its own.
+/// Messages that wait for an endpoint that accepts batches share a call. Each has its own outcome, which must not be
+/// applied to another one, also when the response has them in another order.
 #[test]
 fn messages_queued_together_share_a_batch() {
     let environment = one_slot();
     let gateway = environment.start();
-    enqueue_behind_one(
+    enqueue_while_slot_is_in_use(
         &environment,
         &gateway,
         &[("b1", "salary"), ("b2", "notice,k=k2"), ("b3", "salary"), ("b4", "salary")],
@@ -48,31 +54,32 @@
     ];
     assert_eq!(carried, expected);
     call.answer_batch("", &[("b4", "gone"), ("b1", "ok"), ("b3", "error"), ("b2", "error")]);
-    // Only the idempotent one is retried; the non-idempotent one may have run and fails; the others are completed.
-    let mut failed = false;
-    let mut retried = false;
-    while !(failed && retried) {
+    // b3 is non-idempotent and may have run, so that it fails. b2 is idempotent and is retried. The others are
+    // completed.
+    let mut has_failed = false;
+    let mut is_retried = false;
+    while !(has_failed && is_retried) {
         match environment.next_event() {
             StubEvent::Notification(line) => {
                 assert_eq!(line, r#"{"id":"b3","state":"failed"}"#);
-                failed = true;
+                has_failed = true;
             }
             StubEvent::Call(call) => {
                 assert_eq!((call.id.as_str(), call.header("idempotency-key")), ("b2", Some("k2")));
                 call.answer("200 OK", "");
-                retried = true;
+                is_retried = true;
             }
         }
     }
     environment.expect_nothing();
 }
 
-/// Retry-After beside the states of the messages is observed like any other.
+/// A batch response may carry a Retry-After beside the states of its messages; it applies as with any response.
 #[test]
 fn retry_after_of_a_batch_response_is_observed() {
     let environment = one_slot();
     let gateway = environment.start();
-    enqueue_behind_one(&environment, &gateway, &[("w1", "salary"), ("w2", "salary")]);
+    enqueue_while_slot_is_in_use(&environment, &gateway, &[("w1", "salary"), ("w2", "salary")]);
     let call = environment.call();
     let responded_at = Instant::now();
     call.answer_batch("X-Come-Back-Ms: 700\r\n", &[("w1", "ok"), ("w2", "ok")]);
@@ -84,10 +91,11 @@
     environment.expect_nothing();
 }
 
-/// The status line of a batch response says nothing of each message: where the body cannot be read they may have run.
+/// The status line of a batch response has no outcome of any single message. If the body cannot be read, the messages
+/// may have run.
 #[test]
 fn a_batch_with_an_unreadable_response_may_have_run() {
-    for (number, answer) in [
+    for (number, response) in [
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n[",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
@@ -97,11 +105,11 @@
     {
         let environment = one_slot();
         let gateway = environment.start();
-        enqueue_behind_one(&environment, &gateway, &[("s1", "salary"), ("s2", "salary")]);
+        enqueue_while_slot_is_in_use(&environment, &gateway, &[("s1", "salary"), ("s2", "salary")]);
         let call = environment.call();
         assert_eq!(call.batch_messages().len(), 2);
         let stream = call.stream();
-        call.answer_raw(answer.as_bytes());
+        call.answer_raw(response.as_bytes());
         if number == 1 {
             let _ = stream.shutdown(std::net::Shutdown::Write);
         }
@@ -112,12 +120,13 @@
     }
 }
 
-/// Nor is a message believed that has two states; those beside it are.
+/// A message with two states in a batch response may have run, as either state may be wrong. The states of the other
+/// messages apply.
 #[test]
 fn a_message_with_two_states_may_have_run() {
     let environment = one_slot();
     let gateway = environment.start();
-    enqueue_behind_one(&environment, &gateway, &[("t1", "salary"), ("t2", "salary")]);
+    enqueue_while_slot_is_in_use(&environment, &gateway, &[("t1", "salary"), ("t2", "salary")]);
     let call = environment.call();
     assert_eq!(call.batch_messages().len(), 2);
     call.answer_batch("", &[("t1", "ok"), ("t2", "ok"), ("t1", "later")]);
@@ -125,8 +134,8 @@
     environment.expect_nothing();
 }
 
-/// A batch times out when one of its messages expires: the endpoint may consider the whole call expired by then, and
-/// what it still responds delivers nothing. The others are retried under their keys.
+/// A batch times out when the first of its messages expires, since the endpoint may consider the whole call expired by
+/// then. A later response is ignored, and the other messages are retried under their idempotency keys.
 #[test]
 fn a_batch_times_out_with_its_first_message_to_expire() {
     let environment = one_slot();
@@ -146,7 +155,7 @@
     let budget: f64 = shared.header("x-budget").unwrap().parse().unwrap();
     assert!(budget <= 1.0, "{budget}");
     assert_eq!(environment.notification(), r#"{"id":"short","state":"failed"}"#);
-    // The response comes all the same.
+    // The response arrives after the timeout.
     shared.answer_batch("", &[("short", "ok"), ("long", "ok")]);
     let retried = environment.call();
     assert_eq!((retried.id.as_str(), retried.header("idempotency-key")), ("long", Some("k-long")));
@@ -154,7 +163,7 @@
     environment.expect_nothing();
 }
 
-/// Bodies too long for one batch go in separate calls.
+/// Two messages whose bodies exceed the size limit of a batch together go in separate calls.
 #[test]
 fn messages_too_long_for_one_batch_go_in_separate_calls() {
     let environment = one_slot();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,29 +1,29 @@
-//! What clients can rely on, misbehaving ones among them, over loopback sockets.
+//! Guarantees for clients, also while others are silent, slow or send too much, over loopback sockets.
 
 mod environment;
 
 use environment::*;
 use std::time::{Duration, Instant};
 
-/// A client gets an error, or is closed, within 3 s of connecting.
+/// The time within which an idle or partial connection gets an error or is closed.
 const ERROR_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A client that sends nothing is closed; one that stops within a request gets an error first. Neither keeps its
-/// connection slot.
+/// Clients that stop sending would occupy connection slots without end. A connection without a request is closed, and
+/// one with a partial request gets an error first.
 #[test]
 fn silent_clients_and_partial_requests_time_out() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut silent = gateway.client().with_read_timeout(ERROR_TIMEOUT);
-    let mut half = gateway.client().with_read_timeout(ERROR_TIMEOUT);
-    half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
-    assert!(half.read_line().starts_with("-ERR "));
-    assert!(half.is_closed());
+    let mut partial = gateway.client().with_read_timeout(ERROR_TIMEOUT);
+    partial.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
+    assert!(partial.read_line().starts_with("-ERR "));
+    assert!(partial.is_closed());
     assert!(silent.is_closed());
 }
 
-/// More connections than there are slots: the silent ones are evicted, and a client with a request is served at once,
-/// rather than wait in the listener's queue past the 400 ms that a client waits.
+/// With more connections than slots, silent ones are evicted, so that a client with a request is served at once. It
+/// would otherwise be in the listener's accept queue for longer than the 400 ms after which a client gives up.
 #[test]
 fn silent_connections_are_evicted_for_clients_with_requests() {
     let mut environment = TestEnvironment::new(1, 3.0);
@@ -38,18 +38,18 @@
     drop(silent);
 }
 
-/// A client that is within a request when connection slots run short may have sent the rest of it: its connection ends
-/// with an error rather than without a word, which would lose the request.
+/// A client with a partial request may have sent the rest of it when its connection is evicted for lack of slots. It
+/// gets an error, as it would lose the request if the connection were closed without a reply.
 ///
-/// The gateway is stopped while clients connect and send, so that each connection has its part of a request, or its
-/// whole one, before the gateway sees it. One that is accepted before its first byte may be closed without a word.
+/// The gateway is stopped while clients connect and send, so that each connection has its partial or complete request
+/// before the gateway accepts it. A connection that is accepted before its first byte may be closed without a reply.
 #[test]
 fn partial_requests_that_are_evicted_get_an_error() {
     let mut environment = TestEnvironment::new(1, 3.0);
-    // Slots for 48 connections: all that connect at a time fit the listener's queue while the gateway is stopped.
+    // Gives slots for 48 connections. All that connect at a time fit the accept queue while the gateway is stopped.
     environment.sockets = 128;
     let gateway = environment.start();
-    let (mut partial, mut whole) = (Vec::new(), Vec::new());
+    let (mut partial, mut complete) = (Vec::new(), Vec::new());
     gateway.while_stopped(|| {
         for _ in 0..48 {
             let mut client = gateway.client().with_read_timeout(ERROR_TIMEOUT);
@@ -57,71 +57,72 @@
             partial.push(client);
         }
     });
-    // Their clients would have stopped waiting by now, so that they are evicted for others.
+    // Clients give up after 400 ms, so that these connections may now be evicted for others.
     std::thread::sleep(Duration::from_millis(450));
     gateway.while_stopped(|| {
         for _ in 0..20 {
             let mut client = gateway.client().with_read_timeout(ERROR_TIMEOUT);
             client.send_command(&["PING"]);
-            whole.push(client);
+            complete.push(client);
         }
     });
-    whole.iter_mut().for_each(|client| assert_eq!(client.read_line(), "+PONG"));
+    complete.iter_mut().for_each(|client| assert_eq!(client.read_line(), "+PONG"));
     for (number, client) in partial.iter_mut().enumerate() {
         let line = client.read_line();
         assert!(line.starts_with("-ERR "), "{line:?} on connection {number}");
     }
 }
 
-/// A request's time runs from its last byte on, also while its connection waits for a slot: the longest that it can
-/// have waited is subtracted, or its final outcome would be as much too late.
+/// The time left of a request runs from its last byte, also while its connection waits for a slot. The gateway
+/// subtracts the longest possible wait, as the final outcome would otherwise be late by the actual wait.
 #[test]
 fn time_waiting_for_a_connection_slot_counts() {
     let mut environment = TestEnvironment::new(1, 3.0);
     environment.sockets = 256;
     environment.reject_connections(0);
     let gateway = environment.start();
-    let (mut halves, mut begun) = (Vec::new(), Instant::now());
+    let (mut partial, mut sent_at) = (Vec::new(), Instant::now());
     let mut delayed = None;
-    // What they send is there when they are accepted: they are within a request from the start, and occupy all slots.
+    // Their bytes are there when they are accepted, so that they count as partial requests from the start and occupy
+    // all slots.
     gateway.while_stopped(|| {
         for _ in 0..128 {
-            let mut half = gateway.client();
-            half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
-            halves.push(half);
+            let mut client = gateway.client();
+            client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
+            partial.push(client);
         }
-        begun = Instant::now();
+        sent_at = Instant::now();
         let mut client = gateway.client();
         client.send_command(&["ENQUEUE", "0", "w1", "c=salary,d=1000,dest=1", "x"]);
         delayed = Some(client);
     });
     assert_eq!(delayed.unwrap().read_line(), "+OK");
-    let waited = begun.elapsed();
+    let waited = sent_at.elapsed();
     assert!(environment.notification().contains(r#""id":"w1","state":"returned""#));
-    let (took, late) = (begun.elapsed(), Duration::from_millis(300));
-    assert!(took < Duration::from_secs(1) + late, "after {took:?}, of which {waited:?} for a slot");
+    let (took, tolerance) = (sent_at.elapsed(), Duration::from_millis(300));
+    assert!(took < Duration::from_secs(1) + tolerance, "after {took:?}, of which {waited:?} for a slot");
 }
 
-/// Clients that send one request and stay connected do not use up the idle connections that clients may keep, a sixth
-/// of the descriptors: the longest idle one is closed for each further one, and the last one stays.
+/// Clients that stay connected after a request could use up the descriptors. They may keep a sixth of them as idle
+/// connections: the longest idle one is closed for each further one, and the newest one stays.
 #[test]
 fn the_longest_idle_connections_are_evicted() {
     let mut environment = TestEnvironment::new(1, 3.0);
     environment.sockets = 256;
     let gateway = environment.start();
-    let mut stayed: Vec<Client> =
+    let mut connected: Vec<Client> =
         (0..80).map(|_| gateway.client().with_read_timeout(Duration::from_secs(1))).collect();
-    for client in &mut stayed {
+    for client in &mut connected {
         assert_eq!(client.request(&["PING"]), "+PONG");
     }
-    assert!(stayed[..30].iter_mut().all(Client::is_closed));
-    assert_eq!(stayed[79].request(&["PING"]), "+PONG");
+    assert!(connected[..30].iter_mut().all(Client::is_closed));
+    assert_eq!(connected[79].request(&["PING"]), "+PONG");
 }
 
-/// The error arrives, however much the client goes on sending: closing with bytes unread resets the connection,
-/// which throws away what the client has not read yet.
+/// Closing a connection with unread bytes resets it, which discards a reply that the client has not read yet. An error
+/// has to arrive, however many bytes the client sends after it.
 #[test]
-fn an_error_arrives_behind_a_huge_value() {
+fn an_error_reply_arrives_while_a_huge_value_is_sent() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     let mut client = gateway.client();
@@ -132,22 +133,22 @@
     assert!(client.is_closed());
 }
 
-/// Hundreds of commands at once are each answered, and others are served meanwhile.
+/// One client with 2000 commands at once must not delay the others. Each of its commands is answered.
 #[test]
-fn pipelined_commands_are_all_answered_and_delay_nobody() {
+fn pipelined_commands_are_all_answered_and_delay_no_other_client() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
-    let mut flood = gateway.client();
-    flood.send(&b"*1\r\n$8\r\nFLUSHALL\r\n".repeat(2000));
+    let mut pipelining = gateway.client();
+    pipelining.send(&b"*1\r\n$8\r\nFLUSHALL\r\n".repeat(2000));
     let mut client = gateway.client();
     assert_eq!(client.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
     environment.call().answer("200 OK", "");
-    (0..2000).for_each(|_| assert!(flood.read_line().starts_with("-ERR ")));
-    assert_eq!(flood.request(&["PING"]), "+PONG");
+    (0..2000).for_each(|_| assert!(pipelining.read_line().starts_with("-ERR ")));
+    assert_eq!(pipelining.request(&["PING"]), "+PONG");
 }
 
-/// The id of a pending message belongs to it: the same message once more is already accepted, and another one under
-/// its id is an error.
+/// The id of a pending message belongs to that message. The same message again counts as already accepted and is not
+/// sent twice, and another message under its id is an error.
 #[test]
 fn a_pending_id_belongs_to_its_message() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -161,8 +162,8 @@
     environment.expect_nothing();
 }
 
-/// Nor does the id become free when its message is completed: endpoints would reject another message under it, and
-/// every call that carries it.
+/// The id of a completed message does not become free: endpoints would reject another message under it, and each batch
+/// that contains it.
 #[test]
 fn a_completed_id_belongs_to_its_message() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -181,7 +182,8 @@
     environment.expect_nothing();
 }
 
-/// A destination that was never in the endpoint list is an error; one that has lost its endpoints may get others.
+/// A destination that was never in the endpoint list is an error. One that has lost its endpoints may get others, so
+/// that its messages are accepted.
 #[test]
 fn unknown_destinations_are_errors_and_empty_ones_are_not() {
     let mut environment = TestEnvironment::with_long_deadlines(2, 3.0);
@@ -199,7 +201,7 @@
     environment.expect_no_call();
 }
 
-/// Without its idempotency key a message of a keyed class could not be retried safely.
+/// A message of a class with idempotency keys could not be retried safely without its key.
 #[test]
 fn messages_of_keyed_classes_need_an_idempotency_key() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -208,16 +210,17 @@
     environment.expect_no_call();
 }
 
-/// While the gateway is a lame duck, each new connection may still bring its first request, and gets a reply.
+/// Clients may still connect to a lame duck. The first request on each new connection gets a reply, as it would be lost
+/// if the connection were closed before it arrives.
 #[test]
 fn a_lame_duck_answers_each_first_request() {
     let environment = TestEnvironment::new(1, 3.0);
     let gateway = environment.start();
     assert_eq!(gateway.admin_request("POST /_lameduck/on"), 200);
     for round in 0..5000 {
-        // The connection is up before its request comes.
+        // The connection is established before its request is sent.
         let mut client = gateway.client();
-        let answer = client.request(&["PING"]);
-        assert!(answer.starts_with("-ERR "), "{answer:?} in round {round}");
+        let reply = client.request(&["PING"]);
+        assert!(reply.starts_with("-ERR "), "{reply:?} in round {round}");
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The directory of endpoints and the forms of the endpoint list, by themselves.
+//! The directory of endpoints and the encodings of the endpoint list, without a gateway.
 
 use delivery_gateway::discovery::{DiscoveredEndpoint, DiscoveryUpdate, EndpointDirectory, EndpointState};
 use delivery_gateway::*;
@@ -35,8 +35,8 @@
     }
 }
 
-fn update(all: bool, targets: Vec<DiscoveredEndpoint>) -> DiscoveryUpdate {
-    DiscoveryUpdate { revision: 1, is_snapshot: all, endpoints: targets }
+fn update(is_snapshot: bool, targets: Vec<DiscoveredEndpoint>) -> DiscoveryUpdate {
+    DiscoveryUpdate { revision: 1, is_snapshot, endpoints: targets }
 }
 
 fn entries(listing: EndpointUpdate) -> Vec<(u32, Availability)> {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_keep_their_numbers() {
+fn uids_keep_their_endpoint_ids() {
     let mut directory = directory();
     let first = directory.apply(&update(true, vec![target("a", "SERVING"), target("b", "DRAINING")]));
     assert!(
@@ -63,16 +63,16 @@
     assert_eq!(directory.address(EndpointId(3)), Some(([127, 0, 0, 1], 9).into()));
 }
 
-/// An endpoint with an unreadable address is sent no new calls.
+/// An endpoint with an invalid address cannot be connected to, so that it gets no new calls.
 #[test]
-fn an_unreadable_address_counts_as_draining() {
+fn an_invalid_address_counts_as_draining() {
     let mut directory = directory();
     let target = DiscoveredEndpoint { address: "nowhere".to_owned(), ..target("a", "SERVING") };
     assert_eq!(entries(directory.apply(&update(true, vec![target]))), [(1, Availability::Draining)]);
     assert!(!directory.accepts_calls(EndpointId(1)));
 }
 
-/// A state is a string on the wire and in the journal, known or not; one that is not known drains.
+/// A state is a string on the wire and in the journal. An unknown state is kept as it is and counts as draining.
 #[test]
 fn endpoint_states_are_encoded_by_their_names() {
     for (name, availability) in [
@@ -94,9 +94,10 @@
     }
 }
 
-/// What a snapshot does not name is removed, and is forgotten unless it is needed or disabled.
+/// Endpoints that are missing from a snapshot are removed. Their ids would use up memory and are dropped, unless they
+/// are still in use or their endpoints are disabled.
 #[test]
-fn removed_endpoints_are_forgotten_once_nobody_needs_them() {
+fn ids_of_removed_endpoints_are_dropped_once_unused() {
     let mut directory = directory();
     let all = ["a", "b", "c", "d"].map(|uid| target(uid, "SERVING"));
     directory.apply(&update(true, all.to_vec()));
@@ -108,38 +109,38 @@
     assert_eq!(removed(&directory), [true, true, true, false]);
     directory.remove_unlisted_endpoints(|id| id == EndpointId(2));
     assert_eq!(removed(&directory), [false, true, false, false]);
-    let number = |directory: &EndpointDirectory, uid: &str| directory.endpoint_id(uid).map(|id| id.0);
-    assert_eq!(["a", "b", "c", "d"].map(|uid| number(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
+    let id_of = |directory: &EndpointDirectory, uid: &str| directory.endpoint_id(uid).map(|id| id.0);
+    assert_eq!(["a", "b", "c", "d"].map(|uid| id_of(&directory, uid)), [None, Some(2), Some(3), Some(4)]);
     directory.remove_unlisted_endpoints(|_| false);
-    assert_eq!(number(&directory, "b"), None);
-    let looked_at = std::cell::RefCell::new(Vec::new());
+    assert_eq!(id_of(&directory, "b"), None);
+    let checked_ids = std::cell::RefCell::new(Vec::new());
     directory.remove_unlisted_endpoints(|id| {
-        looked_at.borrow_mut().push(id.0);
+        checked_ids.borrow_mut().push(id.0);
         false
     });
-    assert_eq!(*looked_at.borrow(), [3], "only what is disabled is unlisted and not forgotten");
-    // One that is listed again keeps its number only while it is known.
+    assert_eq!(*checked_ids.borrow(), [3], "only the disabled endpoint is unlisted and kept");
+    // An endpoint that is listed again has its old id only if that was not dropped.
     directory.apply(&update(false, vec![target("a", "SERVING"), target("c", "SERVING")]));
-    assert_eq!(["a", "c"].map(|uid| number(&directory, uid)), [Some(5), Some(3)]);
+    assert_eq!(["a", "c"].map(|uid| id_of(&directory, uid)), [Some(5), Some(3)]);
     assert!(directory.accepts_calls(EndpointId(5)) && !directory.accepts_calls(EndpointId(3)));
     directory.set_disabled("c", false);
     assert!(directory.accepts_calls(EndpointId(3)) && !directory.has_unlisted_endpoints());
-    // Numbers of another process: those that the list no longer names are forgotten, too.
+    // Ids adopted from another process are dropped too if their endpoints are no longer listed.
     let mut next = self::directory();
     next.adopt_ids(directory.id_table());
     next.apply_snapshot(&[target("d", "SERVING"), target("e", "SERVING")]);
     next.remove_unlisted_endpoints(|id| id == EndpointId(5));
-    assert_eq!(["a", "c", "d", "e"].map(|uid| number(&next, uid)), [Some(5), None, Some(4), Some(6)]);
-    // What is enabled again without being listed leaves no number behind.
+    assert_eq!(["a", "c", "d", "e"].map(|uid| id_of(&next, uid)), [Some(5), None, Some(4), Some(6)]);
+    // An unlisted endpoint that is enabled again leaves no id behind.
     next.set_disabled("f", true);
     next.remove_unlisted_endpoints(|_| false);
-    assert_eq!(number(&next, "f"), Some(7));
+    assert_eq!(id_of(&next, "f"), Some(7));
     next.set_disabled("f", false);
     next.remove_unlisted_endpoints(|_| false);
-    assert_eq!((number(&next, "f"), next.has_unlisted_endpoints()), (None, false));
+    assert_eq!((id_of(&next, "f"), next.has_unlisted_endpoints()), (None, false));
 }
 
-/// The scheduler, its types and the settings know nothing of the form in which discovery has the list.
+/// The scheduler, its types and the settings do not depend on discovery's representation of the endpoint list.
 #[test]
 fn the_scheduler_does_not_depend_on_discovery() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
--- a/tests/file_limits.rs
+++ b/tests/file_limits.rs
@@ -3,23 +3,23 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A file has fewer lines than this that aren't blank.
+/// The number of non-blank lines that a file has to stay below.
 const LINES_BELOW: usize = 500;
 const MAX_COLUMNS: usize = 110;
 
 #[test]
 fn scheduler_and_model_files_stay_short_and_narrow() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for folder in ["scheduler", "model"] {
         let files = rust_files(&source.join(folder));
         assert!(files.iter().any(|file| file.ends_with("mod.rs")), "no module in {folder}: {files:?}");
-        faults.extend(files.iter().flat_map(|file| faults_of(file)));
+        violations.extend(files.iter().flat_map(|file| violations_of(file)));
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// All files of a folder and of the folders in it.
+/// Returns all files of a folder and of the folders in it.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
@@ -34,7 +34,7 @@
     files
 }
 
-fn faults_of(file: &Path) -> Vec<String> {
+fn violations_of(file: &Path) -> Vec<String> {
     let text = fs::read_to_string(file).unwrap();
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
     let too_long = (lines >= LINES_BELOW).then(|| format!("{}: {lines} non-blank lines", file.display()));
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! A log that cannot be written: the gateway serves all the same.
+//! A log that cannot be written must not stop the gateway: writes to it may fail or block.
 
 mod environment;
 
@@ -8,8 +8,8 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Serves one message, handles a signal, and exits with success.
-fn serves(log: Stdio) {
+/// Checks that a gateway with this log delivers a message, handles a signal, and exits with success.
+fn assert_serves_with_log(log: Stdio) {
     let environment = TestEnvironment::new(1, 3.0);
     let mut gateway = environment.start_logging_to(log);
     let mut client = gateway.client();
@@ -24,20 +24,20 @@
 
 #[test]
 fn the_gateway_survives_a_log_on_a_full_disk() {
-    serves(File::options().write(true).open("/dev/full").unwrap().into());
+    assert_serves_with_log(File::options().write(true).open("/dev/full").unwrap().into());
 }
 
 #[test]
 fn the_gateway_survives_a_log_without_a_reader() {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
-    serves(writer.into());
+    assert_serves_with_log(writer.into());
 }
 
-/// The log's reader may have stopped reading: nothing waits for it.
+/// A reader that has stopped reading lets the pipe fill up, so that a write to the log would block the gateway.
 #[test]
 fn the_gateway_does_not_wait_for_the_reader_of_its_log() {
     let (_reader, mut writer) = std::io::pipe().unwrap();
     writer.write_all(&[b'.'; 64 << 10]).unwrap();
-    serves(writer.into());
+    assert_serves_with_log(writer.into());
 }
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment, and transfers that are interrupted or short. The faults come from the shim
-//! (`fault-shim/`), at the places that each test names; `tests/machine_sweep.rs` goes through all calls and errors.
+//! System calls that fail temporarily, and transfers that are interrupted or short. The fault shim (`fault-shim/`)
+//! injects the faults into the calls that each test names; `tests/machine_sweep.rs` covers all calls and errors.
 
 mod environment;
 
@@ -7,7 +7,8 @@
 use libc::{EADDRNOTAVAIL, EAGAIN, EINTR, EIO, ENETUNREACH, ENFILE, ENOBUFS, ENOLCK, ENOMEM};
 use std::time::Duration;
 
-/// Reads and writes that a signal interrupts or cuts short lose no request: not its answer, nor its call's.
+/// Reads and writes that a signal interrupts or cuts short could lose a part of a request, of its reply or of the
+/// response to its call.
 #[test]
 fn interrupted_and_short_transfers_lose_no_request() {
     for (call, error) in [
@@ -22,8 +23,8 @@
         let mut client = gateway.client().with_read_timeout(Duration::from_millis(400));
         for number in 0..10 {
             let id = format!("i{number}");
-            let answer = client.enqueue(&id, "0", "salary", 1, &[b'x'; 9000]);
-            assert_eq!(answer, "+OK", "{call:?} {error}");
+            let reply = client.enqueue(&id, "0", "salary", 1, &[b'x'; 9000]);
+            assert_eq!(reply, "+OK", "{call:?} {error}");
             environment.call().answer("200 OK", "");
         }
         environment.expect_nothing();
@@ -31,33 +32,33 @@
     }
 }
 
-/// Interrupted transfers between two processes complete all the same: neither takes the other for ended.
+/// A process whose transfer to the other one is interrupted must retry it, and not conclude that the other has ended.
 #[test]
 fn a_handover_survives_interrupted_transfers() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
         let environment = TestEnvironment::with_faults(1, 1);
-        let mut old = environment.start();
-        let mut client = old.client();
+        let mut predecessor = environment.start();
+        let mut client = predecessor.client();
         assert_eq!(client.enqueue("u1", "0", "salary", 1, b"x"), "+OK");
-        let out = environment.call();
+        let in_flight = environment.call();
         environment.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
-        let new = environment.start_beside().listening();
-        assert!(new.has_logged("took over from the predecessor"), "{call:?}");
-        // On the connection that moved.
+        let successor = environment.start_beside().listening();
+        assert!(successor.has_logged("took over from the predecessor"), "{call:?}");
+        // This client's connection was handed over.
         assert_eq!(client.enqueue("u2", "0", "salary", 1, b"x"), "+OK", "{call:?}");
         let second = environment.call();
         assert_eq!(second.id, "u2");
         second.answer("200 OK", "");
-        out.answer("200 OK", "");
-        old.send_sigterm();
-        assert!(old.wait(Duration::from_secs(5)).success(), "{call:?}");
-        new.wait_for_log_line("the previous process has ended broken_calls=0");
-        assert!(!old.has_logged("the successor ended"), "{call:?}");
+        in_flight.answer("200 OK", "");
+        predecessor.send_sigterm();
+        assert!(predecessor.wait(Duration::from_secs(5)).success(), "{call:?}");
+        successor.wait_for_log_line("the previous process has ended broken_calls=0");
+        assert!(!predecessor.has_logged("the successor ended"), "{call:?}");
         environment.expect_nothing();
     }
 }
 
-/// A signal is handled though reading the pipe that announces it is interrupted.
+/// Signals arrive through a pipe, and would be lost if an interrupted read or write of it were not retried.
 #[test]
 fn an_interrupted_signal_is_handled() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
@@ -73,7 +74,8 @@
     }
 }
 
-/// A journal that cannot be opened or truncated for a moment is retried, and nothing in it is lost.
+/// Opening, reading, truncating, removing or locking files of the state folder may fail temporarily at the start. It is
+/// retried, and nothing in the journal is lost.
 #[test]
 fn a_state_folder_that_fails_at_the_start_is_retried() {
     let calls = [
@@ -87,9 +89,9 @@
         let environment = TestEnvironment::with_faults(1, 1);
         let gateway = environment.start();
         assert_eq!(gateway.client().enqueue("o1", "0", "notice,k=aa", 1, b"x"), "+OK");
-        let _out = environment.call();
+        let _in_flight = environment.call();
         let stopped = gateway.kill();
-        // A torn tail to be truncated, and a copy to be removed.
+        // Leaves a torn tail to truncate and an unfinished copy to remove.
         environment.append_to_journal(b"torn");
         environment.write_unfinished_journal_copy();
         environment.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
@@ -102,7 +104,7 @@
     }
 }
 
-/// System calls that fail at first are retried.
+/// System calls that set up sockets may fail temporarily at the start. They are retried instead of ending the process.
 #[test]
 fn the_gateway_starts_though_its_first_system_calls_fail() {
     for call in [
@@ -120,7 +122,7 @@
     }
 }
 
-/// A runtime that cannot be built at first is retried, and so is the query of the bound address.
+/// Building the runtime and querying the bound address may fail temporarily at the start. Both are retried.
 #[test]
 fn the_gateway_starts_though_its_runtime_fails_at_first() {
     let calls =
@@ -133,7 +135,7 @@
     }
 }
 
-/// A configuration that cannot be read for a moment is retried.
+/// A configuration that cannot be read temporarily is read again, as its change would otherwise be ignored.
 #[test]
 fn a_configuration_that_cannot_be_read_is_retried() {
     for call in [SystemCall::ConfigOpen, SystemCall::ConfigRead] {
@@ -148,7 +150,8 @@
     }
 }
 
-/// A connection that this machine cannot make for a moment says nothing of the endpoint, and is retried.
+/// A connection that fails on this machine is no failure of the endpoint. It is retried and does not count towards the
+/// circuit breaker.
 #[test]
 fn a_local_connect_failure_does_not_open_the_circuit() {
     let errors = [EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ENFILE, EAGAIN, EINTR];
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -1,5 +1,5 @@
-//! A wall clock that is stepped: deadlines and windows are spans of real time, over restarts and handovers too.
-//! The steps come from the shim (`fault-shim/`).
+//! Steps of the wall clock must not change deadlines and idempotency windows, which count elapsed time, also over
+//! restarts and handovers. The fault shim (`fault-shim/`) steps the clock.
 
 mod environment;
 
@@ -13,7 +13,8 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A message without an attempt keeps its deadline over a restart, however far the wall clock was stepped meanwhile.
+/// A message without an attempt keeps its time left over a restart. It would expire if its deadline were compared with
+/// a wall clock that was stepped forward meanwhile.
 #[test]
 fn a_wall_clock_stepped_forward_over_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
@@ -25,36 +26,38 @@
     assert_eq!(client.enqueue("f2", "0", "salary", 1, b"x"), "+OK");
     let stopped = gateway.kill();
     environment.faults().step_wall_clock(HOUR_MS).unwrap();
-    let _courier = stopped.restart();
-    // The one that was in flight may have run; the other one is sent.
-    let mut announced = false;
+    let _gateway = stopped.restart();
+    // The message that was in flight may have run and fails; the other one is sent.
+    let mut is_notified = false;
     let call = loop {
         match environment.next_event() {
             StubEvent::Call(call) => break call,
-            StubEvent::Notification(line) => announced = line == failed("f1") && !announced,
+            StubEvent::Notification(line) => is_notified = line == failed("f1") && !is_notified,
         }
     };
     assert_eq!(call.id, "f2");
     call.answer("200 OK", "");
-    assert!(announced || environment.notification() == failed("f1"));
+    assert!(is_notified || environment.notification() == failed("f1"));
 }
 
-/// An idempotency window that has ended stays so, however far the wall clock was stepped back.
+/// An idempotency window that has ended would be open again, and its message sent again, if it were compared with a
+/// wall clock that was stepped back meanwhile.
 #[test]
 fn a_wall_clock_stepped_back_over_a_restart_reopens_no_idempotency_window() {
     let environment = TestEnvironment::with_faults(1, 1);
     let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("b1", "0", "brief,k=aa", 1, b"x"), "+OK");
     let _in_flight = environment.call();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let stopped = gateway.kill();
     environment.faults().step_wall_clock(-HOUR_MS).unwrap();
-    thread::sleep((sent + BRIEF_IDEMPOTENCY_WINDOW).saturating_duration_since(Instant::now()));
-    let _courier = stopped.restart();
+    thread::sleep((sent_at + BRIEF_IDEMPOTENCY_WINDOW).saturating_duration_since(Instant::now()));
+    let _gateway = stopped.restart();
     assert_eq!(environment.notification(), failed("b1"));
 }
 
-/// A message keeps its deadline over a handover while the wall clock is stepped.
+/// A message keeps its time left over a handover. It would expire if the deadline were handed over as a time of the
+/// wall clock, which is stepped for the successor.
 #[test]
 fn a_wall_clock_stepped_during_a_handover_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
@@ -64,7 +67,7 @@
     assert_eq!(client.enqueue("h1", "0", "salary", 1, b"x"), "+OK");
     let in_flight = environment.call();
     assert_eq!(client.enqueue("h2", "0", "salary", 1, b"x"), "+OK");
-    // The successor sees another wall clock than the predecessor.
+    // The wall clock of the successor is an hour ahead of the predecessor's.
     environment.replace_faults(2).step_wall_clock(HOUR_MS).unwrap();
     let successor = environment.start_beside().listening();
     assert!(successor.has_logged("took over from the predecessor"));
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -1,5 +1,5 @@
-//! A process that is killed at any of its writes, half done or complete: the next one breaks no rule with what it
-//! finds.
+//! A process may be killed at any of its writes, before, in the middle of or after it. The next process must break no
+//! delivery rule with the state that it finds. The fault shim (`fault-shim/`) kills the process.
 
 mod environment;
 
@@ -9,58 +9,60 @@
 use std::thread;
 use std::time::Duration;
 
-/// Messages that are enqueued at most until the process is killed.
-const MESSAGES: u32 = 30;
-/// Messages that are pending when a handover begins.
-const PENDING: u32 = 6;
-/// Seed of the successor's own faults.
+/// The maximum number of messages that are enqueued until the process is killed.
+const MAX_MESSAGES: u32 = 30;
+/// The number of messages that are pending when a handover begins.
+const PENDING_MESSAGES: u32 = 6;
+/// The seed of the successor's faults, which differs from the seeds of the predecessors'.
 const SUCCESSOR_SEED: u64 = 1000;
-/// Cases at a time.
-const SIDE_BY_SIDE: usize = 8;
+/// The number of cases that run at the same time.
+const CONCURRENT_CASES: usize = 8;
 
-/// Kills the process at its nth call of a kind, and lets the next one continue. Whether it came to that.
-fn live_until(call: SystemCall, how: i32, nth: u32) -> bool {
-    let what = format!("{call:?} {how} at call {nth}");
+/// Runs a gateway that is killed at its nth call of a kind, starts the next one and audits the outcomes. `kill` is
+/// `KILLED_BEFORE` or `KILLED_AFTER`. Returns whether the process was killed: it may end its work with fewer calls.
+fn run_with_kill(call: SystemCall, kill: i32, nth: u32) -> bool {
+    let what = format!("{call:?} {kill} at call {nth}");
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
-    // Small, so that the journal is compacted.
+    // The disk is small, so that the journal is compacted.
     environment.disk_mb = 0.03;
     environment.latency_objective_secs = 3;
     let mut audit = DeliveryAudit::new(&environment);
     let mut gateway = environment.start();
-    environment.fail(call, Fault::always(&[how]).after(nth).times(1));
-    for number in 0..MESSAGES {
+    environment.fail(call, Fault::always(&[kill]).after(nth).times(1));
+    for number in 0..MAX_MESSAGES {
         if gateway.has_ended() {
             break;
         }
         audit.enqueue(&gateway, &format!("m{number}"), number % 2 == 0, ClientExpectation::MayBeDisconnected);
         audit.observe(Duration::from_millis(10));
     }
-    let killed = gateway.has_ended();
+    let was_killed = gateway.has_ended();
     drop(gateway);
     environment.faults().clear(call).unwrap();
     let gateway = environment.start();
     audit.enqueue(&gateway, "after", true, ClientExpectation::AreAnswered);
     audit.wait_for_outcomes(&what);
     assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
-    killed
+    was_killed
 }
 
-/// Goes through the first calls of a kind; some of them have to be reached.
+/// Kills a process before and after each of its first calls of a kind. At least half of the cases have to reach their
+/// kill.
 fn kill_at_each(call: SystemCall, calls: u32) {
     let (next, killed) = (AtomicU32::new(0), AtomicU32::new(0));
     thread::scope(|cases| {
-        for _ in 0..SIDE_BY_SIDE {
+        for _ in 0..CONCURRENT_CASES {
             cases.spawn(|| loop {
                 let nth = next.fetch_add(1, Ordering::SeqCst);
                 if nth >= 2 * calls {
                     return;
                 }
-                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
-                killed.fetch_add(u32::from(live_until(call, how, nth / 2)), Ordering::SeqCst);
+                let kill = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
+                killed.fetch_add(u32::from(run_with_kill(call, kill, nth / 2)), Ordering::SeqCst);
             });
         }
     });
-    assert!(killed.into_inner() >= calls, "{call:?}: too few cases came to their kill");
+    assert!(killed.into_inner() >= calls, "{call:?}: too few processes were killed");
 }
 
 #[test]
@@ -78,25 +80,25 @@
     kill_at_each(SystemCall::TcpWrite, 30);
 }
 
-/// The process of a handover that is killed.
+/// The process that is killed during a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Killed {
     Predecessor,
     Successor,
 }
 
-/// Hands over while one of the two processes is killed at its nth call of a kind, and lets whichever is left continue.
-/// Whether it came to the kill.
-fn hand_over_until(call: SystemCall, how: i32, nth: u32, which: Killed) -> bool {
-    let what = format!("{call:?} {how} at call {nth} of the {which:?}");
+/// Runs a handover in which one of the two processes is killed at its nth call of a kind, and audits the outcomes of
+/// the process that is left. Returns whether the process was killed.
+fn hand_over_with_kill(call: SystemCall, kill: i32, nth: u32, which: Killed) -> bool {
+    let what = format!("{call:?} {kill} at call {nth} of the {which:?}");
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
     environment.latency_objective_secs = 3;
     let mut audit = DeliveryAudit::new(&environment);
     let mut predecessor = environment.start();
-    for number in 0..PENDING {
+    for number in 0..PENDING_MESSAGES {
         audit.enqueue(&predecessor, &format!("m{number}"), number % 2 == 0, ClientExpectation::AreAnswered);
     }
-    let fault = Fault::always(&[how]).after(nth).times(1);
+    let fault = Fault::always(&[kill]).after(nth).times(1);
     let faults_of_successor = environment.replace_faults(SUCCESSOR_SEED);
     let killed_page = match which {
         Killed::Predecessor => environment.faults(),
@@ -104,18 +106,18 @@
     };
     killed_page.set(call, fault).unwrap();
     let mut successor = environment.start_process();
-    let listens = successor.wait_until_listening_or_ended();
+    let has_listened = successor.wait_until_listening_or_ended();
     killed_page.clear(call).unwrap();
-    // A kill that has started completes; no other one starts.
+    // Lets a kill that has started complete. The fault is cleared, so that no other one starts.
     thread::sleep(Duration::from_millis(50));
-    let killed = killed_page.call_counts(call).unwrap().failures > 0;
+    let was_killed = killed_page.call_counts(call).unwrap().failures > 0;
     let has_ended = match which {
         Killed::Predecessor => predecessor.has_ended(),
         Killed::Successor => successor.has_ended(),
     };
-    assert_eq!(killed, has_ended, "{what}");
-    assert!(killed || listens, "{what}: the successor neither serves nor ends");
-    if listens && !successor.has_ended() {
+    assert_eq!(was_killed, has_ended, "{what}");
+    assert!(was_killed || has_listened, "{what}: the successor neither listens nor ends");
+    if has_listened && !successor.has_ended() {
         if !predecessor.has_ended() {
             predecessor.send_sigterm();
         }
@@ -126,21 +128,24 @@
         audit.enqueue(&predecessor, "after", true, ClientExpectation::AreAnswered);
         audit.wait_for_outcomes(&what);
     }
-    killed
+    was_killed
 }
 
+/// Kills one of the processes of a handover before and after each of its first calls of a kind. At least one case has
+/// to reach its kill.
 fn kill_at_each_step(call: SystemCall, calls: u32, which: Killed) {
     let killed = AtomicU32::new(0);
     thread::scope(|cases| {
         for nth in 0..2 * calls {
             let killed = &killed;
             cases.spawn(move || {
-                let how = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
-                killed.fetch_add(u32::from(hand_over_until(call, how, nth / 2, which)), Ordering::SeqCst);
+                let kill = if nth % 2 == 0 { SystemCall::KILLED_BEFORE } else { SystemCall::KILLED_AFTER };
+                killed
+                    .fetch_add(u32::from(hand_over_with_kill(call, kill, nth / 2, which)), Ordering::SeqCst);
             });
         }
     });
-    assert!(killed.into_inner() > 0, "{call:?}: no handover came to its kill");
+    assert!(killed.into_inner() > 0, "{call:?}: no process was killed");
 }
 
 #[test]
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -1,6 +1,6 @@
-//! Every system call of the gateway, with every transient error that Linux documents for it, from the first call of the
-//! process on: a short run with a new configuration, a shutdown and a restart, in which each request must get its final
-//! outcome within the rules.
+//! Fails every system call of the gateway with every transient error that Linux documents for it, from the first call
+//! of the process on. Each case is a short run with a new configuration, a shutdown and a restart, in which each
+//! request must get its final outcome within the delivery rules.
 
 mod environment;
 
@@ -10,31 +10,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// Messages of each class that one life brings.
+/// The number of messages of each class that are enqueued at the start of a run.
 const MESSAGES: usize = 8;
-/// Messages until the journal is compacted, at most.
-const MOST_FILLERS: usize = 400;
-/// Which calls of a kind fail: the first ones of each process where there are only a few, or a part of all.
+/// The maximum number of messages that are enqueued until the journal is compacted.
+const MAX_FILLERS: usize = 400;
+/// The calls of a kind that fail: the first ones of each process, where there are only a few calls, or a ratio of all.
 #[derive(Clone, Copy)]
-enum Which {
+enum FailingCalls {
     First(u32),
-    Part(f64),
+    Ratio(f64),
 }
 
-use Which::{First, Part};
+use FailingCalls::{First, Ratio};
 
-/// Lets calls fail with each of the errors, through a life for each.
-fn live_with(call: SystemCall, errors: &[i32], which: Which, clients: ClientExpectation) {
+/// Runs a gateway once for each error, all at the same time, with calls that fail with that error.
+fn run_with_errors(call: SystemCall, errors: &[i32], failing: FailingCalls, clients: ClientExpectation) {
     thread::scope(|audits| {
         for (seed, error) in errors.iter().enumerate() {
-            audits.spawn(move || live_with_error(call, *error, seed as u64 + 1, which, clients));
+            audits.spawn(move || run_with_error(call, *error, seed as u64 + 1, failing, clients));
         }
     });
 }
 
-fn live_with_error(call: SystemCall, error: i32, seed: u64, which: Which, clients: ClientExpectation) {
+fn run_with_error(
+    call: SystemCall,
+    error: i32,
+    seed: u64,
+    failing: FailingCalls,
+    clients: ClientExpectation,
+) {
     let mut environment = TestEnvironment::with_faults(2, seed);
-    // Small, so that the journal is compacted; and with what a killed process has left behind.
+    // The disk is small, so that the journal is compacted, and holds what a killed process may leave behind.
     environment.disk_mb = 0.06;
     environment.latency_objective_secs = 3;
     environment.append_to_journal(b"torn");
@@ -42,34 +48,36 @@
     let fault = Fault::always(&[error]);
     environment.fail(
         call,
-        match which {
+        match failing {
             First(count) => fault.times(count),
-            Part(part) => fault.with_ratio(part),
+            Ratio(ratio) => fault.with_ratio(ratio),
         },
     );
-    live(&environment, &format!("{call:?} {error}"), clients);
-    let counted = environment.faults().call_counts(call).unwrap();
-    assert!(counted.failures > 0, "{call:?} {error}: {counted:?}");
+    run_and_restart(&environment, &format!("{call:?} {error}"), clients);
+    let counts = environment.faults().call_counts(call).unwrap();
+    assert!(counts.failures > 0, "{call:?} {error}: {counts:?}");
 }
 
-fn live(environment: &TestEnvironment, what: &str, clients: ClientExpectation) {
+/// Runs a gateway through a compaction, a reload, a shutdown and a restart, and audits the outcomes. `what` names the
+/// case.
+fn run_and_restart(environment: &TestEnvironment, what: &str, clients: ClientExpectation) {
     let mut audit = DeliveryAudit::new(environment);
     let mut gateway = environment.start();
     for number in 0..MESSAGES {
         audit.enqueue(&gateway, &format!("a{number}"), true, clients);
         audit.enqueue(&gateway, &format!("b{number}"), false, clients);
     }
-    // Until the journal is compacted, whether or not that succeeds.
+    // Fills the journal until it is compacted, whether or not the compaction succeeds.
     let compactions = || environment.faults().call_counts(SystemCall::StateRename).unwrap().calls;
-    for number in (0..MOST_FILLERS).take_while(|_| compactions() == 0) {
+    for number in (0..MAX_FILLERS).take_while(|_| compactions() == 0) {
         audit.enqueue(&gateway, &format!("e{number}"), false, clients);
         audit.observe(Duration::from_millis(50));
     }
-    assert!(compactions() > 0, "{what}: the journal was never compacted");
+    assert!(compactions() > 0, "{what}: the journal was not compacted");
     gateway.send_sighup();
     audit.enqueue(&gateway, "c0", true, clients);
     gateway.send_sigterm();
-    assert!(gateway.wait(Duration::from_secs(6)).success(), "{what}: the process did not end well");
+    assert!(gateway.wait(Duration::from_secs(6)).success(), "{what}: the process did not exit with success");
     let gateway = environment.start();
     audit.enqueue(&gateway, "d0", true, clients);
     audit.enqueue(&gateway, "d1", false, clients);
@@ -77,40 +85,40 @@
     assert!(!gateway.has_logged("panicked"), "{what}");
 }
 
-/// A test for each call, with its errors, the part of the calls that fail, and what that means for clients.
+/// Defines a test for each call, with its errors, the calls that fail, and whether clients may be disconnected.
 macro_rules! audits {
-    ($($name:ident: $call:ident, [$($error:expr),+], $part:expr, $clients:ident;)+) => {
+    ($($name:ident: $call:ident, [$($error:expr),+], $failing:expr, $clients:ident;)+) => {
         $(#[test]
         fn $name() {
-            live_with(SystemCall::$call, &[$($error),+], $part, ClientExpectation::$clients);
+            run_with_errors(SystemCall::$call, &[$($error),+], $failing, ClientExpectation::$clients);
         })+
     };
 }
 
 audits! {
-    accept: Accept, [EINTR, ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ETIMEDOUT, EHOSTUNREACH], Part(0.5), AreAnswered;
-    socket: Socket, [EMFILE, ENFILE, ENOBUFS, ENOMEM], Part(0.3), AreAnswered;
+    accept: Accept, [EINTR, ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EPERM, ETIMEDOUT, EHOSTUNREACH], Ratio(0.5), AreAnswered;
+    socket: Socket, [EMFILE, ENFILE, ENOBUFS, ENOMEM], Ratio(0.3), AreAnswered;
     bind: Bind, [EADDRINUSE, EADDRNOTAVAIL, ENOMEM], First(3), AreAnswered;
     listen: Listen, [EADDRINUSE], First(3), AreAnswered;
-    connect: Connect, [EADDRNOTAVAIL, EAGAIN, EINTR, ENETUNREACH, ENOBUFS, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH], Part(0.3), AreAnswered;
-    connect_result: ConnectResult, [ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNREFUSED, ECONNRESET], Part(0.3), AreAnswered;
-    set_socket_option: SetSocketOption, [ENOBUFS, ENOMEM], Part(0.3), AreAnswered;
+    connect: Connect, [EADDRNOTAVAIL, EAGAIN, EINTR, ENETUNREACH, ENOBUFS, ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH], Ratio(0.3), AreAnswered;
+    connect_result: ConnectResult, [ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNREFUSED, ECONNRESET], Ratio(0.3), AreAnswered;
+    set_socket_option: SetSocketOption, [ENOBUFS, ENOMEM], Ratio(0.3), AreAnswered;
     get_socket_name: GetSocketName, [ENOBUFS], First(3), AreAnswered;
     shutdown: Shutdown, [ENOTCONN, ENOBUFS], First(3), AreAnswered;
-    tcp_read: TcpRead, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Part(0.3), AreAnswered;
-    tcp_write: TcpWrite, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Part(0.3), AreAnswered;
-    broken_tcp_read: TcpRead, [ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH], Part(0.1), MayBeDisconnected;
-    broken_tcp_write: TcpWrite, [EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH], Part(0.1), MayBeDisconnected;
-    unix_read: UnixRead, [EINTR, ENOMEM], Part(0.5), AreAnswered;
-    unix_write: UnixWrite, [EINTR, EAGAIN], Part(0.5), AreAnswered;
+    tcp_read: TcpRead, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Ratio(0.3), AreAnswered;
+    tcp_write: TcpWrite, [EINTR, SystemCall::SHORT, ENOMEM, ENOBUFS], Ratio(0.3), AreAnswered;
+    broken_tcp_read: TcpRead, [ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH], Ratio(0.1), MayBeDisconnected;
+    broken_tcp_write: TcpWrite, [EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH], Ratio(0.1), MayBeDisconnected;
+    unix_read: UnixRead, [EINTR, ENOMEM], Ratio(0.5), AreAnswered;
+    unix_write: UnixWrite, [EINTR, EAGAIN], Ratio(0.5), AreAnswered;
     socket_pair: SocketPair, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
     epoll_create: EpollCreate, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
-    epoll_control: EpollControl, [ENOMEM, ENOSPC], Part(0.2), MayBeDisconnected;
-    epoll_wait: EpollWait, [EINTR], Part(0.3), AreAnswered;
+    epoll_control: EpollControl, [ENOMEM, ENOSPC], Ratio(0.2), MayBeDisconnected;
+    epoll_wait: EpollWait, [EINTR], Ratio(0.3), AreAnswered;
     event_fd: EventFd, [EMFILE, ENFILE, ENOMEM], First(2), AreAnswered;
     state_open: StateOpen, [EIO, ENOSPC, EDQUOT, EMFILE, ENFILE, EINTR, ENOMEM], First(3), AreAnswered;
     state_read: StateRead, [EIO, EINTR, SystemCall::SHORT], First(2), AreAnswered;
-    state_write: StateWrite, [EIO, ENOSPC, EDQUOT, EINTR, SystemCall::SHORT, SystemCall::TORN], Part(0.2), AreAnswered;
+    state_write: StateWrite, [EIO, ENOSPC, EDQUOT, EINTR, SystemCall::SHORT, SystemCall::TORN], Ratio(0.2), AreAnswered;
     state_truncate: StateTruncate, [EIO, EINTR], First(2), AreAnswered;
     state_rename: StateRename, [EIO, ENOSPC, EDQUOT, EBUSY, ENOMEM], First(2), AreAnswered;
     state_unlink: StateUnlink, [EIO, EBUSY, ENOMEM], First(2), AreAnswered;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,11 +1,12 @@
-//! SIGHUP: the gateway switches to another agent of discovery without disturbing anything else.
+//! SIGHUP: the gateway reloads its configuration and switches to another agent of discovery, without interrupting calls
+//! or clients.
 
 mod environment;
 
 use environment::*;
 
-/// The new agent's endpoint list applies, unacknowledged notifications go to it, and neither calls nor clients are
-/// disturbed.
+/// A reload must not lose notifications that the old agent has not acknowledged, nor interrupt calls or clients. The
+/// new agent's endpoint list applies.
 #[test]
 fn sighup_moves_watch_and_notifications_to_the_new_agent() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -13,22 +14,22 @@
     let mut client = gateway.client();
     assert_eq!(client.enqueue("h1", "0", "salary", 1, b"x"), "+OK");
     assert_eq!(client.enqueue("h2", "0", "salary", 1, b"x"), "+OK");
-    let (lost, out) = (environment.call(), environment.call());
+    let (failing, in_flight) = (environment.call(), environment.call());
     environment.hold_notifications(true);
-    let failed = format!(r#"{{"id":"{}","state":"failed"}}"#, lost.id);
-    lost.reset();
+    let failed = format!(r#"{{"id":"{}","state":"failed"}}"#, failing.id);
+    failing.reset();
     assert_eq!(environment.notification(), failed);
 
     let agent = environment.agent_with_drain(0);
     environment.configure(&agent);
     gateway.send_sighup();
     gateway.wait_for_log_line("endpoint list updated");
-    // What the old one has not acknowledged is sent to the new one, which acknowledges it.
+    // Notifications that the old agent has not acknowledged are sent to the new one, which acknowledges them.
     while environment.notification_requests_at(&agent) == 0 {
         assert_eq!(environment.notification(), failed);
     }
-    assert!(!out.is_closed());
-    out.answer("200 OK", "");
+    assert!(!in_flight.is_closed());
+    in_flight.answer("200 OK", "");
     let mut open = Vec::new();
     for id in ["h3", "h4", "h5"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
@@ -39,7 +40,7 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// A malformed file changes nothing, and the next one applies.
+/// A malformed configuration must not stop the gateway or apply in part. The next valid one applies.
 #[test]
 fn a_malformed_configuration_changes_nothing() {
     let environment = TestEnvironment::new(2, 3.0);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The settings mean the same as lines, on the simulator's wire, and as nested JSON, in the gateway's configuration.
+//! The settings have the same meaning as lines, which the simulator sends, and as nested JSON, which the gateway's
+//! configuration has.
 
 use delivery_gateway::*;
 use serde_json::json;
@@ -28,7 +29,7 @@
 ";
 
 #[test]
-fn lines_and_json_read_alike() {
+fn lines_and_json_give_the_same_settings() {
     let nested = json!({
         "Balancers": 3,
         "FamilyInfo": {"CallsOut": 28, "FeeByZone": [0.0, 0.03], "KindBatch": [1, 4], "OwnLimits": [false, true]},
@@ -75,7 +76,7 @@
     assert_eq!(error, SettingError::Line { line: 3, text: "Lanes".into() });
 }
 
-/// Settings that are absent have the scheduler's own defaults, but for what stands here.
+/// Absent settings have the scheduler's defaults, except for those that are listed here.
 #[test]
 fn absent_settings_have_their_defaults() {
     let parsed = settings_from_lines("Lanes.count=1\nProjects.count=1\n").unwrap();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire page's byte examples, a round trip for every record, and bad input.
+//! The simulator adapter's wire format: the byte examples of the wire page, every record, and malformed input.
 
 #[path = "../src/bin/simulator-adapter/instances.rs"]
 #[allow(dead_code)]
@@ -35,7 +35,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all of a bad input.
+    // The adapter may exit before it has read all of a malformed input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn events_of_the_wire_page() {
+fn events_of_the_wire_page_are_read() {
     let body = hex("00000001f568bf90 00000003
         1e 0003 5d3a91c4 00 42640000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 01 00000000
         46 0003 000000000000004d  3c 0005 0e6f2b19");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn list_and_outcome_of_the_wire_page() {
+fn list_and_outcome_of_the_wire_page_are_read() {
     let body = hex("00000001f568bf90 00000003
         6e 0000 00000002
         03124a07 00 0000 0039 03 3f800000 0000000000000000
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn actions_of_the_wire_page() {
+fn actions_of_the_wire_page_are_written() {
     let text = "two servers known".to_owned();
     let replies = [
         Reply::StartAttempt {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn every_other_action_has_its_bytes() {
+fn every_other_action_is_written() {
     let cases = [
         (Reply::Reject { instance: 1, message: 2, retry_after: 3 }, "14 0001 00000002 0000000000000003"),
         (Reply::ReportFailure { instance: 1, message: 2 }, "1e 0001 00000002"),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line() {
+fn malformed_input_ends_the_adapter_with_a_one_line_error() {
     let bad_setting = {
         let config = b"Balancers=two";
         let mut record = hex("0a 0001 0000000000000002");
@@ -185,11 +185,11 @@
         (frame(9, &[hex("64 0001"), hex("64 0001 00")]), "left over"),
         (bad_setting, "Balancers: 'two'"),
     ];
-    for (input, says) in cases {
+    for (input, words) in cases {
         let out = adapter_with(&input);
         let error = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{says}");
-        assert!(error.contains(says), "{error}");
+        assert!(!out.status.success(), "{words}");
+        assert!(error.contains(words), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
 }
@@ -208,7 +208,8 @@
     })
 }
 
-/// Records that the scheduler ignores are still records of their instance, which decides after them.
+/// An instance decides after each record for it, also after one that the scheduler ignores. It would otherwise miss a
+/// deadline that has passed.
 #[test]
 fn an_instance_decides_after_a_record_that_it_ignores() {
     let ignored = [
@@ -221,10 +222,10 @@
         let settings = "Lanes.count=1\n".to_owned();
         let start = Record::NewInstance { instance: 1, seed: 1, settings };
         instances.run(Batch { clock: 50_000_000_000, records: vec![start, accept_record(1)] }).unwrap();
-        // The message's deadline has passed, but nothing of the instance's has happened.
+        // The message's deadline has passed, but there was no record for the instance.
         let mut replies = |records| instances.run(Batch { clock: 61_000_000_000, records }).unwrap();
         assert_eq!(replies(vec![]), []);
-        let given_up = replies(vec![record.clone()]);
+        let final_replies = replies(vec![record.clone()]);
         let is_final = |reply: &Reply| {
             matches!(
                 reply,
@@ -232,7 +233,11 @@
                     | Reply::ReportFailure { instance: 1, message: 5 }
             )
         };
-        assert_eq!(given_up.iter().filter(|reply| is_final(reply)).count(), 1, "{record:?}: {given_up:?}");
+        assert_eq!(
+            final_replies.iter().filter(|reply| is_final(reply)).count(),
+            1,
+            "{record:?}: {final_replies:?}"
+        );
     }
 }
 
@@ -251,7 +256,7 @@
     let parsed = delivery_gateway::settings_from_lines(config).unwrap();
     assert_eq!(parsed.settings.fleet_size, 3);
     assert_eq!(parsed.settings.destination_kinds[1].max_batch_size, 4);
-    // A list's number taken over later in a batch does not touch what referred to it before.
+    // A list that replaces another one of the same number later in the batch does not affect updates before it.
     let list = |endpoint| {
         let entry =
             ListEntry { endpoint, zone: 0, kind: 0, destination: 1, state: 3, weight: 9.0, up_since: 0 };
