--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The simulator's wire: batches of records come in, replies go out. Big-endian, without padding.
+//! The simulator's wire: decodes batches of records and encodes replies. Numbers are big-endian, without padding.
 //!
-//! The wire's own names are mapped to the code's terms here. Whatever arrives is checked: a batch that is cut short or
-//! says something unknown is an error, never a panic or a large allocation.
+//! The wire's own names for fields are mapped to the terms of the code here. Outside of this module they occur only in
+//! the error texts of `translation`. All input is checked: a truncated batch or an unknown record is an error, never a
+//! panic or a large allocation.
 
 mod error;
 mod reader;
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -1,32 +1,33 @@
-//! Which destination gets a free call slot, and with which message, route and endpoint.
+//! Assigns free call slots: chooses the destination that gets a slot, and the message, route and endpoint of
+//! its call.
 //!
 //! A free slot goes to the waiting destination with the fewest calls in flight; of several, to the one whose
-//! best message has the highest value for each second that it uses the slot. A destination is visited only
-//! when something has changed there, or when its last visit asked for it ([`Revisit`]).
+//! best message has the highest value per second for which it occupies the slot. A destination is visited
+//! only when something has changed there, or when its last visit requested it ([`Revisit`]).
 
 use super::derived_settings::warm_up_secs;
 use super::state::queue::Queue;
-use super::state::ready_index::{earliest, Revisit};
+use super::state::ready_index::{keep_earliest, Revisit};
 use super::state::RouteId;
 use super::Scheduler;
 use crate::model::*;
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A message waits for a cheaper route until this ratio of its latency objective has passed: the rest of the
-/// time is needed for the call.
-const COST_PATIENCE_OF_OBJECTIVE: f64 = 0.25;
+/// How long a message may wait for a cheaper route, as a ratio of its latency objective. The rest of the
+/// objective is needed for the call.
+const MAX_COST_WAIT_OBJECTIVE_RATIO: f64 = 0.25;
 
-/// What may be sent to a destination now.
+/// A call that may be started now.
 struct Candidate {
     route: RouteId,
     endpoint: EndpointId,
     message: MessageId,
-    /// Value of the message for each second that a slot is taken.
+    /// Value of the message per second for which the call occupies its slot.
     value_per_sec: f64,
 }
 
-/// A destination that has a candidate.
+/// A destination to which a call may be started now.
 struct ReadyDestination {
     destination: DestinationId,
     value_per_sec: f64,
@@ -41,39 +42,40 @@
 }
 
 impl Scheduler {
-    /// Call slots that are free.
+    /// Returns the number of free call slots.
     pub(super) fn free_slots(&self) -> usize {
         self.settings.max_in_flight_calls.saturating_sub(self.calls.len())
     }
 
-    /// Starts calls until no slot is free or nothing may be sent. `next` is moved to the time of the next
-    /// visit.
+    /// Starts calls until no slot is free or nothing may be sent. Lowers `next` to the time of the next visit
+    /// if that is earlier.
     pub(super) fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         if self.free_slots() == 0 {
             return;
         }
-        let mut due = self.ready_index.due(now, self.free_slots());
+        let mut to_visit = self.ready_index.take_destinations_to_visit(now, self.free_slots());
         if self.shutdown.is_scheduled() || std::mem::take(&mut self.ready_index.must_visit_all) {
-            due.extend(self.queues.keys());
+            to_visit.extend(self.queues.keys());
         }
         let mut ready: Vec<ReadyDestination> = Vec::new();
-        for destination in due {
+        for destination in to_visit {
             ready.extend(self.ready_destination(now, destination, next));
         }
-        earliest(next, self.ready_index.next_send_at());
+        keep_earliest(next, self.ready_index.next_send_at());
         while self.free_slots() > 0 {
-            let first = (0..ready.len()).min_by(|a, b| self.slot_order(&ready[*a], &ready[*b]));
-            let Some(first) = first else { break };
-            let destination = ready.swap_remove(first).destination;
-            // Other calls have started since it was found ready, so it may have to wait now.
-            let Some(candidate) = self.find_candidate_or_park(now, destination, next) else { continue };
+            let best = (0..ready.len()).min_by(|a, b| self.compare_for_slot(&ready[*a], &ready[*b]));
+            let Some(best) = best else { break };
+            let destination = ready.swap_remove(best).destination;
+            // Other calls have started since the destination was found ready, so it may have to wait now.
+            let Some(candidate) = self.find_candidate_or_defer(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
         }
-        self.last_round_at = now;
+        self.slots_filled_at = now;
     }
 
-    fn slot_order(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
+    /// Orders destinations by calls in flight, then by the value of their candidate.
+    fn compare_for_slot(&self, a: &ReadyDestination, b: &ReadyDestination) -> Ordering {
         let by_calls = self.calls_in_flight_to(a.destination).cmp(&self.calls_in_flight_to(b.destination));
         by_calls.then(b.value_per_sec.total_cmp(&a.value_per_sec))
     }
@@ -88,13 +90,13 @@
         destination: DestinationId,
         next: &mut Option<Time>,
     ) -> Option<ReadyDestination> {
-        let value_per_sec = self.find_candidate_or_park(now, destination, next)?.value_per_sec;
+        let value_per_sec = self.find_candidate_or_defer(now, destination, next)?.value_per_sec;
         Some(ReadyDestination { destination, value_per_sec })
     }
 
-    /// What may be sent to a destination now. If nothing may, it is not visited again before that can have
-    /// changed.
-    fn find_candidate_or_park(
+    /// Returns the candidate of a destination. If it has none, the destination is not visited again until
+    /// that can have changed.
+    fn find_candidate_or_defer(
         &mut self,
         now: Time,
         destination: DestinationId,
@@ -106,9 +108,9 @@
         }
         let mut revisit = Revisit::default();
         let candidate = self.find_candidate(now, destination, &mut revisit);
-        earliest(next, revisit.send_at);
+        keep_earliest(next, revisit.send_at);
         self.ready_index.work_counters.destinations_visited += 1;
-        if candidate.is_none() && !revisit.each_step {
+        if candidate.is_none() && !revisit.at_every_step {
             self.ready_index.schedule_revisit(destination, &revisit);
         } else {
             self.mark_destination_changed(destination);
@@ -116,33 +118,35 @@
         candidate
     }
 
-    /// The best message of a destination that may be sent now, by the cheapest route that can take it. If
-    /// there is none, `revisit` says when to try again.
+    /// Returns the best message of a destination that may be sent now, by the cheapest route that can take
+    /// it. If there is none, sets in `revisit` when to try again.
     fn find_candidate(
         &mut self,
         now: Time,
         destination: DestinationId,
         revisit: &mut Revisit,
     ) -> Option<Candidate> {
-        let mut cheaper: Option<CheaperRoute> = None;
+        let mut cheaper_route: Option<CheaperRoute> = None;
         for (cost, route) in self.routes_by_cost(destination) {
             let free_at = self.route_free_at(now, route, revisit);
             if free_at.is_none_or(|at| at > now) {
-                earliest(&mut revisit.send_at, free_at);
+                keep_earliest(&mut revisit.send_at, free_at);
                 let messages_per_sec = self.messages_per_sec_if_healthy(now, route);
-                if let (None, Some(free_at), Some(messages_per_sec)) = (cheaper, free_at, messages_per_sec) {
-                    cheaper = Some(CheaperRoute { cost, free_at, messages_per_sec });
+                if let (None, Some(free_at), Some(messages_per_sec)) =
+                    (cheaper_route, free_at, messages_per_sec)
+                {
+                    cheaper_route = Some(CheaperRoute { cost, free_at, messages_per_sec });
                 }
                 continue;
             }
             let zones: Vec<ZoneId> =
                 self.eligible_endpoints(route).map(|endpoint| endpoint.entry.zone).collect();
             let Some(chosen) = self.choose_message(now, route, &zones, revisit) else { continue };
-            if let Some(cheaper) = cheaper.filter(|cheaper| cheaper.cost < cost) {
-                if self.can_wait_for(&cheaper, destination, chosen.id) {
-                    // The best message, and so how long it can wait, changes from moment to moment.
-                    revisit.each_step = true;
-                    earliest(&mut revisit.send_at, Some(cheaper.free_at));
+            if let Some(cheaper_route) = cheaper_route.filter(|cheaper_route| cheaper_route.cost < cost) {
+                if self.can_wait_for(&cheaper_route, destination, chosen.id) {
+                    // The best message, and with it how long it can wait, changes from moment to moment.
+                    revisit.at_every_step = true;
+                    keep_earliest(&mut revisit.send_at, Some(cheaper_route.free_at));
                     continue;
                 }
             }
@@ -161,7 +165,8 @@
         routes
     }
 
-    /// Messages a second that a route can take; none if it is recovering or has no eligible endpoint.
+    /// Returns the messages per second that a route can take; none if it is recovering or has no eligible
+    /// endpoint.
     fn messages_per_sec_if_healthy(&mut self, now: Time, id: RouteId) -> Option<f64> {
         let calls_per_sec = self.rate_per_sec(now, id);
         let route = self.routes.get(&id)?;
@@ -169,16 +174,21 @@
         is_healthy.then_some(calls_per_sec * route.batch_size as f64)
     }
 
-    /// Whether a message can wait for a cheaper route. Only if that route can deliver the whole queue in
-    /// time: otherwise the capacity of the more expensive route would be wasted.
-    fn can_wait_for(&self, cheaper: &CheaperRoute, destination: DestinationId, message: MessageId) -> bool {
+    /// Returns whether a message can wait for a cheaper route. It can only if that route can deliver the
+    /// whole queue in time: otherwise the capacity of the more expensive route would be wasted.
+    fn can_wait_for(
+        &self,
+        cheaper_route: &CheaperRoute,
+        destination: DestinationId,
+        message: MessageId,
+    ) -> bool {
         let waiting_messages = self.queues.get(&destination).map_or(0, Queue::len) as f64;
-        let queue_secs = waiting_messages / cheaper.messages_per_sec.max(0.001);
+        let queue_secs = waiting_messages / cheaper_route.messages_per_sec.max(0.001);
         let served_at =
-            cheaper.free_at + Duration::from_secs_f64(queue_secs.min(warm_up_secs(&self.settings)));
+            cheaper_route.free_at + Duration::from_secs_f64(queue_secs.min(warm_up_secs(&self.settings)));
         self.messages.get(&message).is_some_and(|message| {
             let objective = message.class(&self.settings).latency_objective;
-            served_at < message.enqueued_at + objective.mul_f64(COST_PATIENCE_OF_OBJECTIVE)
+            served_at < message.enqueued_at + objective.mul_f64(MAX_COST_WAIT_OBJECTIVE_RATIO)
         })
     }
 }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -1,14 +1,14 @@
-//! Indexes over the scheduler's state that say what the next step has to visit, so that the cost of a step
+//! Indexes over the scheduler's state that list what the next step has to visit, so that the cost of a step
 //! grows with what has changed and not with what exists.
 //!
-//! They are derived: they can be rebuilt from the state at any time and are not part of a hand-over. They
-//! decide nothing: visiting more than they ask for leads to the same decisions.
+//! The indexes are derived data: they can be rebuilt from the state at any time and are not part of a
+//! handover. They do not affect decisions: visiting more than they list leads to the same decisions.
 
 use super::{CallId, RouteId};
 use crate::model::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys with one due time each, ordered by time.
+/// A priority queue of keys, each with one due time.
 pub struct DueQueue<K> {
     order: BTreeSet<(Time, K)>,
     times: BTreeMap<K, Time>,
@@ -21,69 +21,71 @@
 }
 
 impl<K: Ord + Copy> DueQueue<K> {
-    /// Sets when a key is due, in place of what was set before; none removes it.
+    /// Sets when a key is due, replacing any earlier value. None removes the key.
     pub fn set(&mut self, key: K, at: Option<Time>) {
-        let before = match at {
+        let previous = match at {
             Some(at) => self.times.insert(key, at),
             None => self.times.remove(&key),
         };
-        if before == at {
+        if previous == at {
             return;
         }
-        if let Some(before) = before {
-            self.order.remove(&(before, key));
+        if let Some(previous) = previous {
+            self.order.remove(&(previous, key));
         }
         if let Some(at) = at {
             self.order.insert((at, key));
         }
     }
 
-    /// When the earliest key is due.
-    pub fn first(&self) -> Option<Time> {
+    /// Returns the earliest due time; none if the queue is empty.
+    pub fn first_at(&self) -> Option<Time> {
         self.order.first().map(|(at, _)| *at)
     }
 
-    /// The earliest key that is due by now, if there is one. It stays until it is set again.
-    pub fn due(&self, now: Time) -> Option<K> {
+    /// Returns the key with the earliest due time if that is not after `now`. The key stays in the queue
+    /// until it is set again.
+    pub fn first_due(&self, now: Time) -> Option<K> {
         self.order.first().filter(|(at, _)| *at <= now).map(|(_, key)| *key)
     }
 }
 
-/// When a waiting destination has to be visited again without an event of its own, as found by its last
+/// When a waiting destination has to be visited again if no event concerns it, as determined by its last
 /// visit.
 #[derive(Default)]
 pub struct Revisit {
-    /// When something may be sent: the scheduler asks for a timer.
+    /// Time at which something may be sent. The scheduler requests a timer for it.
     pub send_at: Option<Time>,
-    /// When a visit would change the state though nothing may be sent yet: no timer is needed for it.
+    /// Time at which a visit would change the state though nothing may be sent yet. It needs no timer.
     pub recheck_at: Option<Time>,
-    /// Once at least this many slots are free.
-    pub more_slots: Option<usize>,
-    /// Once fewer slots than this are free.
-    pub fewer_slots: Option<usize>,
-    /// At each step, as what was found holds at that moment only.
-    pub each_step: bool,
+    /// Visit once at least this many slots are free.
+    pub free_slots_at_least: Option<usize>,
+    /// Visit once fewer slots than this are free.
+    pub free_slots_below: Option<usize>,
+    /// Visit at every step, as the result of the last visit was only valid at its time.
+    pub at_every_step: bool,
 }
 
 impl Revisit {
-    /// Whether at least `least` slots are free; the destination is visited again when that changes.
-    pub fn needs_slots(&mut self, least: usize, slots_free: usize) -> bool {
-        let enough = slots_free >= least;
-        if enough {
-            self.fewer_slots = Some(self.fewer_slots.map_or(least, |below| below.max(least)));
+    /// Returns whether at least `required` slots are free, and schedules a visit for when that changes.
+    pub fn has_free_slots(&mut self, required: usize, free_slots: usize) -> bool {
+        let has_enough = free_slots >= required;
+        if has_enough {
+            self.free_slots_below = Some(self.free_slots_below.map_or(required, |below| below.max(required)));
         } else {
-            self.more_slots = Some(self.more_slots.map_or(least, |known| known.min(least)));
+            self.free_slots_at_least =
+                Some(self.free_slots_at_least.map_or(required, |current| current.min(required)));
         }
-        enough
+        has_enough
     }
 }
 
-/// How much was visited so far, over all steps; for tests and measurements.
+/// Numbers of objects visited so far, over all steps; for tests and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
-    /// Destinations that were visited for something to send.
+    /// Destinations that were visited to find something to send.
     pub destinations_visited: u64,
-    /// Waiting messages that were compared for that.
+    /// Waiting messages that were compared on these visits.
     pub messages_compared: u64,
     /// Calls that were checked for a missing response.
     pub calls_checked: u64,
@@ -96,79 +98,93 @@
 /// The indexes of a scheduler.
 #[derive(Default)]
 pub struct ReadyIndex {
-    /// Whether the next step that has a free slot visits all destinations.
+    /// Whether the next step with a free slot visits all destinations.
     pub must_visit_all: bool,
-    /// The destinations that it visits otherwise.
+    /// Destinations that the next step with a free slot visits because they have changed.
     changed: BTreeSet<DestinationId>,
     send_times: DueQueue<DestinationId>,
     recheck_times: DueQueue<DestinationId>,
-    more_slots: BTreeSet<(usize, DestinationId)>,
-    fewer_slots: BTreeSet<(usize, DestinationId)>,
-    /// Destinations that are not visited before one of the four above asks for it or something happens to
-    /// them, with their entries in the two sets of slots.
+    free_slots_at_least: BTreeSet<(usize, DestinationId)>,
+    free_slots_below: BTreeSet<(usize, DestinationId)>,
+    /// Destinations that are visited only when one of the four collections above lists them or when they
+    /// change, with their `free_slots_at_least` and `free_slots_below`.
     scheduled: BTreeMap<DestinationId, (Option<usize>, Option<usize>)>,
-    /// When the oldest responsive call of a route becomes unresponsive.
+    /// Times at which the oldest responsive call of a route becomes unresponsive.
     pub response_checks: DueQueue<RouteId>,
-    /// Calls that are unresponsive and were not cancelled, the oldest first.
+    /// Unresponsive calls that were not cancelled, the oldest first.
     pub unresponsive_calls: BTreeSet<CallId>,
-    /// Endpoints that are removed from the list and kept while they have calls in flight.
+    /// Endpoints that were removed from the list and are kept while they have calls in flight.
     pub removed_endpoints: BTreeSet<EndpointId>,
-    /// Routes whose circuit record may have changed since it was last asked for.
+    /// Routes whose circuit record may have changed since the records were last taken.
     pub changed_circuits: BTreeSet<RouteId>,
     pub work_counters: WorkCounters,
 }
 
 impl ReadyIndex {
-    /// Something has happened to a destination: the next step visits it.
-    pub fn mark_changed(&mut self, to: DestinationId) {
-        self.unschedule(to);
-        self.changed.insert(to);
+    /// Marks a destination as changed, so that the next step visits it.
+    pub fn mark_changed(&mut self, destination: DestinationId) {
+        self.unschedule(destination);
+        self.changed.insert(destination);
     }
 
-    /// Destinations to visit now, in order. Each has to be scheduled or marked as changed again afterwards.
-    pub fn due(&mut self, now: Time, slots_free: usize) -> BTreeSet<DestinationId> {
+    /// Returns the destinations to visit now, in order, and removes the change marks. Each destination has to
+    /// be scheduled or marked as changed again afterwards.
+    pub fn take_destinations_to_visit(&mut self, now: Time, free_slots: usize) -> BTreeSet<DestinationId> {
         let mut due = std::mem::take(&mut self.changed);
-        for queue in [&self.send_times, &self.recheck_times] {
-            due.extend(queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, to)| *to));
+        for due_queue in [&self.send_times, &self.recheck_times] {
+            due.extend(
+                due_queue.order.iter().take_while(|(at, _)| *at <= now).map(|(_, destination)| *destination),
+            );
         }
-        due.extend(self.more_slots.iter().take_while(|(least, _)| *least <= slots_free).map(|(_, to)| *to));
-        due.extend(self.fewer_slots.iter().rev().take_while(|(b, _)| *b > slots_free).map(|(_, to)| *to));
+        due.extend(
+            self.free_slots_at_least
+                .iter()
+                .take_while(|(required, _)| *required <= free_slots)
+                .map(|(_, destination)| *destination),
+        );
+        due.extend(
+            self.free_slots_below
+                .iter()
+                .rev()
+                .take_while(|(below, _)| *below > free_slots)
+                .map(|(_, destination)| *destination),
+        );
         due
     }
 
-    /// Records when a destination that was just visited in vain has to be visited again.
-    pub fn schedule_revisit(&mut self, to: DestinationId, revisit: &Revisit) {
-        self.unschedule(to);
-        self.changed.remove(&to);
-        self.send_times.set(to, revisit.send_at);
-        self.recheck_times.set(to, revisit.recheck_at);
-        revisit.more_slots.map(|least| self.more_slots.insert((least, to)));
-        revisit.fewer_slots.map(|below| self.fewer_slots.insert((below, to)));
-        self.scheduled.insert(to, (revisit.more_slots, revisit.fewer_slots));
+    /// Schedules the next visit of a destination where the last visit found nothing to send.
+    pub fn schedule_revisit(&mut self, destination: DestinationId, revisit: &Revisit) {
+        self.unschedule(destination);
+        self.changed.remove(&destination);
+        self.send_times.set(destination, revisit.send_at);
+        self.recheck_times.set(destination, revisit.recheck_at);
+        revisit.free_slots_at_least.map(|required| self.free_slots_at_least.insert((required, destination)));
+        revisit.free_slots_below.map(|below| self.free_slots_below.insert((below, destination)));
+        self.scheduled.insert(destination, (revisit.free_slots_at_least, revisit.free_slots_below));
     }
 
-    /// Nothing waits for this destination any more.
-    pub fn remove(&mut self, to: DestinationId) {
-        self.unschedule(to);
-        self.changed.remove(&to);
+    /// Removes a destination for which no message waits any more.
+    pub fn remove(&mut self, destination: DestinationId) {
+        self.unschedule(destination);
+        self.changed.remove(&destination);
     }
 
-    /// Removes a destination from all that it was scheduled in.
-    fn unschedule(&mut self, to: DestinationId) {
-        let Some((more, fewer)) = self.scheduled.remove(&to) else { return };
-        self.send_times.set(to, None);
-        self.recheck_times.set(to, None);
-        more.map(|least| self.more_slots.remove(&(least, to)));
-        fewer.map(|below| self.fewer_slots.remove(&(below, to)));
+    /// Removes a destination from all collections in which it is scheduled.
+    fn unschedule(&mut self, destination: DestinationId) {
+        let Some((at_least, below)) = self.scheduled.remove(&destination) else { return };
+        self.send_times.set(destination, None);
+        self.recheck_times.set(destination, None);
+        at_least.map(|required| self.free_slots_at_least.remove(&(required, destination)));
+        below.map(|below| self.free_slots_below.remove(&(below, destination)));
     }
 
-    /// When a scheduled destination may next be sent something.
+    /// Returns when something may next be sent to a scheduled destination.
     pub fn next_send_at(&self) -> Option<Time> {
-        self.send_times.first()
+        self.send_times.first_at()
     }
 }
 
 /// Keeps the earlier of two times in `next`.
-pub fn earliest(next: &mut Option<Time>, at: Option<Time>) {
+pub fn keep_earliest(next: &mut Option<Time>, at: Option<Time>) {
     *next = [*next, at].into_iter().flatten().min();
 }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -419,7 +419,7 @@
             classes: &classes,
             zone: self.zone.get(),
             max_in_flight_calls: self.max_in_flight_calls,
-            batch: self.max_batch_size,
+            max_batch_size: self.max_batch_size,
             max_pending_messages: self.max_pending_messages,
         };
         configuration.write(&self.folder).unwrap();
@@ -486,12 +486,12 @@
 
     /// Makes discovery leave notifications without acknowledgement, or acknowledge them again.
     pub fn hold_notifications(&self, hold: bool) {
-        self.discovery.state.hold_notifications.store(hold, Ordering::SeqCst);
+        self.discovery.state.is_holding_notifications.store(hold, Ordering::SeqCst);
     }
 
     /// Makes discovery read the next notifications without an event or a reply, on that many connections.
     pub fn lose_notifications(&self, connections: u32) {
-        self.discovery.state.lost_notifications.store(connections, Ordering::SeqCst);
+        self.discovery.state.connections_to_stall.store(connections, Ordering::SeqCst);
     }
 
     /// Announces that an endpoint is draining, as revision 2 of the list.
@@ -534,7 +534,7 @@
 
     /// Makes discovery leave new watch requests without a response, or answer them again.
     pub fn set_discovery_silent(&self, silent: bool) {
-        self.discovery.state.is_silent.store(silent, Ordering::SeqCst);
+        self.discovery.state.is_ignoring_watches.store(silent, Ordering::SeqCst);
     }
 
     /// Makes discovery answer each watch only after a delay.
