--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -50,7 +50,7 @@
 
 /// Limits each wait for the gateway. It is far longer than any step takes, so that only a failing test reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time without an event after which a test takes it that none will follow.
+/// The time without an event after which a test concludes that none will follow.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 impl Call {
@@ -75,7 +75,7 @@
         self.answer_raw((head + &body).as_bytes());
     }
 
-    /// Returns the endpoint's side of the connection, to send bytes besides the response or to read after it.
+    /// Returns the endpoint's side of the connection, to send or read bytes besides the response.
     pub fn stream(&self) -> TcpStream {
         self.connection.try_clone().unwrap()
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -200,9 +200,9 @@
 }
 
 /// 504 means that the attempts are exhausted and nothing was processed: the message is returned at once. The client may
-/// enqueue it elsewhere once it is notified, so that no call may be sent for it after a restart either.
+/// enqueue it again once it is notified, so that no call may be sent for it after a restart either.
 #[test]
-fn a_message_without_attempts_left_is_returned_at_once_and_for_good() {
+fn a_message_without_attempts_left_is_returned_at_once_and_not_sent_again() {
     let environment = TestEnvironment::new(1, 3.0);
     environment.hold_notifications(true);
     let gateway = environment.start();
@@ -395,8 +395,8 @@
     gateway.wait_for_log_line("endpoint list updated");
 }
 
-/// Endpoint lists on the watch may be indented and arrive in pieces. One that breaks off at an empty line is malformed:
-/// the watch is established again instead of waiting for the rest.
+/// Endpoint lists may be indented, also on the watch, and arrive in pieces. One that breaks off at an empty line is
+/// malformed: the watch is established again with the next line instead of waiting for the rest.
 #[test]
 fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -417,7 +417,7 @@
     gateway.wait_for_log_line("endpoint watch failed");
 }
 
-/// A slow discovery is requested once: a client that closes the connection too early repeats the request while
+/// A slow discovery is requested once: a gateway that closes the connection too early repeats the request while
 /// discovery still serves it, and adds to its load.
 #[test]
 fn a_slow_discovery_is_requested_once() {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -214,7 +214,7 @@
     environment.expect_nothing();
 }
 
-/// A successor with another fingerprint cannot decode the predecessor's state and continues from the journal. Calls in
+/// A successor with another fingerprint must not use the predecessor's state and continues from the journal. Calls in
 /// flight finish first; clients, Retry-After delays and disabled endpoints are handed over.
 #[test]
 fn a_successor_of_another_build_continues_from_the_journal() {
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -34,7 +34,7 @@
 }
 
 /// A change of the endpoint list that could not be written would be missing from the journal if only the next change
-/// were written. Both are written as soon as the disk permits.
+/// were written. A later write has to contain both.
 #[test]
 fn an_endpoint_list_that_could_not_be_written_is_written_later() {
     let environment = TestEnvironment::with_faults(2, 1);
