--- a/tests/reference/mod.rs
+++ b/tests/reference/mod.rs
@@ -4,10 +4,11 @@
 //! change of the endpoint list, all endpoints. That is slow but easily seen to be correct, as no visit can be missed.
 //! The product's scheduler visits only what has changed or come due, and has to decide the same.
 //!
-//! `scheduler.rs` and `state.rs` are copies: they share no code with `src/scheduler/`, only the types of events, actions
-//! and settings. They are not to be made faster or tidier. A decision that is changed on purpose in `src/scheduler/` is
-//! changed here in the same commit, in the form that visits everything. Any other difference that the test shows is a
-//! fault of the product. [`reached`] counts which branches the histories took, and decides nothing.
+//! `scheduler.rs` and `state.rs` are copies: they share no code with `src/scheduler/`, only the types of events,
+//! actions and settings. They are not to be made faster or tidier; their names and comments use its terms. A decision
+//! that is changed on purpose in `src/scheduler/` is changed here in the same commit, in the form that visits
+//! everything. Any other difference that the test shows is a fault of the product. [`reached`] counts which branches
+//! the histories took, and decides nothing.
 
 pub mod scheduler;
 pub mod state;
@@ -32,8 +33,8 @@
 }
 
 /// Counts one more time that a history of this thread reached a branch or an event.
-pub fn reached(what: &'static str) {
-    REACHED.with_borrow_mut(|counts| *counts.entry(what).or_default() += 1);
+pub fn reached(name: &'static str) {
+    REACHED.with_borrow_mut(|counts| *counts.entry(name).or_default() += 1);
 }
 
 /// Returns how often this thread's histories reached each branch and event.
--- a/tests/same_decisions/coverage.rs
+++ b/tests/same_decisions/coverage.rs
@@ -10,8 +10,8 @@
     "batch",
     "bulkhead",
     "call cancelled",
+    "endpoint deleted",
     "endpoint enabled again",
-    "endpoint forgotten",
     "endpoint reopened",
     "failures open the circuit",
     "half-open probe",
@@ -31,7 +31,7 @@
     "outside the deduplication scope",
     "Retry-After pending",
     "return announced",
-    "route forgotten",
+    "route deleted",
     "shutdown pending",
     "slow start",
     "slow start begins",
@@ -87,7 +87,7 @@
     println!("seed {seed}: how often the histories reached each branch and event: {reached:?}");
     let missed: Vec<_> = MUST_REACH
         .iter()
-        .map(|what| (what, reached.get(what).copied().unwrap_or(0)))
+        .map(|name| (name, reached.get(name).copied().unwrap_or(0)))
         .filter(|(_, times)| *times < MIN_TIMES_REACHED)
         .collect();
     assert!(missed.is_empty(), "the histories reached these too rarely: {missed:?}");
