--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -402,7 +402,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &SEED))
 }
 
-/// Rare orders of events can lead to an attempt or outcome that a delivery rule forbids.
+/// A rare order of events could lead to an attempt or outcome that a delivery rule forbids.
 #[test]
 fn the_delivery_rules_hold_under_random_events() {
     let check = |steps: Vec<Step>| {
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -66,8 +66,8 @@
 /// Calls to unresponsive destinations must not use up all slots.
 #[test]
 fn unresponsive_destinations_leave_slots_for_healthy_ones() {
-    let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
-    let mut bench = TestBench::new(settings(vec![non_idempotent()]), all);
+    let endpoints = (1..=5).map(|number| endpoint(u32::from(number), number)).collect();
+    let mut bench = TestBench::new(settings(vec![non_idempotent()]), endpoints);
     let mut healthy = 0;
     for id in 0..400 {
         bench.now = bench.now + ms(25);
@@ -83,8 +83,8 @@
     assert!(healthy >= 70, "{healthy} of 80 delivered at the healthy destination");
 }
 
-/// Attempt timeouts grow with the latency of a destination that slows down. Otherwise each retry would meet the attempt
-/// before it still running.
+/// Attempt timeouts grow with the latency of a destination that slows down. Otherwise each retry would arrive while the
+/// previous attempt is still running.
 #[test]
 fn attempt_timeouts_grow_after_timeouts() {
     let mut bench = single_destination(idempotent());
@@ -152,8 +152,8 @@
 /// on idle connections end with this outcome, calls on new ones deliver. Returns how often idle connections were
 /// closed before use.
 fn connections_closed_after(outcome: AttemptOutcome, count: u32, idle: Duration) -> usize {
-    let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
-    let mut bench = TestBench::new(settings(vec![idempotent()]), all);
+    let endpoints = (1..=count).map(|number| endpoint(number, number as u16)).collect();
+    let mut bench = TestBench::new(settings(vec![idempotent()]), endpoints);
     let mut id = 0;
     let mut call = |bench: &mut TestBench, to: u32, outcome: AttemptOutcome| {
         id += 1;
@@ -199,7 +199,7 @@
     assert!(!next_send(AttemptOutcome::ConnectFailed));
 }
 
-/// Unresponsive calls that use all slots would hold back the messages of healthy destinations: the oldest is cancelled.
+/// Unresponsive calls that use all slots would delay the messages of healthy destinations: the oldest is cancelled.
 #[test]
 fn with_all_slots_in_use_an_unresponsive_call_is_cancelled() {
     let base = settings(vec![idempotent()]);
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// After its idempotency window a retry could be processed twice, as the destination has forgotten the key.
+/// A message retried after its idempotency window could be processed twice, as the destination keeps the key no longer.
 #[test]
 fn a_message_with_a_key_is_retried_inside_its_idempotency_window_only() {
     let mut bench = single_destination(idempotent_with_key());
@@ -87,8 +87,8 @@
     assert!(retries < bench.settings.max_attempts);
 }
 
-/// Connecting may take long, and the message must not be sent too late after it. So each attempt has a time limit for
-/// sending: the deadline of its message and, for a retry, the end of its idempotency window.
+/// When connecting takes long, a message must not be sent too late. So each attempt has a time limit for sending: the
+/// deadline of its message and, for a retry, the end of its idempotency window.
 #[test]
 fn an_attempt_has_a_time_limit_for_sending_its_message() {
     let within = |actions: &[Action]| match actions {
@@ -107,7 +107,7 @@
     assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
 }
 
-/// Another zone does not know the key, and would process the message a second time.
+/// Keys are deduplicated within a zone here: another zone would process the message a second time.
 #[test]
 fn a_message_with_a_key_stays_in_its_deduplication_zone() {
     let mut other = endpoint(8, 1);
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -4,7 +4,7 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// New calls to an endpoint that drains or is gone would be lost, whether a delta or a snapshot says so.
+/// An endpoint that drains or is removed must get no new calls, whether a delta or a snapshot shows the change.
 #[test]
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
     for mode in [Availability::Draining, Availability::Removed] {
@@ -23,7 +23,7 @@
     assert_eq!(bench.start_attempts()[0].endpoint, 8);
 }
 
-/// Events can arrive late, for messages, endpoints and timers that the scheduler has already forgotten.
+/// Events can arrive late, for messages, endpoints and timers that the scheduler has already deleted.
 #[test]
 fn events_for_unknown_ids_are_ignored() {
     let mut bench = single_destination(idempotent());
--- a/tests/same_decisions/comparison.rs
+++ b/tests/same_decisions/comparison.rs
@@ -3,8 +3,9 @@
 //! Everything is compared exactly except durations and rates. Those that follow from decaying sums may differ by a
 //! microsecond (rates by a millionth), because the reference lets the sums decay at each step and rounds each time.
 //! Tokens are such sums too: within two microseconds of the moment at which a route's tokens come to a whole number,
-//! rounding would decide on one token more or less, so the simulation moves such moments (see [`crate::simulation`]).
-//! It moves no others. A timer that only one side sets again is no difference if it moves by a microsecond at most.
+//! rounding would decide on one token more or less, so the simulation moves steps away from such moments (see
+//! [`crate::simulation`]). It moves no other steps. A timer that only one side sets again is no difference if it moves
+//! by a microsecond at most.
 
 use delivery_gateway::*;
 use std::time::Duration;
@@ -24,7 +25,7 @@
     pub reference: T,
 }
 
-/// Whether two durations are equal or differ by rounding alone.
+/// Returns whether two durations are equal or differ by rounding alone.
 pub fn near(one: Duration, other: Duration) -> bool {
     one.abs_diff(other) <= ROUNDING
 }
@@ -52,8 +53,8 @@
     }
 }
 
-/// Whether both timers fire at the same time. One may have been set again where the other was not, if it moved by
-/// rounding alone.
+/// Returns whether both timers fire at the same time. One may have been set again where the other was not, if it moved
+/// by rounding alone.
 pub fn same_timers(
     before: &Sides<Option<Timer>>,
     after: &Sides<Option<Timer>>,
--- a/tests/same_decisions/messages.rs
+++ b/tests/same_decisions/messages.rs
@@ -133,9 +133,9 @@
 
     pub fn deliver_outcomes(&mut self) {
         let now = self.now;
-        let due = self.in_flight.iter().filter(|(_, attempt)| attempt.finishes_at <= now);
-        let due: Vec<u32> = due.map(|(id, _)| *id).collect();
-        due.into_iter().for_each(|message| self.finish(message));
+        let finished = self.in_flight.iter().filter(|(_, attempt)| attempt.finishes_at <= now);
+        let messages: Vec<u32> = finished.map(|(id, _)| *id).collect();
+        messages.into_iter().for_each(|message| self.finish(message));
     }
 
     /// Reports the outcome of a message's attempt to both schedulers.
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Forgets a message that has its final outcome, waits for no acknowledgement and has no attempt in flight.
+    /// Deletes a message that has its final outcome, awaits no acknowledgement and has no attempt in flight.
     pub fn forget_if_completed(&mut self, message: u32) {
         let is_acknowledged =
             |pending: &PendingMessage| pending.is_closed && pending.acknowledged_at.is_none();
--- a/tests/same_decisions/simulation.rs
+++ b/tests/same_decisions/simulation.rs
@@ -16,7 +16,7 @@
 /// No step may be nearer than this to a moment at which a route's tokens come to a whole number, as rounding would
 /// decide there (see [`super::comparison`]).
 const TOKEN_EDGE_MARGIN: Duration = Duration::from_micros(2);
-/// A step that is nearer is moved by this time, repeatedly.
+/// A step that is nearer is moved by this time, repeatedly if needed.
 const TOKEN_EDGE_MOVE: Duration = Duration::from_micros(5);
 /// The maximum number of such moves for one step.
 const MAX_TOKEN_EDGE_MOVES: usize = 20;
@@ -29,7 +29,7 @@
 /// A destination, and one of its endpoints where that has a circuit of its own.
 type CircuitKey = (DestinationId, Option<EndpointId>);
 
-/// A message that the schedulers have not forgotten.
+/// A message that the schedulers have not deleted.
 pub struct PendingMessage {
     pub accepted: AcceptedMessage,
     pub attempts: u32,
@@ -55,7 +55,7 @@
     pub schedulers: SchedulerPair,
     pub now: Time,
     pub timers: Sides<Option<Timer>>,
-    /// Messages that the schedulers have not forgotten.
+    /// Messages that the schedulers have not deleted.
     pub pending: BTreeMap<u32, PendingMessage>,
     /// Attempts in flight, by message.
     pub in_flight: BTreeMap<u32, InFlight>,
@@ -286,9 +286,9 @@
     fn deliver_acknowledgements(&mut self) {
         let now = self.now;
         let is_due = |pending: &PendingMessage| pending.acknowledged_at.is_some_and(|at| at <= now);
-        let due: Vec<u32> =
+        let due_messages: Vec<u32> =
             self.pending.iter().filter(|(_, pending)| is_due(pending)).map(|(id, _)| *id).collect();
-        for message in due {
+        for message in due_messages {
             self.pending.get_mut(&message).expect("pending").acknowledged_at = None;
             reached("outcome acknowledged");
             self.handle(Event::OutcomeAcknowledged(MessageId(message)));
