--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -346,8 +346,8 @@
     /// Returns a random delay to wait before the first watch on the endpoint list, so that gateways that start
     /// together spread their watches.
     pub fn initial_watch_delay(&mut self) -> Duration {
-        let longest = self.settings.limits.drain_grace.mul_f64(MAX_START_SPREAD_DRAIN_GRACE_RATIO);
-        START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(&self.settings)).min(longest).mul_f64(self.rng.f64())
+        let max_delay = self.settings.limits.drain_grace.mul_f64(MAX_START_SPREAD_DRAIN_GRACE_RATIO);
+        START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(&self.settings)).min(max_delay).mul_f64(self.rng.f64())
     }
 
     /// Returns the destination with the longest queue, the number of messages in it and the status of the
@@ -393,14 +393,14 @@
             }
             EndpointUpdate::WatchRejected => {
                 let (first, longest) = WATCH_REJECTION_DELAYS_PER_GATEWAY;
-                let delay = exponential_backoff(first, 1.0, self.watch_rejections)
+                let max_delay = exponential_backoff(first, 1.0, self.watch_rejections)
                     .min(longest)
                     .mul_f64(fleet_size(&self.settings));
                 let random_fraction = self.rng.f64();
-                self.watch_retry_at = Some(if delay > MAX_WATCH_REJECTION_DELAY {
+                self.watch_retry_at = Some(if max_delay > MAX_WATCH_REJECTION_DELAY {
                     now + MAX_WATCH_REJECTION_DELAY.mul_f64(0.5 + 0.5 * random_fraction)
                 } else {
-                    now + delay.mul_f64(random_fraction)
+                    now + max_delay.mul_f64(random_fraction)
                 });
                 self.watch_rejections += 1;
                 return;
@@ -434,9 +434,9 @@
             } else {
                 1.0
             };
-            let least_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(&self.settings);
+            let min_rate_per_sec = MIN_INITIAL_CALLS_PER_DEADLINE / shortest_deadline_secs(&self.settings);
             let (initial_rate_per_sec, initial_tokens) =
-                ((limit_per_sec * share).max(least_per_sec), 1.0 - random_fraction * (1.0 - share));
+                ((limit_per_sec * share).max(min_rate_per_sec), 1.0 - random_fraction * (1.0 - share));
             let route = self.routes.entry(self.route_of(&entry)).or_insert_with(|| {
                 let (rate_per_sec, tokens, refilled_at, latency, last_success_at) =
                     (initial_rate_per_sec, initial_tokens, now, latency, now);
@@ -1105,7 +1105,7 @@
         routes.sort_by(|a, b| a.0.total_cmp(&b.0));
         // The cheapest healthy route that can take a call later, but not now: its cost, when it is free, and the
         // messages per second that it can take.
-        let mut cheaper: Option<(f64, Time, f64)> = None;
+        let mut cheaper_route: Option<(f64, Time, f64)> = None;
         for (cost, route) in routes {
             let free_at = self.route_free_at(now, route);
             if free_at.is_none_or(|at| at > now) {
@@ -1119,8 +1119,8 @@
                         && route.endpoints.iter().any(is_eligible)
                 };
                 let healthy = self.routes.get(&route).filter(is_healthy);
-                if let (None, Some(at), Some(healthy)) = (cheaper, free_at, healthy) {
-                    cheaper = Some((cost, at, calls_per_sec * healthy.batch_size as f64));
+                if let (None, Some(free_at), Some(healthy)) = (cheaper_route, free_at, healthy) {
+                    cheaper_route = Some((cost, free_at, calls_per_sec * healthy.batch_size as f64));
                 }
                 continue;
             }
@@ -1130,11 +1130,13 @@
                 .map(|tracked| tracked.entry.zone)
                 .collect();
             let Some((message, value)) = self.choose_message(now, route, &zones, next) else { continue };
-            if let Some((_, at, messages_per_sec)) = cheaper.filter(|(least_cost, ..)| *least_cost < cost) {
+            if let Some((_, free_at, messages_per_sec)) =
+                cheaper_route.filter(|(least_cost, ..)| *least_cost < cost)
+            {
                 // The message waits only if that route can deliver the whole queue in time: otherwise the
                 // capacity of this route would be wasted.
                 let waiting_messages = self.queues.get(&destination).map_or(0, Vec::len) as f64;
-                let served_at = at
+                let served_at = free_at
                     + Duration::from_secs_f64(
                         (waiting_messages / messages_per_sec.max(0.001)).min(warm_up_secs(&self.settings)),
                     );
@@ -1145,7 +1147,7 @@
                             + self.class(message).latency_objective.mul_f64(MAX_COST_WAIT_OBJECTIVE_RATIO)
                 }) {
                     reached("waits for a cheaper route");
-                    keep_earliest(next, Some(at));
+                    keep_earliest(next, Some(free_at));
                     continue;
                 }
             }
@@ -1624,7 +1626,7 @@
     /// rejections share this budget.
     fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
         let demand_per_sec = self.demand.per_sec(now, warm_up_secs(settings), 0.0);
-        let least_per_sec =
+        let min_per_sec =
             if self.has_low_traffic(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
         let expected_per_sec =
             demand_per_sec.clamp(self.baseline_per_sec, self.baseline_per_sec * MAX_DEMAND_BASELINE_MULTIPLE);
@@ -1632,7 +1634,7 @@
         let capacity_ratio = settings.limits.cold_capacity_ratio
             + (1.0 - settings.limits.cold_capacity_ratio) * warm_up_progress;
         (share_per_sec * capacity_ratio * settings.limits.overload_multiple * USED_BUDGET_RATIO)
-            .max(least_per_sec)
+            .max(min_per_sec)
     }
 
     /// Schedules the next half-open probe if the circuit is open: after a growing delay with jitter, and within
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -101,7 +101,7 @@
             vec![DestinationKind { max_batch_size: batch, has_per_endpoint_limits: false }];
         let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = TestBench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
-        // Its rate is now far above its share of the listed limit.
+        // The gateway's rate is now far above its share of the listed limit.
         bench
             .scheduler
             .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -110,7 +110,7 @@
     backoffs.sort();
     assert!(backoffs[0] >= ms(2500), "{backoffs:?}");
     assert!(
-        backoffs.windows(32).all(|some| some[31] - some[0] >= ms(125)),
+        backoffs.windows(32).all(|tenth| tenth[31] - tenth[0] >= ms(125)),
         "a tenth of the gateways retry within a twentieth of the spread: {backoffs:?}"
     );
 }
@@ -120,22 +120,23 @@
 /// endpoints have to stop.
 #[test]
 fn first_watches_are_spread_inside_the_drain_grace() {
-    let first = |fleet_size: u32, seed: u64| {
+    let initial_delay = |fleet_size: u32, seed: u64| {
         Scheduler::new(Settings { fleet_size, ..settings(vec![idempotent()]) }, seed).initial_watch_delay()
     };
     let drain_grace = Settings::default().limits.drain_grace;
     for fleet_size in [48, 100, 318] {
-        let mut delays: Vec<Duration> = (0..fleet_size.into()).map(|seed| first(fleet_size, seed)).collect();
+        let mut delays: Vec<Duration> =
+            (0..fleet_size.into()).map(|seed| initial_delay(fleet_size, seed)).collect();
         delays.sort();
         let last = delays[delays.len() - 1];
         assert!(last > drain_grace / 3 && last <= drain_grace / 2, "{fleet_size}: {last:?}");
         let second_quarter = delays[delays.len() / 2] - delays[delays.len() / 4];
         assert!(second_quarter > drain_grace / 16, "{fleet_size}: {delays:?}");
     }
-    assert!(first(3, 1) < ms(300));
+    assert!(initial_delay(3, 1) < ms(300));
 }
 
-/// A watch that was established and breaks much later must not wait for the backoff of earlier rejections.
+/// A watch that was established and is rejected much later must not get the long backoff of earlier rejections.
 #[test]
 fn an_established_watch_resets_the_backoff() {
     let mut bench = fleet_member(3);
