--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -57,7 +57,7 @@
     assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     let mut slow = slow.into_iter();
     assert_eq!(slow.next().map(response_status), Some(408));
-    // The newest connections were not evicted.
+    // The newest connection is still open.
     let mut last = slow.next_back().unwrap();
     last.write_all(b"\r\n").unwrap();
     assert_eq!(response_status(last), 200);
@@ -178,7 +178,7 @@
     assert!(admits(&mut bench));
 }
 
-/// An endpoint may have been restarted while it was disabled. It gets few calls at first, as it may not be warm.
+/// An endpoint may have been restarted while it was disabled, so that it gets a slow start when it is enabled.
 #[test]
 fn an_enabled_endpoint_gets_a_slow_start() {
     let kinds = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -9,8 +9,7 @@
 
 const EMPTY_OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A status line with 200 means delivered, whatever is malformed after it. The connection is not reused, as the end of
-/// the response is unknown.
+/// A status line with 200 means delivered, whatever is malformed after it. The connection is not reused.
 #[test]
 fn a_status_line_with_200_delivers() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -206,8 +205,8 @@
     assert_eq!(deliver("a3"), new_connection);
 }
 
-/// Endpoints that are replaced again and again would let the memory grow if removed ones were kept. Fifteen thousand
-/// replacements have to fit 1500 KiB.
+/// Endpoints that are replaced again and again would let the memory grow if removed ones were kept. It may grow by less
+/// than 1500 KiB over 15 000 replacements.
 #[test]
 fn removed_endpoints_free_their_memory() {
     const TIMES: u32 = 1000;
@@ -226,7 +225,7 @@
     assert!(after < before + 1500, "{before} KiB before, {after} KiB after");
 }
 
-/// With more endpoints than descriptors, idle connections are evicted instead of exceeding the limit.
+/// Idle connections to many endpoints could exceed the descriptor limit, and are evicted instead.
 #[test]
 fn descriptors_stay_within_their_limit() {
     let mut environment = TestEnvironment::with_long_deadlines(40, 3.0);
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -61,8 +61,8 @@
                 let target = self.owner(&path, 0);
                 let shared = module.iter().zip(&target).take_while(|(own, imported)| own == imported).count();
                 if let (Some(from), Some(to)) = (module.get(shared), target.get(shared)) {
-                    let at = edges.entry(module[..shared].to_vec()).or_default();
-                    at.insert((from.clone(), to.clone()));
+                    let child_edges = edges.entry(module[..shared].to_vec()).or_default();
+                    child_edges.insert((from.clone(), to.clone()));
                 }
             }
         }
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -91,8 +91,8 @@
     environment.expect_nothing();
 }
 
-/// The status line of a batch response has no outcome of any single message. If the body cannot be read, the messages
-/// may have run.
+/// The status line of a batch response does not show the outcome of each message. If the body cannot be read, the
+/// messages may have run.
 #[test]
 fn a_batch_with_an_unreadable_response_may_have_run() {
     for (number, response) in [
@@ -120,8 +120,7 @@
     }
 }
 
-/// A message with two states in a batch response may have run, as either state may be wrong. The states of the other
-/// messages apply.
+/// A message with two states in a batch response may have run. The states of the other messages apply.
 #[test]
 fn a_message_with_two_states_may_have_run() {
     let environment = one_slot();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -5,7 +5,7 @@
 use environment::*;
 use std::time::{Duration, Instant};
 
-/// The time within which an idle or partial connection gets an error or is closed.
+/// The time after connecting within which a client that sends no complete request gets an error or is closed.
 const ERROR_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Clients that stop sending would occupy connection slots without end. A connection without a request is closed, and
@@ -162,8 +162,8 @@
     environment.expect_nothing();
 }
 
-/// The id of a completed message does not become free: endpoints would reject another message under it, and each batch
-/// that contains it.
+/// The id of a completed message does not become free: endpoints would reject another message under it, and each call
+/// that carries it.
 #[test]
 fn a_completed_id_belongs_to_its_message() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -210,8 +210,7 @@
     environment.expect_no_call();
 }
 
-/// Clients may still connect to a lame duck. The first request on each new connection gets a reply, as it would be lost
-/// if the connection were closed before it arrives.
+/// Clients may still connect to a lame duck. The first request on each new connection gets a reply.
 #[test]
 fn a_lame_duck_answers_each_first_request() {
     let environment = TestEnvironment::new(1, 3.0);
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -12,7 +12,7 @@
 const IDLE_CLIENTS: usize = 300;
 /// The maximum number of descriptors of a gateway under test.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// The minimum number of messages that fill the journal of a gateway under test.
+/// The journal of a gateway under test is full only after more messages than this.
 const FULL_JOURNAL_MESSAGES: usize = 5_000;
 
 /// Creates an environment with long deadlines in which each endpoint has a destination of its own.
@@ -148,7 +148,7 @@
     assert!(accepted > FULL_JOURNAL_MESSAGES, "{accepted} messages fill the journal");
 }
 
-/// Waits until all these messages have been sent. No unattempted message may get a final outcome before.
+/// Waits until all these messages have been sent. None of them may get a final outcome before its call.
 fn assert_all_are_sent(environment: &TestEnvironment, ids: &[&str]) {
     let mut unsent = ids.to_vec();
     while !unsent.is_empty() {
@@ -164,8 +164,8 @@
     }
 }
 
-/// Replaying a full journal takes the longest. The process is ready within 10 s nevertheless: messages without an
-/// attempt that have 10 s left at the kill, idempotent or not, still get their calls.
+/// A process with a full journal is ready within 10 s of its start, and attempts messages that had no attempt: those
+/// that have 10 s left at the kill, idempotent or not, still get their calls.
 #[test]
 fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
     let mut environment = one_destination_each(4);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -94,8 +94,8 @@
     }
 }
 
-/// Endpoints that are missing from a snapshot are removed. Their ids would use up memory and are dropped, unless they
-/// are still in use or their endpoints are disabled.
+/// Endpoints that are missing from a snapshot are removed. Their ids are dropped unless they are still in use or their
+/// endpoints are disabled.
 #[test]
 fn ids_of_removed_endpoints_are_dropped_once_unused() {
     let mut directory = directory();
--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -29,7 +29,7 @@
     is_accepted: bool,
     is_rejected: bool,
     /// The number of calls that ran or whose outcome the gateway cannot know.
-    uncertain_calls: usize,
+    possibly_run_calls: usize,
     calls: usize,
     is_delivered: bool,
     is_notified: bool,
@@ -79,8 +79,8 @@
         self.observe(Duration::ZERO);
     }
 
-    /// Answers calls and records notifications until `limit` has passed or no message is pending. With a limit of zero
-    /// it handles all events that have arrived.
+    /// Answers calls and records notifications until `limit` has passed, or until no message is pending after one of
+    /// them. With a limit of zero it handles all events that have arrived.
     pub fn observe(&mut self, limit: Duration) {
         let end = Instant::now() + limit;
         while let Some(event) = self.environment.event_within(end.saturating_duration_since(Instant::now())) {
@@ -109,7 +109,7 @@
         let message = self.messages.entry(call.id.clone()).or_default();
         assert!(!message.is_rejected, "{} was sent although its request was rejected", call.id);
         assert!(
-            !(message.is_non_idempotent && message.uncertain_calls > 0),
+            !(message.is_non_idempotent && message.possibly_run_calls > 0),
             "{} is non-idempotent, may have run and was sent again",
             call.id
         );
@@ -118,11 +118,11 @@
         match self.calls % 4 {
             1 => call.answer("503 Service Unavailable", ""),
             3 if !message.is_non_idempotent => {
-                message.uncertain_calls += 1;
+                message.possibly_run_calls += 1;
                 call.reset();
             }
             _ => {
-                message.uncertain_calls += 1;
+                message.possibly_run_calls += 1;
                 message.is_delivered = true;
                 self.pending.remove(&call.id);
                 call.answer("200 OK", "");
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Waits until every accepted message has its final outcome; panics after 30 s. `what` names the case.
-    pub fn wait_for_outcomes(&mut self, what: &str) {
+    /// Waits until every accepted message has its final outcome; panics after 30 s, with `case` in the text.
+    pub fn wait_for_outcomes(&mut self, case: &str) {
         self.observe(OUTCOMES_TIMEOUT);
-        assert!(self.pending.is_empty(), "{what}: no final outcome for {:?}", self.pending);
+        assert!(self.pending.is_empty(), "{case}: no final outcome for {:?}", self.pending);
     }
 }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -42,7 +42,7 @@
     (SystemCall::EpollWait, &[libc::EINTR]),
     (SystemCall::StateWrite, &[libc::EINTR, SystemCall::SHORT]),
 ];
-/// The ratio of system calls that fail with `TRANSIENT_FAULTS`.
+/// The ratio of the calls listed in `TRANSIENT_FAULTS` that fail.
 const TRANSIENT_FAULT_RATIO: f64 = 0.1;
 
 /// The idempotency window of messages of the class `brief`.
@@ -255,7 +255,7 @@
         std::fs::write(self.folder.join("state/journal.new"), b"half a copy").unwrap();
     }
 
-    /// Creates an environment with a latency objective of 100 s instead of 3 s, so that no deadline passes in a test.
+    /// Creates an environment with a latency objective of 100 s instead of 3 s, and so class deadlines of 800 s.
     pub fn with_long_deadlines(endpoints: usize, disk_mb: f64) -> Self {
         TestEnvironment { latency_objective_secs: 100, ..TestEnvironment::new(endpoints, disk_mb) }
     }
@@ -361,8 +361,8 @@
         RunningGateway::start(self)
     }
 
-    /// Starts a gateway with another destination for its log. The environment chooses its address, which it cannot read
-    /// from the log, and waits until it accepts connections. There is no address of its admin endpoint.
+    /// Starts a gateway with another destination for its log, and waits until it accepts connections. The environment
+    /// chooses its address, which it cannot read from the log. The address of its admin endpoint stays unknown.
     pub fn start_logging_to(&self, log: Stdio) -> RunningGateway<'_> {
         let (_socket, address) = bind_socket();
         drop(_socket);
@@ -489,7 +489,8 @@
         self.discovery.state.is_holding_notifications.store(hold, Ordering::SeqCst);
     }
 
-    /// Makes discovery read the next notifications without an event or a reply, on that many connections.
+    /// Makes discovery stall that many connections, each from its next notifications on: it reads them without an event
+    /// or a reply.
     pub fn lose_notifications(&self, connections: u32) {
         self.discovery.state.connections_to_stall.store(connections, Ordering::SeqCst);
     }
@@ -556,7 +557,7 @@
         locked(&self.discovery.state.watches).open.len()
     }
 
-    /// Returns the size of all files in the state folder, in whole blocks of 512 bytes.
+    /// Returns the total size of the files in the state folder in bytes, each rounded up to a multiple of 512.
     pub fn disk_used_bytes(&self) -> u64 {
         let files = std::fs::read_dir(self.folder.join("state")).unwrap();
         files.map(|file| file.unwrap().metadata().map_or(0, |data| data.len().div_ceil(512) * 512)).sum()
@@ -645,7 +646,7 @@
         Client::connect(self.address, STEP_TIMEOUT).unwrap()
     }
 
-    /// Connects a client with a limit for the connection and for each reply.
+    /// Connects a client. `limit` applies to each read of a reply, not to connecting.
     pub fn try_client(&self, limit: Duration) -> std::io::Result<Client> {
         Client::connect(self.address, limit)
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -417,8 +417,8 @@
     gateway.wait_for_log_line("endpoint watch failed");
 }
 
-/// A slow discovery is requested once: a gateway that closes the connection too early repeats the request while
-/// discovery still serves it, and adds to its load.
+/// A slow discovery is requested once: a gateway that closes the connection too early would repeat the request while
+/// discovery still serves it.
 #[test]
 fn a_slow_discovery_is_requested_once() {
     let environment = TestEnvironment::new(1, 3.0);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -77,7 +77,7 @@
     drop(successor);
 }
 
-/// Operators have taken a lame duck out of service, so that its successor must not accept clients again.
+/// The successor of a lame duck is a lame duck too, until operators switch the mode off.
 #[test]
 fn lame_duck_mode_is_handed_over() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -141,8 +141,8 @@
     assert_eq!(successor.client().request(&["PING"]), "+PONG");
 }
 
-/// The predecessor drops calls that are still in flight when it exits. The successor is notified that their outcomes
-/// are unknown, so that their messages do not stay pending.
+/// The predecessor drops calls that are still in flight when it exits. The successor counts them as reset, since an
+/// endpoint may have processed them.
 #[test]
 fn calls_in_flight_at_the_predecessors_exit_are_dropped() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -214,7 +214,7 @@
     environment.expect_nothing();
 }
 
-/// A successor with another fingerprint must not use the predecessor's state and continues from the journal. Calls in
+/// A successor with another fingerprint cannot use the predecessor's state and continues from the journal. Calls in
 /// flight finish first; clients, Retry-After delays and disabled endpoints are handed over.
 #[test]
 fn a_successor_of_another_build_continues_from_the_journal() {
@@ -255,7 +255,7 @@
     environment.expect_nothing();
 }
 
-/// A call that does not finish in time is dropped, since it would delay the successor, which starts without it.
+/// A call that does not finish in time is dropped before the successor continues.
 #[test]
 fn an_unresponsive_call_does_not_delay_a_successor_of_another_build() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -301,7 +301,7 @@
     gateway.wait_for_log_line("open circuits changed before=1 after=0");
 }
 
-/// Returns endpoints with long uids. With the counts used here their update is too long for one record.
+/// Returns endpoints with long uids. An update with 50 000 of them is too long for one record.
 fn many_endpoints(revision: u64, count: u32) -> Vec<DiscoveredEndpoint> {
     let endpoint = |number| DiscoveredEndpoint {
         uid: format!("a-name-that-is-as-long-as-those-that-are-in-use-in-the-field-{revision}-{number}"),
@@ -471,8 +471,8 @@
     }
 }
 
-/// A rollback needs a journal that the previous build can read. Without faults a gateway writes only record kinds that
-/// the previous build has; journal time is kept in a file of its own.
+/// A gateway that has met no fault writes only record kinds that the previous build can read. Journal time would need
+/// another kind, so that it is kept in a separate file beside the journal.
 #[test]
 fn a_journal_without_faults_has_only_record_kinds_of_the_previous_build() {
     const LAST_KNOWN_KIND: u8 = 12;
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// A configuration that cannot be read temporarily is read again, as its change would otherwise be ignored.
+/// A reload whose configuration cannot be read at first is retried, as the change would otherwise be ignored.
 #[test]
 fn a_configuration_that_cannot_be_read_is_retried() {
     for call in [SystemCall::ConfigOpen, SystemCall::ConfigRead] {
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -21,7 +21,7 @@
 /// Runs a gateway that is killed at its nth call of a kind, starts the next one and audits the outcomes. `kill` is
 /// `KILLED_BEFORE` or `KILLED_AFTER`. Returns whether the process was killed: it may end its work with fewer calls.
 fn run_with_kill(call: SystemCall, kill: i32, nth: u32) -> bool {
-    let what = format!("{call:?} {kill} at call {nth}");
+    let case = format!("{call:?} {kill} at call {nth}");
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
     // The disk is small, so that the journal is compacted.
     environment.disk_mb = 0.03;
@@ -41,13 +41,13 @@
     environment.faults().clear(call).unwrap();
     let gateway = environment.start();
     audit.enqueue(&gateway, "after", true, ClientExpectation::AreAnswered);
-    audit.wait_for_outcomes(&what);
-    assert!(!gateway.has_logged("it would break a delivery rule"), "{what}");
+    audit.wait_for_outcomes(&case);
+    assert!(!gateway.has_logged("it would break a delivery rule"), "{case}");
     was_killed
 }
 
-/// Kills a process before and after each of its first calls of a kind. At least half of the cases have to reach their
-/// kill.
+/// Kills a process at each of its first calls of a kind, once before the call or halfway through its bytes, and once
+/// after it. At least half of the cases have to reach their kill.
 fn kill_at_each(call: SystemCall, calls: u32) {
     let (next, killed) = (AtomicU32::new(0), AtomicU32::new(0));
     thread::scope(|cases| {
@@ -90,7 +90,7 @@
 /// Runs a handover in which one of the two processes is killed at its nth call of a kind, and audits the outcomes of
 /// the process that is left. Returns whether the process was killed.
 fn hand_over_with_kill(call: SystemCall, kill: i32, nth: u32, which: Killed) -> bool {
-    let what = format!("{call:?} {kill} at call {nth} of the {which:?}");
+    let case = format!("{call:?} {kill} at call {nth} of the {which:?}");
     let mut environment = TestEnvironment::with_faults(2, u64::from(nth) + 1);
     environment.latency_objective_secs = 3;
     let mut audit = DeliveryAudit::new(&environment);
@@ -115,24 +115,24 @@
         Killed::Predecessor => predecessor.has_ended(),
         Killed::Successor => successor.has_ended(),
     };
-    assert_eq!(was_killed, has_ended, "{what}");
-    assert!(was_killed || has_listened, "{what}: the successor neither listens nor ends");
+    assert_eq!(was_killed, has_ended, "{case}");
+    assert!(was_killed || has_listened, "{case}: the successor neither listens nor ends");
     if has_listened && !successor.has_ended() {
         if !predecessor.has_ended() {
             predecessor.send_sigterm();
         }
         let successor = successor.listening();
         audit.enqueue(&successor, "after", true, ClientExpectation::AreAnswered);
-        audit.wait_for_outcomes(&what);
+        audit.wait_for_outcomes(&case);
     } else {
         audit.enqueue(&predecessor, "after", true, ClientExpectation::AreAnswered);
-        audit.wait_for_outcomes(&what);
+        audit.wait_for_outcomes(&case);
     }
     was_killed
 }
 
-/// Kills one of the processes of a handover before and after each of its first calls of a kind. At least one case has
-/// to reach its kill.
+/// Kills one of the processes of a handover at each of its first calls of a kind, once before the call or halfway
+/// through its bytes, and once after it. At least one case has to reach its kill.
 fn kill_at_each_step(call: SystemCall, calls: u32, which: Killed) {
     let killed = AtomicU32::new(0);
     thread::scope(|cases| {
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -58,9 +58,9 @@
     assert!(counts.failures > 0, "{call:?} {error}: {counts:?}");
 }
 
-/// Runs a gateway through a compaction, a reload, a shutdown and a restart, and audits the outcomes. `what` names the
-/// case.
-fn run_and_restart(environment: &TestEnvironment, what: &str, clients: ClientExpectation) {
+/// Runs a gateway through a compaction, a reload, a shutdown and a restart, and audits the outcomes. `case` appears in
+/// panic messages.
+fn run_and_restart(environment: &TestEnvironment, case: &str, clients: ClientExpectation) {
     let mut audit = DeliveryAudit::new(environment);
     let mut gateway = environment.start();
     for number in 0..MESSAGES {
@@ -73,16 +73,16 @@
         audit.enqueue(&gateway, &format!("e{number}"), false, clients);
         audit.observe(Duration::from_millis(50));
     }
-    assert!(compactions() > 0, "{what}: the journal was not compacted");
+    assert!(compactions() > 0, "{case}: the journal was not compacted");
     gateway.send_sighup();
     audit.enqueue(&gateway, "c0", true, clients);
     gateway.send_sigterm();
-    assert!(gateway.wait(Duration::from_secs(6)).success(), "{what}: the process did not exit with success");
+    assert!(gateway.wait(Duration::from_secs(6)).success(), "{case}: the process did not exit with success");
     let gateway = environment.start();
     audit.enqueue(&gateway, "d0", true, clients);
     audit.enqueue(&gateway, "d1", false, clients);
-    audit.wait_for_outcomes(what);
-    assert!(!gateway.has_logged("panicked"), "{what}");
+    audit.wait_for_outcomes(case);
+    assert!(!gateway.has_logged("panicked"), "{case}");
 }
 
 /// Defines a test for each call, with its errors, the calls that fail, and whether clients may be disconnected.
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -40,7 +40,7 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// A malformed configuration must not stop the gateway or apply in part. The next valid one applies.
+/// A malformed configuration changes nothing. The next valid one applies.
 #[test]
 fn a_malformed_configuration_changes_nothing() {
     let environment = TestEnvironment::new(2, 3.0);
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -295,7 +295,7 @@
     assert_ne!(clock_independent_figures(5), clock_independent_figures(6));
 }
 
-/// A gateway whose endpoints reject calls does less work, so that its figures would be too good. They are not reported.
+/// A gateway whose endpoints reject calls must not be measured as if it had done the work. Its size counts as not run.
 #[test]
 fn work_that_was_not_done_is_reported() {
     let folder = RunFolder::new();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -23,9 +23,9 @@
     let mut body = clock.to_be_bytes().to_vec();
     body.extend((records.len() as u32).to_be_bytes());
     body.extend(records.concat());
-    let mut out = (body.len() as u32).to_be_bytes().to_vec();
-    out.extend(body);
-    out
+    let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
+    bytes.extend(body);
+    bytes
 }
 
 fn adapter_with(input: &[u8]) -> Output {
@@ -42,9 +42,9 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let out = adapter_with(&hex("0000000c 00000001f568bf90 00000000"));
-    assert!(out.status.success());
-    assert_eq!(out.stdout, hex("00000000"));
+    let output = adapter_with(&hex("0000000c 00000001f568bf90 00000000"));
+    assert!(output.status.success());
+    assert_eq!(output.stdout, hex("00000000"));
 }
 
 #[test]
@@ -131,9 +131,9 @@
         (Reply::FetchEndpoints { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
-        let mut out = Vec::new();
-        write_reply(&mut out, &reply);
-        assert_eq!(out, hex(bytes), "{reply:?}");
+        let mut written = Vec::new();
+        write_reply(&mut written, &reply);
+        assert_eq!(written, hex(bytes), "{reply:?}");
     }
 }
 
@@ -186,9 +186,9 @@
         (bad_setting, "Balancers: 'two'"),
     ];
     for (input, words) in cases {
-        let out = adapter_with(&input);
-        let error = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{words}");
+        let output = adapter_with(&input);
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success(), "{words}");
         assert!(error.contains(words), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
