--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -28,7 +28,8 @@
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
 pub use stubs::{Agent, Call, Client, StubEvent};
 
-/// Names the environment variable with a seed. If it is set, the gateways of all tests run with `TRANSIENT_FAULTS`.
+/// The environment variable with the seed of faults. If it holds a number, the gateways of all tests run with
+/// `TRANSIENT_FAULTS`.
 const FAULT_SEED_VARIABLE: &str = "FAULTS_EVERYWHERE";
 /// The faults that a gateway has to handle without a visible difference, so that every test has to pass with them.
 const TRANSIENT_FAULTS: [(SystemCall, &[i32]); 9] = [
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -10,8 +10,8 @@
 /// Limits how long a predecessor may take to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Clients, connections in the listener's accept queue and in-flight calls are not interrupted, also not by the next
-/// handover of a process that took over itself.
+/// A handover interrupts no client, no connection in the listener's accept queue and no call in flight, also when the
+/// predecessor has itself taken over before.
 #[test]
 fn repeated_handovers_interrupt_no_client_and_no_call() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
