--- a/tests/environment/audit.rs
+++ b/tests/environment/audit.rs
@@ -1,7 +1,8 @@
 //! Audits gateways against the delivery rules, message by message, while endpoints serve, reject and reset calls.
 //!
 //! The audit panics when a rejected message is sent, when a non-idempotent message that may have run is sent again,
-//! when a message has more than eight attempts, and when an accepted message has no final outcome in time.
+//! when a message is sent more than eight times, when an accepted message has no final outcome in time, when a
+//! notification names an unknown message, and when a client that must be answered gets no reply.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -11,14 +12,15 @@
 
 /// Limits how long a client waits for a reply. Real clients wait for less, but a test machine may be busy.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Limits how long accepted messages may take to get their final outcomes.
+/// Limits how long [`DeliveryAudit::wait_for_outcomes`] waits for final outcomes.
 const OUTCOMES_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Says whether a client may find its connection closed without a reply. That is permitted where the system reported
-/// the connection to the gateway as broken, or failed to accept it.
+/// the connection to the gateway as broken or failed to accept it, and where the gateway is killed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ClientExpectation {
-    AreAnswered,
+    /// Each request has to get a reply: `+OK` or an error.
+    MustBeAnswered,
     MayBeDisconnected,
 }
 
@@ -35,12 +37,13 @@
     is_notified: bool,
 }
 
-/// Audits gateways among endpoints that serve, reject and reset calls.
+/// Enqueues messages and answers their calls, and checks each call and outcome against the delivery rules.
 pub struct DeliveryAudit<'a> {
     environment: &'a TestEnvironment,
     messages: BTreeMap<String, Message>,
     /// The ids of accepted messages without a final outcome.
     pub pending: BTreeSet<String>,
+    /// The number of calls for all messages.
     calls: usize,
 }
 
@@ -49,13 +52,13 @@
         DeliveryAudit { environment, messages: BTreeMap::new(), pending: BTreeSet::new(), calls: 0 }
     }
 
-    /// Enqueues a message under this id on a new connection.
+    /// Enqueues a message under this id on a new connection, and then handles all events that have arrived.
     pub fn enqueue(
         &mut self,
         gateway: &RunningGateway,
         id: &str,
         is_non_idempotent: bool,
-        clients: ClientExpectation,
+        expectation: ClientExpectation,
     ) {
         let class = if is_non_idempotent { "salary" } else { "notice,k=aa" };
         let mut message = Message { is_non_idempotent, ..Message::default() };
@@ -72,7 +75,10 @@
             }
             Ok(line) if line.starts_with('-') => message.is_rejected = true,
             other => {
-                assert!(clients == ClientExpectation::MayBeDisconnected, "{id} got no reply: {other:?}")
+                assert!(
+                    expectation == ClientExpectation::MayBeDisconnected,
+                    "{id} got neither +OK nor an error: {other:?}"
+                )
             }
         }
         self.messages.insert(id.to_owned(), message);
@@ -130,7 +136,8 @@
         }
     }
 
-    /// Waits until every accepted message has its final outcome; panics after 30 s, with `case` in the text.
+    /// Waits until every accepted message has its final outcome; panics after [`OUTCOMES_TIMEOUT`], with `case` in the
+    /// text.
     pub fn wait_for_outcomes(&mut self, case: &str) {
         self.observe(OUTCOMES_TIMEOUT);
         assert!(self.pending.is_empty(), "{case}: no final outcome for {:?}", self.pending);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,5 @@
-//! The scheduler's handling of restarts, of final outcomes that need an acknowledgement, and of shutdowns.
+//! The scheduler's handling of restarts, of final outcomes that need an acknowledgement, of shutdowns, and of exhausted
+//! attempts.
 
 mod common;
 
@@ -6,15 +7,17 @@
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// Creates a scheduler with one endpoint of destination 3 and a hold of 100 ms for ordering keys after a restart.
+/// Creates a scheduler with one endpoint of destination 3 and a hold of 100 ms for ordering keys after a restart. If
+/// `outcomes_need_acknowledgement`, a message keeps its ordering key until its final outcome is acknowledged.
 fn bench(classes: Vec<Class>, outcomes_need_acknowledgement: bool) -> TestBench {
     let settings = Settings { outcomes_need_acknowledgement, ..settings(classes) };
     let limits = DeliveryLimits { ordering_key_hold: ms(100), ..settings.limits.clone() };
     TestBench::new(Settings { limits, ..settings }, vec![endpoint(11, 3)])
 }
 
-/// Returns a message of class 0 as the journal has it. `first_uncertain_attempt` is the time of the first attempt whose
-/// outcome is unknown, if there is one.
+/// Returns a message of class 0 without a final outcome, as it is restored from the journal after a restart. `attempts`
+/// is the number of attempts before the restart, and `first_uncertain_attempt` is the time at which the first of them
+/// that may have been processed was sent, or None if none may have been.
 fn restored(
     bench: &TestBench,
     id: u32,
@@ -38,7 +41,7 @@
 }
 
 #[test]
-fn a_non_idempotent_message_that_may_have_run_fails_at_once() {
+fn a_non_idempotent_message_that_may_have_been_processed_fails_at_once() {
     let mut bench = bench(vec![non_idempotent()], true);
     let message = restored(&bench, 1, None, 1, Some(bench.now - ms(700)));
     bench.handle(Event::MessageRestored(message));
@@ -48,7 +51,7 @@
 }
 
 #[test]
-fn a_non_idempotent_message_that_did_not_run_is_sent() {
+fn a_non_idempotent_message_that_was_not_processed_is_sent() {
     let mut bench = bench(vec![non_idempotent()], true);
     let message = restored(&bench, 1, None, 2, None);
     bench.handle(Event::MessageRestored(message));
@@ -67,9 +70,9 @@
     bench.handle(Event::MessageRestored(retriable));
     bench.handle(Event::MessageRestored(expired));
     let actions = bench.decide();
-    let sent =
+    let is_sent =
         |id| actions.iter().any(|a| matches!(a, Action::StartAttempt { message, .. } if message.0 == id));
-    assert!(sent(1) && !sent(2), "{actions:?}");
+    assert!(is_sent(1) && !is_sent(2), "{actions:?}");
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(2) }));
 }
 
@@ -82,8 +85,8 @@
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// Any ordering key may have had a call in flight when the previous process was killed, so that the next call could run
-/// at the same time. All keys are held back, also those of new messages.
+/// When the previous process was killed, a call may have been in flight for any ordering key, and its endpoint may still
+/// be processing it. All keys are held back, also those of new messages, so that no two calls of a key run at once.
 #[test]
 fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
@@ -130,7 +133,6 @@
     assert_eq!(bench.scheduler.circuit_records().count(), 0);
     circuit_records.iter().for_each(|record| bench.handle(Event::CircuitRestored(*record)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
-    // Without the restored record all ten would be sent at once.
     assert!(bench.start_attempts().len() <= 1);
     assert_eq!(
         bench.scheduler.circuit_records().next().map(|record| record.last_success_at),
@@ -140,7 +142,7 @@
 
 /// A call that is started shortly before the shutdown would be cut off by it, with an unknown outcome.
 #[test]
-fn nothing_is_started_shortly_before_shutdown() {
+fn no_call_is_started_shortly_before_a_shutdown() {
     let mut bench = bench(vec![idempotent_with_key()], true);
     bench.handle(Event::ShutdownScheduled(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
@@ -150,7 +152,8 @@
     assert_eq!(bench.start_attempts(), []);
 }
 
-/// A message with exhausted attempts gets its final outcome at once. It is rejected, since no attempt ran.
+/// A message whose endpoint reports exhausted attempts gets its final outcome at once. It is rejected, since its only
+/// attempt was not processed.
 #[test]
 fn a_message_with_exhausted_attempts_gets_its_outcome_at_once() {
     let mut bench = bench(vec![non_idempotent()], true);
