--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -161,7 +161,8 @@
     environment.expect_nothing();
 }
 
-/// Clients need time to notice a lame duck, so that it accepts messages during a grace period, and none after it.
+/// Clients need time to notice a lame duck, so that it accepts messages during a grace period, and none after it. The
+/// grace period begins with the first request for the mode; a repeated request does not extend it.
 #[test]
 fn a_lame_duck_accepts_nothing_after_its_grace_period() {
     let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(11, 3)]);
@@ -210,7 +211,7 @@
     // The maximum is what the overload limit lets one gateway send in a second: 2.0 x 100/s, starting at 20%.
     assert!(
         (1..=40).contains(&slow_start_calls) && other_calls == 20,
-        "{slow_start_calls} and {other_calls}"
+        "{slow_start_calls} calls to the enabled endpoint and {other_calls} to the other one"
     );
     assert!(bench.scheduler.circuit_records().any(|record| record.slow_start_since.is_some()));
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -37,7 +37,7 @@
 }
 
 /// A call with a malformed response may have been processed, so that its non-idempotent message fails within 1 s and is
-/// not sent again. Only a complete response proves that a call was not processed.
+/// not sent again. A response proves that a call was not processed only if it is complete.
 #[test]
 fn a_malformed_response_may_have_been_processed() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -62,7 +62,7 @@
         assert_eq!(environment.notification(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
         assert!(
             answered_at.elapsed() < Duration::from_secs(1),
-            "{:?} for {response:.20}",
+            "the failure was notified {:?} after {response:.20}",
             answered_at.elapsed()
         );
     }
@@ -137,7 +137,7 @@
 }
 
 /// Bytes that arrive shortly after a response could not be told from the next response if the next call had already
-/// been sent. A connection pauses for 5 ms before it is reused.
+/// been sent. A connection pauses for 5 ms after a response before it is reused.
 #[test]
 fn a_connection_pauses_between_two_calls() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -152,7 +152,10 @@
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
         call = environment.call();
         let pause = answered_at.elapsed();
-        assert!(call.gateway_address() != connection || pause >= Duration::from_millis(5), "{pause:?}");
+        assert!(
+            call.gateway_address() != connection || pause >= Duration::from_millis(5),
+            "reused after {pause:?}"
+        );
     }
     call.answer("200 OK", "");
     environment.expect_nothing();
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -26,7 +26,7 @@
 
     /// Returns the module that defines the item at a path from the crate's root. Follows re-exports, up to 8 in a row;
     /// `depth` is the number of re-exports followed so far.
-    fn owner(&self, path: &[String], depth: usize) -> ModulePath {
+    fn find_owner(&self, path: &[String], depth: usize) -> ModulePath {
         let length =
             (0..=path.len()).rev().find(|length| self.modules.contains_key(&path[..*length])).unwrap();
         let module = path[..length].to_vec();
@@ -45,7 +45,7 @@
                         return below;
                     }
                 }
-                Some(last) if last == name => return self.owner(&target, depth + 1),
+                Some(last) if last == name => return self.find_owner(&target, depth + 1),
                 _ => {}
             }
         }
@@ -58,7 +58,7 @@
         for (module, code) in &self.modules {
             for path in imports(code).iter().chain(&inline_paths(code)) {
                 let Some(path) = absolute(module, path) else { continue };
-                let target = self.owner(&path, 0);
+                let target = self.find_owner(&path, 0);
                 let shared = module.iter().zip(&target).take_while(|(own, imported)| own == imported).count();
                 if let (Some(from), Some(to)) = (module.get(shared), target.get(shared)) {
                     let child_edges = edges.entry(module[..shared].to_vec()).or_default();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Returns the text of a file without comments and strings.
+/// Returns the text of a file without line comments and string literals.
 fn code_of(file: &Path) -> String {
     let text = fs::read_to_string(file).unwrap();
     let mut code = String::new();
@@ -208,7 +208,7 @@
 
 /// Returns the edges that remain when those to modules without imports are removed repeatedly. They contain a cycle.
 /// Returns None if no edge remains.
-fn cycle(edges: &BTreeSet<(String, String)>) -> Option<Vec<String>> {
+fn find_cycle(edges: &BTreeSet<(String, String)>) -> Option<Vec<String>> {
     let mut remaining: BTreeSet<&(String, String)> = edges.iter().collect();
     loop {
         let importers: BTreeSet<&String> = remaining.iter().map(|(from, _)| from).collect();
@@ -235,12 +235,12 @@
     let mut cycles = Vec::new();
     for root in roots {
         for (parent, edges) in Crate::read(&root).edges() {
-            if let Some(cycle) = cycle(&edges) {
+            if let Some(cycle) = find_cycle(&edges) {
                 cycles.push(format!("{} {}: {}", root.display(), parent.join("::"), cycle.join(", ")));
             }
         }
     }
-    assert!(cycles.is_empty(), "{}", cycles.join("\n"));
+    assert!(cycles.is_empty(), "import cycles:\n{}", cycles.join("\n"));
 }
 
 #[test]
@@ -258,6 +258,6 @@
     let edges = crate_with_cycle.edges().remove(&Vec::new()).unwrap();
     let edge = |from: &str, to: &str| (from.to_owned(), to.to_owned());
     assert_eq!(edges, BTreeSet::from([edge("a", "b"), edge("a", "c"), edge("b", "a")]));
-    assert_eq!(cycle(&edges).unwrap(), ["a -> b", "b -> a"]);
-    assert_eq!(cycle(&BTreeSet::from([edge("a", "b"), edge("a", "c"), edge("b", "c")])), None);
+    assert_eq!(find_cycle(&edges).unwrap(), ["a -> b", "b -> a"]);
+    assert_eq!(find_cycle(&BTreeSet::from([edge("a", "b"), edge("a", "c"), edge("b", "c")])), None);
 }
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -133,8 +133,8 @@
     environment.expect_nothing();
 }
 
-/// A batch times out when the first of its messages expires, since the endpoint may consider the whole call expired by
-/// then. A later response is ignored, and the other messages are retried under their idempotency keys.
+/// A batch times out when the first of its messages expires, since the endpoint may consider the whole call expired at
+/// that time. A later response is ignored, and the other messages are retried under their idempotency keys.
 #[test]
 fn a_batch_times_out_with_its_first_message_to_expire() {
     let environment = one_slot();
@@ -147,24 +147,24 @@
         assert_eq!(client.request(&["ENQUEUE", "0", id, fields.as_str(), "x"]), "+OK");
     }
     first.answer("200 OK", "");
-    let shared = environment.call();
-    let mut carried: Vec<_> = shared.batch_messages().into_iter().map(|(id, ..)| id).collect();
+    let batch = environment.call();
+    let mut carried: Vec<_> = batch.batch_messages().into_iter().map(|(id, ..)| id).collect();
     carried.sort();
     assert_eq!(carried, ["long", "short"]);
-    let budget: f64 = shared.header("x-budget").unwrap().parse().unwrap();
+    let budget: f64 = batch.header("x-budget").unwrap().parse().unwrap();
     assert!(budget <= 1.0, "{budget}");
     assert_eq!(environment.notification(), r#"{"id":"short","state":"failed"}"#);
     // The response arrives after the timeout.
-    shared.answer_batch("", &[("short", "ok"), ("long", "ok")]);
+    batch.answer_batch("", &[("short", "ok"), ("long", "ok")]);
     let retried = environment.call();
     assert_eq!((retried.id.as_str(), retried.header("idempotency-key")), ("long", Some("k-long")));
     retried.answer("200 OK", "");
     environment.expect_nothing();
 }
 
-/// Two messages whose bodies exceed the size limit of a batch together go in separate calls.
+/// Two messages whose bodies together exceed the size limit of a batch are sent in separate calls.
 #[test]
-fn messages_too_long_for_one_batch_go_in_separate_calls() {
+fn messages_too_long_for_one_batch_are_sent_in_separate_calls() {
     let environment = one_slot();
     let gateway = environment.start();
     let mut client = gateway.client();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -5,7 +5,7 @@
 use environment::*;
 use std::time::{Duration, Instant};
 
-/// The time after connecting within which a client that sends no complete request gets an error or is closed.
+/// Limits each read of a client. It is longer than the gateway keeps a connection without a complete request open.
 const ERROR_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Clients that stop sending would occupy connection slots without end. A connection without a request is closed, and
@@ -73,8 +73,8 @@
     }
 }
 
-/// The time left of a request runs from its last byte, also while its connection waits for a slot. The gateway
-/// subtracts the longest possible wait, as the final outcome would otherwise be late by the actual wait.
+/// The time until a message's deadline counts from the last byte of its request, also while the connection waits for a
+/// slot. The gateway subtracts the longest possible wait, as the final outcome would otherwise be late by the actual wait.
 #[test]
 fn time_waiting_for_a_connection_slot_counts() {
     let mut environment = TestEnvironment::new(1, 3.0);
@@ -83,8 +83,8 @@
     let gateway = environment.start();
     let (mut partial, mut sent_at) = (Vec::new(), Instant::now());
     let mut delayed = None;
-    // Their bytes are there when they are accepted, so that they count as partial requests from the start and occupy
-    // all slots.
+    // The bytes of these clients have arrived when their connections are accepted, so that they count as partial
+    // requests from the start and occupy all slots.
     gateway.while_stopped(|| {
         for _ in 0..128 {
             let mut client = gateway.client();
@@ -171,7 +171,7 @@
     let mut client = gateway.client();
     assert_eq!(client.enqueue("o1", "9", "notice,k=o1", 1, b"1"), "+OK");
     environment.call().answer("200 OK", "");
-    // The first message is completed once the next one of its key has been sent.
+    // The next message of the ordering key is sent only after the first one is completed.
     assert_eq!(client.enqueue("o2", "9", "notice,k=o2", 1, b"1"), "+OK");
     let call = environment.call();
     assert_eq!(call.id, "o2");
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -5,8 +5,8 @@
 
 use environment::*;
 
-/// The time after which a change of the endpoint list counts as announced, in milliseconds. The gateway has to apply
-/// the change by then. It is the deadline of the message that measures this time.
+/// The time after which a change of the endpoint list counts as announced, in milliseconds from the change. The gateway
+/// has to apply the change within this time, which is the deadline of the message that measures it.
 const ANNOUNCED_AFTER_MS: u32 = 6_000;
 /// The number of clients that connect and stay idle.
 const IDLE_CLIENTS: usize = 300;
@@ -164,8 +164,8 @@
     }
 }
 
-/// A process with a full journal is ready within 10 s of its start, and attempts messages that had no attempt: those
-/// that have 10 s left at the kill, idempotent or not, still get their calls.
+/// A process with a full journal is ready early enough to attempt messages that had no attempt: those that were enqueued
+/// with a deadline of 10 s just before the kill, idempotent or not, still get their calls.
 #[test]
 fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
     let mut environment = one_destination_each(4);
@@ -201,7 +201,7 @@
     let environment = one_destination_each(2);
     let gateway = environment.start();
     let mut client = gateway.client();
-    // The message's idempotency window of 0.4 s begins here.
+    // The message's idempotency window of 0.4 s begins with its call.
     assert_eq!(client.enqueue("w1", "0", "brief,k=w1", 1, b"x"), "+OK");
     let _in_flight = environment.call();
     // This message fails half a second later.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -118,7 +118,11 @@
         checked_ids.borrow_mut().push(id.0);
         false
     });
-    assert_eq!(*checked_ids.borrow(), [3], "only the disabled endpoint is unlisted and kept");
+    assert_eq!(
+        *checked_ids.borrow(),
+        [3],
+        "the endpoints that are unlisted and kept are not just the disabled one"
+    );
     // An endpoint that is listed again has its old id only if that was not dropped.
     directory.apply(&update(false, vec![target("a", "SERVING"), target("c", "SERVING")]));
     assert_eq!(["a", "c"].map(|uid| id_of(&directory, uid)), [Some(5), Some(3)]);
@@ -159,6 +163,9 @@
     assert!(files.len() > 4, "{files:?}");
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap();
-        assert!(!text.contains("discovery::") && !text.contains("::discovery"), "{file:?}");
+        assert!(
+            !text.contains("discovery::") && !text.contains("::discovery"),
+            "{file:?} refers to discovery"
+        );
     }
 }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -28,8 +28,8 @@
 pub use fault_page::{Call as SystemCall, Fault, FaultPage};
 pub use stubs::{Agent, Call, Client, StubEvent};
 
-/// The environment variable with the seed of faults. If it holds a number, the gateways of all tests run with
-/// `TRANSIENT_FAULTS`.
+/// The environment variable with the seed of faults. If it holds a number, gateways run with `TRANSIENT_FAULTS`, except
+/// in tests that set faults of their own.
 const FAULT_SEED_VARIABLE: &str = "FAULTS_EVERYWHERE";
 /// The faults that a gateway has to handle without a visible difference, so that every test has to pass with them.
 const TRANSIENT_FAULTS: [(SystemCall, &[i32]); 9] = [
@@ -49,9 +49,11 @@
 /// The idempotency window of messages of the class `brief`.
 pub const BRIEF_IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(400);
 
-/// Limits each wait for the gateway. It is far longer than any step takes, so that only a failing test reaches it.
+/// Limits each wait for the gateway that has no limit of its own. It is far longer than the gateway takes for anything
+/// that tests wait for, so that only a failing test reaches it.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time without an event after which a test concludes that none will follow.
+/// The time without an event after which a test concludes that none will follow. A connect that takes longer counts as
+/// hanging.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 impl Call {
@@ -86,7 +88,8 @@
         self.connection.peer_addr().unwrap()
     }
 
-    /// Returns whether the gateway has shut down its sending side of this call's connection.
+    /// Returns whether the gateway has closed or reset this call's connection, or shut down its sending side. The gateway
+    /// must not have sent further bytes on it.
     pub fn is_closed(&self) -> bool {
         let mut connection = &self.connection;
         connection.set_nonblocking(true).unwrap();
@@ -109,6 +112,8 @@
     _fillers: Vec<TcpStream>,
 }
 
+/// The stubs of a test and the folder with the configuration and the state of its gateways. The folder is removed when
+/// the environment is dropped.
 pub struct TestEnvironment {
     folder: PathBuf,
     endpoints: Vec<SocketAddr>,
@@ -143,8 +148,10 @@
     /// The address that gateways listen on for clients. The system chooses the port if it is 0.
     pub listen: Cell<SocketAddr>,
     pub disk_mb: f64,
-    /// The system calls of the gateways that fail. None if gateways are started without the fault shim.
+    /// The faults of gateways that are started before the test calls [`Self::replace_faults`]. None if gateways are
+    /// started without the fault shim.
     faults: Option<FaultPage>,
+    /// The seed of the faults of gateways that are started next, which names the file of their fault page.
     fault_seed: Cell<u64>,
     _cleanup: Cleanup,
 }
@@ -223,17 +230,19 @@
         environment
     }
 
-    /// Creates a new page of faults for processes that start later; running processes keep theirs.
+    /// Creates a new page of faults for processes that start later; running processes keep theirs, and
+    /// [`Self::faults`] stays as it is. The seed also names the page's file, so that it must differ from the
+    /// seeds of running processes.
     pub fn replace_faults(&self, seed: u64) -> FaultPage {
         self.fault_seed.set(seed);
         FaultPage::create(&fault_page_path(&self.folder, seed), seed).unwrap()
     }
 
     pub fn faults(&self) -> &FaultPage {
-        self.faults.as_ref().expect("an environment with faults")
+        self.faults.as_ref().expect("the environment has no faults")
     }
 
-    /// Makes a system call of the gateways fail from now on. Panics without the fault shim.
+    /// Makes a system call of the gateways that use [`Self::faults`] fail from now on. Panics without the fault shim.
     pub fn fail(&self, call: SystemCall, fault: Fault) {
         self.faults().set(call, fault).unwrap();
     }
@@ -296,9 +305,9 @@
     }
 
     /// Announces that an endpoint was removed and replaced at its address by `times` endpoints, one after the other.
-    /// Only the last one is left. `number` is the round, counted from 0 without gaps: it is a part of the uids and of
-    /// the revision, and the last endpoint of the round before is removed too.
-    pub fn announce_replaced(&self, endpoint: usize, number: u32, times: u32) {
+    /// Only the last one remains. `round` is counted from 0 without gaps: it is a part of the uids and of the revision,
+    /// and the last endpoint of the round before is removed too.
+    pub fn announce_replaced(&self, endpoint: usize, round: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -307,15 +316,15 @@
         };
         targets.push(self.target(endpoint, "DELETED"));
         for time in 0..times {
-            targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "SERVING"));
+            targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "SERVING"));
             if time + 1 < times {
-                targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "DELETED"));
+                targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "DELETED"));
             }
         }
-        if number > 0 {
-            targets.push(entry(format!("s-{endpoint}-{}-{}", number - 1, times - 1), "DELETED"));
+        if round > 0 {
+            targets.push(entry(format!("s-{endpoint}-{}-{}", round - 1, times - 1), "DELETED"));
         }
-        self.announce_delta(10 + number, &targets);
+        self.announce_delta(10 + round, &targets);
     }
 
     fn target(&self, endpoint: usize, state: &str) -> Value {
@@ -380,7 +389,8 @@
         gateway
     }
 
-    /// Starts another agent of discovery, whose snapshot of revision 5 has one endpoint as draining.
+    /// Starts another agent of discovery, whose snapshot of revision 5 has one endpoint as draining and the others as
+    /// serving.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
         let agent = Agent::start(&self.event_sender).unwrap();
         let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
@@ -461,7 +471,7 @@
         }
     }
 
-    /// Checks that no call arrives within 300 ms. Notifications may, since the gateway repeats them.
+    /// Checks that no call arrives within [`QUIET_PERIOD`]. Notifications may, since the gateway repeats them.
     pub fn expect_no_call(&self) {
         let end = Instant::now() + QUIET_PERIOD;
         while let Ok(event) = self.events.recv_timeout(end.saturating_duration_since(Instant::now())) {
@@ -471,7 +481,7 @@
         }
     }
 
-    /// Checks that neither a call nor a notification arrives within 300 ms.
+    /// Checks that neither a call nor a notification arrives within [`QUIET_PERIOD`].
     pub fn expect_nothing(&self) {
         match self.events.recv_timeout(QUIET_PERIOD) {
             Ok(StubEvent::Call(call)) => panic!("expected no call, got one for {}", call.id),
@@ -480,12 +490,13 @@
         }
     }
 
-    /// Returns the number of requests with notifications that an agent has received.
+    /// Returns the number of requests with notifications that an agent has received, except on stalled connections.
     pub fn notification_requests_at(&self, agent: &Agent) -> u32 {
         agent.state.notification_requests.load(Ordering::SeqCst)
     }
 
-    /// Makes discovery leave notifications without acknowledgement, or acknowledge them again.
+    /// Makes discovery leave further notifications without acknowledgement, or acknowledge further ones again. They arrive
+    /// as events in both cases.
     pub fn hold_notifications(&self, hold: bool) {
         self.discovery.state.is_holding_notifications.store(hold, Ordering::SeqCst);
     }
@@ -597,7 +608,8 @@
         self
     }
 
-    /// Waits until the gateway listens or its process has ended. Returns whether it has listened.
+    /// Waits until the gateway listens, its process has ended or [`STEP_TIMEOUT`] has passed. Returns whether it has
+    /// listened.
     pub fn wait_until_listening_or_ended(&mut self) -> bool {
         let end = Instant::now() + STEP_TIMEOUT;
         while !self.has_logged(" listening ") && !self.has_ended() && Instant::now() < end {
@@ -635,7 +647,7 @@
     pub fn wait_for_log_lines(&self, words: &str, times: usize) -> String {
         self.process
             .wait_for_log_lines(words, times, STEP_TIMEOUT)
-            .unwrap_or_else(|lines| panic!("the log has no {times} lines with '{words}': {lines:#?}"))
+            .unwrap_or_else(|lines| panic!("the log has fewer than {times} lines with '{words}': {lines:#?}"))
     }
 
     /// Returns whether a line of the log so far contains `words`.
@@ -770,7 +782,7 @@
         self.send(&encode_command(words));
     }
 
-    /// Enqueues a message with 20 s left and returns the reply. `class` may carry further fields, as in `notice,k=1`.
+    /// Enqueues a message whose deadline is in 20 s and returns the reply. `class` may carry further fields, as in `notice,k=1`.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.send_enqueue(id, key, class, destination, body);
         self.read_line()
@@ -782,7 +794,8 @@
         self.send_command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
-    /// Returns whether the gateway closes the connection without a reply.
+    /// Waits for the gateway's next byte, and returns whether it closes or resets the connection instead. A read that
+    /// times out counts as an open connection.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -25,7 +25,7 @@
     environment.expect_nothing();
 }
 
-/// A tenant beyond its quota would delay one within its quota if messages went in the order of arrival. The tenant of
+/// A tenant beyond its quota would delay one within its quota if messages were sent in the order of arrival. The tenant of
 /// a message has to be in the journal, so that the same holds after a restart.
 #[test]
 fn a_tenant_beyond_its_quota_is_served_last() {
@@ -68,7 +68,7 @@
             "{notifications:?}"
         );
         let south_is_first = order.iter().take(3).all(|id| id.starts_with('s'));
-        assert!(south_is_first, "after a restart: {restart}: {order:?}");
+        assert!(south_is_first, "not all messages of south were sent first (restart: {restart}): {order:?}");
         assert_eq!(gateway.client().request(&["PING"]), "+PONG");
     }
 }
@@ -238,7 +238,7 @@
 /// A draining endpoint stays draining after a restart: the journal has the newer list, while the configured one still
 /// has the endpoint as serving and discovery does not respond.
 #[test]
-fn a_draining_endpoint_stays_draining_over_a_restart() {
+fn a_draining_endpoint_stays_draining_across_a_restart() {
     let environment = TestEnvironment::new(2, 3.0);
     let gateway = environment.start();
     environment.drain(0);
@@ -305,7 +305,7 @@
         }
         assert!(environment.disk_used_bytes() <= 300_000);
     }
-    assert!((5..60).contains(&accepted), "{accepted}");
+    assert!((5..60).contains(&accepted), "{accepted} of 60 messages were accepted");
     let gateway = gateway.kill_and_restart();
     assert!(gateway.wait_for_log_line("journal replayed").contains(&format!("pending={accepted}")));
 }
@@ -513,7 +513,7 @@
     environment.expect_nothing();
 }
 
-/// A call may still be connecting when a Retry-After arrives or draining begins. It must not be sent once its
+/// A call may still be connecting when a Retry-After arrives. As when draining begins, it must not be sent once its
 /// connection is established.
 #[test]
 fn calls_still_connecting_are_withdrawn_on_a_retry_after() {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
 //! The handover from one process to the next: which state is handed over, and which guarantees hold when either process
-//! dies during it.
+//! dies during or after it.
 
 mod environment;
 
@@ -255,7 +255,7 @@
     environment.expect_nothing();
 }
 
-/// A call that does not finish in time is dropped before the successor continues.
+/// A call that does not finish while the predecessor waits for it is dropped before the successor continues.
 #[test]
 fn an_unresponsive_call_does_not_delay_a_successor_of_another_build() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
--- a/tests/handover_fingerprint.rs
+++ b/tests/handover_fingerprint.rs
@@ -20,7 +20,7 @@
 const PROGRAMS: &str = "src/bin/";
 /// The programs that are no part of the gateway.
 const OTHER_PROGRAMS: [&str; 2] = ["src/bin/simulator-adapter", "src/bin/testbed"];
-/// Names the list in failure messages.
+/// The name of the list of source files, for failure messages.
 const LIST: &str = "STATE_SOURCES in src/bin/delivery-gateway/handover/fingerprint.rs";
 
 fn root() -> PathBuf {
@@ -208,7 +208,7 @@
         let text: &'static str = Box::leak(format!("{} ", source.text).into_boxed_str());
         let mut sources: Vec<SourceFile> = STATE_SOURCES.iter().map(copy).collect();
         sources[changed].text = text;
-        assert_ne!(fingerprint(&sources, &parsed), before, "{}", source.path);
+        assert_ne!(fingerprint(&sources, &parsed), before, "a change of {} has no effect", source.path);
     }
 }
 
--- a/tests/journals.rs
+++ b/tests/journals.rs
@@ -208,11 +208,11 @@
 #[test]
 fn circuit_changes_survive_kills_compactions_and_torn_tails() {
     let folder = StateFolder::new("circuits");
-    const DISK: u64 = 20_000;
-    let mut compacted = 0;
+    const DISK_BYTES: u64 = 20_000;
+    let mut compactions = 0;
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut journal = folder.journal(DISK);
+        let mut journal = folder.journal(DISK_BYTES);
         let mut expected: BTreeMap<CircuitKey, PersistedCircuit> =
             journal.state.circuits.iter().map(|circuit| (circuit.key(), circuit.clone())).collect();
         for _ in 0..200 {
@@ -231,7 +231,7 @@
             assert_circuits(&journal, &expected);
             let now = folder.bytes();
             let is_appended = now.starts_with(&before.0);
-            compacted += u32::from(!is_appended);
+            compactions += u32::from(!is_appended);
             if rng.u32(..20) == 0 {
                 drop(journal);
                 if is_appended && rng.bool() {
@@ -239,27 +239,27 @@
                     std::fs::write(folder.0.join("journal"), &now[..torn]).unwrap();
                     expected = before.1;
                 }
-                journal = folder.journal(DISK);
+                journal = folder.journal(DISK_BYTES);
                 assert_circuits(&journal, &expected);
             }
         }
     }
-    assert!(compacted > 0);
+    assert!(compactions > 0);
 }
 
 /// A compaction writes all circuits anew. More of them than fit one record have to be split, or they would be lost.
 #[test]
 fn any_number_of_circuits_is_compacted() {
-    const COUNT: u32 = 70_000;
-    const DISK: u64 = 40_000_000;
+    const CIRCUITS: u32 = 70_000;
+    const DISK_BYTES: u64 = 40_000_000;
     let folder = StateFolder::new("many-circuits");
     let mut rng = fastrand::Rng::with_seed(7);
     let name = "a-name-that-is-as-long-as-those-that-are-in-use-in-the-field";
-    let expected: BTreeMap<CircuitKey, PersistedCircuit> = (0..COUNT)
+    let expected: BTreeMap<CircuitKey, PersistedCircuit> = (0..CIRCUITS)
         .map(|to| random_circuit(&mut rng, CircuitKey { destination: to, uid: Some(format!("{name}-{to}")) }))
         .map(|circuit| (circuit.key(), circuit))
         .collect();
-    let mut journal = folder.journal(DISK);
+    let mut journal = folder.journal(DISK_BYTES);
     let all: Vec<PersistedCircuitChange> =
         expected.values().cloned().map(PersistedCircuitChange::Updated).collect();
     journal.record_circuits(&all).unwrap();
@@ -271,7 +271,7 @@
         journal.record_circuits(&all).unwrap();
     }
     drop(journal);
-    assert_circuits(&folder.journal(DISK), &expected);
+    assert_circuits(&folder.journal(DISK_BYTES), &expected);
 }
 
 /// A circuit that opened after the start is still open in the next process, which sends one probe at a time instead of
@@ -345,34 +345,34 @@
 #[test]
 fn an_endpoint_list_of_many_records_is_applied_completely_or_not_at_all() {
     const MANY: u32 = 50_000;
-    const DISK: u64 = 100_000_000;
+    const DISK_BYTES: u64 = 100_000_000;
     let folder = StateFolder::new("long-list");
-    let mut journal = folder.journal(DISK);
+    let mut journal = folder.journal(DISK_BYTES);
     journal.record_endpoints(long_snapshot(1, 3)).unwrap();
     let small = folder.bytes();
     let before = endpoint_list(&journal);
     assert_eq!((before.revision, before.count), (1, 3));
-    let mut whole = folder.journal(DISK);
+    let mut whole = folder.journal(DISK_BYTES);
     whole.record_endpoints(long_snapshot(2, MANY)).unwrap();
     let bytes = folder.bytes();
     assert!(bytes.len() > small.len() + (4 << 20), "{} bytes would fit one record", bytes.len());
     drop(whole);
-    let whole = folder.journal(DISK);
+    let whole = folder.journal(DISK_BYTES);
     let after = endpoint_list(&whole);
     assert_eq!((after.revision, after.count), (2, MANY as usize));
     let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..12 {
         let torn = rng.usize(small.len()..bytes.len());
         std::fs::write(folder.0.join("journal"), &bytes[..torn]).unwrap();
-        assert_eq!(endpoint_list(&folder.journal(DISK)), before, "torn at {torn}");
+        assert_eq!(endpoint_list(&folder.journal(DISK_BYTES)), before, "torn at {torn}");
         // Either the same list is written again, or a change of the list before it.
         let is_same_list = rng.bool();
         if is_same_list {
-            folder.journal(DISK).record_endpoints(long_snapshot(2, MANY)).unwrap();
-            assert_eq!(endpoint_list(&folder.journal(DISK)), after, "torn at {torn}");
+            folder.journal(DISK_BYTES).record_endpoints(long_snapshot(2, MANY)).unwrap();
+            assert_eq!(endpoint_list(&folder.journal(DISK_BYTES)), after, "torn at {torn}");
         } else {
-            folder.journal(DISK).record_endpoints(long_delta(3, 2)).unwrap();
-            let changed = endpoint_list(&folder.journal(DISK));
+            folder.journal(DISK_BYTES).record_endpoints(long_delta(3, 2)).unwrap();
+            let changed = endpoint_list(&folder.journal(DISK_BYTES));
             assert_eq!((changed.revision, changed.count), (3, 5), "torn at {torn}");
         }
     }
@@ -383,11 +383,11 @@
 #[test]
 fn a_long_endpoint_list_is_compacted() {
     const MANY: u32 = 50_000;
-    const DISK: u64 = 50_000_000;
+    const DISK_BYTES: u64 = 50_000_000;
     /// The smallest destination that takes four bytes in a record.
     const FIRST_FOUR_BYTE_DESTINATION: u32 = 1 << 21;
     let folder = StateFolder::new("compacted-list");
-    let mut journal = folder.journal(DISK);
+    let mut journal = folder.journal(DISK_BYTES);
     journal.state.destinations.extend(FIRST_FOUR_BYTE_DESTINATION..FIRST_FOUR_BYTE_DESTINATION + (11 << 17));
     let mut size = 0;
     let mut revision = 0;
@@ -399,7 +399,7 @@
     }
     let expected = endpoint_list(&journal);
     assert_eq!((expected.revision, expected.count), (revision + 1, 2 * MANY as usize));
-    let reopened = folder.journal(DISK);
+    let reopened = folder.journal(DISK_BYTES);
     assert_eq!(endpoint_list(&reopened), expected);
     assert!(reopened.state.endpoints.keys().eq(journal.state.endpoints.keys()));
     assert_eq!(reopened.state.destinations, journal.state.destinations);
@@ -441,15 +441,15 @@
 /// window begins with the first uncertain attempt.
 #[test]
 fn an_attempt_without_an_outcome_counts_as_uncertain() {
-    const DISK: u64 = 1 << 20;
+    const DISK_BYTES: u64 = 1 << 20;
     let folder = StateFolder::new("journal");
     let (first, second) = (SentRecord { sent_ms: 1_000, zone: 1 }, SentRecord { sent_ms: 2_000, zone: 2 });
-    let mut journal = folder.journal(DISK);
+    let mut journal = folder.journal(DISK_BYTES);
     let number = journal.accept(accepted_record("m1")).unwrap();
     journal.record_attempt_started(number, first).unwrap();
     journal.record_attempt_started(number, second).unwrap();
     journal.record_attempt_outcome(number, false).unwrap();
-    let journal = folder.journal(DISK);
+    let journal = folder.journal(DISK_BYTES);
     let pending: &PendingMessage = &journal.state.pending[&number];
     assert_eq!(
         (pending.attempts, pending.first_uncertain_attempt, pending.in_flight),
@@ -499,9 +499,9 @@
 /// completed.
 #[test]
 fn an_endpoint_list_beyond_the_disk_blocks_no_message() {
-    const DISK: u64 = 20_000;
+    const DISK_BYTES: u64 = 20_000;
     let folder = StateFolder::new("full-disk");
-    let mut journal = folder.journal(DISK);
+    let mut journal = folder.journal(DISK_BYTES);
     let endpoint = |number: u32| DiscoveredEndpoint {
         uid: format!("s-{number}"),
         address: "127.0.0.1:1".to_owned(),
@@ -516,7 +516,7 @@
     let number = journal.accept(accepted_record("m1")).unwrap();
     journal.record_attempt_started(number, SentRecord { sent_ms: 1_000, zone: 1 }).unwrap();
     journal.record_attempt_outcome(number, true).unwrap();
-    let journal = folder.journal(DISK);
+    let journal = folder.journal(DISK_BYTES);
     assert_eq!(
         journal.state.pending[&number].first_uncertain_attempt,
         Some(SentRecord { sent_ms: 1_000, zone: 1 })
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -1,5 +1,5 @@
 //! System calls that fail temporarily, and transfers that are interrupted or short. The fault shim (`fault-shim/`)
-//! injects the faults into the calls that each test names; `tests/machine_sweep.rs` covers all calls and errors.
+//! injects the faults into the calls that each test names; `tests/machine_sweep.rs` covers further calls and errors.
 
 mod environment;
 
@@ -28,7 +28,10 @@
             environment.call().answer("200 OK", "");
         }
         environment.expect_nothing();
-        assert!(environment.faults().call_counts(call).unwrap().failures > 10, "{call:?} {error}");
+        assert!(
+            environment.faults().call_counts(call).unwrap().failures > 10,
+            "{call:?} {error}: too few calls failed"
+        );
     }
 }
 
@@ -43,7 +46,10 @@
         let in_flight = environment.call();
         environment.fail(call, Fault::always(&[EINTR]).with_ratio(0.5));
         let successor = environment.start_beside().listening();
-        assert!(successor.has_logged("took over from the predecessor"), "{call:?}");
+        assert!(
+            successor.has_logged("took over from the predecessor"),
+            "{call:?}: the successor did not take over"
+        );
         // This client's connection was handed over.
         assert_eq!(client.enqueue("u2", "0", "salary", 1, b"x"), "+OK", "{call:?}");
         let second = environment.call();
@@ -51,14 +57,20 @@
         second.answer("200 OK", "");
         in_flight.answer("200 OK", "");
         predecessor.send_sigterm();
-        assert!(predecessor.wait(Duration::from_secs(5)).success(), "{call:?}");
+        assert!(
+            predecessor.wait(Duration::from_secs(5)).success(),
+            "{call:?}: the predecessor did not exit with success"
+        );
         successor.wait_for_log_line("the previous process has ended broken_calls=0");
-        assert!(!predecessor.has_logged("the successor ended"), "{call:?}");
+        assert!(
+            !predecessor.has_logged("the successor ended"),
+            "{call:?}: the predecessor concluded that the successor had ended"
+        );
         environment.expect_nothing();
     }
 }
 
-/// Signals arrive through a pipe, and would be lost if an interrupted read or write of it were not retried.
+/// Signals arrive through a pair of Unix sockets, and would be lost if an interrupted read or write were not retried.
 #[test]
 fn an_interrupted_signal_is_handled() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
@@ -70,7 +82,10 @@
             gateway.wait_for_log_lines("configuration reloaded", round);
         }
         gateway.send_sigterm();
-        assert!(gateway.wait(Duration::from_secs(5)).success(), "{call:?}");
+        assert!(
+            gateway.wait(Duration::from_secs(5)).success(),
+            "{call:?}: the process did not exit with success"
+        );
     }
 }
 
@@ -96,7 +111,7 @@
         environment.write_unfinished_journal_copy();
         environment.fail(call, Fault::always(&[EIO, EINTR, ENOLCK]).times(3));
         let gateway = stopped.restart();
-        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
+        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}: no call failed");
         let call = environment.call();
         assert_eq!(call.id, "o1");
         call.answer("200 OK", "");
@@ -146,7 +161,7 @@
         environment.fail(call, Fault::always(&[ENFILE, EIO]).times(2));
         gateway.send_sighup();
         gateway.wait_for_log_line("configuration reloaded");
-        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}");
+        assert!(environment.faults().call_counts(call).unwrap().failures > 0, "{call:?}: no call failed");
     }
 }
 
@@ -164,6 +179,6 @@
         environment.fail(call, Fault::always(&[error]).times(2));
         assert_eq!(gateway.client().enqueue("c1", "0", "salary", 1, b"x"), "+OK");
         environment.call().answer("200 OK", "");
-        assert!(!gateway.has_logged("open circuits changed"), "{call:?} {error}");
+        assert!(!gateway.has_logged("open circuits changed"), "{call:?} {error}: the circuit opened");
     }
 }
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -1,4 +1,4 @@
-//! Steps of the wall clock must not change deadlines and idempotency windows, which count elapsed time, also over
+//! Steps of the wall clock must not change deadlines and idempotency windows, which count elapsed time, also across
 //! restarts and handovers. The fault shim (`fault-shim/`) steps the clock.
 
 mod environment;
@@ -13,10 +13,10 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A message without an attempt keeps its time left over a restart. It would expire if its deadline were compared with
+/// A message without an attempt keeps its time left across a restart. It would expire if its deadline were compared with
 /// a wall clock that was stepped forward meanwhile.
 #[test]
-fn a_wall_clock_stepped_forward_over_a_restart_expires_no_message() {
+fn a_wall_clock_stepped_forward_across_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
     environment.max_in_flight_calls = 1;
     let gateway = environment.start();
@@ -43,7 +43,7 @@
 /// An idempotency window that has ended would be open again, and its message sent again, if it were compared with a
 /// wall clock that was stepped back meanwhile.
 #[test]
-fn a_wall_clock_stepped_back_over_a_restart_reopens_no_idempotency_window() {
+fn a_wall_clock_stepped_back_across_a_restart_reopens_no_idempotency_window() {
     let environment = TestEnvironment::with_faults(1, 1);
     let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("b1", "0", "brief,k=aa", 1, b"x"), "+OK");
@@ -56,7 +56,7 @@
     assert_eq!(environment.notification(), failed("b1"));
 }
 
-/// A message keeps its time left over a handover. It would expire if the deadline were handed over as a time of the
+/// A message keeps its time left across a handover. It would expire if the deadline were handed over as a time of the
 /// wall clock, which is stepped for the successor.
 #[test]
 fn a_wall_clock_stepped_during_a_handover_expires_no_message() {
--- a/tests/machine_disk.rs
+++ b/tests/machine_disk.rs
@@ -15,7 +15,7 @@
 }
 
 /// A final outcome that is notified before it is in the journal could be lost in a restart, which would send the
-/// message again. Its client may have enqueued a returned message elsewhere by then.
+/// message again. Its client may have enqueued a returned message elsewhere after the notification.
 #[test]
 fn a_final_outcome_is_notified_only_after_it_is_written() {
     let environment = TestEnvironment::with_faults(1, 1);
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -19,7 +19,8 @@
 
 use fit::{median, Fit};
 
-/// Limits how long a gateway may take to start. It is far longer than that, so that only a failing test reaches it.
+/// Limits how long a gateway may take to start. It is far longer than a start takes, so that only a failing test
+/// reaches it.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 const SMALL: &str = include_str!("../experiments/small.toml");
 const SCALE: &str = include_str!("../experiments/scale.toml");
@@ -234,18 +235,21 @@
         let reported_sizes: Vec<u64> = points.iter().map(|point| point["size"].as_u64().unwrap()).collect();
         assert_eq!(reported_sizes, *sizes);
         for point in points {
-            assert_eq!(point["not_run"], Value::Null, "{kind}: {point}");
+            assert_eq!(point["not_run"], Value::Null, "{kind} was not run: {point}");
             let figures = point["figures"].as_object().unwrap();
-            assert!(figures.len() >= 4, "{kind}: {point}");
+            assert!(figures.len() >= 4, "{kind} has too few figures: {point}");
             for (name, value) in figures {
-                assert!(value.as_f64().is_some_and(f64::is_finite), "{kind} {name}: {point}");
+                assert!(value.as_f64().is_some_and(f64::is_finite), "{kind}: {name} is not finite: {point}");
             }
         }
         let growth = sweep["growth"].as_array().unwrap();
-        assert!(!growth.is_empty(), "{kind}");
+        assert!(!growth.is_empty(), "{kind} has no growth");
         for growth in growth {
             for name in ["slope", "constant", "largest_residual", "exponent"] {
-                assert!(growth[name].as_f64().is_some_and(f64::is_finite), "{kind} {name}: {growth}");
+                assert!(
+                    growth[name].as_f64().is_some_and(f64::is_finite),
+                    "{kind}: {name} is not finite: {growth}"
+                );
             }
         }
     }
@@ -302,8 +306,8 @@
     let rejecting = SMALL.replace("latency_ms = 40", "limit_per_s = 0.001\nlatency_ms = 40");
     let output = folder.run(&rejecting, Path::new(GATEWAY), &["--only", "endpoints"]);
     assert!(output.status.success());
-    let smallest = &folder.report()["sweeps"][0]["points"][0];
-    let reason = smallest["not_run"].as_str().unwrap_or_else(|| panic!("{smallest}"));
+    let first_point = &folder.report()["sweeps"][0]["points"][0];
+    let reason = first_point["not_run"].as_str().unwrap_or_else(|| panic!("has no reason: {first_point}"));
     assert!(reason.starts_with("the work was not done: "), "{reason}");
 }
 
@@ -318,7 +322,7 @@
     let table = String::from_utf8_lossy(&output.stdout).into_owned();
     for sweep in folder.report()["sweeps"].as_array().unwrap() {
         for point in sweep["points"].as_array().unwrap() {
-            let reason = point["not_run"].as_str().unwrap_or_else(|| panic!("{point}"));
+            let reason = point["not_run"].as_str().unwrap_or_else(|| panic!("has no reason: {point}"));
             assert_eq!(reason, "the time of the whole run was up");
             assert_eq!(point["figures"], serde_json::json!({}));
             let line = format!("not run: {} {}: {reason}", sweep["kind"].as_str().unwrap(), point["size"]);
@@ -367,7 +371,10 @@
 }
 
 fn assert_close(actual: f64, expected: f64, relative_tolerance: f64) {
-    assert!((actual - expected).abs() <= relative_tolerance * expected.abs(), "{actual} is not {expected}");
+    assert!(
+        (actual - expected).abs() <= relative_tolerance * expected.abs(),
+        "{actual} is too far from {expected}"
+    );
 }
 
 const SIZES: [f64; 6] = [10.0, 100.0, 500.0, 1000.0, 5000.0, 10_000.0];
@@ -444,7 +451,7 @@
     assert_eq!(median(&mut []), None);
 }
 
-/// A short soak of real gateways with all faults breaks no delivery rule. Its report shows that faults were injected.
+/// A short soak of real gateways with injected faults breaks no delivery rule. Its report shows what was injected.
 #[test]
 fn a_short_soak_breaks_no_rule() {
     let shim = Path::new(env!("CARGO_BIN_EXE_testbed")).with_file_name("examples").join("libfault_shim.so");
@@ -455,7 +462,7 @@
     let report = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{report}{}", String::from_utf8_lossy(&output.stderr));
     for word in ["accepted ", "delivered ", "notifications ", "starts ", "Accept ", "TcpRead ", "TcpWrite "] {
-        assert!(report.contains(word), "{word}: {report}");
+        assert!(report.contains(word), "'{word}' is missing in: {report}");
     }
 }
 
