--- a/fault-shim/descriptors.rs
+++ b/fault-shim/descriptors.rs
@@ -1,10 +1,9 @@
-//! Classifies descriptors and paths. Faults apply to sockets, the state folder and the configuration, and not to other
-//! files.
+//! Classifies descriptors and paths. Of all files, only those of the state folder and the configuration have faults.
 
 use crate::errno::SavedErrno;
 use crate::fault_page::Call;
 use crate::mapped_page::MappedPage;
-use crate::next_function::real;
+use crate::next_function::call_next;
 use libc::{c_int, c_void, socklen_t};
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
@@ -29,20 +28,22 @@
 }
 
 impl Kind {
-    /// Returns the kind of a path. It compares the path with the two environment variables as text.
+    /// Returns the kind of a path. It compares the path with the two environment variables as text: a path that begins
+    /// with the state folder's is a state file.
     pub fn of_path(path: &[u8]) -> Self {
         static STATE: OnceLock<Option<Vec<u8>>> = OnceLock::new();
         static CONFIG: OnceLock<Option<Vec<u8>>> = OnceLock::new();
-        if variable(STATE_VARIABLE, &STATE).is_some_and(|folder| path.starts_with(folder)) {
+        if read_variable(STATE_VARIABLE, &STATE).is_some_and(|folder| path.starts_with(folder)) {
             Kind::StateFile
-        } else if variable(CONFIG_VARIABLE, &CONFIG).is_some_and(|file| path == file) {
+        } else if read_variable(CONFIG_VARIABLE, &CONFIG).is_some_and(|file| path == file) {
             Kind::ConfigFile
         } else {
             Kind::Other
         }
     }
 
-    /// Returns the kind of an open descriptor, and `Other` for all if no page is mapped. Preserves `errno`.
+    /// Returns the kind of an open descriptor, and `Other` for all if no page is mapped. Preserves `errno`, except that
+    /// the first use of the page may change it.
     pub fn of_descriptor(fd: c_int) -> Self {
         if MappedPage::get().is_none() {
             return Kind::Other;
@@ -94,7 +95,7 @@
     let name = libc::SO_DOMAIN;
     let value = (&raw mut domain).cast::<c_void>();
     let length = &raw mut domain_bytes;
-    let result = real!(getsockopt(
+    let result = call_next!(getsockopt(
         fd: c_int,
         level: c_int,
         name: c_int,
@@ -105,6 +106,6 @@
 }
 
 /// Returns an environment variable as it was at the first call with this `cache`; `None` if it was not set.
-fn variable(name: &str, cache: &'static OnceLock<Option<Vec<u8>>>) -> Option<&'static [u8]> {
+fn read_variable(name: &str, cache: &'static OnceLock<Option<Vec<u8>>>) -> Option<&'static [u8]> {
     cache.get_or_init(|| std::env::var_os(name).map(|value| value.as_bytes().to_vec())).as_deref()
 }
--- a/fault-shim/errno.rs
+++ b/fault-shim/errno.rs
@@ -1,6 +1,6 @@
 //! The calling thread's `errno`, in which the C library's functions and the hooks report errors.
 
-/// Sets the error number that the hook reports for the current call.
+/// Sets the calling thread's `errno`.
 pub fn set_errno(error: i32) {
     // SAFETY: the C library returns a valid pointer to the calling thread's own `errno`.
     unsafe { *libc::__errno_location() = error };
--- a/fault-shim/faults.rs
+++ b/fault-shim/faults.rs
@@ -10,15 +10,16 @@
 /// A fault that has been chosen for one call.
 #[derive(Clone, Copy)]
 pub enum InjectedFault {
-    /// The call is not made and returns this `errno`.
+    /// The call is not made and fails with this `errno`.
     Error(i32),
     /// A part of the bytes is transferred, without an error.
     Short,
-    /// Half of the bytes are written, and then the call returns `ENOSPC`.
+    /// The call returns `ENOSPC`. `write` and `pwrite64` write half of the bytes first.
     Torn,
     /// The process is killed before the call, or after half of the bytes are written.
     KilledBefore,
-    /// The process is killed after the call, before the call returns.
+    /// The process is killed after the call, before the call returns. With `read` and `recv` it is killed before the
+    /// call.
     KilledAfter,
 }
 
@@ -34,12 +35,12 @@
     }
 }
 
-/// Counts a call, and returns the fault to inject into it; `None` if it is not to fail.
+/// Counts a call, and returns the fault to inject into it; `None` if it is not to fail or no page is mapped.
 pub fn next_fault(call: Call) -> Option<InjectedFault> {
     let page = MappedPage::get()?;
     let entry = page.entry(call);
-    let number = entry.calls().fetch_add(1, Ordering::SeqCst);
-    let drawn = draw(page.seed(), (call as u64) << 32 | u64::from(number));
+    let sequence = entry.calls().fetch_add(1, Ordering::SeqCst);
+    let drawn = draw(page.seed(), (call as u64) << 32 | u64::from(sequence));
     // The lower 32 bits decide whether the call fails, the upper 32 bits choose the error.
     if drawn as u32 % ALWAYS >= entry.rate().load(Ordering::SeqCst) {
         return None;
@@ -61,7 +62,8 @@
     count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| remaining.checked_sub(1)).is_ok()
 }
 
-/// Checks a call that transfers no bytes for a fault, and kills the process if that is the fault.
+/// Checks a call that transfers no bytes for a fault, and kills the process if that is the fault. `Short`, `Torn` and
+/// `KilledAfter` have no effect on such a call.
 ///
 /// # Errors
 /// Returns the value that the hook has to return, with `errno` set, if the call is to fail.
@@ -80,11 +82,12 @@
 pub enum Transfer {
     /// This many bytes are transferred.
     Bytes(usize),
-    /// This many bytes are transferred, and then the call returns this `errno`.
+    /// This many bytes are transferred, and then the call fails with this `errno`. Only `write` and `pwrite64` transfer
+    /// them.
     BytesThenError(usize, i32),
-    /// This many bytes are transferred, and then the process is killed.
+    /// This many bytes are transferred, and then the process is killed. Reads transfer none.
     BytesThenKill(usize),
-    /// Nothing is transferred, and the call returns this `errno`.
+    /// Nothing is transferred, and the call fails with this `errno`.
     Error(i32),
 }
 
@@ -103,12 +106,12 @@
     }
 }
 
-/// How a message on a Unix socket is transferred by `sendmsg` or `recvmsg`: whole or not at all.
+/// How a message is transferred by `sendmsg` or `recvmsg`: whole or not at all.
 pub enum MessageTransfer {
     Whole,
     KillBefore,
     WholeThenKill,
-    /// The message is not transferred, and the call returns this `errno`.
+    /// The message is not transferred, and the call fails with this `errno`.
     Error(i32),
 }
 
--- a/fault-shim/hooks/clocks.rs
+++ b/fault-shim/hooks/clocks.rs
@@ -1,7 +1,7 @@
-//! Hooks for the wall clock, to which the page adds an offset.
+//! A hook for reading the wall clock. It adds the page's offset.
 
 use crate::mapped_page::MappedPage;
-use crate::next_function::real;
+use crate::next_function::call_next;
 use libc::{c_int, timespec};
 
 const MS_PER_SEC: i64 = 1_000;
@@ -12,7 +12,7 @@
 /// `time` must point to a `timespec` that may be written, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut timespec) -> c_int {
-    let result = real!(clock_gettime(clock: c_int, time: *mut timespec) -> c_int);
+    let result = call_next!(clock_gettime(clock: c_int, time: *mut timespec) -> c_int);
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset_ms = MappedPage::get().map_or(0, MappedPage::wall_offset_ms);
         // SAFETY: the C library has just written a valid `timespec` there.
--- a/fault-shim/hooks/event_loop.rs
+++ b/fault-shim/hooks/event_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::fault_page::Call;
 use crate::faults::check;
-use crate::next_function::real;
+use crate::next_function::call_next;
 use libc::{c_int, c_uint, epoll_event};
 
 #[no_mangle]
@@ -10,7 +10,7 @@
     if let Err(failed) = check(Call::EpollCreate) {
         return failed;
     }
-    real!(epoll_create1(flags: c_int) -> c_int)
+    call_next!(epoll_create1(flags: c_int) -> c_int)
 }
 
 /// Injects faults only into `EPOLL_CTL_ADD`: Linux documents no transient error for the other operations.
@@ -21,7 +21,7 @@
             return failed;
         }
     }
-    real!(epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int)
+    call_next!(epoll_ctl(epoll: c_int, operation: c_int, fd: c_int, event: *mut epoll_event) -> c_int)
 }
 
 #[no_mangle]
@@ -34,7 +34,7 @@
     if let Err(failed) = check(Call::EpollWait) {
         return failed;
     }
-    real!(epoll_wait(
+    call_next!(epoll_wait(
         epoll: c_int,
         events: *mut epoll_event,
         max_events: c_int,
@@ -47,5 +47,5 @@
     if let Err(failed) = check(Call::EventFd) {
         return failed;
     }
-    real!(eventfd(count: c_uint, flags: c_int) -> c_int)
+    call_next!(eventfd(count: c_uint, flags: c_int) -> c_int)
 }
--- a/fault-shim/hooks/files.rs
+++ b/fault-shim/hooks/files.rs
@@ -1,12 +1,12 @@
-//! Hooks for opening, truncating, syncing, locking, renaming and removing files. Only the state folder and the
-//! configuration have faults.
+//! Hooks for opening, truncating, syncing, locking, renaming and removing files. Only files of the state folder have
+//! faults; opening the configuration has, too.
 
 use crate::descriptors::Kind;
 use crate::errno::fail;
 use crate::fault_page::Call;
 use crate::faults::{check, kill_process, next_fault, InjectedFault};
-use crate::mapped_page::open_real;
-use crate::next_function::real;
+use crate::mapped_page::open_without_faults;
+use crate::next_function::call_next;
 use libc::{c_char, c_int, mode_t, off64_t};
 use std::ffi::CStr;
 
@@ -23,7 +23,7 @@
     if let Some(Err(failed)) = call.map(check) {
         return failed;
     }
-    open_real(path, flags, mode)
+    open_without_faults(path, flags, mode)
 }
 
 #[no_mangle]
@@ -31,7 +31,7 @@
     if let Err(failed) = check_state_file(fd, Call::StateTruncate) {
         return failed;
     }
-    real!(ftruncate64(fd: c_int, length: off64_t) -> c_int)
+    call_next!(ftruncate64(fd: c_int, length: off64_t) -> c_int)
 }
 
 #[no_mangle]
@@ -39,7 +39,7 @@
     if let Err(failed) = check_state_file(fd, Call::StateSync) {
         return failed;
     }
-    real!(fsync(fd: c_int) -> c_int)
+    call_next!(fsync(fd: c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -47,7 +47,7 @@
     if let Err(failed) = check_state_file(fd, Call::StateSync) {
         return failed;
     }
-    real!(fdatasync(fd: c_int) -> c_int)
+    call_next!(fdatasync(fd: c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -55,14 +55,16 @@
     if let Err(failed) = check_state_file(fd, Call::StateLock) {
         return failed;
     }
-    real!(flock(fd: c_int, operation: c_int) -> c_int)
+    call_next!(flock(fd: c_int, operation: c_int) -> c_int)
 }
 
+/// Injects faults if the new path is in the state folder.
+///
 /// # Safety
 /// `from` and `to` must be NUL-terminated strings, as the C library requires.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    let rename = || real!(rename(from: *const c_char, to: *const c_char) -> c_int);
+    let rename = || call_next!(rename(from: *const c_char, to: *const c_char) -> c_int);
     // SAFETY: the caller passes a NUL-terminated string.
     if Kind::of_path(unsafe { CStr::from_ptr(to) }.to_bytes()) != Kind::StateFile {
         return rename();
@@ -88,7 +90,7 @@
             return failed;
         }
     }
-    real!(unlink(path: *const c_char) -> c_int)
+    call_next!(unlink(path: *const c_char) -> c_int)
 }
 
 /// Checks a call for a fault if `fd` is a file of the state folder.
--- a/fault-shim/hooks/sockets.rs
+++ b/fault-shim/hooks/sockets.rs
@@ -1,9 +1,10 @@
-//! Hooks for creating, binding, connecting, configuring and shutting down sockets, and for accepting connections.
+//! Hooks for creating, binding, connecting, configuring, querying and shutting down sockets, and for accepting
+//! connections.
 
 use crate::descriptors::Kind;
 use crate::fault_page::Call;
 use crate::faults::{check, next_fault, InjectedFault};
-use crate::next_function::real;
+use crate::next_function::call_next;
 use libc::{c_int, c_void, sockaddr, socklen_t};
 
 #[no_mangle]
@@ -11,7 +12,7 @@
     if let Err(failed) = check(Call::Socket) {
         return failed;
     }
-    real!(socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int)
+    call_next!(socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -19,7 +20,7 @@
     if let Err(failed) = check(Call::SocketPair) {
         return failed;
     }
-    real!(socketpair(domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int) -> c_int)
+    call_next!(socketpair(domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -27,7 +28,7 @@
     if let Err(failed) = check(Call::Bind) {
         return failed;
     }
-    real!(bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
+    call_next!(bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
 }
 
 #[no_mangle]
@@ -35,7 +36,7 @@
     if let Err(failed) = check(Call::Listen) {
         return failed;
     }
-    real!(listen(fd: c_int, backlog: c_int) -> c_int)
+    call_next!(listen(fd: c_int, backlog: c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -43,7 +44,7 @@
     if let Err(failed) = check_tcp(fd, Call::Accept) {
         return failed;
     }
-    real!(accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int)
+    call_next!(accept4(fd: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int)
 }
 
 #[no_mangle]
@@ -51,7 +52,7 @@
     if let Err(failed) = check_tcp(fd, Call::Connect) {
         return failed;
     }
-    real!(connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
+    call_next!(connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
 }
 
 /// Replaces the result of a non-blocking `connect`, which `SO_ERROR` reports.
@@ -66,7 +67,7 @@
     value: *mut c_void,
     length: *mut socklen_t,
 ) -> c_int {
-    let result = real!(getsockopt(
+    let result = call_next!(getsockopt(
         fd: c_int,
         level: c_int,
         name: c_int,
@@ -94,7 +95,7 @@
     if let Err(failed) = check(Call::SetSocketOption) {
         return failed;
     }
-    real!(setsockopt(
+    call_next!(setsockopt(
         fd: c_int,
         level: c_int,
         name: c_int,
@@ -108,7 +109,7 @@
     if let Err(failed) = check(Call::GetSocketName) {
         return failed;
     }
-    real!(getsockname(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int)
+    call_next!(getsockname(fd: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int)
 }
 
 #[no_mangle]
@@ -116,7 +117,7 @@
     if let Err(failed) = check(Call::Shutdown) {
         return failed;
     }
-    real!(shutdown(fd: c_int, how: c_int) -> c_int)
+    call_next!(shutdown(fd: c_int, how: c_int) -> c_int)
 }
 
 /// Checks a call for a fault if `fd` is a TCP socket.
--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -1,4 +1,5 @@
-//! Maps the page of shared memory that configures which calls fail into this process.
+//! Maps the page of shared memory into this process. The page configures which calls fail, and the offset of the wall
+//! clock.
 //!
 //! The page is mapped at the first use and stays mapped until the process ends. Its layout is that of
 //! [`crate::fault_page`].
@@ -7,7 +8,7 @@
     Call, BUDGET_WORD, CALLS_WORD, ERRORS_WORD, FAILURES_WORD, MAX_ERRORS, PAGE_BYTES, PAGE_VARIABLE,
     RATE_WORD, SKIPPED_WORD, WALL_OFFSET_BYTE, WORD_BYTES,
 };
-use crate::next_function::real;
+use crate::next_function::call_next;
 use libc::{c_char, c_int, mode_t};
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
@@ -32,7 +33,7 @@
     fn map() -> Option<Self> {
         let path = std::env::var_os(PAGE_VARIABLE)?;
         let path = CString::new(path.as_bytes()).ok()?;
-        let file = open_real(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC, 0);
+        let file = open_without_faults(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC, 0);
         if file < 0 {
             return None;
         }
@@ -88,28 +89,28 @@
         self.word(BUDGET_WORD)
     }
 
-    /// The number of failures still to be skipped.
+    /// The number of calls still to succeed although they would fail at this rate.
     pub fn skipped(&self) -> &AtomicU32 {
         self.word(SKIPPED_WORD)
     }
 
-    /// The number of calls made since the page was created.
+    /// The number of calls since the page was created, including those that failed.
     pub fn calls(&self) -> &AtomicU32 {
         self.word(CALLS_WORD)
     }
 
-    /// The number of calls that failed since the page was created.
+    /// The number of calls since the page was created for which a fault was drawn.
     pub fn failures(&self) -> &AtomicU32 {
         self.word(FAILURES_WORD)
     }
 
-    /// The errors from which each failure draws one; zero marks an unused element.
+    /// The errors, or negative constants of [`Call`], from which each failure draws one; zero marks an unused element.
     pub fn errors(&self) -> [i32; MAX_ERRORS] {
         std::array::from_fn(|error| self.word(ERRORS_WORD + error).load(Ordering::SeqCst) as i32)
     }
 }
 
 /// Calls the C library's `open64` without injecting faults. `mode` is only used if the call creates a file.
-pub fn open_real(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    real!(open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int)
+pub fn open_without_faults(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    call_next!(open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int)
 }
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -1,8 +1,9 @@
-//! The page of shared memory that configures which system calls of a gateway the fault shim (`fault-shim/`) fails.
+//! The page of shared memory that configures which system calls of a gateway the fault shim (`fault-shim/`) fails, and
+//! the offset of the gateway's wall clock.
 //!
 //! The page is a file that the shim maps. A test or the soak writes to the file to change the faults of a running
-//! process, and reads from it how often each call was made and failed. This module owns the page's layout and the
-//! functions that write it. The shim includes this module only for the layout.
+//! process, and reads from it how often each call was made and had a fault. This module owns the page's layout and the
+//! functions that write and read the file. The shim includes this module only for the layout.
 //!
 //! Layout, in little-endian words of 4 bytes: the seed (two words), the offset of the wall clock in milliseconds (two
 //! words), and an entry for each of [`Call::ALL`], in that order. An entry is: rate, budget, skipped, calls, failures,
@@ -83,14 +84,17 @@
 }
 
 impl Call {
-    /// Used in place of an error number: only a part of the bytes is read or written, without an error.
+    /// Used in place of an error number: only a part of the bytes is read or written, without an error. `sendmsg`,
+    /// `recvmsg` and calls that transfer no bytes are made as without a fault.
     pub const SHORT: i32 = -1;
-    /// Used in place of an error number: a torn write. Half of the bytes are written, and then the call returns
-    /// `ENOSPC`.
+    /// Used in place of an error number: a torn write. `write` and `pwrite64` write half of the bytes and then fail with
+    /// `ENOSPC`. Other transfers fail with it and write nothing; other calls are made as without a fault.
     pub const TORN: i32 = -2;
     /// Used in place of an error number: the process is killed before the call, or after half of the bytes are written.
     pub const KILLED_BEFORE: i32 = -3;
-    /// Used in place of an error number: the process is killed after the call, before the call returns.
+    /// Used in place of an error number: the process is killed after the call, before the call returns. It applies to
+    /// transfers and renames; in `read` and `recv` the process is killed before the call. Other calls are made as without
+    /// a fault.
     pub const KILLED_AFTER: i32 = -4;
 
     /// All calls, in the order of their entries.
@@ -171,11 +175,11 @@
     }
 }
 
-/// The shim's counts for one call since the page was created.
+/// The shim's counts for one group of calls since the page was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallCounts {
     pub calls: u32,
-    /// The number of calls that failed.
+    /// The number of calls for which a fault was drawn.
     pub failures: u32,
 }
 
