--- a/src/bin/testbed/bounds.rs
+++ b/src/bin/testbed/bounds.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The bounds of a run that has begun. Every loop of a run checks them.
+/// The bounds of a run that has begun. All sweeps check them repeatedly.
 #[derive(Clone)]
 pub struct RunBounds {
     interrupted: Arc<AtomicBool>,
--- a/src/bin/testbed/experiment.rs
+++ b/src/bin/testbed/experiment.rs
@@ -1,4 +1,5 @@
-//! Reads and validates the experiment file. Errors name the file, the line and a remedy. Starts no processes.
+//! Reads and validates the experiment file. Errors in its contents name the file, the line and the problem. Starts no
+//! processes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -61,15 +62,16 @@
     pub memory_mb: Spanned<u64>,
     /// The number of processes at the same time, including this one.
     pub processes: Spanned<u64>,
-    /// The maximum time of the run, in seconds. Sizes that are not begun by then count as not run.
+    /// The maximum time of the run, in seconds. Sizes that are not completed by then count as not run.
     pub time_s: Spanned<u64>,
 }
 
-/// How steps are measured, and how endpoints behave.
+/// How the steps of the scheduler's sweeps are measured, and how endpoints behave. In a step the scheduler accepts one
+/// message, or applies one change of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Work {
-    /// The number of rounds over all sizes. The result is the median of the rounds.
+    /// The number of rounds over all sizes. Step times are derived from the medians of the rounds.
     pub rounds: Spanned<u64>,
     /// The maximum number of steps for which one size is measured in a round.
     pub steps: Spanned<u64>,
@@ -242,8 +244,8 @@
         self.sizes.iter().map(|size| *size.get_ref())
     }
 
-    /// Returns a generous estimate of the memory for all sizes together, in bytes. Sweeps of the scheduler measure all
-    /// sizes at the same time.
+    /// Returns a generous estimate of the memory for all sizes together, in bytes. Sweeps of the scheduler keep all
+    /// sizes in memory at the same time.
     pub fn estimated_bytes(&self) -> u64 {
         let units: u64 = self.sizes().fold(0, u64::saturating_add);
         units.saturating_mul(self.kind().bytes_per_unit())
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -87,14 +87,14 @@
     /// Used in place of an error number: only a part of the bytes is read or written, without an error. `sendmsg`,
     /// `recvmsg` and calls that transfer no bytes are made as without a fault.
     pub const SHORT: i32 = -1;
-    /// Used in place of an error number: a torn write. `write` and `pwrite64` write half of the bytes and then fail with
-    /// `ENOSPC`. Other transfers fail with it and write nothing; other calls are made as without a fault.
+    /// Used in place of an error number: a torn write. `write` and `pwrite64` write half of the bytes and then fail
+    /// with `ENOSPC`. Other transfers fail with it and transfer nothing; other calls are made as without a fault.
     pub const TORN: i32 = -2;
     /// Used in place of an error number: the process is killed before the call, or after half of the bytes are written.
     pub const KILLED_BEFORE: i32 = -3;
     /// Used in place of an error number: the process is killed after the call, before the call returns. It applies to
-    /// transfers and renames; in `read` and `recv` the process is killed before the call. Other calls are made as without
-    /// a fault.
+    /// transfers and renames; in `read` and `recv` the process is killed before the call. Other calls are made as
+    /// without a fault.
     pub const KILLED_AFTER: i32 = -4;
 
     /// All calls, in the order of their entries.
--- a/src/bin/testbed/figures.rs
+++ b/src/bin/testbed/figures.rs
@@ -19,7 +19,7 @@
     /// The number of items of its state that the scheduler examined per step, by its work counters.
     #[serde(rename = "looked_at")]
     ItemsExamined,
-    /// The memory that was allocated to set up the size.
+    /// The memory that was allocated to set up the size, without the memory of the test rig.
     MemoryBytes,
     /// The size of the scheduler's state as encoded for a handover to another process.
     HandOverBytes,
@@ -33,20 +33,20 @@
     ReadyCpuNs,
     /// The peak resident memory of a real gateway until its first `+PONG`.
     ProcessBytes,
-    /// The size of a real gateway's journal.
+    /// The size of a real gateway's journal before the restarts.
     JournalBytes,
-    /// The ratio of the messages in its journal that a real gateway attempted after a restart.
+    /// The ratio of the messages in its journal that a restarted real gateway attempted within a fixed time.
     #[serde(rename = "tried_share")]
     AttemptedRatio,
-    /// The time until a restarted gateway had attempted all messages in its journal.
+    /// The time from a restarted gateway's first `+PONG` until it had attempted all messages in its journal.
     #[serde(rename = "tried_ms")]
     AllAttemptedMs,
-    /// The time until all watchers have their first watch.
+    /// The time from the creation of the watchers until all have their first watch.
     FirstWatchMs,
-    /// The time until all watchers have a change.
+    /// The time from when a change is announced, or all watches break, until all watchers have the change.
     #[serde(rename = "all_have_ms")]
     AllUpdatedMs,
-    /// Processor time of all watchers together for one change, in nanoseconds.
+    /// Processor time of all watchers together from a change's announcement until all have it, in nanoseconds.
     WatchersNs,
     /// The bytes that discovery sent for one change.
     #[serde(rename = "told_bytes")]
--- a/src/bin/testbed/fit.rs
+++ b/src/bin/testbed/fit.rs
@@ -5,10 +5,11 @@
 
 /// The exponent above which growth counts as worse than linear. Noise alone changes a linear exponent by less.
 const WORSE_THAN_LINEAR_EXPONENT: f64 = 1.15;
-/// The ratio of the largest to the smallest size to which the exponent is fitted. Only the largest sizes are used,
-/// because a constant part of the cost hides the exponent least there.
+/// The maximum ratio of the largest to the smallest size to which the exponent is fitted, unless it leaves fewer than
+/// [`MIN_EXPONENT_POINTS`]. Only the largest sizes are used, because a constant part of the cost hides the exponent
+/// least there.
 const EXPONENT_RANGE: f64 = 12.0;
-/// The minimum number of points to which the exponent is fitted.
+/// The minimum number of points to which the exponent is fitted, if the sweep has as many.
 const MIN_EXPONENT_POINTS: usize = 3;
 
 /// A line and a power law, fitted to the points of a sweep.
@@ -20,7 +21,7 @@
     pub constant: f64,
     /// The largest distance of a point from the line, relative to the value measured there.
     pub largest_residual: f64,
-    /// The exponent of the power law that fits the points in `range`.
+    /// The exponent of the power law that fits the points in `range`; 0 if none can be fitted.
     pub exponent: f64,
     /// The smallest and largest size to which the exponent is fitted.
     pub range: (f64, f64),
--- a/src/bin/testbed/journal_sweep.rs
+++ b/src/bin/testbed/journal_sweep.rs
@@ -18,19 +18,20 @@
 
 /// The number of destinations of the messages. Each has one endpoint.
 const DESTINATIONS: u64 = 64;
-/// The number of messages that are sent before their replies are read.
+/// The maximum number of messages that are sent before their replies are read.
 const PIPELINE: u64 = 256;
 const BODY: [u8; 100] = [b'x'; 100];
-/// The maximum time from the start of a gateway until it is ready. The platform has the same limit.
+/// The maximum time from the start of a gateway until it accepts connections. The platform has the same limit.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The maximum time in which a restarted gateway has to attempt all messages.
+/// The maximum time, from a restarted gateway's first `+PONG`, for which its attempts are counted.
 const ATTEMPTS_TIMEOUT: Duration = Duration::from_secs(12);
 /// The interval between two attempts to connect to a gateway that is starting, and the time to respond to calls between
 /// two groups of enqueued messages.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(1);
-/// The maximum time between two checks of the bounds.
+/// The maximum time for which a stub or the log is awaited between two checks of the bounds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The number of restarts of each size. The result is their median. Messages are delivered after the last restart.
+/// The number of restarts of each size. Times until ready are the median of the restarts, and the peak memory is their
+/// maximum. Messages are delivered after the last restart.
 const RESTARTS: usize = 3;
 /// The latency objective of a message, in seconds. Its deadline is eight times that, so that no message
 /// expires while a size is measured.
@@ -184,7 +185,7 @@
     let attempted = stubs.respond(Response::Deliver, size as usize, ATTEMPTS_TIMEOUT, bounds)?;
     let took = begun_at.elapsed();
     drop(last);
-    info!(size, journal_bytes, attempted, ?took, "restarted");
+    info!(size, journal_bytes, attempted, ?took, "messages attempted after the last restart");
     let figures = [
         (Figure::ReadyMs, median(&mut ready_ms)),
         (Figure::ReadyCpuNs, median(&mut ready_cpu_ns)),
--- a/src/bin/testbed/layout.rs
+++ b/src/bin/testbed/layout.rs
@@ -5,7 +5,7 @@
 use crate::bounds::NotRun;
 use crate::experiment::Kind;
 
-/// The number of destinations to which messages are sent, unless the sweep has another.
+/// The number of destinations to which messages are sent, unless the sweep has another number.
 pub const ACTIVE_DESTINATIONS: u64 = 64;
 /// The number of destinations to which messages are sent in [`Kind::CallsInFlight`], where very many calls are in
 /// flight.
@@ -24,7 +24,8 @@
 const ENDPOINTS_OF_RATIO: u64 = 23;
 const DESTINATIONS_OF_RATIO: u64 = 10;
 
-/// The endpoints of one size. Messages are sent to the destinations with numbers below `active_destinations`.
+/// The endpoints of one size. Messages are sent to the destinations with numbers below `active_destinations`, except to
+/// those that wait in [`Kind::Loaded`].
 pub struct Layout {
     pub endpoints: Vec<Endpoint>,
     pub active_destinations: u64,
@@ -38,7 +39,7 @@
     /// scheduler.
     pub fn of(kind: Kind, size: u64) -> Result<Self, NotRun> {
         match kind {
-            Kind::Endpoints | Kind::Loaded | Kind::ListChange => Layout::shared(size),
+            Kind::Endpoints | Kind::Loaded | Kind::ListChange => Layout::with_target_ratio(size),
             Kind::QueuesTokenBucket => Layout::separate(ACTIVE_DESTINATIONS, size, SCARCE_RATE_PER_SEC),
             Kind::QueuesRetryAfter | Kind::Down => {
                 Layout::separate(ACTIVE_DESTINATIONS, size, MODEST_RATE_PER_SEC)
@@ -62,7 +63,7 @@
     }
 
     /// Returns `endpoints` endpoints, distributed over destinations in the target's ratio. All destinations are active.
-    fn shared(endpoints: u64) -> Result<Self, NotRun> {
+    fn with_target_ratio(endpoints: u64) -> Result<Self, NotRun> {
         let destination_of = |index: u64| index * DESTINATIONS_OF_RATIO / ENDPOINTS_OF_RATIO;
         let active_destinations = destination_of(endpoints.saturating_sub(1)) + 1;
         let endpoints =
@@ -70,7 +71,7 @@
         Ok(Layout { endpoints: endpoints.collect::<Result<_, _>>()?, active_destinations })
     }
 
-    /// Returns the index of the first endpoint of a destination in the result of [`Layout::shared`].
+    /// Returns the index of the first endpoint of a destination in the result of [`Layout::with_target_ratio`].
     pub fn first_endpoint_of(destination: u64) -> u64 {
         (destination * ENDPOINTS_OF_RATIO).div_ceil(DESTINATIONS_OF_RATIO)
     }
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -6,7 +6,8 @@
 //!   results.
 //! - `testbed soak` runs real gateways with injected faults, and checks the rules of the protocol; see `soak`.
 //!
-//! The testbed uses only loopback. Every loop is bounded, and all processes that were started end with the testbed.
+//! The testbed uses only loopback. Every run is bounded in time. The testbed kills the processes that it started before
+//! it ends, unless it is killed itself.
 #![forbid(unsafe_code)]
 
 mod bounds;
--- a/src/bin/testbed/report.rs
+++ b/src/bin/testbed/report.rs
@@ -112,10 +112,10 @@
             out.push_str(&summary_line([
                 &sweep.kind.to_string(),
                 growth.figure.name(),
-                &short(growth.budget.unwrap_or(f64::NAN)),
-                &short(growth.passed_at.unwrap_or(f64::NAN)),
-                &short(sweep.target_size),
-                &format!("{}{suffix}", short(ratio_to_target)),
+                &format_short(growth.budget.unwrap_or(f64::NAN)),
+                &format_short(growth.passed_at.unwrap_or(f64::NAN)),
+                &format_short(sweep.target_size),
+                &format!("{}{suffix}", format_short(ratio_to_target)),
             ]));
         }
         for sweep in &self.sweeps {
@@ -164,7 +164,7 @@
 impl SweepReport {
     /// Returns a table with a line for each size and a line for the growth of each figure.
     fn table(&self, figures: &[Figure]) -> String {
-        let mut out = format!("{} (target size {})\n", self.kind, short(self.target_size));
+        let mut out = format!("{} (target size {})\n", self.kind, format_short(self.target_size));
         let _ = write!(out, "  {:>12}", "size");
         for figure in figures {
             let _ = write!(out, " {:>20}", figure.name());
@@ -187,7 +187,7 @@
         return line;
     }
     for figure in figures {
-        let value = point.figures.get(figure).map_or("-".to_owned(), |value| short(*value));
+        let value = point.figures.get(figure).map_or("-".to_owned(), |value| format_short(*value));
         let _ = write!(line, " {value:>20}");
     }
     if let Some(note) = &point.note {
@@ -202,18 +202,18 @@
     format!(
         "  {}: {} per unit plus {}, points within {:.0}%; exponent {:.2} from {} to {}{}\n",
         growth.figure.name(),
-        short(growth.slope),
-        short(growth.constant),
+        format_short(growth.slope),
+        format_short(growth.constant),
         growth.largest_residual * 100.0,
         growth.exponent,
-        short(from),
-        short(to),
+        format_short(from),
+        format_short(to),
         if growth.worse_than_linear { ", WORSE THAN LINEAR" } else { "" },
     )
 }
 
-/// Formats a number with about three digits, and with a suffix for powers of a thousand.
-fn short(value: f64) -> String {
+/// Formats a number with a few significant digits, and with a suffix for powers of a thousand.
+fn format_short(value: f64) -> String {
     let units = [(1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k")];
     match units.iter().find(|(unit, _)| value.abs() >= *unit) {
         Some((unit, name)) => format!("{:.1} {name}", value / unit),
--- a/src/bin/testbed/scheduler_rig.rs
+++ b/src/bin/testbed/scheduler_rig.rs
@@ -31,19 +31,19 @@
 const LOADED_MESSAGES: u64 = 5;
 /// In [`Kind::Down`], one in this number of the destinations that are down has a message that waits.
 const DOWN_DESTINATIONS_PER_MESSAGE: u64 = 10;
-/// The time since the start of the simulated outages.
+/// The time from the last success of a destination that is down until its circuit is set up as open.
 const DOWN_SINCE: Duration = Duration::from_secs(60);
 /// The failure score of a simulated outage, which is sufficient for an open circuit.
 const DOWN_FAILURE_SCORE: u32 = 6;
-/// The number of call slots in addition to those of the calls in flight. The number of free slots limits the calls of
-/// a destination.
+/// The number of call slots in addition to twice those of the calls in flight in [`Kind::CallsInFlight`]. The number of
+/// free slots limits the calls of a destination.
 const SPARE_SLOTS: usize = 1024;
-/// The number of messages that may be pending in addition to twice those of the sweep. Load shedding begins below the
+/// The number of messages that may be pending in addition to twice the sweep's size. Load shedding begins below the
 /// limit, and must not occur in any sweep.
 const SPARE_MESSAGES: usize = 100_000;
 const MAX_ATTEMPTS: u32 = 12;
-/// The number of steps after the first responses until measuring begins, and between two checks of the bounds until
-/// then.
+/// The number of steps from the first responses until measuring begins. Before measuring, the bounds are checked once
+/// in this number of steps.
 const SETTLING_STEPS: u64 = 20;
 /// The number of destinations or messages that are set up between two checks of the bounds.
 const SETUP_BETWEEN_CHECKS: u64 = 1024;
@@ -216,10 +216,11 @@
         Ok(())
     }
 
-    /// Checks that the measured steps have delivered messages. [`Kind::ListChange`] sends none, and always passes.
+    /// Checks that the gateway delivered messages during the measured steps. [`Kind::ListChange`] sends none, and
+    /// always passes.
     ///
     /// # Errors
-    /// Returns [`NotRun::Work`] if fewer than four in five messages were delivered.
+    /// Returns [`NotRun::Work`] if fewer than four messages were delivered for every five steps.
     pub fn check_deliveries(&self, delivered_before: u64, steps: u64) -> Result<(), NotRun> {
         let done = self.gateway.counts.delivered - delivered_before;
         if self.kind == Kind::ListChange || done * 10 >= steps * 8 {
--- a/src/bin/testbed/scheduler_sweep.rs
+++ b/src/bin/testbed/scheduler_sweep.rs
@@ -1,5 +1,6 @@
-//! Measures the sweeps of the scheduler. All sizes are set up at the same time and measured in turn in each round, in
-//! processor time of this thread and in bytes of the counting allocator.
+//! Measures the sweeps of the scheduler. All sizes are set up, one after another, before the first round. In each round
+//! they are measured in turn. Steps are measured in processor time of this thread, except for their 99th percentile,
+//! which is elapsed time. Memory is measured in bytes of the counting allocator.
 
 use hdrhistogram::Histogram;
 use std::time::Instant;
@@ -12,17 +13,19 @@
 use crate::processor_time::processor_time;
 use crate::scheduler_rig::SchedulerRig;
 
-/// The minimum number of steps for which a size is measured in a round, regardless of the time they take.
+/// The minimum number of steps for which a size is measured in a round, even if they take longer than the maximum time.
+/// The experiment's `steps` still limits it.
 const MIN_STEPS: u64 = 8;
 /// The maximum value of the histogram of step times, in nanoseconds. Longer steps are recorded as this value.
-const LONGEST_STEP_NS: u64 = 10_000_000_000;
+const MAX_RECORDED_STEP_NS: u64 = 10_000_000_000;
 /// The precision of the histogram in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 2;
 
 /// A size that is being measured.
-struct Measured {
+struct MeasuredSize {
     size: u64,
     rig: SchedulerRig,
+    /// The memory that was allocated for the setup, without the rig's own memory.
     memory_bytes: u64,
     /// The mean processor time of a step in each round, in nanoseconds.
     step_ns_by_round: Vec<f64>,
@@ -32,10 +35,10 @@
     step_times: Histogram<u64>,
 }
 
-impl Measured {
+impl MeasuredSize {
     fn build(experiment: &Experiment, sweep: &Sweep, size: u64, bounds: &RunBounds) -> Result<Self, NotRun> {
         bounds.check()?;
-        let step_times = Histogram::new_with_bounds(1, LONGEST_STEP_NS, HISTOGRAM_DIGITS)
+        let step_times = Histogram::new_with_bounds(1, MAX_RECORDED_STEP_NS, HISTOGRAM_DIGITS)
             .map_err(|error| NotRun::failed("cannot create the histogram", error))?;
         let before = allocated();
         let mut rig = SchedulerRig::build(experiment, sweep.kind(), size, bounds)?;
@@ -49,7 +52,14 @@
             memory_bytes,
             "scheduler set up"
         );
-        Ok(Measured { size, rig, memory_bytes, step_ns_by_round: Vec::new(), items_examined: 0, step_times })
+        Ok(MeasuredSize {
+            size,
+            rig,
+            memory_bytes,
+            step_ns_by_round: Vec::new(),
+            items_examined: 0,
+            step_times,
+        })
     }
 
     /// Measures steps until the maximum number of steps or the maximum time for one round is reached.
@@ -67,25 +77,25 @@
             self.step_times.saturating_record(step_begun_at.elapsed().as_nanos() as u64);
             steps += 1;
         }
-        let spent = processor_time() - processor_time_before;
-        self.step_ns_by_round.push(spent.as_nanos() as f64 / steps as f64);
+        let processor_time_spent = processor_time() - processor_time_before;
+        self.step_ns_by_round.push(processor_time_spent.as_nanos() as f64 / steps as f64);
         self.items_examined += self.rig.gateway.items_examined() - examined_before;
         self.rig.check_deliveries(delivered_before, steps)?;
         bounds.check()
     }
 
-    /// Returns the point of this size. The step time is the smallest size's median, multiplied by the median of the
-    /// ratios to the smallest size in the same round, because the machine's speed changes from round to round, but
-    /// hardly within a round.
-    fn point(&self, smallest_ns_by_round: &[f64]) -> Point {
-        let rounds = self.step_ns_by_round.iter().zip(smallest_ns_by_round);
+    /// Returns the result of this size. In each round its step time is divided by the smallest size's, because the
+    /// machine's speed changes from round to round, but hardly within a round. The step time in the result is the
+    /// median of these ratios, multiplied by the median step time of the smallest size.
+    fn point(&self, smallest_size_ns_by_round: &[f64]) -> Point {
+        let rounds = self.step_ns_by_round.iter().zip(smallest_size_ns_by_round);
         let mut ratios: Vec<f64> = rounds.map(|(own, smallest)| own / smallest).collect();
         let ratio = median(&mut ratios).unwrap_or(f64::NAN);
-        let smallest_ns = median(&mut smallest_ns_by_round.to_vec()).unwrap_or(f64::NAN);
+        let smallest_size_ns = median(&mut smallest_size_ns_by_round.to_vec()).unwrap_or(f64::NAN);
         let mut figures = self.rig.figures.clone();
         figures.extend([
             (Figure::StepRatio, ratio),
-            (Figure::StepNs, ratio * smallest_ns),
+            (Figure::StepNs, ratio * smallest_size_ns),
             (Figure::ItemsExamined, self.items_examined as f64 / self.step_times.len().max(1) as f64),
             (Figure::StepP99Ns, self.step_times.value_at_quantile(0.99) as f64),
             (Figure::MemoryBytes, self.memory_bytes as f64),
@@ -106,17 +116,18 @@
 /// Measures a sweep of the scheduler. Returns a point for each size, with its figures or the reason why it was not run.
 pub fn sweep(experiment: &Experiment, sweep: &Sweep, bounds: &RunBounds) -> Vec<Point> {
     let mut points: Vec<Point> = Vec::new();
-    let mut measured: Vec<Measured> = Vec::new();
+    let mut measured: Vec<MeasuredSize> = Vec::new();
     for size in sweep.sizes() {
-        match Measured::build(experiment, sweep, size, bounds) {
+        match MeasuredSize::build(experiment, sweep, size, bounds) {
             Ok(built) => measured.push(built),
             Err(reason) => points.push(Point::not_run(size, &reason)),
         }
     }
     for round in 0..*experiment.work.rounds.get_ref() {
-        // The rounds start with different sizes, so that other load on the machine affects all sizes equally.
-        if let Some(first) = (!measured.is_empty()).then(|| round as usize % measured.len()) {
-            measured.rotate_left(first.min(1));
+        // The order of the sizes is rotated by one, so that other load on the machine affects all sizes equally. A
+        // round whose number, from 0, is a multiple of the number of sizes keeps the order of the round before.
+        if let Some(cycle_position) = (!measured.is_empty()).then(|| round as usize % measured.len()) {
+            measured.rotate_left(cycle_position.min(1));
         }
         let mut index = 0;
         while index < measured.len() {
--- a/src/bin/testbed/simulated_gateway.rs
+++ b/src/bin/testbed/simulated_gateway.rs
@@ -60,12 +60,13 @@
     /// The time from a message's acceptance to its deadline.
     deadline: Duration,
     now: Time,
-    /// The timer that the scheduler has set: the time at which it fires, and its token.
+    /// The timer that the scheduler has set: the time at which it fires, and the token by which the scheduler
+    /// identifies it.
     timer: Option<(Time, u64)>,
     calls: BTreeMap<CallEnd, CallInFlight>,
     /// The number of attempts of each message that has had an attempt and no final outcome.
     attempts: HashMap<MessageId, u16>,
-    /// Messages whose final outcome is acknowledged in the next step.
+    /// Messages whose final outcome is acknowledged when the clock next advances.
     unacknowledged: Vec<MessageId>,
     /// The circuit records that the real gateway would have in its journal.
     circuits: BTreeMap<(DestinationId, Option<EndpointId>), CircuitRecord>,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Advances the clock, and passes all events to the scheduler that are due by then.
+    /// Advances the clock by a duration, and passes the events that are then due to the scheduler.
     pub fn advance(&mut self, by: Duration) {
         self.now = self.now + by;
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= self.now) {
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -1,5 +1,5 @@
 //! The clients of a soak. Well-behaved clients enqueue messages, on connections that are sometimes idle and with
-//! commands that sometimes arrive in two parts. Others send malformed requests.
+//! commands that are sometimes sent in two parts. Others send malformed requests.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use super::ledger::{Idempotency, Ledger};
 use crate::stubs::{encode_command, locked, Client};
 
-/// Replies that take longer are counted as late in the report.
+/// Replies that arrive later than this after the command was sent are counted as late in the report.
 const LATE_REPLY_TIME: Duration = Duration::from_millis(400);
 /// The delay between the two parts of a split command.
 const PART_DELAY: Duration = Duration::from_millis(120);
 /// The time without a reply after which a gateway counts as unresponsive. It allows for the many processes that share
 /// the machine.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The maximum time until a malformed request gets an error or a closed connection, including scheduling delays of the
+/// The maximum time until a malformed request gets a reply or a closed connection, including scheduling delays of the
 /// machine.
 const MALFORMED_TIMEOUT: Duration = Duration::from_millis(3700);
 /// The length of an idle period of a connection, which is about the time after which gateways close it.
@@ -33,7 +33,7 @@
     /// The number of destinations. Their numbers begin at 1.
     pub destinations: u32,
     pub ledger: Arc<Mutex<Ledger>>,
-    /// Set when the soak is over, which ends the clients.
+    /// Set when the time of the clients and of the drawn faults is over, which ends the clients.
     pub is_over: Arc<AtomicBool>,
 }
 
@@ -59,7 +59,7 @@
     },
 ];
 
-/// Enqueues messages with random pauses until the soak is over. A message without a reply is a violation, unless the
+/// Enqueues messages with random pauses until `is_over` is set. A message without a reply is a violation, unless the
 /// gateway was restarting or refused the connection.
 pub fn enqueue_messages(clients: &GatewayClients, name: &str, seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
@@ -162,7 +162,8 @@
     Ok(())
 }
 
-/// Sends malformed requests until the soak is over. Each has to get an error or a closed connection in time.
+/// Sends malformed or incomplete requests until `is_over` is set. Each has to get a reply or a closed connection in
+/// time.
 pub fn send_malformed_requests(clients: &GatewayClients, seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     while !clients.is_over.load(Ordering::SeqCst) {
@@ -185,7 +186,7 @@
         ledger.count("malformed requests");
         if is_unresponsive && !ledger.was_restarting(clients.gateway, begun_at) {
             ledger.record_violation(format!(
-                "a malformed request to gateway {} got neither an error nor a close",
+                "a malformed request to gateway {} got neither a reply nor a closed connection",
                 clients.gateway
             ));
         }
--- a/src/bin/testbed/soak/endpoints.rs
+++ b/src/bin/testbed/soak/endpoints.rs
@@ -1,5 +1,6 @@
 //! The endpoints of a soak. They serve or reject calls, break connections or do not respond, at random and according to
-//! their current behavior. The result of each attempt is recorded in the ledger before the gateway can observe it.
+//! their current behavior. The result of an attempt is recorded in the ledger before the gateway can observe it, except
+//! where the gateway itself closes the connection first.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -13,7 +14,7 @@
 
 /// The maximum latency of a regular response.
 const MAX_LATENCY: Duration = Duration::from_millis(60);
-/// The maximum time for which a call is left unanswered; longer than any message has until its deadline.
+/// The maximum time for which an unanswered call counts as in flight; longer than any message has until its deadline.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(30);
 /// The interval between two checks whether the gateway still waits for a call.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -163,7 +164,7 @@
             let mut ledger = locked(ledger);
             ledger.attempt_ended(&id, AttemptState::NeverRan);
             if has_retry_after {
-                ledger.retry_after(&id, destination, retry_after);
+                ledger.retry_after_sent(&id, destination, retry_after);
                 call.answer(
                     "429 Too Many Requests",
                     &format!("X-Come-Back-Ms: {}\r\n", retry_after.as_millis()),
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -1,4 +1,6 @@
-//! The faults of a soak, and how each is injected into a gateway. All are drawn from the soak's seed.
+//! The faults of a soak. Faults are injected into each gateway one after another, and the behavior of endpoints is
+//! changed; both are drawn from the soak's seed. In addition, a fixed set of system calls fails during the whole soak,
+//! at a fixed rate.
 
 use rustix::io::Errno;
 use std::io;
@@ -20,7 +22,8 @@
 const ENOSPC: i32 = Errno::NOSPC.raw_os_error();
 const EIO: i32 = Errno::IO.raw_os_error();
 
-/// The system calls that fail at random during the whole soak, and their errors.
+/// The system calls that fail at random during the whole soak, and how they fail: with an error, or with a short
+/// transfer ([`Call::SHORT`]).
 const BACKGROUND_FAULTS: [(Call, &[i32]); 8] = [
     (Call::Accept, &[ECONNABORTED, ENFILE, ENOBUFS, EINTR]),
     (Call::Connect, &[EADDRNOTAVAIL, ENETUNREACH, EINTR]),
@@ -31,9 +34,9 @@
     (Call::UnixWrite, &[EINTR]),
     (Call::EpollWait, &[EINTR]),
 ];
-/// The ratio of these calls that fails, from 0 to 1.
+/// The ratio of the calls in [`BACKGROUND_FAULTS`] that fails, from 0 to 1.
 const BACKGROUND_RATIO: f64 = 0.05;
-/// The offsets to which the wall clock is stepped, in milliseconds.
+/// The offsets from the machine's wall clock to which a gateway's wall clock is stepped, in milliseconds.
 const CLOCK_STEPS_MS: [i64; 5] = [0, 3_600_000, -3_600_000, 5_000, -5_000];
 
 /// Sets the faults that last for the whole soak.
@@ -46,8 +49,9 @@
         .try_for_each(|(call, errors)| faults.set(*call, Fault::always(errors).with_ratio(BACKGROUND_RATIO)))
 }
 
-/// Injects one fault after another into a gateway until the soak is over, and returns the gateway. A process that exits
-/// by itself is a violation, and is restarted.
+/// Injects one fault after another into a gateway until `is_over` is set, and returns the gateway. A heartbeat is sent
+/// on the gateway's watches before each fault. If the process has exited by itself, the exit is recorded as a
+/// violation, and the gateway is restarted instead of getting a fault. An error of this restart is not recorded.
 pub fn inject_faults(
     mut gateway: Gateway,
     plan: &Plan,
@@ -62,7 +66,7 @@
             gateway.record_violation("exited by itself");
             let _ = gateway.restart(plan, endpoints, Restart::Killed);
         } else if let Err(error) = inject_fault(&mut gateway, plan, endpoints, &mut random) {
-            gateway.record_violation(&format!("could not be given a fault: {error}"));
+            gateway.record_violation(&format!("had an error during the injection of a fault: {error}"));
         }
     }
     gateway
@@ -92,7 +96,8 @@
     }
 }
 
-/// Fails disk writes for a random time. In three of four cases the gateway is restarted or handed over meanwhile.
+/// Fails disk writes for a random time; in half of the cases truncations and renames, too. In three of four cases the
+/// gateway is restarted or handed over before the disk works again.
 fn fail_disk(
     gateway: &mut Gateway,
     plan: &Plan,
@@ -117,7 +122,7 @@
     gateway.clear_disk_faults()
 }
 
-/// Changes the behavior of random endpoints until the soak is over. Afterwards all endpoints serve.
+/// Changes the behavior of random endpoints until `is_over` is set. Afterwards all endpoints serve.
 pub fn change_behaviors(endpoints: &[Endpoint], is_over: &AtomicBool, mut random: fastrand::Rng) {
     while !is_over.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(random.u64(200..1200)));
@@ -132,7 +137,7 @@
     endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Serving));
 }
 
-/// Returns, for each system call with failures, the numbers of failures and calls over all gateways, as text.
+/// Returns, for each group of system calls with faults, the numbers of faults and calls over all gateways, as text.
 ///
 /// # Errors
 /// Returns an error if a fault page cannot be read.
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -20,14 +20,15 @@
 
 /// The grace period from SIGTERM to SIGKILL.
 const TERM_TO_KILL: Duration = Duration::from_millis(3700);
-/// The time from SIGKILL to the next start, and from the start of a successor until a failing disk works again.
+/// The time from the end of a process to the next start, and from the start of a successor until a failing disk works
+/// again.
 const KILL_TO_START: Duration = Duration::from_millis(600);
 /// The maximum time from the start of a process until it listens and replies to PING. A slower process counts as one
 /// that never becomes ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// The interval between two checks of a process that starts or ends.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The time for which the previous agent keeps running after the address of discovery has changed.
+/// The time for which the previous agent keeps serving watches after the gateway is sent SIGHUP for the new address.
 const AGENT_OVERLAP: Duration = Duration::from_millis(1500);
 /// The system calls that fail while the disk fails. [`Gateway::clear_disk_faults`] clears their faults.
 const DISK_CALLS: [Call; 3] = [Call::StateWrite, Call::StateTruncate, Call::StateRename];
@@ -54,7 +55,7 @@
     ledger: Arc<Mutex<Ledger>>,
     /// The revision of the gateway's endpoint list.
     revision: u32,
-    /// Whether the list has each endpoint as draining, by the endpoint's index.
+    /// Whether the list has an endpoint as draining, by the endpoint's index.
     draining: Vec<bool>,
     /// The channel to which the gateway's agents send the outcome notifications.
     events: Sender<StubEvent>,
@@ -107,7 +108,7 @@
         let address = listening.ok().and_then(|line| address_in(&line));
         self.process = Some(process);
         let Some(address) = address else {
-            self.record_violation("did not start");
+            self.record_violation("did not log its listening address in time");
             return Ok(());
         };
         self.address = address;
@@ -136,7 +137,7 @@
             }
             thread::sleep(POLL_INTERVAL);
         }
-        self.record_violation("never answered PING");
+        self.record_violation("did not reply to PING in time");
     }
 
     /// Records that this gateway has broken a rule. `text` is the predicate of a sentence about the gateway.
@@ -210,7 +211,7 @@
 
     fn hand_over_to(&mut self, next: Process) {
         if next.wait_for_log_lines(" listening ", 1, READY_TIMEOUT).is_err() {
-            self.record_violation("was not handed over");
+            self.record_violation("was not handed over: the next process did not listen in time");
         }
         self.terminate();
         self.collect_log();
@@ -226,7 +227,8 @@
         DISK_CALLS.iter().try_for_each(|call| self.faults.clear(*call))
     }
 
-    /// Adds the process's log to the collected log, and records the violations that it shows.
+    /// Adds the process's log to the collected log, and records a violation for a panic and for each attempt that the
+    /// send guard stopped.
     pub fn collect_log(&mut self) {
         let Some(process) = &self.process else { return };
         let lines = process.lines();
--- a/src/bin/testbed/soak/ledger.rs
+++ b/src/bin/testbed/soak/ledger.rs
@@ -1,6 +1,7 @@
 //! The ledger of a soak: records all events of each message, and checks them against the rules of the protocol.
 //! Clients, endpoints and discovery report the events, and so does the code that starts and stops the gateways'
-//! processes; none come from a gateway itself. The ledger does not influence the course of the soak.
+//! processes; no event is taken from a gateway's log. Violations that are found elsewhere, also in a gateway's log, are
+//! recorded here, too. The ledger does not influence the course of the soak.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::ErrorKind;
@@ -43,7 +44,7 @@
     NeverRan,
     /// The gateway cannot determine whether the attempt has run.
     MayHaveRun,
-    /// The endpoint served the attempt and responded.
+    /// The endpoint has served the attempt and responds with success.
     Delivered,
 }
 
@@ -99,13 +100,13 @@
         if self.attempts.iter().any(Attempt::is_in_flight) {
             broken.push("while another attempt was in flight".to_owned());
         }
-        let first_run = self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan);
-        match (self.idempotency, first_run.map(|attempt| attempt.begun_at)) {
+        let first_uncertain = self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan);
+        match (self.idempotency, first_uncertain.map(|attempt| attempt.begun_at)) {
             (Idempotency::NonIdempotent, Some(_)) => broken.push("although it may have run".to_owned()),
             (Idempotency::IdempotentWithKey(window), Some(first))
                 if now > first + window + SCHEDULING_DELAY =>
             {
-                broken.push(format!("{:?} after its first attempt", now - first));
+                broken.push(format!("{:?} after its first attempt that may have run", now - first));
             }
             _ => {}
         }
@@ -156,7 +157,7 @@
     messages: HashMap<String, Message>,
     restarts: HashMap<usize, Vec<Restart>>,
     retry_afters: HashMap<GatewayDestination, RetryAfter>,
-    /// The time since when discovery has each draining endpoint as draining.
+    /// The time from which discovery had each draining endpoint as draining and could be reached by the gateway.
     draining: HashMap<GatewayEndpoint, Instant>,
     violations: Vec<String>,
     counts: BTreeMap<&'static str, u64>,
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Returns whether a gateway's process was stopping, absent or starting at any time since `since`.
+    /// Returns whether a gateway's process was stopping, absent or starting at any time since `since`, or in the
+    /// [`SCHEDULING_DELAY`] before it.
     pub fn was_restarting(&self, gateway: usize, since: Instant) -> bool {
         let mut restarts = self.restarts.get(&gateway).into_iter().flatten();
         restarts.any(|restart| restart.ready_at.is_none_or(|ready_at| ready_at + SCHEDULING_DELAY > since))
@@ -242,7 +244,7 @@
         let now = Instant::now();
         self.count("attempts");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.record_violation(format!("{id} was sent, and nobody enqueued it"));
+            return self.record_violation(format!("{id} was sent, but no client enqueued it"));
         };
         let mut broken = message.rules_broken_by_attempt(now, max_attempts);
         let gateway = message.gateway;
@@ -254,7 +256,7 @@
         if let Some(since) = self.draining.get(&GatewayEndpoint { gateway, endpoint }) {
             if now > *since + ANNOUNCE_TIME + DRAIN_GRACE + SCHEDULING_DELAY {
                 broken.push(format!(
-                    "to endpoint {endpoint}, {:?} after discovery listed it as draining",
+                    "to endpoint {endpoint}, {:?} after discovery could announce it as draining",
                     now - *since
                 ));
             }
@@ -286,7 +288,7 @@
 
     /// Records a Retry-After, which applies to the whole destination of the endpoint that sent it. It is dropped when
     /// the gateway restarts, because a new process does not have it.
-    pub fn retry_after(&mut self, id: &str, destination: u32, delay: Duration) {
+    pub fn retry_after_sent(&mut self, id: &str, destination: u32, delay: Duration) {
         if let Some(message) = self.messages.get(id) {
             let now = Instant::now();
             let at = GatewayDestination { gateway: message.gateway, destination };
@@ -303,7 +305,7 @@
     pub fn notification_received(&mut self, id: &str) {
         self.count("notifications");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.record_violation(format!("a notification named {id}, which nobody enqueued"));
+            return self.record_violation(format!("a notification named {id}, which no client enqueued"));
         };
         message.notified_at.get_or_insert_with(Instant::now);
     }
--- a/src/bin/testbed/soak/mod.rs
+++ b/src/bin/testbed/soak/mod.rs
@@ -1,5 +1,6 @@
 //! The soak: runs a few dozen real gateways on loopback among misbehaving endpoints, clients and discovery. System
-//! calls and disks fail and wall clocks are stepped, with two or three faults at a time, all drawn from one seed.
+//! calls and disks fail and wall clocks are stepped, with two or three kinds of faults at a time. The faults that are
+//! injected, and when, are drawn from one seed.
 //!
 //! - `gateway` owns one gateway with its processes, its folder and its discovery agent.
 //! - `faults` draws the faults of gateways and the behavior of endpoints.
@@ -33,7 +34,8 @@
 /// The number of attempts per message that the configuration allows.
 const MAX_ATTEMPTS: usize = 8;
 const CLIENTS_PER_GATEWAY: u64 = 3;
-/// The time from the end of the faults until every accepted message must have its final outcome.
+/// The time from the end of the clients and of the drawn faults until every accepted message must have its final
+/// outcome. The background faults continue.
 const OUTCOME_WAIT: Duration = Duration::from_secs(9);
 
 /// The parameters of a soak.
@@ -43,7 +45,7 @@
     pub seed: u64,
     /// The number of gateways that run at the same time.
     pub gateways: usize,
-    /// The time during which clients send messages and faults are injected.
+    /// The time from the start of the clients until they stop sending messages and no further fault is drawn.
     pub length: Duration,
     /// The path of the gateway's binary.
     pub gateway: PathBuf,
@@ -64,7 +66,8 @@
 /// Runs one soak.
 ///
 /// # Errors
-/// Returns an error if the soak cannot be set up or its logs cannot be written. Violations are not an error here.
+/// Returns an error if the soak cannot be set up, the faults cannot be counted, the logs cannot be written or the
+/// soak's folder cannot be removed. Violations are not an error here.
 pub fn run(plan: &Arc<Plan>) -> io::Result<SoakResult> {
     let folder =
         std::env::temp_dir().join(format!("delivery-gateway-soak-{}-{}", std::process::id(), plan.seed));
--- a/src/bin/testbed/stubs/discovery.rs
+++ b/src/bin/testbed/stubs/discovery.rs
@@ -73,8 +73,8 @@
     pub watch_delay_ms: AtomicU64,
     /// Whether the agent leaves notifications unanswered. It still passes them on.
     pub is_holding_notifications: AtomicBool,
-    /// The number of connections still to be stalled. The agent does not pass on the next notifications that arrive on
-    /// such a connection, and does not respond on it any more.
+    /// The number of connections still to be stalled. A connection is stalled when the next notifications arrive on it:
+    /// the agent does not pass them on, and does not respond on the connection any more.
     pub connections_to_stall: AtomicU32,
     /// The number of requests with notifications, without those on stalled connections.
     pub notification_requests: AtomicU32,
--- a/src/bin/testbed/stubs/http.rs
+++ b/src/bin/testbed/stubs/http.rs
@@ -13,7 +13,7 @@
     pub body: Vec<u8>,
 }
 
-/// Reads the next request of a connection; returns `None` if the connection ends first.
+/// Reads the next request of a connection; returns `None` if the connection ends first or its head is not UTF-8.
 pub fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let line = read_line(stream)?;
     let mut headers = Vec::new();
--- a/src/bin/testbed/stubs/mod.rs
+++ b/src/bin/testbed/stubs/mod.rs
@@ -1,8 +1,8 @@
 //! Stubs of the peers of a real gateway on loopback: endpoints, discovery's agent and clients; and the gateway's own
 //! process. The tests use them as well.
 //!
-//! The operating system chooses all ports. What a peer sends is never trusted. Each connection has its own thread,
-//! which ends with the connection.
+//! The operating system chooses all ports. Each connection to an endpoint or an agent has its own thread, which ends
+//! with the connection. A request that cannot be read ends its connection.
 
 mod client;
 mod configuration;
--- a/src/bin/testbed/watch_sweep.rs
+++ b/src/bin/testbed/watch_sweep.rs
@@ -31,10 +31,10 @@
 const DESCRIPTORS_OF_WATCHER: u64 = 4;
 /// The number of file descriptors for the rest of this process.
 const OTHER_DESCRIPTORS: u64 = 200;
-/// The maximum time until all watchers have their first watch.
+/// The maximum time from the creation of the watchers until all have their first watch.
 const FIRST_WATCH_TIMEOUT: Duration = Duration::from_secs(15);
-/// The maximum time until all watchers have an announced change; after a reconnection, in addition to the target's time
-/// for a change.
+/// The maximum time from the announcement of a change until all watchers have it. When the watches break, the target's
+/// time for a change is added.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The number of changes that are announced on open watches, one after another.
 const CHANGES: u64 = 9;
@@ -348,7 +348,7 @@
         };
         let took_ms = millis(begun_at.elapsed());
         let after = DiscoveryCounts::of(&state);
-        info!(watchers = self.size, in_time, late, took_ms, "watchers reconnected");
+        info!(watchers = self.size, in_time, late, took_ms, "reconnection of the watchers measured");
         let figures = [
             (Figure::AllUpdatedMs, Some(took_ms)),
             (Figure::InForceRatio, Some(in_time as f64 / self.size as f64)),
