--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-use crate::translation::{attempt_outcome, reply, ListUpdateKind, UnknownValue};
-use crate::wire::{Batch, FinishedRecord, Record, Reply};
+use crate::translation::{attempt_outcome, to_reply, ListUpdateKind, UnknownValue};
+use crate::wire::{Batch, FinishedAttemptRecord, Record, Reply};
 
 /// Why a decoded batch cannot be carried out. None of its replies are sent.
 #[derive(Debug, Error)]
@@ -36,10 +36,10 @@
     }
 }
 
-/// The event that a record is for the instance that it concerns.
+/// The instance that a record concerns, and the event that the record is for it.
 struct InstanceEvent {
     instance: u16,
-    /// None if the scheduler ignores records of this type. The instance decides after them too.
+    /// None if the scheduler has no event for records of this type. The instance decides after them too.
     event: Option<Event>,
 }
 
@@ -62,12 +62,12 @@
 
 impl InstanceTable {
     /// Passes the records of a batch to their instances, has each of these instances decide once, in the order of their
-    /// first records, and returns their actions as replies.
+    /// first records, and returns their actions as replies. Records for instances that do not exist are ignored.
     ///
     /// # Errors
     /// [`BatchError`] for the first record that cannot be carried out. Those before it have been carried out.
     pub fn run(&mut self, batch: Batch) -> Result<Vec<Reply>, BatchError> {
-        let now = Time(batch.clock);
+        let now = Time(batch.now);
         let mut concerned = Vec::new();
         let mut replies = Vec::new();
         for record in batch.records {
@@ -84,7 +84,7 @@
         for id in concerned {
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             reply_to_panic(id, &mut replies, || instance.scheduler.decide(now, &mut actions));
-            replies.extend(actions.drain(..).map(|action| reply(id, action)));
+            replies.extend(actions.drain(..).map(|action| to_reply(id, action)));
         }
         Ok(replies)
     }
@@ -110,10 +110,10 @@
                 let update = self.endpoint_update(list, kind.try_into()?);
                 InstanceEvent::new(instance, Event::EndpointsUpdated(update))
             }
-            Record::Accept(record) => {
+            Record::MessageAccepted(record) => {
                 InstanceEvent::new(record.instance, Event::MessageAccepted(record.into()))
             }
-            Record::FinishedAttempt(record) => {
+            Record::AttemptFinished(record) => {
                 let finished = self.finished_attempt(&record)?;
                 InstanceEvent::new(record.instance, Event::AttemptFinished(finished))
             }
@@ -121,8 +121,8 @@
                 InstanceEvent::new(instance, Event::MessageAbandoned(MessageId(message)))
             }
             Record::TimerFired { instance, token } => InstanceEvent::new(instance, Event::TimerFired(token)),
-            Record::ProbeFinished { instance, code, .. } => {
-                attempt_outcome(code, 0)?;
+            Record::ProbeFinished { instance, outcome_code, .. } => {
+                attempt_outcome(outcome_code, 0)?;
                 InstanceEvent::ignored(instance)
             }
             Record::ResponseStarted { instance, .. } | Record::PeerNote { instance, .. } => {
@@ -155,23 +155,23 @@
         }
     }
 
-    fn finished_attempt(&self, record: &FinishedRecord) -> Result<FinishedAttempt, UnknownValue> {
+    fn finished_attempt(&self, record: &FinishedAttemptRecord) -> Result<FinishedAttempt, UnknownValue> {
         let instance = self.instances.get(&record.instance);
         Ok(FinishedAttempt {
             message: MessageId(record.message),
             endpoint: EndpointId(record.endpoint),
             attempt: record.attempt,
-            outcome: attempt_outcome(record.code, record.detail)?,
+            outcome: attempt_outcome(record.outcome_code, record.retry_after_ms)?,
             latency: Duration::from_nanos(record.latency),
-            completes_message: record.complete,
-            load_report: instance.and_then(|instance| instance.load_report(&record.report)),
+            completes_message: record.completes_message,
+            load_report: instance.and_then(|instance| instance.load_report(&record.load_report)),
         })
     }
 }
 
-/// Runs a step of a scheduler, and turns a panic in it into a reply with the panic's text.
-fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
-    if let Err(cause) = catch_unwind(AssertUnwindSafe(step)) {
+/// Calls a scheduler, and turns a panic in it into a reply with the panic's text.
+fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, call: impl FnOnce()) {
+    if let Err(cause) = catch_unwind(AssertUnwindSafe(call)) {
         let text = cause.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let text = text.or_else(|| cause.downcast_ref::<String>().cloned());
         let text = text.unwrap_or_else(|| "panic without a text".to_owned());
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,6 @@
 //! The simulator's adapter: runs schedulers for the simulator. Batches of records arrive on standard input, and each is
-//! answered by one reply on standard output, until the input ends. Invalid input ends the program with an error.
+//! answered by one frame of replies on standard output, until the input ends. Invalid input, or a failure to read or
+//! write, ends the program with an error.
 //!
 //! - `frames` reads frames from the input.
 //! - `wire` decodes batches and encodes replies.
--- a/src/bin/simulator-adapter/translation.rs
+++ b/src/bin/simulator-adapter/translation.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-use crate::wire::{AcceptRecord, ListEntry, Reply};
+use crate::wire::{AcceptedRecord, ListEntry, Reply};
 
 /// A field of a decoded record has an unknown value. The adapter exits with this error.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -15,10 +15,10 @@
     pub value: u32,
 }
 
-/// The bit of [`AcceptRecord::options`] which is set if a scheduler that has ended had accepted the message before.
+/// The bit of [`AcceptedRecord::options`] which is set if a scheduler that has ended had accepted the message before.
 const REDELIVERED: u8 = 1 << 4;
 
-/// The kind of a list update.
+/// What a list update passes to a scheduler.
 pub enum ListUpdateKind {
     /// The list has only the entries that have changed.
     Delta,
@@ -51,7 +51,7 @@
             kind: DestinationKindId(entry.kind),
             destination: DestinationId(entry.destination.into()),
             availability: availability(entry.state)?,
-            capacity_hint: f64::from(entry.weight),
+            capacity_hint: f64::from(entry.capacity_hint),
         })
     }
 }
@@ -65,8 +65,8 @@
     }
 }
 
-impl From<AcceptRecord> for AcceptedMessage {
-    fn from(record: AcceptRecord) -> Self {
+impl From<AcceptedRecord> for AcceptedMessage {
+    fn from(record: AcceptedRecord) -> Self {
         AcceptedMessage {
             id: MessageId(record.message),
             class: ClassId(record.class),
@@ -80,17 +80,17 @@
     }
 }
 
-/// Maps the code of an attempt or a probe to its outcome. `detail` is the Retry-After of a rejection in milliseconds,
-/// or 0 for none.
+/// Maps the outcome code of an attempt or a probe to its outcome. `retry_after_ms` is the Retry-After of a rejection, or
+/// 0 for none.
 ///
 /// # Errors
 /// [`UnknownValue`] for a code that the wire does not define.
-pub fn attempt_outcome(code: u16, detail: u32) -> Result<AttemptOutcome, UnknownValue> {
-    match code {
+pub fn attempt_outcome(outcome_code: u16, retry_after_ms: u32) -> Result<AttemptOutcome, UnknownValue> {
+    match outcome_code {
         100 => Ok(AttemptOutcome::Delivered),
         301 => Ok(AttemptOutcome::ErrorResponse),
         302 => {
-            let retry_after = (detail > 0).then(|| Duration::from_millis(u64::from(detail)));
+            let retry_after = (retry_after_ms > 0).then(|| Duration::from_millis(u64::from(retry_after_ms)));
             Ok(AttemptOutcome::Rejected(retry_after))
         }
         303 => Ok(AttemptOutcome::Timeout),
@@ -103,7 +103,7 @@
 }
 
 /// Converts an action of an instance to a reply.
-pub fn reply(instance: u16, action: Action) -> Reply {
+pub fn to_reply(instance: u16, action: Action) -> Reply {
     match action {
         Action::StartAttempt { message, endpoint, attempt_timeout, .. } => Reply::StartAttempt {
             instance,
@@ -123,7 +123,7 @@
         Action::CloseIdleConnections { endpoint } => {
             Reply::CloseIdleConnections { instance, endpoint: endpoint.0 }
         }
-        Action::WatchEndpoints { is_active } => Reply::WatchEndpoints { instance, active: is_active },
+        Action::WatchEndpoints { is_active } => Reply::WatchEndpoints { instance, is_active },
     }
 }
 
--- a/src/bin/simulator-adapter/wire/error.rs
+++ b/src/bin/simulator-adapter/wire/error.rs
@@ -13,8 +13,8 @@
     #[error("byte {at}: record {index} has the unknown code {code}")]
     UnknownRecord { at: usize, index: u32, code: u8 },
     /// Bytes follow the last record.
-    #[error("byte {at}: {count} bytes left over after the last record")]
-    TrailingBytes { at: usize, count: usize },
+    #[error("byte {at}: {length} bytes left over after the last record")]
+    TrailingBytes { at: usize, length: usize },
     /// The settings are not UTF-8.
     #[error("byte {at}: the settings are not UTF-8 text")]
     NotUtf8 { at: usize },
--- a/src/bin/simulator-adapter/wire/reader.rs
+++ b/src/bin/simulator-adapter/wire/reader.rs
@@ -23,9 +23,9 @@
         self.body.len() - self.at
     }
 
-    pub fn bytes(&mut self, count: usize, field: &'static str) -> Result<&'a [u8], WireError> {
+    pub fn bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], WireError> {
         let truncated = WireError::Truncated { at: self.at, field };
-        let end = self.at.checked_add(count).filter(|end| *end <= self.body.len()).ok_or(truncated)?;
+        let end = self.at.checked_add(length).filter(|end| *end <= self.body.len()).ok_or(truncated)?;
         let bytes = &self.body[self.at..end];
         self.at = end;
         Ok(bytes)
--- a/src/bin/simulator-adapter/wire/replies.rs
+++ b/src/bin/simulator-adapter/wire/replies.rs
@@ -1,20 +1,20 @@
-//! Defines and encodes the records of a reply. Durations are in nanoseconds.
+//! Defines and encodes the replies to a batch. Durations are in nanoseconds.
 
 use super::records::InstanceId;
 
-/// A record of a reply: an action that a scheduler requests.
+/// A reply: an action that a scheduler requests, or the report of its panic.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(dead_code)] // The codec has all replies; the scheduler requests no probes, notes, log lines or fetches.
 pub enum Reply {
     /// Send a message to an endpoint. An attempt timeout of 0 means none.
     StartAttempt { instance: InstanceId, message: u32, endpoint: u32, attempt_timeout: u64 },
-    /// Return a message to its client.
+    /// Return a message to its client, which may enqueue it again after `retry_after`.
     Reject { instance: InstanceId, message: u32, retry_after: u64 },
     /// Report that a message has failed.
     ReportFailure { instance: InstanceId, message: u32 },
-    /// Cancel an attempt.
+    /// Cancel an attempt. `attempt` is its index among those of the message, from 0.
     CancelAttempt { instance: InstanceId, message: u32, attempt: u16 },
-    /// Fire a timer after a duration.
+    /// Fire a timer after a duration from now, with the token in the record of its firing.
     SetTimer { instance: InstanceId, after: u64, token: u64 },
     /// Probe an endpoint.
     Probe { instance: InstanceId, endpoint: u32 },
@@ -27,13 +27,13 @@
     /// The scheduler has panicked.
     Panic { instance: InstanceId, text: String },
     /// Start or end a watch on the endpoint list.
-    WatchEndpoints { instance: InstanceId, active: bool },
+    WatchEndpoints { instance: InstanceId, is_active: bool },
     /// Fetch the whole endpoint list once.
     FetchEndpoints { instance: InstanceId },
 }
 
 /// The first byte of each type of reply.
-mod code {
+mod reply_code {
     pub const START_ATTEMPT: u8 = 10;
     pub const REJECT: u8 = 20;
     pub const REPORT_FAILURE: u8 = 30;
@@ -48,10 +48,10 @@
     pub const FETCH_ENDPOINTS: u8 = 120;
 }
 
-/// The size of the length field before the records of a reply.
+/// The size of the length field before the replies of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Encodes a whole reply: the length and the records.
+/// Encodes replies as one frame: the length, and the replies one after the other.
 pub fn write_frame(replies: &[Reply]) -> Vec<u8> {
     let mut out = vec![0; LENGTH_BYTES];
     for reply in replies {
@@ -62,60 +62,60 @@
     out
 }
 
-/// Appends one record of a reply.
+/// Appends one reply.
 pub fn write_reply(out: &mut Vec<u8>, reply: &Reply) {
     match reply {
         Reply::StartAttempt { instance, message, endpoint, attempt_timeout } => {
-            write_head(out, code::START_ATTEMPT, *instance);
+            write_head(out, reply_code::START_ATTEMPT, *instance);
             out.extend(message.to_be_bytes());
             out.extend(endpoint.to_be_bytes());
             out.extend(attempt_timeout.to_be_bytes());
         }
         Reply::Reject { instance, message, retry_after } => {
-            write_head(out, code::REJECT, *instance);
+            write_head(out, reply_code::REJECT, *instance);
             out.extend(message.to_be_bytes());
             out.extend(retry_after.to_be_bytes());
         }
         Reply::ReportFailure { instance, message } => {
-            write_head(out, code::REPORT_FAILURE, *instance);
+            write_head(out, reply_code::REPORT_FAILURE, *instance);
             out.extend(message.to_be_bytes());
         }
         Reply::CancelAttempt { instance, message, attempt } => {
-            write_head(out, code::CANCEL_ATTEMPT, *instance);
+            write_head(out, reply_code::CANCEL_ATTEMPT, *instance);
             out.extend(message.to_be_bytes());
             out.extend(attempt.to_be_bytes());
         }
         Reply::SetTimer { instance, after, token } => {
-            write_head(out, code::SET_TIMER, *instance);
+            write_head(out, reply_code::SET_TIMER, *instance);
             out.extend(after.to_be_bytes());
             out.extend(token.to_be_bytes());
         }
         Reply::Probe { instance, endpoint } => {
-            write_head(out, code::PROBE, *instance);
+            write_head(out, reply_code::PROBE, *instance);
             out.extend(endpoint.to_be_bytes());
         }
         Reply::CloseIdleConnections { instance, endpoint } => {
-            write_head(out, code::CLOSE_IDLE_CONNECTIONS, *instance);
+            write_head(out, reply_code::CLOSE_IDLE_CONNECTIONS, *instance);
             out.extend(endpoint.to_be_bytes());
         }
         Reply::SendNote { instance, peer, text } => {
-            write_head(out, code::SEND_NOTE, *instance);
+            write_head(out, reply_code::SEND_NOTE, *instance);
             out.extend(peer.to_be_bytes());
             write_text(out, text);
         }
         Reply::Log { instance, text } => {
-            write_head(out, code::LOG, *instance);
+            write_head(out, reply_code::LOG, *instance);
             write_text(out, text.as_bytes());
         }
         Reply::Panic { instance, text } => {
-            write_head(out, code::PANIC, *instance);
+            write_head(out, reply_code::PANIC, *instance);
             write_text(out, text.as_bytes());
         }
-        Reply::WatchEndpoints { instance, active } => {
-            write_head(out, code::WATCH_ENDPOINTS, *instance);
-            out.push(u8::from(*active));
+        Reply::WatchEndpoints { instance, is_active } => {
+            write_head(out, reply_code::WATCH_ENDPOINTS, *instance);
+            out.push(u8::from(*is_active));
         }
-        Reply::FetchEndpoints { instance } => write_head(out, code::FETCH_ENDPOINTS, *instance),
+        Reply::FetchEndpoints { instance } => write_head(out, reply_code::FETCH_ENDPOINTS, *instance),
     }
 }
 
@@ -124,7 +124,7 @@
     out.extend(instance.to_be_bytes());
 }
 
-/// Appends a text with its length in two bytes. A longer text is truncated.
+/// Appends a text after its length in two bytes. A text of more than 65,535 bytes is truncated.
 fn write_text(out: &mut Vec<u8>, text: &[u8]) {
     let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
     out.extend(length.to_be_bytes());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -53,9 +53,9 @@
         1e 0003 5d3a91c4 00 42640000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 01 00000000
         46 0003 000000000000004d  3c 0005 0e6f2b19");
     assert_eq!(body.len(), 0x47);
-    let Batch { clock, records } = read_batch(&body).unwrap();
-    assert_eq!(clock, 0x1_f568_bf90);
-    let accept = Record::Accept(AcceptRecord {
+    let Batch { now, records } = read_batch(&body).unwrap();
+    assert_eq!(now, 0x1_f568_bf90);
+    let accepted = Record::MessageAccepted(AcceptedRecord {
         instance: 3,
         message: 0x5d3a_91c4,
         class: 0,
@@ -67,7 +67,7 @@
         tenant: 0,
     });
     let timer = Record::TimerFired { instance: 3, token: 77 };
-    assert_eq!(records, [accept, timer, Record::MessageAbandoned { instance: 5, message: 0x0e6f_2b19 }]);
+    assert_eq!(records, [accepted, timer, Record::MessageAbandoned { instance: 5, message: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -79,21 +79,24 @@
         14 0003 0000 00000029 02
         32 0003 5d3a91c4 0064 00000000011a49a0 01 03124a07 0000 00000000 02 3ecccccd3fa00000");
     let Batch { records, .. } = read_batch(&body).unwrap();
-    let entry = |endpoint, weight, up_since| ListEntry {
+    let entry = |endpoint, capacity_hint, up_since| ListEntry {
         endpoint,
         zone: 0,
         kind: 0,
         destination: 57,
         state: 3,
-        weight,
+        capacity_hint,
         up_since,
     };
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
     assert_eq!(records[0], Record::EndpointList { list: 0, entries });
     assert_eq!(records[1], Record::ListUpdate { instance: 3, list: 0, revision: 41, kind: 2 });
-    let Record::FinishedAttempt(finished) = &records[2] else { panic!("{records:?}") };
-    assert_eq!((finished.code, finished.latency, finished.complete), (100, 18_500_000, true));
-    assert_eq!(finished.report, [0.4, 1.25]);
+    let Record::AttemptFinished(finished) = &records[2] else { panic!("{records:?}") };
+    assert_eq!(
+        (finished.outcome_code, finished.latency, finished.completes_message),
+        (100, 18_500_000, true)
+    );
+    assert_eq!(finished.load_report, [0.4, 1.25]);
 }
 
 #[test]
@@ -127,7 +130,7 @@
         (Reply::Probe { instance: 1, endpoint: 2 }, "3c 0001 00000002"),
         (Reply::CloseIdleConnections { instance: 1, endpoint: 2 }, "46 0001 00000002"),
         (Reply::Panic { instance: 1, text: "x".to_owned() }, "64 0001 0001 78"),
-        (Reply::WatchEndpoints { instance: 1, active: true }, "6e 0001 01"),
+        (Reply::WatchEndpoints { instance: 1, is_active: true }, "6e 0001 01"),
         (Reply::FetchEndpoints { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
@@ -147,7 +150,13 @@
         ("64 0001", Record::RemoveInstance { instance: 1 }),
         (
             "50 0001 012f 0000000000000002 00000003 01 3f800000",
-            Record::ProbeFinished { instance: 1, code: 303, latency: 2, endpoint: 3, report: vec![1.0] },
+            Record::ProbeFinished {
+                instance: 1,
+                outcome_code: 303,
+                latency: 2,
+                endpoint: 3,
+                load_report: vec![1.0],
+            },
         ),
         (
             "28 0001 00000002 00000003 0004 0000000000000005",
@@ -158,7 +167,7 @@
     for (bytes, record) in cases {
         let bytes = hex(bytes);
         let whole = &frame(9, std::slice::from_ref(&bytes))[4..];
-        assert_eq!(read_batch(whole), Ok(Batch { clock: 9, records: vec![record] }));
+        assert_eq!(read_batch(whole), Ok(Batch { now: 9, records: vec![record] }));
         // Every truncation is an error, never a panic.
         for cut in 1..bytes.len() {
             let body = &frame(9, &[bytes[..cut].to_vec()])[4..];
@@ -194,8 +203,8 @@
     }
 }
 
-fn accept_record(instance: u16) -> Record {
-    Record::Accept(AcceptRecord {
+fn accepted_record(instance: u16) -> Record {
+    Record::MessageAccepted(AcceptedRecord {
         instance,
         message: 5,
         class: 0,
@@ -213,7 +222,13 @@
 #[test]
 fn an_instance_decides_after_a_record_that_it_ignores() {
     let ignored = [
-        Record::ProbeFinished { instance: 1, code: 100, latency: 1, endpoint: 2, report: vec![] },
+        Record::ProbeFinished {
+            instance: 1,
+            outcome_code: 100,
+            latency: 1,
+            endpoint: 2,
+            load_report: vec![],
+        },
         Record::ResponseStarted { instance: 1, message: 5, endpoint: 2, attempt: 0, latency: 1 },
         Record::PeerNote { instance: 1, from: 2, text: b"hi".to_vec() },
     ];
@@ -221,9 +236,9 @@
         let mut instances = instances::InstanceTable::default();
         let settings = "Lanes.count=1\n".to_owned();
         let start = Record::NewInstance { instance: 1, seed: 1, settings };
-        instances.run(Batch { clock: 50_000_000_000, records: vec![start, accept_record(1)] }).unwrap();
+        instances.run(Batch { now: 50_000_000_000, records: vec![start, accepted_record(1)] }).unwrap();
         // The message's deadline has passed, but there was no record for the instance.
-        let mut replies = |records| instances.run(Batch { clock: 61_000_000_000, records }).unwrap();
+        let mut replies = |records| instances.run(Batch { now: 61_000_000_000, records }).unwrap();
         assert_eq!(replies(vec![]), []);
         let final_replies = replies(vec![record.clone()]);
         let is_final = |reply: &Reply| {
@@ -244,8 +259,9 @@
 #[test]
 fn a_probe_with_an_unknown_outcome_is_an_error() {
     let mut instances = instances::InstanceTable::default();
-    let probe = Record::ProbeFinished { instance: 1, code: 7, latency: 1, endpoint: 2, report: vec![] };
-    let error = instances.run(Batch { clock: 1, records: vec![probe] }).unwrap_err();
+    let probe =
+        Record::ProbeFinished { instance: 1, outcome_code: 7, latency: 1, endpoint: 2, load_report: vec![] };
+    let error = instances.run(Batch { now: 1, records: vec![probe] }).unwrap_err();
     assert_eq!(error.to_string(), "Code has the unknown value 7");
 }
 
@@ -258,8 +274,15 @@
     assert_eq!(parsed.settings.destination_kinds[1].max_batch_size, 4);
     // A list that replaces another one of the same number later in the batch does not affect updates before it.
     let list = |endpoint| {
-        let entry =
-            ListEntry { endpoint, zone: 0, kind: 0, destination: 1, state: 3, weight: 9.0, up_since: 0 };
+        let entry = ListEntry {
+            endpoint,
+            zone: 0,
+            kind: 0,
+            destination: 1,
+            state: 3,
+            capacity_hint: 9.0,
+            up_since: 0,
+        };
         Record::EndpointList { list: 0, entries: vec![entry] }
     };
     let update = |instance| Record::ListUpdate { instance, list: 0, revision: 1, kind: 2 };
@@ -272,10 +295,10 @@
         update(1),
         list(20),
         update(2),
-        accept_record(1),
-        accept_record(2),
+        accepted_record(1),
+        accepted_record(2),
     ];
-    let replies = instances.run(Batch { clock: 50_000_000_000, records: batch }).unwrap();
+    let replies = instances.run(Batch { now: 50_000_000_000, records: batch }).unwrap();
     let attempts = |at, to| {
         let is_attempt = |reply: &&Reply| match reply {
             Reply::StartAttempt { instance, endpoint, .. } => (*instance, *endpoint) == (at, to),
