--- a/src/bin/delivery-gateway/resp2/codec.rs
+++ b/src/bin/delivery-gateway/resp2/codec.rs
@@ -1,5 +1,5 @@
 //! Decodes RESP2 requests, which are arrays of bulk strings, and encodes replies. The size of a request is checked
-//! before anything is stored.
+//! before anything is allocated for it.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 
 use crate::events::EnqueueReply;
 
-/// The maximum number of words in a request.
-const MAX_WORDS: usize = 16;
-/// The maximum length of a word. The longest word of a request is the body of a message.
+/// The maximum number of elements in a request, which are its bulk strings: a command and its arguments.
+const MAX_ELEMENTS: usize = 16;
+/// The maximum length of an element. The longest element of a request is the body of a message.
 pub const MAX_MESSAGE_BODY_BYTES: usize = 64 << 10;
-/// The maximum number of bytes in a request besides its longest word: a key, an id, fields and the lines with the
+/// The maximum number of bytes in a request besides its longest element: a key, an id, fields and the lines with the
 /// lengths.
 pub const MAX_BYTES_BESIDE_BODY: usize = 4 << 10;
 /// The maximum length of a line that holds a count or a length.
@@ -25,7 +25,7 @@
     /// The bytes are not an array of bulk strings.
     #[error("Protocol error: expected an array of bulk strings")]
     Malformed,
-    /// The request has more words or bytes than the limits allow.
+    /// The request has more elements or bytes than the limits allow.
     #[error("Protocol error: too long")]
     TooLong,
 }
@@ -68,38 +68,38 @@
     }
 }
 
-/// Removes the first complete request from the buffer and returns its words; None while the request is incomplete.
+/// Removes the first complete request from the buffer and returns its elements; None while the request is incomplete.
 ///
-/// Only arrays of bulk strings are accepted, so that depth and size are limited before anything is stored. General RESP
-/// decoders recurse as deeply as their input nests.
+/// Only arrays of bulk strings are accepted, so that depth and size are limited before anything is allocated. General
+/// RESP decoders recurse as deeply as their input nests.
 ///
 /// # Errors
 /// The bytes are not a request, or the request is too long. The buffer is unchanged.
 pub fn decode_request(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let Some(header) = length_line(buffer, 0, b'*')? else { return Ok(None) };
-    if header.value > MAX_WORDS {
+    if header.value > MAX_ELEMENTS {
         return Err(RespError::TooLong);
     }
     let mut spans = Vec::with_capacity(header.value);
-    let mut longest_word = 0;
+    let mut longest_element = 0;
     let mut position = header.end;
     for _ in 0..header.value {
-        let Some(word) = length_line(buffer, position, b'$')? else { return Ok(None) };
-        if word.value > MAX_MESSAGE_BODY_BYTES {
+        let Some(element) = length_line(buffer, position, b'$')? else { return Ok(None) };
+        if element.value > MAX_MESSAGE_BODY_BYTES {
             return Err(RespError::TooLong);
         }
-        let word_end = word.end + word.value;
-        longest_word = longest_word.max(word.value);
-        if word_end - longest_word > MAX_BYTES_BESIDE_BODY {
+        let element_end = element.end + element.value;
+        longest_element = longest_element.max(element.value);
+        if element_end - longest_element > MAX_BYTES_BESIDE_BODY {
             return Err(RespError::TooLong);
         }
-        match buffer.get(word_end..word_end + LINE_END.len()) {
+        match buffer.get(element_end..element_end + LINE_END.len()) {
             None => return Ok(None),
             Some(line_end) if line_end == LINE_END => {}
             Some(_) => return Err(RespError::Malformed),
         }
-        spans.push(word.end..word_end);
-        position = word_end + LINE_END.len();
+        spans.push(element.end..element_end);
+        position = element_end + LINE_END.len();
     }
     let frame = buffer.split_to(position).freeze();
     Ok(Some(spans.into_iter().map(|span| frame.slice(span)).collect()))
--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -21,13 +21,14 @@
 
 /// The maximum size of one read. A longer request waits for a permit for long requests.
 const READ_BYTES: usize = 4 << 10;
-/// The time limit for the rest of a request. Clients wait 400 ms for a reply.
+/// The time limit for the rest of a request: from its first bytes, or from the previous reply if these had arrived
+/// before it. Clients wait 400 ms for a reply.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time limit between two requests.
+/// The time limit from a reply to the first bytes of the next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time limit for writing replies. A client that does not read for this long has stopped waiting for its reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time limit for the first request of a new connection while the process shuts down or is a lame duck.
+/// The time limit for the first bytes on a new connection while the process shuts down or is a lame duck.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// The size at which buffered replies to pipelined requests are written.
 const MAX_BUFFERED_REPLY_BYTES: usize = 4 << 10;
@@ -50,8 +51,9 @@
 
 /// A client connection in this process.
 pub struct ClientConnection {
+    /// Where the connection goes during a handover.
     transfers: UnboundedSender<TransferredConnection>,
-    /// The number of requests that have had their reply.
+    /// The number of requests that were answered by this process, plus 1 if its predecessor answered any.
     answered: u32,
     /// The maximum time for which the next request may have waited unread before the connection was accepted.
     unread_for: Duration,
@@ -130,8 +132,8 @@
         }
         loop {
             match decode_request(&mut self.input) {
-                Ok(Some(words)) => {
-                    if self.serve(&words).await? == ServeOutcome::GatewayEnded {
+                Ok(Some(elements)) => {
+                    if self.serve(&elements).await? == ServeOutcome::GatewayEnded {
                         return Ok(());
                     }
                     if self.input.is_empty() {
@@ -199,8 +201,8 @@
         drop(slot);
     }
 
-    /// Reads more of a request. While the process shuts down or is a lame duck, a connection is closed between two
-    /// requests but never within one, and a new connection may still send its first request.
+    /// Reads more of a request. A connection is closed because the process shuts down or is a lame duck only between two
+    /// requests, never within one, and a new connection may still send its first request.
     async fn read(&mut self, deadline: Instant) -> io::Result<ReadOutcome> {
         let is_between_requests = self.input.is_empty();
         let phase = *self.phase.borrow_and_update();
@@ -320,8 +322,9 @@
         }
     }
 
-    /// Returns whether the client has closed its side. A client that did so before its reply has stopped waiting, and
-    /// may already be enqueuing the message elsewhere. A client of which more bytes are buffered is still waiting.
+    /// Returns whether the client has closed its side, or the connection is broken. A client that closed it before its
+    /// reply has stopped waiting, and may already be enqueuing the message elsewhere. A client of which more bytes are
+    /// buffered is still waiting.
     fn client_has_closed(&mut self) -> bool {
         let ClientConnection { stream, input, .. } = self;
         if !input.is_empty() {
@@ -334,9 +337,9 @@
     }
 
     /// Answers one request, and yields to other connections after every [`REQUESTS_PER_TURN`] requests.
-    async fn serve(&mut self, words: &[Bytes]) -> io::Result<ServeOutcome> {
+    async fn serve(&mut self, elements: &[Bytes]) -> io::Result<ServeOutcome> {
         self.slot.set_state(ConnectionState::Serving);
-        if self.answer(words).await? == ServeOutcome::GatewayEnded {
+        if self.answer(elements).await? == ServeOutcome::GatewayEnded {
             return Ok(ServeOutcome::GatewayEnded);
         }
         self.answered += 1;
@@ -346,11 +349,11 @@
         Ok(ServeOutcome::Answered)
     }
 
-    async fn answer(&mut self, words: &[Bytes]) -> io::Result<ServeOutcome> {
-        let command = words.first().map(|word| word.to_ascii_uppercase());
+    async fn answer(&mut self, elements: &[Bytes]) -> io::Result<ServeOutcome> {
+        let command = elements.first().map(|element| element.to_ascii_uppercase());
         let reply = match command.as_deref() {
             Some(b"PING") => self.ping(),
-            Some(b"ENQUEUE") => match EnqueueRequest::try_from(words) {
+            Some(b"ENQUEUE") => match EnqueueRequest::try_from(elements) {
                 Ok(mut request) => {
                     let unread_for = std::mem::take(&mut self.unread_for);
                     request.time_left = request.time_left.saturating_sub(unread_for);
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -1,5 +1,5 @@
-//! Parses the words of an `ENQUEUE` request into an [`EnqueueRequest`]. Only this module has the names that the wire
-//! uses for the fields.
+//! Parses the elements of an `ENQUEUE` request into an [`EnqueueRequest`], and defines the names of its fields on the
+//! wire. Error texts repeat some of these names.
 
 use bytes::Bytes;
 use std::time::Duration;
@@ -9,17 +9,21 @@
 use crate::events::EnqueueRequest;
 use crate::journal::AcceptedRecord;
 
-/// The maximum length of an id or an idempotency key.
+/// The maximum length of a token, which is an id or an idempotency key.
 const MAX_TOKEN_CHARS: usize = 128;
 
 /// Names of the fields on the wire, where they form a list of `name=value` pairs separated by commas.
 mod field {
+    /// The name of the message's class. Required.
     pub const CLASS: &str = "c";
     /// Absent for messages without a tenant.
     pub const TENANT: &str = "t";
+    /// The number of the destination. Required.
     pub const DESTINATION: &str = "dest";
-    /// The time left until the deadline of the message, in milliseconds.
+    /// The time left until the deadline of the message, in milliseconds. Required. A longer time than the deadline of the
+    /// class allows is cut to that.
     pub const TIME_LEFT: &str = "d";
+    /// Required in classes that are idempotent only with a key.
     pub const IDEMPOTENCY_KEY: &str = "k";
     /// `1` where another gateway may have accepted the message before.
     pub const REDELIVERED: &str = "again";
@@ -28,9 +32,9 @@
 /// Why an `ENQUEUE` request is invalid. The client gets the text, and its connection stays open.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EnqueueError {
-    /// The request does not have exactly five words.
+    /// The request does not have exactly five elements.
     #[error("ENQUEUE takes a key, an id, fields and a body")]
-    WordCount,
+    ElementCount,
     /// The body is longer than [`MAX_MESSAGE_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
@@ -50,7 +54,7 @@
     IdempotencyKey,
     /// The class is missing.
     #[error("c is missing")]
-    ClassMissing,
+    MissingClass,
     /// The destination is missing or not a number.
     #[error("dest is missing or no number")]
     Destination,
@@ -59,7 +63,7 @@
     TimeLeft,
 }
 
-/// The fields of a request.
+/// The text of a request's fields, which is searched at each lookup. Parts without an equals sign are ignored.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
@@ -74,9 +78,9 @@
     type Error = EnqueueError;
 
     /// Parses `ENQUEUE ordering-key id fields body`.
-    fn try_from(words: &[Bytes]) -> Result<Self, EnqueueError> {
-        let [_command, ordering_key, id, fields, body] = words else {
-            return Err(EnqueueError::WordCount);
+    fn try_from(elements: &[Bytes]) -> Result<Self, EnqueueError> {
+        let [_command, ordering_key, id, fields, body] = elements else {
+            return Err(EnqueueError::ElementCount);
         };
         if body.len() > MAX_MESSAGE_BODY_BYTES {
             return Err(EnqueueError::BodyTooLong);
@@ -90,7 +94,7 @@
         if idempotency_key.is_some_and(|key| !is_token(key)) {
             return Err(EnqueueError::IdempotencyKey);
         }
-        let class = fields.get(field::CLASS).ok_or(EnqueueError::ClassMissing)?;
+        let class = fields.get(field::CLASS).ok_or(EnqueueError::MissingClass)?;
         let destination = fields
             .get(field::DESTINATION)
             .and_then(|number| number.parse().ok())
@@ -108,7 +112,7 @@
             time_left: Duration::from_millis(time_left_ms),
             idempotency_key: idempotency_key.map(str::to_owned),
             is_redelivered: fields.get(field::REDELIVERED) == Some("1"),
-            // Copied, since a slice would keep the whole buffer that it was read with in memory.
+            // Copied, since a slice would keep the buffer of the whole request in memory.
             body: Bytes::copy_from_slice(body),
         })
     }
@@ -116,7 +120,7 @@
 
 impl EnqueueRequest {
     /// Returns whether the request enqueues this pending message once more. The time left is not compared, since it
-    /// differs from request to request.
+    /// differs from request to request. Neither are the tenant and the mark of a redelivery.
     pub fn matches_pending(&self, pending: &AcceptedRecord) -> bool {
         self.ordering_key == pending.ordering_key
             && self.class == pending.class
@@ -126,11 +130,12 @@
     }
 }
 
-fn text(word: &Bytes) -> Option<&str> {
-    std::str::from_utf8(word).ok()
+fn text(element: &Bytes) -> Option<&str> {
+    std::str::from_utf8(element).ok()
 }
 
-/// Returns whether a text can be put into a header and a notification unchanged.
+/// Returns whether a text is a token: not empty, at most [`MAX_TOKEN_CHARS`] long, and only of characters that can be put
+/// into a header and a notification unchanged.
 fn is_token(text: &str) -> bool {
     (1..=MAX_TOKEN_CHARS).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte))
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -4,7 +4,7 @@
 //! - [`connection`] serves one connection.
 //! - [`connection_slots`] limits the number of connections and selects the one to evict for another.
 //! - [`codec`] decodes requests and encodes replies.
-//! - [`enqueue`] maps the words of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
+//! - [`enqueue`] maps the elements of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
 //! - [`drain`] discards what a refused client still sends, so that its error reply is not lost.
 //!
 //! The event loop alone decides whether a message is accepted. A connection that breaks or sends malformed RESP2 is
--- a/src/bin/delivery-gateway/resp2/server.rs
+++ b/src/bin/delivery-gateway/resp2/server.rs
@@ -15,7 +15,7 @@
 use crate::events::{GatewayEvent, ServicePhase};
 use crate::rate_limited_log::RateLimitedLog;
 
-/// The time limit for the first request of a connection.
+/// The time limit for the first bytes of a connection, from when it was accepted.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/src/bin/delivery-gateway/resp2/tests.rs
+++ b/src/bin/delivery-gateway/resp2/tests.rs
@@ -8,11 +8,11 @@
 
 use crate::events::{EnqueueReply, EnqueueRequest};
 
-fn encode(words: &[Vec<u8>]) -> Vec<u8> {
-    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-    for word in words {
-        bytes.extend(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend(word);
+fn encode(elements: &[Vec<u8>]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", elements.len()).into_bytes();
+    for element in elements {
+        bytes.extend(format!("${}\r\n", element.len()).as_bytes());
+        bytes.extend(element);
         bytes.extend(b"\r\n");
     }
     bytes
@@ -24,8 +24,8 @@
     let mut requests = Vec::new();
     for part in parts {
         buffer.extend_from_slice(part);
-        while let Some(words) = decode_request(&mut buffer)? {
-            requests.push(words);
+        while let Some(elements) = decode_request(&mut buffer)? {
+            requests.push(elements);
         }
     }
     Ok(requests)
@@ -37,9 +37,9 @@
         requests in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8), 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
-        let bytes: Vec<u8> = requests.iter().flat_map(|words| encode(words)).collect();
+        let bytes: Vec<u8> = requests.iter().flat_map(|elements| encode(elements)).collect();
         let (first, second) = bytes.split_at(cut.index(bytes.len() + 1));
-        prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|words| words.iter().map(|word| Bytes::copy_from_slice(word)).collect()).collect()));
+        prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|elements| elements.iter().map(|element| Bytes::copy_from_slice(element)).collect()).collect()));
     }
 
     /// Guards against a panic on malformed input, and against a result that depends on how the bytes arrive.
@@ -53,18 +53,18 @@
     }
 }
 
-/// Guards against requests of many words that are each within their limit but take up too much memory together.
+/// Guards against requests of many elements that are each within their limit but take up too much memory together.
 #[test]
 fn a_request_is_bounded_in_total() {
     let body = vec![b'x'; MAX_MESSAGE_BODY_BYTES];
-    let words = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
-    assert!(decode_parts([&words(100), b""]).is_ok());
-    assert_eq!(decode_parts([&words(MAX_BYTES_BESIDE_BODY), b""]), Err(RespError::TooLong));
+    let request = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
+    assert!(decode_parts([&request(100), b""]).is_ok());
+    assert_eq!(decode_parts([&request(MAX_BYTES_BESIDE_BODY), b""]), Err(RespError::TooLong));
 }
 
-fn enqueue_request(words: &[&[u8]]) -> Result<EnqueueRequest, String> {
-    let words: Vec<Bytes> = words.iter().map(|word| Bytes::copy_from_slice(word)).collect();
-    EnqueueRequest::try_from(words.as_slice()).map_err(|error| error.to_string())
+fn enqueue_request(elements: &[&[u8]]) -> Result<EnqueueRequest, String> {
+    let elements: Vec<Bytes> = elements.iter().map(|element| Bytes::copy_from_slice(element)).collect();
+    EnqueueRequest::try_from(elements.as_slice()).map_err(|error| error.to_string())
 }
 
 /// Guards against swapped fields, and against a second field of the same name that replaces the first.
@@ -107,8 +107,8 @@
         (&[b"ENQUEUE", b"0", b"m-1", b"c=notice,dest=1", b""], "d is missing or no number"),
         (&[b"ENQUEUE", b"0", b"m-1", b"c=notice,dest=1,d=-1", b""], "d is missing or no number"),
     ];
-    for (words, text) in cases {
-        assert_eq!(enqueue_request(words).unwrap_err(), text);
+    for (elements, text) in cases {
+        assert_eq!(enqueue_request(elements).unwrap_err(), text);
     }
 }
 
