--- a/src/socket/retry.rs
+++ b/src/socket/retry.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Does the same as [`retry_transient`] where no event loop runs, and blocks the thread meanwhile.
+/// Does the same as [`retry_transient`] outside of an async runtime, and blocks the thread meanwhile.
 ///
 /// # Errors
 /// The first error that is not transient, or the last one after 20 s.
--- a/src/socket/stream.rs
+++ b/src/socket/stream.rs
@@ -20,7 +20,7 @@
 /// Opens a connection, and disables Nagle's algorithm on it. Transient errors are retried for 250 ms.
 ///
 /// # Errors
-/// The peer refuses the connection or cannot be reached; or the last transient error after 250 ms.
+/// The first error that is not transient, such as a refusal by the peer, or the last one after 250 ms.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let retry_until = Instant::now() + CONNECT_RETRY_TIMEOUT;
     loop {
