--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -201,8 +201,8 @@
         drop(slot);
     }
 
-    /// Reads more of a request. A connection is closed because the process shuts down or is a lame duck only between two
-    /// requests, never within one, and a new connection may still send its first request.
+    /// Reads more of a request. A connection is closed because the process shuts down or is a lame duck only between
+    /// two requests, never within one, and a new connection may still send its first request.
     async fn read(&mut self, deadline: Instant) -> io::Result<ReadOutcome> {
         let is_between_requests = self.input.is_empty();
         let phase = *self.phase.borrow_and_update();
--- a/src/bin/delivery-gateway/resp2/enqueue.rs
+++ b/src/bin/delivery-gateway/resp2/enqueue.rs
@@ -20,8 +20,8 @@
     pub const TENANT: &str = "t";
     /// The number of the destination. Required.
     pub const DESTINATION: &str = "dest";
-    /// The time left until the deadline of the message, in milliseconds. Required. A longer time than the deadline of the
-    /// class allows is cut to that.
+    /// The time left until the deadline of the message, in milliseconds. Required. A longer time than the deadline of
+    /// the class allows is cut to that.
     pub const TIME_LEFT: &str = "d";
     /// Required in classes that are idempotent only with a key.
     pub const IDEMPOTENCY_KEY: &str = "k";
@@ -41,8 +41,8 @@
     /// The ordering key is not a hexadecimal number of up to 64 bits.
     #[error("the key is not hexadecimal")]
     OrderingKey,
-    /// The id is empty, longer than [`MAX_TOKEN_CHARS`], or has other characters than letters, digits and `-_.:`, and so
-    /// cannot be put into a header and a notification.
+    /// The id is empty, longer than [`MAX_TOKEN_CHARS`], or has other characters than letters, digits and `-_.:`, and
+    /// so cannot be put into a header and a notification.
     #[error("the id has other characters than an id may have")]
     Id,
     /// The fields are not UTF-8.
@@ -134,8 +134,8 @@
     std::str::from_utf8(element).ok()
 }
 
-/// Returns whether a text is a token: not empty, at most [`MAX_TOKEN_CHARS`] long, and only of characters that can be put
-/// into a header and a notification unchanged.
+/// Returns whether a text is a token: not empty, at most [`MAX_TOKEN_CHARS`] long, and only of characters that can be
+/// put into a header and a notification unchanged.
 fn is_token(text: &str) -> bool {
     (1..=MAX_TOKEN_CHARS).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte))
--- a/src/bin/simulator-adapter/translation.rs
+++ b/src/bin/simulator-adapter/translation.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Maps the outcome code of an attempt or a probe to its outcome. `retry_after_ms` is the Retry-After of a rejection, or
-/// 0 for none.
+/// Maps the outcome code of an attempt or a probe to its outcome. `retry_after_ms` is the Retry-After of a rejection,
+/// or 0 for none.
 ///
 /// # Errors
 /// [`UnknownValue`] for a code that the wire does not define.
@@ -123,7 +123,7 @@
         Action::CloseIdleConnections { endpoint } => {
             Reply::CloseIdleConnections { instance, endpoint: endpoint.0 }
         }
-        Action::WatchEndpoints { is_active } => Reply::WatchEndpoints { instance, is_active },
+        Action::WatchEndpoints { is_active } => Reply::WatchEndpoints { instance, active: is_active },
     }
 }
 
--- a/src/bin/simulator-adapter/wire/mod.rs
+++ b/src/bin/simulator-adapter/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: decodes batches of records and encodes replies, which are the actions that schedulers request. Numbers are big-endian, without padding.
+//! The simulator's wire: decodes batches of records and encodes replies, which are the actions that schedulers request.
+//! Numbers are big-endian, without padding.
 //!
 //! The wire's own names for fields are mapped to the terms of the code here. Outside of this module they occur only in
 //! the error texts of `translation`. All input is checked: a truncated batch or an unknown record is an error, never a
--- a/src/bin/simulator-adapter/wire/records.rs
+++ b/src/bin/simulator-adapter/wire/records.rs
@@ -25,8 +25,8 @@
     NewInstance { instance: InstanceId, seed: u64, settings: String },
     /// Remove a scheduler.
     RemoveInstance { instance: InstanceId },
-    /// Store an endpoint list under a number, replacing one of the same number. It is passed to no scheduler until a list
-    /// update refers to it.
+    /// Store an endpoint list under a number, replacing one of the same number. It is passed to no scheduler until a
+    /// list update refers to it.
     EndpointList { list: ListId, entries: Vec<ListEntry> },
     /// Pass a stored endpoint list to a scheduler. `kind` says whether the list is complete, a delta or
     /// not used; see [`ListUpdateKind`](crate::translation::ListUpdateKind). `revision` is ignored.
--- a/src/bin/simulator-adapter/wire/replies.rs
+++ b/src/bin/simulator-adapter/wire/replies.rs
@@ -27,7 +27,7 @@
     /// The scheduler has panicked.
     Panic { instance: InstanceId, text: String },
     /// Start or end a watch on the endpoint list.
-    WatchEndpoints { instance: InstanceId, is_active: bool },
+    WatchEndpoints { instance: InstanceId, active: bool },
     /// Fetch the whole endpoint list once.
     FetchEndpoints { instance: InstanceId },
 }
@@ -111,9 +111,9 @@
             write_head(out, reply_code::PANIC, *instance);
             write_text(out, text.as_bytes());
         }
-        Reply::WatchEndpoints { instance, is_active } => {
+        Reply::WatchEndpoints { instance, active } => {
             write_head(out, reply_code::WATCH_ENDPOINTS, *instance);
-            out.push(u8::from(*is_active));
+            out.push(u8::from(*active));
         }
         Reply::FetchEndpoints { instance } => write_head(out, reply_code::FETCH_ENDPOINTS, *instance),
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -130,7 +130,7 @@
         (Reply::Probe { instance: 1, endpoint: 2 }, "3c 0001 00000002"),
         (Reply::CloseIdleConnections { instance: 1, endpoint: 2 }, "46 0001 00000002"),
         (Reply::Panic { instance: 1, text: "x".to_owned() }, "64 0001 0001 78"),
-        (Reply::WatchEndpoints { instance: 1, is_active: true }, "6e 0001 01"),
+        (Reply::WatchEndpoints { instance: 1, active: true }, "6e 0001 01"),
         (Reply::FetchEndpoints { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
