--- a/src/bin/delivery-gateway/admin/response.rs
+++ b/src/bin/delivery-gateway/admin/response.rs
@@ -10,13 +10,13 @@
     /// The query does not have exactly one `id`, which the operation requires.
     IdRequired,
     UnknownPath,
-    /// No endpoint in the list has the id.
+    /// No endpoint in the list has the id, and none that is disabled.
     UnknownEndpoint,
     MethodNotAllowed,
     /// The request was not complete in time, or its connection was evicted.
     RequestTimeout,
     RequestTooLong,
-    /// The operation could not be written to the journal, and would be lost at a restart.
+    /// The operation could not be written to the journal, and had no effect: it would be lost at a restart.
     NotRecorded,
     /// The gateway is not serving, or did not complete the operation in time.
     NotReady,
--- a/src/bin/delivery-gateway/admin/routes.rs
+++ b/src/bin/delivery-gateway/admin/routes.rs
@@ -13,7 +13,7 @@
 /// is [`AdminResponse::NotReady`], although the operation may still be carried out.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The purpose of a request.
+/// The check or operation that a request asks for.
 enum Route {
     Ready,
     Operation(AdminOperation),
--- a/src/bin/delivery-gateway/admin/server.rs
+++ b/src/bin/delivery-gateway/admin/server.rs
@@ -21,7 +21,7 @@
 const MAX_BEFORE_EVICTION: usize = 8;
 /// The maximum number of connections, including those that are closing.
 const MAX_CONNECTIONS: usize = 16;
-/// The time limit for a complete request.
+/// The time limit for a complete request, from when its connection was accepted.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/src/bin/delivery-gateway/http_client/batch.rs
+++ b/src/bin/delivery-gateway/http_client/batch.rs
@@ -12,9 +12,9 @@
 /// A message that a call carries.
 #[derive(Clone)]
 pub struct OutgoingMessage {
-    /// The message's number in this process.
+    /// The number that the gateway gave the message.
     pub message: MessageId,
-    /// The message is not sent unless the first byte of its call is written before this time.
+    /// The message is not sent unless its call has a connection before this time.
     pub send_by: Instant,
     /// A response at or after this time no longer delivers the message.
     pub expires_at: Instant,
--- a/src/bin/delivery-gateway/http_client/call.rs
+++ b/src/bin/delivery-gateway/http_client/call.rs
@@ -24,7 +24,8 @@
 use super::wire::Wire;
 use crate::events::{AttemptResult, CallResult, StopReason};
 
-/// The time limit from the first byte of a response to the end of its head. After it the connection counts as broken.
+/// The time limit from the first byte of a response, or of an interim one before it, to the end of the response's head.
+/// After it the connection counts as broken.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 /// The longest response body that is read. The body of a response for one message carries no information, and reading a
 /// longer one only to reuse the connection is not worthwhile.
@@ -78,7 +79,9 @@
 /// Why a call ended without the head of a response.
 #[derive(Clone, Copy)]
 enum EndWithoutHead {
+    /// The connection broke, or the response's head was not complete within [`HEAD_TIMEOUT`].
     Broken,
+    /// The attempt timeout passed, or a message of the call expired.
     TimedOut,
     /// The call was stopped. None if the `stop` sender was dropped because no one waits for the result.
     Stopped(Option<StopReason>),
@@ -212,8 +215,8 @@
         }
     }
 
-    /// Reads the rest of a response. A response that says that the call has not run counts only if it is complete; for
-    /// other responses the status line is enough.
+    /// Reads the rest of a response. A response that says that the call has not run, or that has the states of a batch,
+    /// counts only if it is complete; for other responses the head is enough.
     async fn read_response(
         &self,
         acquired: AcquiredConnection,
@@ -296,8 +299,8 @@
     yield_now().await;
 }
 
-/// Reads the rest of a response, and returns its connection to the pool if nothing follows the response. Returns the
-/// body; None if it is incomplete, too long, or not read within [`BODY_TIMEOUT`].
+/// Reads the rest of a response, and returns its connection to the pool unless other bytes follow or the body's length
+/// is ambiguous. Returns the body; None if it is incomplete, too long, or not read within [`BODY_TIMEOUT`].
 async fn finish_response(
     pool: Rc<Pool>,
     endpoint: EndpointId,
@@ -318,7 +321,7 @@
 
 /// Returns a connection to the pool once its response has been read completely. It is closed if other bytes follow.
 async fn return_connection(pool: Rc<Pool>, endpoint: EndpointId, mut connection: Connection) {
-    // By the time that the connection is ready again, its own task has closed it if other bytes followed.
+    // If other bytes followed, the connection's own task has closed it before it is ready again.
     if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.ready()).await {
         yield_now().await;
         if connection.wire.is_open_without_unread_bytes() {
--- a/src/bin/delivery-gateway/http_client/connection.rs
+++ b/src/bin/delivery-gateway/http_client/connection.rs
@@ -50,7 +50,7 @@
     /// Connects to an endpoint, and spawns the local task that drives the connection.
     ///
     /// # Errors
-    /// The endpoint refuses the connection, or this machine cannot open one at the moment.
+    /// The endpoint refuses the connection or cannot be reached, or this machine cannot open one at the moment.
     pub async fn open(address: SocketAddr, descriptor: Descriptor) -> io::Result<Self> {
         let stream = socket::connect(address).await?;
         let wire = Rc::new(Wire::new(stream, descriptor));
--- a/src/bin/delivery-gateway/http_client/pool.rs
+++ b/src/bin/delivery-gateway/http_client/pool.rs
@@ -20,7 +20,8 @@
 /// before they could be taken for the next response. Opening a new connection would take longer.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(5);
 
-/// Counts calls by their connections since the last report.
+/// Counts calls by their connections since the last report. A call that is sent again because its connection was stale
+/// counts once for each connection.
 #[derive(Debug, Default)]
 pub struct ConnectionCounters {
     /// Calls on connections opened for them.
@@ -129,11 +130,11 @@
         self.connect_timeout
     }
 
-    /// Acquires a connection for a call: an idle one if there is one, else a new one.
+    /// Acquires a connection for a call: an idle one if there is one, otherwise a new one.
     ///
     /// # Errors
     /// `LocalFailure` if the cause lies on this machine and not with the endpoint; `ConnectFailed` if the endpoint
-    /// refused or did not accept in time. Nothing was sent.
+    /// refused, could not be reached or did not accept in time. Nothing was sent.
     pub(super) async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -173,7 +174,7 @@
         match timeout_at(connect_by, Connection::open(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(error)) if socket::is_local_failure(&error) => Err(AttemptOutcome::LocalFailure),
-            // Refused or timed out: nothing was sent.
+            // Refused, unreachable or timed out: nothing was sent.
             Ok(Err(_)) | Err(_) => Err(AttemptOutcome::ConnectFailed),
         }
     }
--- a/src/bin/delivery-gateway/http_client/request.rs
+++ b/src/bin/delivery-gateway/http_client/request.rs
@@ -31,7 +31,7 @@
     pub address: SocketAddr,
     /// The messages of the call, at least one.
     pub messages: Vec<OutgoingMessage>,
-    /// The time limit from the decision to make the call until its response.
+    /// The time limit from the start of the call, before it has a connection, until its response.
     pub attempt_timeout: Duration,
 }
 
--- a/src/bin/delivery-gateway/http_client/response.rs
+++ b/src/bin/delivery-gateway/http_client/response.rs
@@ -1,6 +1,7 @@
 //! Maps a response to outcomes: its status and headers, and the states of the messages that a batch carried.
 //!
-//! Only this module has the names that the wire uses for them; the rest of the gateway uses [`AttemptOutcome`].
+//! The names that the wire uses for headers and states of a response are defined here; the rest of the gateway uses
+//! [`AttemptOutcome`].
 
 use delivery_gateway::{AttemptOutcome, LoadReport};
 use hyper::body::Incoming;
@@ -88,10 +89,12 @@
 }
 
 impl MessageOutcome {
+    /// An outcome that completes the message.
     fn completed(outcome: AttemptOutcome) -> Self {
         MessageOutcome { outcome, completes_message: true }
     }
 
+    /// An outcome after which the message may get further attempts.
     fn open(outcome: AttemptOutcome) -> Self {
         MessageOutcome { outcome, completes_message: false }
     }
--- a/src/bin/delivery-gateway/http_client/status_line.rs
+++ b/src/bin/delivery-gateway/http_client/status_line.rs
@@ -19,7 +19,7 @@
 }
 
 impl StatusLineReader {
-    /// Returns the status; None until it has been read, 0 if the line is not a status line.
+    /// Returns the status; None until it has been read, 0 if the response does not begin with a status line.
     pub fn status(&self) -> Option<u16> {
         self.status
     }
--- a/src/bin/delivery-gateway/http_client/tests.rs
+++ b/src/bin/delivery-gateway/http_client/tests.rs
@@ -70,8 +70,8 @@
 #[test]
 fn a_message_too_late_before_its_call_is_sent_is_left_out() {
     run(async {
-        let (decided, far) = (Instant::now(), Instant::now() + Duration::from_secs(60));
-        let messages = vec![outgoing(1, decided, far), outgoing(2, far, far)];
+        let (passed, far) = (Instant::now(), Instant::now() + Duration::from_secs(60));
+        let messages = vec![outgoing(1, passed, far), outgoing(2, far, far)];
         let (request, late, each) = call_with_response(messages, DELIVERED, None).await;
         assert_eq!((late, each), (vec![MessageId(1)], vec![(MessageId(2), AttemptOutcome::Delivered)]));
         assert!(request.contains("X-Call-Id: m2\r\n"));
@@ -79,7 +79,7 @@
 }
 
 /// Guards against a late response that counts as a delivery. If the thread is blocked across the deadline, the response
-/// and the deadline are seen in the same step of the event loop.
+/// and the deadline are seen in the same turn of the runtime.
 #[test]
 fn a_response_after_the_deadline_delivers_nothing() {
     run(async {
--- a/src/bin/delivery-gateway/notifications.rs
+++ b/src/bin/delivery-gateway/notifications.rs
@@ -21,8 +21,9 @@
 use crate::events::{GatewayEvent, OutcomeNotification};
 use crate::journal::FinalOutcome;
 
-/// The initial timeout of a request. After it the batch is sent again on another connection, since the connection may
-/// be dead while the agent still works, and the timeout doubles up to [`AGENT_RESPONSE_TIMEOUT`].
+/// The initial timeout of a request, including a connect if it needs one. After it the batch is sent again on another
+/// connection, since the connection may be dead while the agent still works, and the timeout doubles up to
+/// [`AGENT_RESPONSE_TIMEOUT`].
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// The pause after a failure on a new connection, unless the failure was a timeout.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -31,7 +32,7 @@
 
 impl OutcomeNotification {
     /// Encodes the notification as one line of a request's body.
-    fn line(&self) -> String {
+    fn to_line(&self) -> String {
         let mut value = match self.final_outcome {
             FinalOutcome::Failed => serde_json::json!({"id": self.id, "state": "failed"}),
             FinalOutcome::Returned { after_ms } => {
@@ -112,7 +113,7 @@
 }
 
 impl NotificationSender {
-    /// Sends a batch once, and removes what is acknowledged from it.
+    /// Sends a batch once, and removes what is acknowledged or dropped from it.
     ///
     /// # Errors
     /// The gate was closed, and nothing is sent any more.
@@ -171,12 +172,13 @@
 }
 
 impl Exchange<'_> {
+    /// Sends the batch in one request or, if the platform rejects that with 400, one by one.
     async fn send(
         mut self,
         batch: &mut Vec<OutcomeNotification>,
         events: &UnboundedSender<GatewayEvent>,
     ) -> Result<(), DiscoveryError> {
-        match self.post(batch.iter().map(OutcomeNotification::line).collect()).await {
+        match self.post(batch.iter().map(OutcomeNotification::to_line).collect()).await {
             Err(DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {}
             result => {
                 result?;
@@ -196,7 +198,7 @@
         events: &UnboundedSender<GatewayEvent>,
     ) -> Result<(), DiscoveryError> {
         while let Some(notification) = batch.last() {
-            match self.post(notification.line()).await {
+            match self.post(notification.to_line()).await {
                 Err(refused @ DiscoveryError::Status(StatusCode::BAD_REQUEST)) => {
                     error!(id = notification.id, %refused, "the platform rejected a notification; dropping it");
                 }
