--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -79,7 +79,7 @@
 pub const FINAL_OUTCOME_GRACE: Setting<Duration> = setting("Rules.AnswerSlack", Duration::from_millis(20));
 /// The minimum capacity of a destination when it returns from an outage, as a ratio of its full capacity. Default: 0.2.
 pub const COLD_CAPACITY_RATIO: Setting<f64> = setting("Rules.ColdFrom", 0.2);
-/// The maximum time until a returned destination has its full capacity. In nanoseconds. Default: 10 s.
+/// The maximum time after an outage until a destination has its full capacity again. In nanoseconds. Default: 10 s.
 pub const WARM_UP: Setting<Duration> = setting("Rules.Cold", Duration::from_secs(10));
 /// A returning destination fails again if its load exceeds this multiple of its present capacity over the overload
 /// window. Default: 2.
@@ -105,7 +105,8 @@
 pub mod class {
     use super::*;
 
-    /// The latency objective: a message delivered within this time has its full value. In nanoseconds. Default: 3 s.
+    /// The latency objective: a message delivered within this time after it was enqueued has its full value. In
+    /// nanoseconds. Default: 3 s.
     pub const LATENCY_OBJECTIVE: Setting<Duration> = setting("Aim", Duration::from_secs(3));
     /// The maximum time from when a message is enqueued until its deadline, after which it is not delivered. A client
     /// may set an earlier deadline. In nanoseconds. Default: 20 s.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! Reads settings, given as `path=value` lines or with the same names as nested JSON, into [`ParsedSettings`].
 //!
 //! - `values` flattens both forms into one map from path to text, and reads single values from it.
-//! - `keys` is the table of all settings, with the name, purpose, unit and default of each. No other file has the names
-//!   of settings.
+//! - `keys` is the table of all settings, with the name, purpose, unit and default of each. No other file of the
+//!   library has the names of settings.
 //! - `mapping` reads the settings of the table into [`Settings`](crate::Settings).
 //!
 //! A setting that is absent has its default, and one that is not in the table is ignored. A single invalid value fails
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -110,7 +110,7 @@
     }
 
     /// Flattens nested JSON into the paths of the line form: a list of scalars is joined by commas, and a list of
-    /// objects becomes a `count` and items numbered from 0.
+    /// objects becomes a `count` and items numbered from 0. A null counts as absent.
     pub fn from_json(value: &Value) -> Self {
         let mut values = BTreeMap::new();
         flatten(String::new(), value, &mut values);
@@ -197,8 +197,8 @@
 /// A JSON number with a decimal point but no fraction is written as a whole number if its magnitude is below this.
 const MAX_WHOLE_FLOAT: f64 = 1e15;
 
-/// Converts a JSON scalar to the line form. A whole number with a decimal point loses the decimal point. A comma, which
-/// separates entries in the line form, becomes an underscore.
+/// Converts a JSON scalar to the line form. A whole number with a decimal point loses the decimal point. A comma
+/// in a string becomes an underscore, since commas separate entries in the line form.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace(',', "_"),
--- a/src/discovery/directory.rs
+++ b/src/discovery/directory.rs
@@ -99,13 +99,14 @@
         self.entries.get(&id).map_or(ZoneId(0), |entry| entry.zone)
     }
 
-    /// Returns the maximum number of messages in one call to an endpoint; 1 if the endpoint is unknown.
+    /// Returns the maximum number of messages in one call to an endpoint; 1 if the endpoint is unknown, or if the
+    /// settings do not have its kind of destination.
     pub fn max_batch_size(&self, id: EndpointId) -> usize {
         self.entries.get(&id).map_or(1, |entry| entry.max_batch_size)
     }
 
     /// Returns whether an endpoint has a rate limit and a circuit breaker of its own, rather than sharing those of its
-    /// destination; false if the endpoint is unknown.
+    /// destination; false if the endpoint is unknown, or if the settings do not have its kind of destination.
     pub fn has_own_limits(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.has_per_endpoint_limits)
     }
@@ -244,7 +245,7 @@
 }
 
 /// Returns the index of a name. Names that are not in the settings come after theirs; beyond 255 names they share the
-/// last index.
+/// index 255.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> u8 {
     let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         if names.len() < usize::from(u8::MAX) {
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -1,5 +1,5 @@
 //! Why an exchange with discovery's agent failed. A caller that gets one of these errors keeps its present state, and
-//! tries again later.
+//! tries again later. The one exception is a notification that the platform rejects with 400.
 
 use hyper::StatusCode;
 use thiserror::Error;
@@ -16,13 +16,13 @@
     /// The request cannot be built, for example because the agent's address is not a valid `Host` header.
     #[error("cannot build the request to the agent: {0}")]
     Request(#[from] hyper::http::Error),
-    /// No response in time, or no byte on an open watch for too long.
+    /// No connection or response in time, or no byte on an open watch for too long.
     #[error("the agent did not respond in time")]
     TimedOut(#[from] tokio::time::error::Elapsed),
     /// The response has another status than the expected one.
     #[error("the agent responded with the unexpected status {0}")]
     Status(StatusCode),
-    /// A watch was accepted and broke before its first line, because the agent is overloaded.
+    /// A watch was accepted and broke before its first line, as an overloaded agent ends it.
     #[error("the watch broke before its first line")]
     WatchNotServed,
     /// The agent ended a watch.
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list: one long response of the agent, with a line for each change.
+//! The watch on the endpoint list: one long response of the agent, with an update for each change.
 //!
 //! It owns the last revision of the list that was received. After a failure it reconnects when the scheduler signals it
 //! to, or when the agent's address changes.
