--- a/src/bin/delivery-gateway/resp2/connection.rs
+++ b/src/bin/delivery-gateway/resp2/connection.rs
@@ -1,6 +1,6 @@
 //! Serves one client connection: reads requests and replies to them in order. It closes the connection when the client
-//! exceeds a timeout, when another connection needs the slot, and when the process shuts down. During a handover it
-//! transfers the connection to the successor instead.
+//! exceeds a timeout or sends malformed RESP2, when the connection is evicted, and when the process shuts down or is a
+//! lame duck. During a handover it transfers the connection to the successor instead.
 
 use bytes::{Bytes, BytesMut};
 use delivery_gateway::socket::{disable_nagle, memory_backoff, try_transfer, write_all, Transfer};
--- a/src/bin/delivery-gateway/resp2/connection_slots.rs
+++ b/src/bin/delivery-gateway/resp2/connection_slots.rs
@@ -1,5 +1,5 @@
 //! The connection slots: limits the number of client connections, tracks the state of each, and selects the one to
-//! evict when another connection needs a slot.
+//! evict when another connection needs a slot or too many are idle.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
     max_connections: usize,
     max_idle: usize,
     table: RefCell<SlotTable>,
-    /// Notified when a connection has closed, or stays open after its eviction.
+    /// Notified when a slot has been freed, or an evicted connection stays open.
     changed: Notify,
     /// One permit for each long request that may be read at the same time.
     pub long_requests: Semaphore,
@@ -199,7 +199,7 @@
         &self.slots
     }
 
-    /// Returns the signal that is notified when the connection has to close for another one.
+    /// Returns the signal that is notified when the connection is evicted.
     pub fn eviction(&self) -> Rc<Notify> {
         self.evict.clone()
     }
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`server`] accepts connections.
 //! - [`connection`] serves one connection.
-//! - [`connection_slots`] limits the number of connections and selects the one to evict for another.
+//! - [`connection_slots`] limits the number of connections and selects the ones to evict.
 //! - [`codec`] decodes requests and encodes replies.
 //! - [`enqueue`] maps the elements of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
 //! - [`drain`] discards what a refused client still sends, so that its error reply is not lost.
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -169,9 +169,9 @@
     }
 }
 
-/// Calls a scheduler, and turns a panic in it into a reply with the panic's text.
-fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, call: impl FnOnce()) {
-    if let Err(cause) = catch_unwind(AssertUnwindSafe(call)) {
+/// Runs an operation of a scheduler, and turns a panic in it into a reply with the panic's text.
+fn reply_to_panic(instance: u16, replies: &mut Vec<Reply>, operation: impl FnOnce()) {
+    if let Err(cause) = catch_unwind(AssertUnwindSafe(operation)) {
         let text = cause.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let text = text.or_else(|| cause.downcast_ref::<String>().cloned());
         let text = text.unwrap_or_else(|| "panic without a text".to_owned());
