--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -1,12 +1,12 @@
-//! Circuit breaker records, which are kept over a restart, and the status of routes for the log. A route is a
-//! destination, or one endpoint of it if its endpoints have their own limits.
+//! Circuit breaker records, which are kept across a restart, and the status of routes for the log. A route is
+//! a destination, or one endpoint of it if its endpoints have their own limits.
 
 use std::time::Duration;
 
 use super::ids::{DestinationId, EndpointId};
 use super::time::Time;
 
-/// State of a route's circuit breaker and slow start that is kept over a restart: a gateway that restarts
+/// State of a route's circuit breaker and slow start that is kept across a restart: a gateway that restarts
 /// during an outage or a slow start must not send at its full rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CircuitRecord {
@@ -29,7 +29,7 @@
     pub baseline_per_sec: f64,
 }
 
-/// A change of the state of a route that is kept over a restart.
+/// A change of the state of a route that is kept across a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CircuitChange {
     /// The destination of the route.
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -116,7 +116,7 @@
         self.open.is_some()
     }
 
-    /// Returns whether the circuit has state that must be kept over a restart.
+    /// Returns whether the circuit has state that must be kept across a restart.
     pub fn has_history(&self) -> bool {
         self.failure_score > 0 || self.open.is_some()
     }
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns whether a route has state that must be kept over a restart.
+    /// Returns whether a route has state that must be kept across a restart.
     pub(super) fn has_circuit_record(&self, id: RouteId) -> bool {
         self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -13,8 +13,8 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A message without an attempt keeps its time left over a restart. It would expire if its deadline were compared with
-/// a wall clock that was stepped forward meanwhile.
+/// A message without an attempt keeps its time left across a restart. It would expire if its deadline were compared
+/// with a wall clock that was stepped forward meanwhile.
 #[test]
 fn a_wall_clock_stepped_forward_over_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
@@ -56,7 +56,7 @@
     assert_eq!(environment.notification(), failed("b1"));
 }
 
-/// A message keeps its time left over a handover. It would expire if the deadline were handed over as a time of the
+/// A message keeps its time left across a handover. It would expire if the deadline were handed over as a time of the
 /// wall clock, which is stepped for the successor.
 #[test]
 fn a_wall_clock_stepped_during_a_handover_expires_no_message() {
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -275,7 +275,7 @@
         })
     }
 
-    /// Returns the circuit records of all routes that have one, to be kept over a restart.
+    /// Returns the circuit records of all routes that have one, to be kept across a restart.
     pub fn circuit_records(&self) -> impl Iterator<Item = CircuitRecord> + '_ {
         let has_history = |route: &Route| {
             route.failure_score > 0 || route.open_circuit.is_some() || route.slow_start_since.is_some()
--- a/tests/scheduler_guarantees/main.rs
+++ b/tests/scheduler_guarantees/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what the scheduler guarantees for a whole fleet or over restarts. They run the scheduler alone, without
+//! Tests of what the scheduler guarantees for a whole fleet or across restarts. They run the scheduler alone, without
 //! sockets and with a simulated clock.
 
 #[path = "../common/mod.rs"]
