--- a/src/bin/simulator-adapter/wire/records.rs
+++ b/src/bin/simulator-adapter/wire/records.rs
@@ -83,7 +83,7 @@
     pub deadline: u64,
     /// Ignored.
     pub weight_hint: u64,
-    /// Flags, of which only [`REDELIVERED`](crate::translation::REDELIVERED) is used.
+    /// Flags, of which only `REDELIVERED` of `translation` is used.
     pub options: u8,
     pub tenant: u32,
 }
