--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! [`Scheduler`] decides which message goes to which endpoint, and when. It receives events ([`Event`]) and
 //! returns what to do ([`Action`]). It performs no I/O, reads no clock and has no shared state: the seed is
-//! its only source of randomness, and the caller passes the time. Call [`Scheduler::handle`] for every event
-//! of a step, then [`Scheduler::decide`] once.
+//! its only source of randomness, and the caller passes the time. In each step the caller passes the events
+//! that have occurred to [`Scheduler::handle`], and then calls [`Scheduler::decide`] once.
 //!
 //! ```
 //! use delivery_gateway::{AcceptedMessage, Action, Availability, Class, Endpoint, EndpointUpdate, Event};
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -7,23 +7,26 @@
 /// An instruction of the scheduler. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Sends a message to an endpoint. Attempts of one step to the same endpoint share a call, up to
-    /// [`DestinationKind::max_batch_size`](super::DestinationKind::max_batch_size) messages.
+    /// Sends a message to an endpoint. Consecutive attempts of one decision to the same endpoint share a
+    /// call, up to [`DestinationKind::max_batch_size`](super::DestinationKind::max_batch_size) messages. The
+    /// gateway splits a call whose message bodies are too large together.
     StartAttempt {
         /// The message to send.
         message: MessageId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt times out if there is no response within this time.
+        /// The attempt times out if there is no response within this time from the start of the call, which
+        /// includes opening a connection.
         attempt_timeout: Duration,
-        /// The first byte has to be sent within this time. If the connection takes longer to open, the
-        /// attempt is not made ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
+        /// The first byte has to be sent within this time from the decision. If the connection takes longer
+        /// to open, the attempt is not made
+        /// ([`AttemptOutcome::NotSent`](super::AttemptOutcome::NotSent)).
         send_within: Duration,
     },
-    /// Reports the final outcome "rejected": the message was not processed, or is idempotent, so that the
-    /// client may safely enqueue it again.
+    /// Reports the final outcome "returned": the message was not processed, or is idempotent, so the client
+    /// may safely enqueue it again.
     Reject {
-        /// The rejected message.
+        /// The message that is returned to its client.
         message: MessageId,
         /// How long the client should wait before it enqueues the message again.
         retry_after: Duration,
@@ -43,9 +46,9 @@
     /// Requests an [`Event::TimerFired`](super::Event::TimerFired) after some time. There is a single timer:
     /// a new request replaces the previous one.
     SetTimer {
-        /// Delay from now.
+        /// Delay from the decision.
         after: Duration,
-        /// Returned unchanged with the event.
+        /// Identifies the request; returned unchanged with the event.
         token: u64,
     },
     /// Closes the idle connections to an endpoint.
@@ -53,7 +56,7 @@
         /// The endpoint at the other end of the connections.
         endpoint: EndpointId,
     },
-    /// Starts or ends the watch on the endpoint list.
+    /// Starts or ends the watch on the endpoint list. The scheduler only starts it, and never ends it.
     WatchEndpoints {
         /// True to start the watch, false to end it.
         is_active: bool,
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -15,18 +15,22 @@
     /// Rejected without being processed: over the rate limit, queue full, destination closed or draining.
     /// Holds the Retry-After, if the response had one.
     Rejected(Option<Duration>),
-    /// No response within the attempt timeout; the message may have run, or may still be running.
+    /// No response within the attempt timeout or before the deadline of a message of the call; the message
+    /// may have run, or may still be running.
     Timeout,
-    /// The connection could not be opened; the message did not run.
+    /// No byte was sent because the connection could not be opened, broke or timed out, or because the
+    /// attempt was cancelled before; the message did not run.
     ConnectFailed,
     /// The connection broke before any part of the response arrived; the message may have run.
     Reset,
     /// The response was incomplete or could not be parsed; the message may have run.
     MalformedResponse,
-    /// Cancelled by [`Action::CancelAttempt`](super::Action::CancelAttempt); the message may have run.
+    /// Stopped after bytes of it were sent, usually by
+    /// [`Action::CancelAttempt`](super::Action::CancelAttempt); the message may have run.
     Cancelled,
-    /// Not processed: the attempt was not sent (no time left, or withdrawn), or the endpoint refused the
-    /// message before running it. This outcome is not evidence about the endpoint's health.
+    /// Not processed: the attempt was not sent (for example, no time was left, or a Retry-After arrived while
+    /// the connection was being opened), or the endpoint refused the message before running it. This outcome
+    /// is not evidence about the endpoint's health.
     NotSent,
     /// The endpoint reports that the message has had all its attempts; this one did not run.
     AttemptsExhausted,
@@ -73,11 +77,12 @@
     pub attempt: u16,
     /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time from sending the attempt to its end.
+    /// Time from the start of the call, which includes opening a connection, to the end of the attempt. Zero
+    /// if no call was started.
     pub latency: Duration,
     /// True if the message has its final outcome with this attempt; false if the scheduler still has to retry
     /// it or to give it a final outcome.
     pub completes_message: bool,
-    /// The load report of the response; none if the response had none.
+    /// The load report of the response; None if there was no response or it had none.
     pub load_report: Option<LoadReport>,
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -26,26 +26,26 @@
     /// The final outcome of a message was acknowledged; see
     /// [`Settings::outcomes_need_acknowledgement`](super::Settings::outcomes_need_acknowledgement).
     OutcomeAcknowledged(MessageId),
-    /// The gateway shuts down at this time: no call is started that would not be over by then. The largest
-    /// [`Time`] cancels the shutdown.
+    /// The gateway shuts down at this time: no call is started that would most likely still be in flight
+    /// then. The largest [`Time`] cancels the shutdown.
     ShutdownScheduled(Time),
     /// Operators disabled an endpoint, whether it is listed or not. The event may be repeated.
     EndpointDisabled(EndpointId),
-    /// Operators enabled an endpoint again. The endpoint gets a slow start, as it may have been restarted
-    /// meanwhile.
+    /// Operators enabled an endpoint again. Its route gets a slow start, as the endpoint may have been
+    /// restarted meanwhile.
     EndpointEnabled(EndpointId),
     /// Operators switched lame duck mode on or off. In this mode the gateway finishes its pending messages
     /// and, after a grace period, accepts no new ones.
     LameDuck(bool),
-    /// A response had a Retry-After although it accepted messages. For rejections see
+    /// A response had a Retry-After although it did not reject the whole call. For rejections see
     /// [`AttemptOutcome::Rejected`](super::AttemptOutcome::Rejected).
     RetryAfter {
         /// The endpoint that sent the response.
         endpoint: EndpointId,
-        /// Time from now during which the endpoint's route may not be called.
+        /// Time from the event during which the endpoint's route may not be called.
         delay: Duration,
     },
-    /// A started attempt ended, whatever its outcome.
+    /// An attempt ended, whatever its outcome.
     AttemptFinished(FinishedAttempt),
     /// No client waits for this message any more: it needs no final outcome.
     MessageAbandoned(MessageId),
--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -28,7 +28,7 @@
     DestinationKindId(u16);
     /// The id of an availability zone; index into [`Settings::zone_costs`](super::Settings::zone_costs).
     ZoneId(u8);
-    /// Identifies what messages of an ordered class are about. Messages with the same key are delivered one
-    /// at a time, in the order of acceptance.
+    /// The ordering key of a message. Messages of ordered classes with the same key are delivered one at a
+    /// time, in the order of acceptance.
     OrderingKey(u64);
 }
--- a/src/model/message.rs
+++ b/src/model/message.rs
@@ -16,8 +16,8 @@
     pub destination: DestinationId,
     /// Ordering key, if the message has one; ignored unless its class is ordered.
     pub key: Option<OrderingKey>,
-    /// End of the time for delivery, on the scheduler's clock. A message that is not delivered by then is
-    /// rejected or reported as failed.
+    /// End of the time for delivery, on the scheduler's clock. A message that is not delivered by then gets
+    /// the final outcome "returned" or "failed".
     pub deadline: Time,
     /// True if another gateway that crashed had accepted the message before. If it is idempotent with a key,
     /// it may have run there.
@@ -26,12 +26,12 @@
     pub tenant: TenantId,
 }
 
-/// Time and zone of an attempt that was sent.
+/// Start and zone of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
-    /// When the first byte may have been sent.
+    /// Start of the attempt, before which no byte of it was sent.
     pub sent_at: Time,
-    /// Zone of the endpoint that the attempt was sent to.
+    /// Zone of the endpoint that the attempt went to.
     pub zone: ZoneId,
 }
 
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -53,8 +53,8 @@
     /// No new call may reach an endpoint later than this after it is announced as draining or removed.
     /// Default: 2 s.
     pub drain_grace: Duration,
-    /// How long the next message of an ordering key has to wait after an attempt that may still be running.
-    /// Default: zero.
+    /// How long the next message of an ordering key has to wait after the end of an attempt that may still be
+    /// running at the endpoint, and after a restart. Default: zero.
     pub ordering_key_hold: Duration,
 }
 
@@ -86,9 +86,10 @@
     pub max_attempts: u32,
     /// Whether [`Action::CancelAttempt`](super::Action::CancelAttempt) is permitted. Default: true.
     pub allow_cancel: bool,
-    /// Whether a message may have two attempts in flight at once. No scheduler uses this yet. Default: false.
+    /// Whether a message may have two attempts in flight at once. The scheduler does not use this yet.
+    /// Default: false.
     pub allow_hedging: bool,
-    /// Whether a message keeps its ordering key after its final outcome until
+    /// Whether a message that was not delivered keeps its ordering key after its final outcome until
     /// [`Event::OutcomeAcknowledged`](super::Event::OutcomeAcknowledged) reports that the outcome has
     /// arrived. Default: false.
     pub outcomes_need_acknowledgement: bool,
