--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -27,9 +27,10 @@
 }
 
 impl Scheduler {
-    /// Returns whether to accept a new message rather than reject it. If the gateway is nearly full, a
-    /// message is accepted only if its value is higher than that of the message to be shed for it plus the
-    /// cost of shedding that one.
+    /// Returns whether to accept a new message rather than reject it. A lame duck accepts none after its
+    /// grace period. If the gateway is nearly full, a message is accepted only if its value is higher than
+    /// that of the message to be shed for it plus the cost of shedding that one, or if all others are in
+    /// flight.
     pub fn admits(&mut self, now: Time, accepted: &AcceptedMessage) -> bool {
         if self.lame_duck.rejects_messages(now) {
             return false;
--- a/src/scheduler/call_outcome.rs
+++ b/src/scheduler/call_outcome.rs
@@ -1,8 +1,8 @@
 //! Applies the outcome of an attempt to its message, and the outcome of a call to connection reuse, endpoint
 //! and route.
 //!
-//! A call has one outcome, which the rules of its route record once, in the order of
-//! [`Scheduler::update_route`].
+//! The messages of a call may end with different outcomes. The rules of the route record each call once, with
+//! the outcome of its last message to end, in the order of [`Scheduler::update_route`].
 
 use super::circuit_breaker::{max_transient_outage, Failure, Severity};
 use super::idempotency;
@@ -39,7 +39,7 @@
         let destination = message.accepted.destination;
         self.mark_destination_changed(destination);
         self.record_attempt(now, call_id, &finished);
-        // The messages of a call share its outcome, so the call is complete with the last of them.
+        // The call is complete with the last of its messages to end, and takes the outcome of that one.
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         call.unfinished_attempts -= 1;
         if call.unfinished_attempts == 0 {
@@ -56,8 +56,8 @@
         self.delete_if_settled(id);
     }
 
-    /// Updates a message after an attempt: its number of attempts, first uncertain attempt, backoff and the
-    /// hold on its ordering key.
+    /// Updates a message after an attempt: its number of attempts, its first uncertain attempt, its backoff
+    /// and the hold on its ordering key.
     fn record_attempt(&mut self, now: Time, call_id: CallId, finished: &FinishedAttempt) {
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
         let Some(call) = self.calls.get(&call_id) else { return };
@@ -114,13 +114,13 @@
         let is_lost =
             matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
         let is_idle_connection_loss =
-            is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle);
+            is_lost && self.connection_reuse.likely_caused_loss(&self.settings, call.connection_idle_time);
         // An unresponsive call was already counted when it became unresponsive.
         if is_lost && !call.is_unresponsive {
-            self.connection_reuse.record_loss(now, &self.settings, call.connection_idle);
+            self.connection_reuse.record_loss(now, &self.settings, call.connection_idle_time);
         }
         if outcome == AttemptOutcome::Delivered {
-            self.connection_reuse.record_success(now, &self.settings, call.connection_idle);
+            self.connection_reuse.record_success(now, &self.settings, call.connection_idle_time);
         }
         if outcome == AttemptOutcome::TooManyConnections {
             self.connection_reuse.on_too_many_connections(now, &self.settings);
@@ -209,9 +209,9 @@
     }
 }
 
-/// Returns the severity of a failed call if no call has succeeded since it was sent. Errors and resets do not
-/// count while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a route
-/// stall at once.
+/// Returns the severity of a failed call if no call has succeeded since it was started. Errors and resets do
+/// not count while the route has a healthy endpoint. Missing responses do, as usually all endpoints of a
+/// route stall at once.
 fn severity_of_failure(outcome: AttemptOutcome, has_healthy_endpoint: bool) -> Severity {
     match outcome {
         AttemptOutcome::ConnectFailed => Severity::Certain,
@@ -264,8 +264,8 @@
         self.rate_limit.on_rejection(now, settings, &rejection);
     }
 
-    /// Records a failure in the circuit breaker. A failure that opens the circuit or keeps it open cancels a
-    /// slow start.
+    /// Records a failure in the circuit breaker. If the circuit is open then, and its failure score is high
+    /// enough, schedules the next probe and cancels a slow start.
     fn on_failure(&mut self, now: Time, settings: &Settings, failure: Failure, random_fraction: f64) {
         if self.circuit.on_failure(failure) {
             self.schedule_probe(now, settings, random_fraction);
--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -18,7 +18,7 @@
         endpoint_id: EndpointId,
         first: MessageId,
     ) {
-        let connection_idle = self.prepare_connection(now, endpoint_id, first);
+        let connection_idle_time = self.prepare_connection(now, endpoint_id, first);
         let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
         endpoint.calls_in_flight += 1;
         let zone = endpoint.entry.zone;
@@ -48,7 +48,7 @@
             sent_at: now,
             unfinished_attempts: messages.len(),
             messages,
-            connection_idle,
+            connection_idle_time,
             is_unresponsive: false,
             is_cancelled: false,
         };
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -13,7 +13,8 @@
 
 /// Failure score that opens a closed circuit.
 const OPENING_SCORE: u32 = 6;
-/// Failure score from which a failure keeps an open circuit open and reschedules its next probe.
+/// Failure score from which a failure while the circuit is open confirms the outage and reschedules the next
+/// probe.
 const REOPENING_SCORE: u32 = 3;
 /// The initial delay between probes, as a ratio of the overload window.
 const BASE_PROBE_DELAY_WINDOW_RATIO: f64 = 0.1;
@@ -94,14 +95,16 @@
 /// A period without success during which the circuit is open.
 #[derive(Default, Serialize, Deserialize)]
 struct OpenInterval {
-    /// The last success before the circuit opened, or an earlier time at which an unanswered call was sent.
+    /// The last success before the circuit opened (the creation of the route if there was none), or an
+    /// earlier time at which a call without a response was started.
     since: Time,
     next_probe_at: Time,
     /// Number of probes sent in this interval.
     probes_sent: u32,
-    /// Whether a call failed or was rejected; otherwise responses were only missing.
+    /// Whether failures have confirmed the outage, as their score has reached [`REOPENING_SCORE`], or the
+    /// state was restored; otherwise the circuit opened only because of a missing response.
     has_failures: bool,
-    /// Whether calls were lost or have no response, rather than just rejected.
+    /// Whether a call failed in another way than by a rejection, or has no response.
     has_lost_calls: bool,
 }
 
@@ -116,7 +119,7 @@
         self.open.is_some()
     }
 
-    /// Returns whether the circuit has state that must be kept over a restart.
+    /// Returns whether the circuit has state that must be kept across a restart.
     pub fn has_history(&self) -> bool {
         self.failure_score > 0 || self.open.is_some()
     }
@@ -126,8 +129,8 @@
         self.open.as_ref().map(|open| open.next_probe_at)
     }
 
-    /// Returns whether a probe may be lost, and so may carry only one message. A probe that can only be
-    /// rejected carries a full batch, as a rejection does not harm its messages.
+    /// Returns whether a probe may be lost, and so may carry only one message. If calls were only rejected,
+    /// it carries a full batch, as a rejection does not harm its messages.
     pub fn probe_may_be_lost(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_lost_calls)
     }
@@ -137,14 +140,14 @@
         at >= self.last_success_at
     }
 
-    /// Returns when a call that was sent at `sent_at` becomes unresponsive. The time counts from the last
-    /// success of any call if that is later.
+    /// Returns when a call that was started at `sent_at` opens the circuit if it has no response. The time
+    /// counts from the last success of any call of the route if that is later.
     pub fn unresponsive_at(&self, sent_at: Time, unresponsive_after: Duration) -> Time {
         sent_at.max(self.last_success_at) + unresponsive_after
     }
 
-    /// Opens the circuit because of a missing response. It does so long before the attempt times out, so that
-    /// few calls are lost.
+    /// Opens the circuit because of a missing response. This usually happens before the attempt times out, so
+    /// that few calls are lost.
     pub fn open_on_missing_response(&mut self, now: Time, sent_at: Time, unresponsive_after: Duration) {
         self.open = Some(OpenInterval {
             since: self.last_success_at.min(sent_at),
@@ -154,7 +157,7 @@
         });
     }
 
-    /// Counts a sent call as a probe if the circuit is open.
+    /// Counts a call that is started as a probe if the circuit is open.
     pub fn on_call_sent(&mut self) {
         if let Some(open) = &mut self.open {
             open.probes_sent += 1;
@@ -182,7 +185,8 @@
         self.open = None;
     }
 
-    /// Records a call that did not deliver. Returns whether the failure opens the circuit or keeps it open.
+    /// Records a call that did not deliver. Returns true if the circuit is open now and the failure score is
+    /// at least [`REOPENING_SCORE`].
     pub fn on_failure(&mut self, failure: Failure) -> bool {
         let (severity, is_lost) = match failure {
             Failure::Rejected(severity) => (severity, false),
@@ -234,23 +238,26 @@
         }
     }
 
-    /// Returns the last success; while the circuit is open, the start of the outage.
+    /// Returns the last success, or the creation of the route if there was none; while the circuit is open,
+    /// the start of the outage.
     pub fn last_success_at(&self) -> Time {
         self.open.as_ref().map_or(self.last_success_at, |open| open.since)
     }
 
-    /// Returns the sum of the scores of all failures since the last success.
+    /// Returns the sum of the severity scores of all failures since the last success, or since operators last
+    /// enabled the endpoint.
     pub fn failure_score(&self) -> u32 {
         self.failure_score
     }
 
-    /// Returns whether calls were lost rather than just rejected; none if the circuit is closed.
+    /// Returns whether a call failed in another way than by a rejection, or has no response; None if the
+    /// circuit is closed.
     pub fn has_lost_calls(&self) -> Option<bool> {
         self.open.as_ref().map(|open| open.has_lost_calls)
     }
 }
 
-/// Returns the maximum duration of failures, or of a requested Retry-After, that is not followed by a slow
+/// Returns the maximum duration of an outage, or of a requested Retry-After, that is not followed by a slow
 /// start.
 pub fn max_transient_outage(settings: &Settings) -> Duration {
     settings.limits.overload_window.mul_f64(MAX_TRANSIENT_WINDOW_RATIO)
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -25,7 +25,7 @@
 const MAX_RISK_RESENDABLE: f64 = 0.25;
 /// The multiple of the baseline risk that is added to these limits.
 const BASELINE_RISK_MULTIPLE: f64 = 2.0;
-/// While idle connections are closed, one is tried this long after the last loss, in shortest latency
+/// While idle connections are closed, one is tried this long after the last loss or try, in shortest latency
 /// objectives.
 const PROBE_INTERVAL_IN_OBJECTIVES: f64 = 4.0;
 /// How long no connection is kept idle after an endpoint had too many, in idle timeouts.
@@ -56,7 +56,7 @@
 pub struct ConnectionReuse {
     /// Ratio of calls lost on idle connections, by bucket of idle times.
     idle_risks: [f64; IDLE_BUCKETS],
-    /// Ratio of calls lost on connections that had not been idle.
+    /// Ratio of calls lost on connections that had not been idle, or whose idle time is not certain.
     baseline_risk: f64,
     /// When a call may next probe a risky idle connection.
     next_probe_at: Time,
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Adds a sample. Returns whether the connection had been idle.
+    /// Adds a sample: `lost` is 1 for a lost call and 0 for a delivered one. Returns whether the connection
+    /// had certainly been idle.
     fn record(&mut self, settings: &Settings, idle: Option<Duration>, lost: f64) -> bool {
         let bucket = idle.and_then(|idle| idle_bucket(settings, idle));
         let risk = bucket.map_or(&mut self.baseline_risk, |bucket| &mut self.idle_risks[bucket]);
@@ -115,7 +116,8 @@
         bucket.is_some()
     }
 
-    /// Returns the ratio of calls lost on connections that had not been idle, over all destinations.
+    /// Returns the ratio of calls lost on connections that had not been idle, or whose idle time is not
+    /// certain, over all destinations.
     pub fn baseline_risk(&self) -> f64 {
         self.baseline_risk
     }
--- a/src/scheduler/drain.rs
+++ b/src/scheduler/drain.rs
@@ -1,13 +1,14 @@
 //! Handles what operators take out of service: single endpoints, which get no new calls, or this gateway as a
-//! whole (lame duck), which then rejects new messages. It owns the lame duck state; the scheduler holds the
-//! disabled endpoints.
+//! whole (lame duck), which rejects new messages after a grace period. It owns the lame duck state; the
+//! scheduler holds the disabled endpoints.
 
 use super::Scheduler;
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The time for which a lame duck still accepts messages, from clients that have not noticed its state yet.
+/// How long a gateway still accepts messages after it became a lame duck, from clients that have not noticed
+/// its state yet.
 const LAME_DUCK_GRACE: Duration = Duration::from_secs(3);
 
 /// The lame duck state of this gateway.
@@ -22,7 +23,7 @@
         self.since = is_draining.then(|| self.since.unwrap_or(now));
     }
 
-    /// Returns whether operators are draining this gateway.
+    /// Returns whether lame duck mode is on.
     pub fn is_active(&self) -> bool {
         self.since.is_some()
     }
@@ -45,8 +46,8 @@
         self.actions.push(Action::CloseIdleConnections { endpoint: id });
     }
 
-    /// Permits calls to an endpoint again, with a slow start: it may have been restarted at any time since it
-    /// was disabled.
+    /// Permits calls to an endpoint again, with a slow start of its route: the endpoint may have been
+    /// restarted at any time since it was disabled.
     pub(super) fn on_endpoint_enabled(&mut self, now: Time, id: EndpointId) {
         if !self.disabled_endpoints.remove(&id) {
             return;
--- a/src/scheduler/idempotency.rs
+++ b/src/scheduler/idempotency.rs
@@ -2,8 +2,8 @@
 //! processed.
 //!
 //! A message with an idempotency key may be resent under that key inside the window and the deduplication
-//! scope of its class. A non-idempotent message may not be resent at all. Both rules count from the first
-//! uncertain attempt, which the message holds; this module has no state.
+//! scope of its class, both of which its first uncertain attempt determines. A non-idempotent message may not
+//! be resent after an uncertain attempt. The message holds that attempt; this module has no state.
 
 use super::state::message::Message;
 use crate::model::*;
@@ -17,8 +17,8 @@
     class.idempotency != Idempotency::NonIdempotent
 }
 
-/// Returns until when a message with an idempotency key may be resent if its first uncertain attempt was sent
-/// at `first_sent_at`.
+/// Returns until when a message with an idempotency key may be resent if its first uncertain attempt was
+/// started at `first_sent_at`.
 pub fn window_end(class: &Class, first_sent_at: Time) -> Time {
     first_sent_at + class.idempotency_window.mul_f64(1.0 - WINDOW_MARGIN_RATIO)
 }
@@ -39,7 +39,7 @@
 }
 
 /// Returns whether a message may be sent to a zone. With deduplication per zone, retries stay in the zone of
-/// the first uncertain attempt.
+/// the first uncertain attempt; if that zone is not known, there is no retry.
 pub fn may_send_to_zone(settings: &Settings, message: &Message, zone: ZoneId) -> bool {
     let class = message.class(settings);
     let is_bound_to_zone = class.idempotency == Idempotency::IdempotentWithKey
@@ -47,7 +47,7 @@
     message.first_uncertain_attempt.is_none_or(|first| !is_bound_to_zone || first.zone == Some(zone))
 }
 
-/// Returns whether the final outcome may be "rejected", after which the client can safely enqueue the message
+/// Returns whether the final outcome may be "returned", after which the client can safely enqueue the message
 /// again, rather than "failed".
 pub fn is_safe_to_reject(settings: &Settings, message: &Message) -> bool {
     match message.class(settings).idempotency {
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -1,5 +1,5 @@
-//! The ratio of a route's recent calls that may have run without success. It owns the rates of delivered and
-//! of lost calls.
+//! The ratio of a route's recent calls that were lost: they may have run, but did not deliver. This module
+//! owns the rates of delivered and of lost calls.
 //!
 //! A non-idempotent message is lost with its only attempt, so it is delayed while the ratio is high.
 //! Resendable messages are still sent, and show when the ratio has fallen.
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether calls are lost too often for non-idempotent messages. `baseline` is the ratio of lost
-    /// calls over all routes.
+    /// calls over all routes, apart from losses on idle connections.
     pub fn is_high(&mut self, now: Time, settings: &Settings, baseline: f64) -> bool {
         let span_secs = span_secs(settings);
         let delivered = self.delivered.per_sec(now, span_secs) * span_secs;
--- a/src/scheduler/maintenance.rs
+++ b/src/scheduler/maintenance.rs
@@ -9,8 +9,8 @@
 use crate::model::*;
 
 impl Scheduler {
-    /// Marks a destination as changed, so that the next step visits it. Refills the token buckets of its
-    /// routes as visits up to the last step would have done.
+    /// Marks a destination as changed, so that the next step with a free slot visits it. Refills the token
+    /// buckets of its routes as visits up to the last step would have done.
     pub(super) fn mark_destination_changed(&mut self, destination: DestinationId) {
         self.ready_index.mark_changed(destination);
         for (_, route) in self.routes.range_mut(RouteId::all_of(destination)) {
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Returns the queue state of a message. Unordered messages of a class for which no attempt may have run
-    /// differ only in their age and in whether they are over quota.
+    /// Returns the queue state of a message. Unordered messages of a class for which no attempt may have run,
+    /// and which have attempts left, differ only in their age and in whether they are over quota.
     pub(super) fn queue_state(&self, message: &Message) -> QueueState {
         if message.call.is_some() {
             return QueueState::InFlight;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns whether a route has state that must be kept over a restart.
+    /// Returns whether a route has state that must be kept across a restart.
     pub(super) fn has_circuit_record(&self, id: RouteId) -> bool {
         self.routes.get(&id).is_some_and(Route::has_circuit_record)
     }
@@ -85,8 +85,8 @@
         self.delete_if_settled(id);
     }
 
-    /// Deletes a message once its final outcome is acknowledged and no attempt is in flight. Until then it
-    /// keeps its ordering key.
+    /// Deletes a message once it is completed, no acknowledgement of its final outcome is awaited and no
+    /// attempt is in flight. Until then it keeps its ordering key.
     pub(super) fn delete_if_settled(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if !message.is_completed || message.awaits_acknowledgement || message.call.is_some() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Rebuilds the indexes from the state. The next step visits all destinations.
+    /// Rebuilds the indexes from the state. The next step with a free slot visits all destinations.
     pub(super) fn rebuild_ready_index(&mut self) {
         for route in self.routes.values_mut() {
             route.rate_limit.refill_until(self.slots_filled_at);
--- a/src/scheduler/message_value.rs
+++ b/src/scheduler/message_value.rs
@@ -15,15 +15,16 @@
     message.class(settings).priority_weight * quota_ratio
 }
 
-/// Returns the value that can still be gained, raised by what waiting would lose of it. So a message on time
-/// goes before a late one, one that is about to be late before a fresh one, and one that is about to expire
-/// before one that can wait.
+/// Returns the value of sending a message now: its remaining value, plus twice the part of it that would be
+/// lost by waiting for one more latency objective. So a message that is about to be late or to expire goes
+/// before an equally valuable one that can wait.
 pub fn current(settings: &Settings, now: Time, message: &Message) -> f64 {
     let class = message.class(settings);
     let last_send_secs =
         idempotency::last_send_at(settings, message).map(|at| (at - message.enqueued_at).as_secs_f64());
     let ratio_at = |age_secs: f64| match last_send_secs {
-        // A retry that must be sent before its idempotency window ends has no value after that.
+        // A retry that must be sent before its idempotency window ends has no value after that. A message
+        // that may not be sent again has none at all.
         Some(last_secs) if age_secs > last_secs => 0.0,
         _ => RemainingValue::at_age(class, settings.decay, age_secs).ratio,
     };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -2,17 +2,20 @@
 //! rejected, given up or cancelled.
 //!
 //! A message waits in the queue of its destination. A free call slot goes to the waiting destination with the
-//! fewest calls in flight. A message whose attempt may have been processed is retried under the same
-//! idempotency key after a backoff with full jitter, within its deduplication scope, its idempotency window
-//! and the maximum number of attempts. All other rules protect this path.
+//! fewest calls in flight. A message that an attempt did not deliver is retried after a backoff with full
+//! jitter, up to the maximum number of attempts and until its deadline. After an attempt that may have been
+//! processed, a message with an idempotency key is retried only under the same key, within its deduplication
+//! scope and its idempotency window, and a non-idempotent message is not retried. The other rules restrict
+//! these calls or choose between them.
 //!
-//! Each rule has its own module, which owns the rule's constants and state. `quota`, `idempotency`,
-//! `ordering`, `retry`, `message_value`, `connection_reuse`, `watch_backoff`, `drain` and `shutdown` apply to
-//! messages, connections, the endpoint list and the process. `retry_after`, `circuit_breaker`, `slow_start`,
-//! `rate_limit`, `loss_ratio` and `traffic` apply to a route, and [`Route`] holds their state. No rule reads
-//! the state of another, except that `slow_start` reads from `traffic` the rates on which its budget depends.
+//! Each rule has its own module, which owns the rule's constants and, if it has any, its state. `quota`,
+//! `idempotency`, `ordering`, `retry`, `message_value`, `connection_reuse`, `watch_backoff`, `drain` and
+//! `shutdown` apply to messages, connections, the endpoint list and the process. `retry_after`,
+//! `circuit_breaker`, `slow_start`, `rate_limit`, `loss_ratio` and `traffic` apply to a route, and [`Route`]
+//! holds their state. No rule reads the state of another, except that `slow_start` reads from `traffic` the
+//! rates on which its budget depends.
 //!
-//! The other modules combine the rules. [`Scheduler::decide`] lists the steps of a decision in their order.
+//! The other modules combine the rules. [`Scheduler::decide`] lists the parts of a decision in their order.
 //! `admission` accepts and sheds messages, `route_availability` checks the rules that a call has to pass,
 //! `message_choice`, `endpoint_selection` and `slot_allocation` choose what is sent, `call_outcome` updates
 //! the rules with the outcome of a call, and `unresponsive_calls` handles calls without a response.
@@ -68,8 +71,8 @@
 pub use watch_backoff::WATCH_RESPONSE_TIMEOUT;
 
 /// The scheduler of one gateway. It records events in [`Scheduler::handle`] and returns actions from
-/// [`Scheduler::decide`]. Its state can be handed over to another process, which continues with
-/// [`Scheduler::resumed`].
+/// [`Scheduler::decide`]. A step consists of any number of events and the decision that follows them. The
+/// state can be handed over to another process, which continues with [`Scheduler::resumed`].
 #[derive(Default, Serialize, Deserialize)]
 pub struct Scheduler {
     #[serde(skip)]
@@ -85,7 +88,7 @@
     messages: BTreeMap<MessageId, Message>,
     /// Number of messages without a final outcome.
     open_messages: usize,
-    /// Times at which messages without a final outcome are given up, the earliest first.
+    /// Times at which messages are given up unless they are completed earlier, the earliest first.
     deadlines: BTreeSet<Deadline>,
     /// Calls in flight; each takes one slot.
     calls: BTreeMap<CallId, Call>,
@@ -113,7 +116,8 @@
     ready_index: ReadyIndex,
 }
 
-/// When a message is given up, unless it is delivered earlier.
+/// When a message is given up, unless it is completed earlier. A message in flight may be given up a little
+/// later; see [`Scheduler::give_up_expired`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Deadline {
     at: Time,
@@ -165,7 +169,7 @@
     }
 
     /// Acts on all recorded events, and appends the resulting actions to `actions`. The calls in this
-    /// function are the steps of a decision, in their order.
+    /// function are the parts of a decision, in their order.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.give_up_expired(now);
         self.shed_load(now);
@@ -183,8 +187,8 @@
         watch_backoff::initial_delay(&self.settings, self.rng.f64())
     }
 
-    /// Schedules the end of this process. Each step visits all destinations from now on, as the calls that
-    /// can still complete in time change all the time.
+    /// Schedules the end of this process, or cancels it. While it is scheduled, each step with a free slot
+    /// visits all destinations, as the calls that can still complete in time change all the time.
     fn on_shutdown_scheduled(&mut self, at: Time) {
         self.shutdown.schedule(at);
         self.ready_index.must_visit_all = true;
--- a/src/scheduler/rate_limit.rs
+++ b/src/scheduler/rate_limit.rs
@@ -71,8 +71,9 @@
         available_at: Time,
         /// When to check again whether a token has become available earlier.
         recheck_at: Time,
-        /// Whether `available_at` is the time of the token rather than the maximum wait.
-        is_exact: bool,
+        /// Whether the token comes at `available_at` or later. If not, it comes earlier, within the minimum
+        /// wait.
+        is_lower_bound: bool,
     },
 }
 
@@ -95,7 +96,8 @@
 /// The rate limit of a route.
 #[derive(Default, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Calls per second that the destination accepts from all gateways together, as listed or reported.
+    /// Calls per second that the destination accepts from all gateways together, as listed, reported or
+    /// assumed.
     limit_per_sec: f64,
     rate_per_sec: f64,
     tokens: f64,
@@ -111,9 +113,9 @@
 }
 
 impl RateLimit {
-    /// Creates the rate limit of a new route. Its first call is at a random point within the interval between
-    /// two calls, so that the first calls of all gateways do not come at the same moment. `random_fraction`
-    /// is a random number in `0.0..1.0`.
+    /// Creates the rate limit of a new route. If gateways share a listed limit, the first call waits for a
+    /// random part of the interval between two calls, so that the first calls of all gateways do not come at
+    /// the same moment. `random_fraction` is a random number in `0.0..1.0`.
     pub fn new(now: Time, settings: &Settings, endpoint: &Endpoint, random_fraction: f64) -> RateLimit {
         // An unlisted limit has to be explored, so the rate starts at the assumed limit. The minimum rate
         // keeps a listed limit that is far too low from delaying messages.
@@ -170,7 +172,7 @@
         let wait_secs = missing_secs.clamp(MIN_WAIT_SECS, max_wait_secs);
         let available_at = now + Duration::from_secs_f64(wait_secs);
         let recheck_at = available_at - Duration::from_secs_f64(MIN_WAIT_SECS);
-        Token::Unavailable { available_at, recheck_at, is_exact: missing_secs >= wait_secs }
+        Token::Unavailable { available_at, recheck_at, is_lower_bound: missing_secs >= wait_secs }
     }
 
     /// Takes the token of a call that is sent. The number of tokens may become negative.
@@ -179,7 +181,8 @@
         self.sent_calls.record(now, SENT_SPAN_SECS);
     }
 
-    /// Adds the tokens that a check at `slots_filled_at` would have added.
+    /// Adds the tokens that a check at `slots_filled_at` would have added in the steady phase, if the bucket
+    /// was checked since the last such refill.
     pub fn refill_until(&mut self, slots_filled_at: Time) {
         if std::mem::take(&mut self.is_refill_pending) && self.refilled_at < slots_filled_at {
             self.refill(slots_filled_at, self.rate_per_sec, max_saved_tokens(self.rate_per_sec));
@@ -234,8 +237,8 @@
         let ratio = CUT_RATIOS[self.cuts_since_success.min(CUT_RATIOS.len() - 1)];
         self.cuts_since_success += 1;
         let objective_call_per_sec = shortest_objective_secs(settings).recip();
-        // A burst of messages must not be sent at the ordinary rate for a long time. If a call carries many
-        // messages, waiting messages go together, and one call per latency objective is enough.
+        // Sending a burst of messages must not take long because the ordinary rate is low. If a call carries
+        // many messages, waiting messages are sent together, and one call per latency objective is enough.
         let (waiting_messages, max_sent_per_sec) = if rejection.batch_size > 1 {
             (0.0, objective_call_per_sec)
         } else {
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -18,7 +18,7 @@
         self.lame_duck.is_active()
     }
 
-    /// Returns the circuit records of all routes that have one, to be kept over a restart.
+    /// Returns the circuit records of all routes that have one, to be kept across a restart.
     pub fn circuit_records(&self) -> impl Iterator<Item = CircuitRecord> + '_ {
         self.routes.keys().filter_map(|id| self.circuit_record(*id))
     }
--- a/src/scheduler/restore.rs
+++ b/src/scheduler/restore.rs
@@ -6,7 +6,7 @@
 
 impl Scheduler {
     /// Accepts a message again that was pending before the restart. The old process may have had calls in
-    /// flight until its end, so all ordering keys are held from now on.
+    /// flight until its end, so all ordering keys are held for a while from now on.
     pub(super) fn on_message_restored(&mut self, now: Time, restored: RestoredMessage) {
         let id = restored.message.id;
         self.ordering.hold_all(now + self.settings.limits.ordering_key_hold);
--- a/src/scheduler/retry_after.rs
+++ b/src/scheduler/retry_after.rs
@@ -1,5 +1,5 @@
 //! Retry-After: stops all calls of a route until the time that its destination has requested, and suggests to
-//! clients when to enqueue a rejected message again. It owns the end of the longest requested delay.
+//! clients when to enqueue a rejected message again. It owns the latest end of the requested delays.
 
 use super::retry;
 use crate::model::Time;
@@ -13,12 +13,12 @@
 }
 
 impl RetryAfter {
-    /// Blocks the route until `until`. A shorter delay does not end a longer one.
+    /// Blocks the route until `until`. A delay that ends earlier than a previous one has no effect.
     pub fn extend(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// Returns when the longest delay so far ends; possibly in the past.
+    /// Returns the latest end of the delays requested so far; possibly in the past.
     pub fn until(&self) -> Time {
         self.until
     }
@@ -35,8 +35,8 @@
 }
 
 /// Returns the delay that a client should wait after a rejection: the destination's remaining Retry-After, or
-/// the time in which this gateway can send the waiting messages, whichever is longer; within the bounds of a
-/// backoff.
+/// the time in which this gateway can send the queue, whichever is longer; within the bounds of a backoff.
+/// `waiting_messages` is the number of messages in the queue, including those in flight.
 pub fn suggested_delay(
     objective_secs: f64,
     waiting_messages: f64,
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -43,7 +43,7 @@
         self.circuit.is_open() || self.slow_start.is_active()
     }
 
-    /// Returns whether the route has state that must be kept over a restart.
+    /// Returns whether the route has state that must be kept across a restart.
     pub fn has_circuit_record(&self) -> bool {
         self.circuit.has_history() || self.slow_start.is_active()
     }
--- a/src/scheduler/route_availability.rs
+++ b/src/scheduler/route_availability.rs
@@ -7,8 +7,8 @@
 use super::Scheduler;
 use crate::model::*;
 
-/// The maximum ratio of the free slots that half-open probes of a route may use. One probe is always
-/// permitted.
+/// The maximum ratio of the free slots that half-open probes of a route may use. A route without calls in
+/// flight may always send one probe.
 const MAX_PROBE_FREE_SLOTS_RATIO: f64 = 0.25;
 
 impl Scheduler {
@@ -46,15 +46,16 @@
             let is_free = route.calls.is_empty() || revisit.has_free_slots(needed_slots, free_slots);
             return is_free.then_some(next_probe_at);
         }
-        // Bulkhead: no route has more calls in flight than slots are free for all others.
+        // Bulkhead: a route with calls in flight gets another one only if the free slots are at least as many
+        // as its calls in flight would then be.
         if !route.calls.is_empty() && !revisit.has_free_slots(route.calls.len() + 1, free_slots) {
             return None;
         }
         let phase = if route.slow_start.is_active() { RatePhase::SlowStart } else { RatePhase::Steady };
         match route.rate_limit.next_token(now, rate_per_sec, phase) {
             Token::Available => Some(now),
-            Token::Unavailable { available_at, recheck_at, is_exact } => {
-                revisit.at_every_step |= !is_exact;
+            Token::Unavailable { available_at, recheck_at, is_lower_bound } => {
+                revisit.at_every_step |= !is_lower_bound;
                 keep_earliest(&mut revisit.recheck_at, Some(recheck_at));
                 Some(available_at)
             }
--- a/src/scheduler/shutdown.rs
+++ b/src/scheduler/shutdown.rs
@@ -22,8 +22,8 @@
         self.at.is_some()
     }
 
-    /// Returns whether a call of this duration would be over by the end of the process. Always true if no end
-    /// is scheduled.
+    /// Returns whether a call of this duration that is started now would be over before the process ends.
+    /// Always true if no end is scheduled.
     pub fn has_time_for(&self, now: Time, call_duration: Duration) -> bool {
         self.at.is_none_or(|end| now + call_duration <= end)
     }
--- a/src/scheduler/slot_allocation.rs
+++ b/src/scheduler/slot_allocation.rs
@@ -66,7 +66,7 @@
             let best = (0..ready.len()).min_by(|a, b| self.compare_for_slot(&ready[*a], &ready[*b]));
             let Some(best) = best else { break };
             let destination = ready.swap_remove(best).destination;
-            // Other calls have started since the destination was found ready, so it may have to wait now.
+            // Other calls may have started since the destination was found ready, so it may have to wait now.
             let Some(candidate) = self.find_candidate_or_defer(now, destination, next) else { continue };
             self.start_call(now, candidate.route, candidate.endpoint, candidate.message);
             ready.extend(self.ready_destination(now, destination, next));
@@ -175,8 +175,9 @@
         is_healthy.then_some(calls_per_sec * route.batch_size as f64)
     }
 
-    /// Returns whether a message can wait for a cheaper route. It can only if that route can deliver the
-    /// whole queue in time: otherwise the capacity of the more expensive route would be wasted.
+    /// Returns whether a message can wait for a cheaper route. It can only if that route can take the whole
+    /// queue, including the messages in flight, in time: otherwise the capacity of the more expensive route
+    /// would be wasted.
     fn can_wait_for(
         &self,
         cheaper_route: &CheaperRoute,
--- a/src/scheduler/state/endpoint.rs
+++ b/src/scheduler/state/endpoint.rs
@@ -1,9 +1,9 @@
-//! The state of a listed endpoint.
+//! The state of an endpoint.
 
 use crate::model::{Availability, Endpoint, Time};
 use serde::{Deserialize, Serialize};
 
-/// An endpoint of the list, with this gateway's state for it.
+/// An endpoint of the list, or a removed one with calls in flight, with this gateway's state for it.
 #[derive(Serialize, Deserialize)]
 pub struct TrackedEndpoint {
     /// The latest entry of the endpoint list.
@@ -12,11 +12,12 @@
     pub calls_in_flight: usize,
     /// Random number that orders otherwise equal endpoints. Drawn once, and different at each gateway.
     pub tie_breaker: u32,
-    /// Number of calls that failed since the last delivery.
+    /// Number of calls that failed since the last delivery, or since operators last enabled the endpoint.
     pub failures: u32,
     /// Until this time other endpoints are preferred.
     pub avoid_until: Time,
-    /// When a call last ended with its connection left open; none if no connection is known to be open.
+    /// When a call last delivered or was rejected, which leaves its connection open; None if no connection is
+    /// known to be open.
     pub connection_used_at: Option<Time>,
 }
 
--- a/src/scheduler/state/message.rs
+++ b/src/scheduler/state/message.rs
@@ -1,5 +1,5 @@
-//! The state of a pending message, which exists from its acceptance until its final outcome is acknowledged
-//! and no attempt is in flight.
+//! The state of a pending message. It exists from the acceptance of the message until the message is
+//! completed, no acknowledgement of its final outcome is awaited and no attempt is in flight.
 
 use super::call::CallId;
 use super::queue::Seq;
@@ -11,7 +11,7 @@
 pub struct Message {
     /// The message as originally accepted.
     pub accepted: AcceptedMessage,
-    /// Position in the queue of its destination.
+    /// Number in the order of acceptance, which is the order of the queue of its destination.
     pub seq: Seq,
     /// When its client enqueued it, calculated from its deadline and its class.
     pub enqueued_at: Time,
@@ -22,7 +22,7 @@
     /// The first attempt that may have been processed. It determines the idempotency window and the
     /// deduplication scope.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
-    /// End of the backoff: no attempt is made before this time.
+    /// End of the backoff, or the acceptance if no attempt has ended: no attempt is made before this time.
     pub not_before: Time,
     /// Whether the message has its final outcome or was abandoned.
     pub is_completed: bool,
@@ -35,7 +35,8 @@
 /// An attempt that may have been processed, though no success came back.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub struct UncertainAttempt {
-    /// When the first byte may have been sent.
+    /// Start of the attempt, before which no byte of it was sent. If another gateway made the attempt, the
+    /// time at which the client enqueued the message.
     pub sent_at: Time,
     /// Zone of the endpoint; none if another gateway made the attempt.
     pub zone: Option<ZoneId>,
--- a/src/scheduler/state/queue.rs
+++ b/src/scheduler/state/queue.rs
@@ -4,8 +4,8 @@
 //! their tenant's quota, differ only in their age. Their value goes through a few stages as they grow older,
 //! and within a stage it only rises, only falls or stays constant. So the best message of a stage is its
 //! oldest, its youngest or, if the value is constant, the first in the queue. The index keeps these apart, so
-//! that a choice compares a few messages and not the whole queue. Messages that may have run, or that are
-//! ordered, are compared one by one.
+//! that a choice compares a few messages and not the whole queue. Messages that may have run, are ordered, or
+//! have had all their attempts are compared one by one.
 //!
 //! The index is derived data: it is rebuilt from the messages when needed and is not part of a handover. It
 //! does not affect decisions: comparing all messages of the queue leads to the same choice.
@@ -23,7 +23,7 @@
 /// latency objective later, each of which goes through [`VALUE_STAGES`] stages.
 pub const STAGES: usize = 2 * VALUE_STAGES - 1;
 
-/// Position of a message in its queue, in the order of acceptance.
+/// The number of a message in the order of acceptance, over all queues.
 pub type Seq = u64;
 
 /// The common properties of messages that differ only in their age.
@@ -56,6 +56,7 @@
 }
 
 impl Queue {
+    /// Returns the number of messages, including those in flight.
     pub fn len(&self) -> usize {
         self.order.len()
     }
--- a/src/scheduler/state/ready_index.rs
+++ b/src/scheduler/state/ready_index.rs
@@ -85,11 +85,11 @@
 pub struct WorkCounters {
     /// Destinations that were visited to find something to send.
     pub destinations_visited: u64,
-    /// Waiting messages that were compared on these visits.
+    /// Messages that were compared to choose one to send.
     pub messages_compared: u64,
     /// Calls that were checked for a missing response.
     pub calls_checked: u64,
-    /// Routes whose circuit record was compared.
+    /// Routes whose circuit record was taken because it might have changed.
     pub circuits_compared: u64,
     /// Endpoints that were visited when the endpoint list changed.
     pub endpoints_visited: u64,
@@ -121,7 +121,7 @@
 }
 
 impl ReadyIndex {
-    /// Marks a destination as changed, so that the next step visits it.
+    /// Marks a destination as changed, so that the next step with a free slot visits it.
     pub fn mark_changed(&mut self, destination: DestinationId) {
         self.unschedule(destination);
         self.changed.insert(destination);
--- a/src/scheduler/unresponsive_calls.rs
+++ b/src/scheduler/unresponsive_calls.rs
@@ -1,6 +1,6 @@
-//! Detects calls that have had no response for too long. Each counts as a loss for the reuse of connections.
-//! If messages wait and no slot is free, the oldest unresponsive call is cancelled. The calls and
-//! `ready_index` hold the state of this rule.
+//! Detects unresponsive calls, which have had no response for too long. Each counts as a loss for the reuse
+//! of connections. If messages wait and no slot is free, the oldest unresponsive call that may be cancelled
+//! is cancelled. The calls and `ready_index` hold the state of this rule.
 
 use super::derived_settings::shortest_objective_secs;
 use super::idempotency;
@@ -9,17 +9,17 @@
 use crate::model::*;
 use std::time::Duration;
 
-/// A call becomes unresponsive after this many latencies (mean plus deviation) of its route.
+/// A call becomes unresponsive this many latencies (mean plus deviation) of its route after its start.
 const UNRESPONSIVE_AFTER_LATENCIES: f64 = 3.0;
-/// The minimum time after which a call becomes unresponsive, as a ratio of the shortest latency objective:
-/// short pauses of an endpoint are normal.
+/// The minimum time from its start after which a call becomes unresponsive, as a ratio of the shortest
+/// latency objective: short pauses of an endpoint are normal.
 const MIN_UNRESPONSIVE_AFTER_OBJECTIVE_RATIO: f64 = 0.25;
-/// A call with a non-idempotent message is only cancelled after this multiple of
+/// A call with a non-idempotent message is cancelled no earlier than after this multiple of
 /// [`Scheduler::unresponsive_after`], as the message is lost with it.
 const NON_IDEMPOTENT_CANCEL_MULTIPLE: u32 = 2;
 
 impl Scheduler {
-    /// Returns how long a call of a route may have no response before it is unresponsive.
+    /// Returns how long after its start a call of a route is unresponsive if it has no response.
     pub(super) fn unresponsive_after(&self, id: RouteId) -> Duration {
         let typical_secs = self
             .routes
@@ -35,9 +35,9 @@
             let oldest = self.oldest_responsive_call(route_id);
             if let Some((id, call)) = oldest.and_then(|id| Some((id, self.calls.get_mut(&id)?))) {
                 call.is_unresponsive = true;
-                let connection_idle = call.connection_idle;
+                let connection_idle_time = call.connection_idle_time;
                 self.ready_index.unresponsive_calls.insert(id);
-                self.connection_reuse.record_loss(now, &self.settings, connection_idle);
+                self.connection_reuse.record_loss(now, &self.settings, connection_idle_time);
             }
             self.schedule_response_check(route_id);
         }
@@ -45,7 +45,7 @@
     }
 
     /// Schedules the check of a route for the time at which its oldest responsive call becomes unresponsive.
-    /// Calls of a route become unresponsive in the order in which they were sent.
+    /// Calls of a route become unresponsive in the order in which they were started.
     pub(super) fn schedule_response_check(&mut self, id: RouteId) {
         let sent_at = self.oldest_responsive_call(id).map(|call| self.calls[&call].sent_at);
         let at = sent_at.map(|sent_at| sent_at + self.unresponsive_after(id));
@@ -60,7 +60,8 @@
         Some(*oldest)
     }
 
-    /// Cancels the oldest unresponsive call that may be cancelled, if no slot is free and messages wait.
+    /// Cancels the oldest unresponsive call that may be cancelled, if no slot is free and there are more
+    /// messages without a final outcome than calls in flight.
     pub(super) fn cancel_unresponsive_call(&mut self, now: Time) {
         let has_waiting_messages = self.open_messages > self.calls.len();
         if !self.settings.allow_cancel || self.free_slots() > 0 || !has_waiting_messages {
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -1,7 +1,7 @@
 //! The backoff of the watch on the endpoint list: delays the first watch, and each new one after a failure or
 //! a rejection. It owns the number of rejections and the time of the next request.
 //!
-//! All gateways lose the watch at the same moment, and together they must not send requests faster than
+//! All gateways may lose the watch at the same moment, and together they must not send requests faster than
 //! discovery can answer them. So delays grow with the size of the fleet and are random.
 
 use super::backoff;
@@ -13,7 +13,7 @@
 /// How long discovery may take to answer a watch request. A shorter timeout would make it answer twice.
 pub const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The delay after the watch broke without a response from discovery.
+/// The delay after the watch broke or could not be started, other than by a rejection.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
 /// The upper end of the first random delay after a rejection, per gateway of the fleet.
 const FIRST_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_millis(200);
