--- a/src/scheduler/call_start.rs
+++ b/src/scheduler/call_start.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Starts a call with the message `first` and, if a call can carry more, further waiting messages.
+    /// Starts a call with `first_message` and, if a call can carry more, further waiting messages.
     pub(super) fn start_call(
         &mut self,
         now: Time,
         route_id: RouteId,
         endpoint_id: EndpointId,
-        first: MessageId,
+        first_message: MessageId,
     ) {
-        let connection_idle_time = self.prepare_connection(now, endpoint_id, first);
+        let connection_idle_time = self.prepare_connection(now, endpoint_id, first_message);
         let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
         endpoint.calls_in_flight += 1;
         let zone = endpoint.entry.zone;
@@ -31,7 +31,7 @@
         let call_id = self.last_call;
         route.calls.insert(call_id);
         let mut messages = Vec::new();
-        let mut next = Some(first);
+        let mut next = Some(first_message);
         while let Some(message) = next {
             self.start_attempt(now, call_id, route_id, endpoint_id, message);
             messages.push(message);
@@ -87,14 +87,14 @@
         &mut self,
         now: Time,
         endpoint_id: EndpointId,
-        first: MessageId,
+        first_message: MessageId,
     ) -> Option<Duration> {
         let endpoint = self.endpoints.get(&endpoint_id)?;
         let idle = now - endpoint.connection_used_at?;
         if idle >= self.settings.connection_idle_timeout {
             return None;
         }
-        let message = self.messages.get(&first);
+        let message = self.messages.get(&first_message);
         let call = NextCall {
             idle,
             is_only_call: endpoint.calls_in_flight == 0,
--- a/src/scheduler/connection_reuse.rs
+++ b/src/scheduler/connection_reuse.rs
@@ -18,10 +18,10 @@
 const MIN_IDLE_OBJECTIVE_RATIO: f64 = 1.0 / 64.0;
 /// The weight of the newest sample in the exponential moving average of a risk.
 const RISK_GAIN: f64 = 0.15;
-/// The risk from which on an idle connection is not used for a message that cannot be resent, which would be
+/// The risk from which an idle connection is not used for a message that cannot be resent, which would be
 /// lost.
 const MAX_RISK_NON_IDEMPOTENT: f64 = 0.03;
-/// The risk from which on an idle connection is not used for a resendable message, which would only be late.
+/// The risk from which an idle connection is not used for a resendable message, which would only be late.
 const MAX_RISK_RESENDABLE: f64 = 0.25;
 /// The multiple of the baseline risk that is added to these limits.
 const BASELINE_RISK_MULTIPLE: f64 = 2.0;
--- a/src/scheduler/loss_ratio.rs
+++ b/src/scheduler/loss_ratio.rs
@@ -58,7 +58,7 @@
     settings.limits.overload_window.mul_f64(SPAN_IN_OVERLOAD_WINDOWS * MAX_RATIO_ABOVE_BASELINE)
 }
 
-/// Returns the time from which on a message of this class is sent whatever the ratio, as it cannot wait any
+/// Returns the time from which a message of this class is sent whatever the ratio, as it cannot wait any
 /// longer.
 pub fn last_attempt_at(class: &Class, deadline: Time) -> Time {
     deadline - class.latency_objective.mul_f64(LAST_ATTEMPT_OBJECTIVES_BEFORE_DEADLINE)
--- a/src/scheduler/reporting.rs
+++ b/src/scheduler/reporting.rs
@@ -28,12 +28,12 @@
     pub fn take_circuit_changes(&mut self) -> Vec<CircuitChange> {
         let changed = std::mem::take(&mut self.ready_index.changed_circuits);
         self.ready_index.work_counters.circuits_compared += changed.len() as u64;
-        let change = |id: RouteId| CircuitChange {
+        let to_change = |id: RouteId| CircuitChange {
             destination: id.destination,
             endpoint: id.endpoint,
             record: self.circuit_record(id),
         };
-        changed.into_iter().map(change).collect()
+        changed.into_iter().map(to_change).collect()
     }
 
     fn circuit_record(&self, id: RouteId) -> Option<CircuitRecord> {
@@ -53,11 +53,11 @@
     /// flight) and the status of the destination's routes; none if all queues are empty.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
         let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
-        let (destination, waiting) = (*destination, queue.len());
+        let (destination, queue_length) = (*destination, queue.len());
         let routes: Vec<RouteId> =
             self.routes.range(RouteId::all_of(destination)).map(|(id, _)| *id).collect();
         let statuses = routes.into_iter().map(|id| self.route_status(now, id)).collect();
-        Some((destination, waiting, statuses))
+        Some((destination, queue_length, statuses))
     }
 
     fn route_status(&mut self, now: Time, id: RouteId) -> RouteStatus {
--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -19,9 +19,9 @@
 const FIRST_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_millis(200);
 /// The maximum upper end of later random delays after a rejection, per gateway of the fleet.
 const MAX_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_secs(1);
-/// The maximum delay after a rejection, whatever the size of the fleet: a gateway must notice an endpoint
-/// that starts to drain within the drain grace period, and the answer itself may take
-/// [`WATCH_RESPONSE_TIMEOUT`].
+/// The maximum delay after a rejection, whatever the size of the fleet. Without a watch a gateway does not
+/// notice that an endpoint starts to drain, which it should within the drain grace period, and the answer
+/// itself may take [`WATCH_RESPONSE_TIMEOUT`].
 const MAX_REJECTION_DELAY: Duration = Duration::from_secs(5);
 /// The time per gateway of the fleet over which the first watch is spread, limited by
 /// [`MAX_START_SPREAD_DRAIN_GRACE_RATIO`].
