--- a/src/bin/delivery-gateway/completed_messages/mod.rs
+++ b/src/bin/delivery-gateway/completed_messages/mod.rs
@@ -1,8 +1,8 @@
-//! Tombstones of completed messages. They keep the ids of these messages while a client may still repeat a request for
-//! one.
+//! Tombstones of completed messages. A tombstone keeps a hash of the message's id, and one of its content, while a
+//! client may still repeat a request for the message. At most [`MAX_TOMBSTONES`] are kept, in memory only.
 //!
-//! No other message may take such an id: an endpoint that deduplicates by it would treat the new message as a repeat of
-//! the old one, and answer without processing it.
+//! No other message may take the id of a completed one: an endpoint that deduplicates by it would treat the new message
+//! as a repeat of the old one, and answer without processing it.
 
 #[cfg(test)]
 mod tests;
@@ -19,10 +19,10 @@
 /// The maximum number of tombstones, of about 50 bytes each. The oldest ones are removed first.
 const MAX_TOMBSTONES: usize = 8192;
 
-/// The relation of a request to the completed message with the same id.
+/// How a request relates to the completed message with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CompletedId {
-    /// The request repeats the completed message.
+pub enum CompletedMatch {
+    /// The request repeats the completed message: the content is the same.
     SameMessage,
     /// The request is for another message, which can't use this id.
     OtherMessage,
@@ -33,14 +33,17 @@
     id_hash: u64,
 }
 
-/// The tombstones of completed messages, of which only hashes are kept.
+/// The tombstones of completed messages.
 pub struct CompletedMessages {
-    /// The time for which a tombstone is kept.
+    /// The time from a message's completion for which its tombstone is kept. It is removed at the first insertion after
+    /// that, or earlier if the set is full.
     retention: Duration,
     hasher: RandomState,
     /// The oldest first.
     tombstones: VecDeque<Tombstone>,
-    /// The hash of each message's content, by the hash of its id.
+    /// The hash of each message's content, by the hash of its id. The content is what a repeated request must have in
+    /// common with the message: ordering key, class, destination, idempotency key and body. The deadline and the tenant
+    /// may differ, and so may the mark of a redelivered message.
     fingerprints: HashMap<u64, u64>,
 }
 
@@ -78,11 +81,16 @@
         }
     }
 
-    /// Compares a request with the completed message that has the same id. None if there is no such message.
-    pub fn find(&self, request: &EnqueueRequest) -> Option<CompletedId> {
+    /// Compares a request with the completed message that has the same id. None if there is no tombstone of such a
+    /// message.
+    pub fn find(&self, request: &EnqueueRequest) -> Option<CompletedMatch> {
         let EnqueueRequest { id, ordering_key, class, destination, idempotency_key, body, .. } = request;
         let completed = self.fingerprints.get(&self.hasher.hash_one(id))?;
         let fingerprint = self.hasher.hash_one((ordering_key, class, destination, idempotency_key, body));
-        Some(if *completed == fingerprint { CompletedId::SameMessage } else { CompletedId::OtherMessage })
+        Some(if *completed == fingerprint {
+            CompletedMatch::SameMessage
+        } else {
+            CompletedMatch::OtherMessage
+        })
     }
 }
--- a/src/bin/delivery-gateway/event_loop/admission.rs
+++ b/src/bin/delivery-gateway/event_loop/admission.rs
@@ -5,12 +5,12 @@
 use tracing::debug;
 
 use super::EventLoop;
-use crate::completed_messages::CompletedId;
+use crate::completed_messages::CompletedMatch;
 use crate::events::{EnqueueReply, EnqueueRequest};
 use crate::journal::{AcceptedRecord, JournalError};
 
 impl EventLoop {
-    /// Replies to a request. A message is withdrawn if its client disconnected before the reply.
+    /// Replies to a request. A message that it accepts is withdrawn if its client disconnected before the reply.
     pub(super) fn answer_enqueue(
         &mut self,
         now: Time,
@@ -60,7 +60,7 @@
 
     /// Returns the reply to a request whose id belongs to a pending or completed message; None if the id is new.
     fn reply_to_duplicate(&mut self, request: &EnqueueRequest) -> Option<EnqueueReply> {
-        if let Some(number) = self.pending.number(&request.id) {
+        if let Some(number) = self.pending.message_number(&request.id) {
             // Either the client repeats its request on a new connection, or another client uses the same id.
             let pending = self.journal.state.pending.get(&number);
             if !pending.is_some_and(|pending| request.matches_pending(&pending.message)) {
@@ -70,8 +70,8 @@
             return Some(EnqueueReply::AlreadyAccepted);
         }
         self.completed.find(request).map(|completed| match completed {
-            CompletedId::SameMessage => EnqueueReply::AlreadyAccepted,
-            CompletedId::OtherMessage => EnqueueReply::Error("the id was that of another message"),
+            CompletedMatch::SameMessage => EnqueueReply::AlreadyAccepted,
+            CompletedMatch::OtherMessage => EnqueueReply::Error("the id was that of another message"),
         })
     }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Drops a message whose client disconnected before the reply that it was accepted. The message stays if another
+    /// Drops a message whose client disconnected before the reply that it was accepted. The message stays if a later
     /// request for it was acknowledged meanwhile, because that client expects its outcome.
     pub(super) fn withdraw_unacknowledged(&mut self, now: Time, message: MessageId) {
         let id = self.journal.state.pending.get(&message.0).map(|pending| &pending.message.id);
--- a/src/bin/delivery-gateway/event_loop/delivery.rs
+++ b/src/bin/delivery-gateway/event_loop/delivery.rs
@@ -24,7 +24,8 @@
 /// The maximum size of the body of a call that several messages share.
 const MAX_BATCH_BODY_BYTES: usize = 64 << 10;
 
-/// The result of an attempt that was not sent: the latest time to send it had passed, or a delivery rule blocked it.
+/// The result of an attempt that was not sent: the latest time to send it had passed, a delivery rule blocked it, or
+/// its message or its endpoint's address is not known any more.
 const NOT_SENT: AttemptResult = unsent_result(AttemptOutcome::NotSent);
 /// The result of an attempt that was not sent because the journal could not record it.
 const NOT_RECORDED: AttemptResult = unsent_result(AttemptOutcome::LocalFailure);
--- a/src/bin/delivery-gateway/event_loop/endpoints.rs
+++ b/src/bin/delivery-gateway/event_loop/endpoints.rs
@@ -33,7 +33,8 @@
         self.forget_removed_endpoints();
     }
 
-    /// Starts no more calls to an endpoint, whatever its state in the list.
+    /// Starts no more calls to an endpoint, whatever its state in the list, and withdraws those that are still
+    /// connecting.
     pub(super) fn disable_endpoint(&mut self, now: Time, uid: &str) {
         let endpoint = self.directory.set_disabled(uid, true);
         self.scheduler.handle(now, Event::EndpointDisabled(endpoint));
--- a/src/bin/delivery-gateway/event_loop/in_flight.rs
+++ b/src/bin/delivery-gateway/event_loop/in_flight.rs
@@ -19,14 +19,14 @@
     pub endpoint: EndpointId,
     /// The messages that share the call.
     pub messages: Vec<MessageId>,
-    /// Whether the first byte of the request has been sent.
+    /// Whether the first byte of the request has been sent or is about to be.
     pub(super) is_sent: bool,
 }
 
 /// A handle that stops a call. The messages of the call share it.
 pub(super) struct CallHandle {
     stop: Cell<Option<oneshot::Sender<StopReason>>>,
-    /// Whether the first byte of the request has been sent.
+    /// Whether the first byte of the request has been sent or is about to be.
     is_sent: Rc<Cell<bool>>,
     /// For a call of the predecessor process: counts the descriptor that the call uses there.
     _remote_descriptor: Option<Descriptor>,
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Aborts the call, whether or not its request has been sent.
+    /// Aborts a call of this process, whether or not its request has been sent. A call of the predecessor process
+    /// continues there.
     fn abort(&self) {
         drop(self.stop.take());
     }
@@ -119,8 +120,8 @@
         self.attempts.values().map(|attempt| attempt.endpoint).collect()
     }
 
-    /// Stops the call of a message, which ends the attempts of all messages that share the call. A call whose first
-    /// byte has been sent can be cancelled, but no longer withdrawn.
+    /// Stops the call of a message, which ends the attempts of all messages that share the call. A call that is sent
+    /// can be cancelled, but no longer withdrawn.
     pub(super) fn stop(&self, message: MessageId, reason: StopReason) {
         if let Some(attempt) = self.attempts.get(&message) {
             if reason == StopReason::Cancelled || !attempt.call.is_sent.get() {
@@ -130,7 +131,7 @@
     }
 
     /// Withdraws the calls that are still connecting to the selected endpoints. Once connected, they would be new work
-    /// for an endpoint that is draining, or calls before its `Retry-After` has passed.
+    /// for an endpoint that is draining, removed or disabled, or calls before its `Retry-After` has passed.
     pub(super) fn withdraw(&self, is_selected: impl Fn(EndpointId) -> bool) {
         let unsent = self.attempts.values().filter(|attempt| !attempt.call.is_sent.get());
         for attempt in unsent.filter(|attempt| is_selected(attempt.endpoint)) {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Aborts all calls.
+    /// Aborts all calls of this process.
     pub(super) fn abort_all(&self) {
         self.attempts.values().for_each(|attempt| attempt.call.abort());
     }
--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -7,7 +7,7 @@
 //! - [`delivery`]: starts attempts and records their results; [`in_flight`]: tracks attempts in flight.
 //! - [`outcomes`]: records final outcomes and sends their notifications.
 //! - [`endpoints`]: applies changes of the endpoint list; [`operations`]: executes requests of operators.
-//! - [`persisted_circuits`]: writes open circuits and recovering destinations to the journal.
+//! - [`persisted_circuits`]: writes the state of circuits and of slow starts to the journal.
 //! - [`recovery`]: restores the state from the journal; [`takeover`]: passes the state between processes.
 //! - [`reporting`]: counters and log lines.
 //! - [`catalog`], [`pending_index`]: look up classes, tenants and pending messages by name.
@@ -48,7 +48,7 @@
 use crate::journal::{FinalOutcome, Journal};
 use crate::send_guard::SendGuard;
 
-/// The maximum number of events handled before the next decision of the scheduler.
+/// The maximum number of events handled in one step of the loop, before the next decision of the scheduler.
 const MAX_EVENTS_PER_STEP: usize = 256;
 /// The interval between sweeps. Each closes expired idle connections; every [`REPORT_SWEEPS`]th logs the load.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -69,7 +69,8 @@
     /// From this time on, the process ends as soon as no message is pending, no call is in flight and all records are
     /// written.
     earliest: Instant,
-    /// The process ends at this time in any case.
+    /// The process ends at this time even if that is not the case. Only a predecessor that still relays events to its
+    /// successor ends a moment later.
     latest: Instant,
 }
 
@@ -77,6 +78,7 @@
 #[derive(Clone, Copy)]
 struct Timer {
     due: Instant,
+    /// Identifies the timer to the scheduler when it fires.
     token: u64,
 }
 
--- a/src/bin/delivery-gateway/event_loop/operations.rs
+++ b/src/bin/delivery-gateway/event_loop/operations.rs
@@ -1,7 +1,7 @@
 //! Executes the requests of operators at the admin endpoint.
 //!
-//! Disabling an endpoint is recorded in the journal before the request succeeds, and lasts beyond a restart. Lame duck
-//! mode lasts until the process ends; a handover passes it on to the successor.
+//! Disabling an endpoint is recorded in the journal before the request succeeds, and stays in force across a restart.
+//! Lame duck mode lasts until operators switch it off or the process ends; a handover passes it on to the successor.
 
 use delivery_gateway::{Event, Time};
 use tracing::info;
--- a/src/bin/delivery-gateway/event_loop/outcomes.rs
+++ b/src/bin/delivery-gateway/event_loop/outcomes.rs
@@ -3,7 +3,7 @@
 //!
 //! An outcome is written to the journal before its notification is sent: the client of a returned message may enqueue
 //! it again after the notification, and no attempt of the first message may follow. While the journal cannot be
-//! written, notifications are deferred.
+//! written, notifications are deferred, at most until the message's deadline.
 
 use delivery_gateway::{Event, MessageId, Time};
 use std::time::Duration;
@@ -19,7 +19,8 @@
 
 struct DeferredOutcome {
     notification: OutcomeNotification,
-    /// The deadline of the message. No process sends it after that, whether or not the outcome is recorded.
+    /// The deadline of the message. No process sends the message after that, whether or not the outcome is recorded, so
+    /// the notification need not wait longer.
     notify_at: Instant,
 }
 
@@ -34,8 +35,8 @@
         self.waiting.push(DeferredOutcome { notification, notify_at });
     }
 
-    /// Removes and returns the notifications that may be sent: all of them if the journal has all records, else those
-    /// whose message has reached its deadline.
+    /// Removes and returns the notifications that may be sent: all of them if the journal has all records, otherwise
+    /// those whose message has reached its deadline.
     fn take_due(
         &mut self,
         now: Instant,
--- a/src/bin/delivery-gateway/event_loop/pending_index.rs
+++ b/src/bin/delivery-gateway/event_loop/pending_index.rs
@@ -1,12 +1,15 @@
 //! Looks up pending messages by the ids that their clients chose, and tracks which may still be withdrawn.
+//!
+//! A message is withdrawn (dropped without a final outcome) if the client of its first request disconnected before its
+//! reply. Once a later request for the message was acknowledged, the message is shared by both requests. It then stays,
+//! because the other client expects its outcome.
 
 use delivery_gateway::MessageId;
 use std::collections::HashMap;
 
 struct PendingEntry {
-    number: u32,
-    /// Whether a later request for the same message was acknowledged. The first request can't withdraw the message
-    /// then.
+    message_number: u32,
+    /// Whether a later request for the same message was acknowledged.
     is_shared: bool,
 }
 
@@ -17,9 +20,9 @@
 }
 
 impl PendingIndex {
-    /// Adds a message that only one request was acknowledged for.
-    pub(super) fn insert(&mut self, id: String, number: u32) {
-        self.entries.insert(id, PendingEntry { number, is_shared: false });
+    /// Adds a message. It counts as not shared until [`mark_shared`](Self::mark_shared) is called.
+    pub(super) fn insert(&mut self, id: String, message_number: u32) {
+        self.entries.insert(id, PendingEntry { message_number, is_shared: false });
     }
 
     /// Records that a later request for a message was acknowledged.
@@ -33,20 +36,20 @@
         self.entries.remove(id);
     }
 
-    /// Returns the number of the pending message with this id.
-    pub(super) fn number(&self, id: &str) -> Option<u32> {
-        self.entries.get(id).map(|entry| entry.number)
+    /// Returns the number of the pending message with this id. None if there is no such message.
+    pub(super) fn message_number(&self, id: &str) -> Option<u32> {
+        self.entries.get(id).map(|entry| entry.message_number)
     }
 
-    /// Returns whether the first request for a message may still withdraw it.
+    /// Returns whether a message is pending and not shared, so that it may be withdrawn.
     pub(super) fn can_withdraw(&self, id: &str) -> bool {
         self.entries.get(id).is_some_and(|entry| !entry.is_shared)
     }
 
-    /// Returns the messages that more than one request was acknowledged for.
+    /// Returns the shared messages.
     pub(super) fn shared_messages(&self) -> Vec<MessageId> {
         let shared = self.entries.values().filter(|entry| entry.is_shared);
-        shared.map(|entry| MessageId(entry.number)).collect()
+        shared.map(|entry| MessageId(entry.message_number)).collect()
     }
 
     pub(super) fn len(&self) -> usize {
--- a/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
+++ b/src/bin/delivery-gateway/event_loop/persisted_circuits.rs
@@ -1,5 +1,6 @@
-//! Writes open circuits and recovering destinations to the journal, so that the next process continues with the same
-//! limits.
+//! Writes the circuit records of routes to the journal. A route is a destination, or one endpoint of it that has its
+//! own limits. Routes have a record while their circuit is open, after failures since the last success, and during slow
+//! start. The next process restores them, so that it doesn't send at the full rate during an outage or a slow start.
 
 use delivery_gateway::discovery::EndpointDirectory;
 use delivery_gateway::{CircuitChange, CircuitRecord, DestinationId, EndpointId};
@@ -15,11 +16,13 @@
 /// Collects the changes of circuits, and writes them to the journal.
 #[derive(Default)]
 pub(super) struct PersistedCircuitWriter {
-    /// The circuit to be recorded for each key; None where the recorded one is to be removed.
+    /// The changes that are not yet in the journal: the circuit to be written for each key, or None where the written
+    /// one is to be removed.
     unwritten: BTreeMap<CircuitKey, Option<PersistedCircuit>>,
     /// Uids of the endpoints with a persisted circuit. A circuit can end after the directory has removed its endpoint.
     uids: HashMap<EndpointId, String>,
-    lines: RateLimitedLog,
+    /// Limits the log lines about the number of open circuits.
+    open_count_log: RateLimitedLog,
 }
 
 impl PersistedCircuitWriter {
@@ -28,10 +31,10 @@
         self.unwritten = persisted.map(|key| (key.clone(), None)).collect();
     }
 
-    fn change(&mut self, change: &CircuitChange, directory: &EndpointDirectory, clock: &Clock) {
+    fn add_change(&mut self, change: &CircuitChange, directory: &EndpointDirectory, clock: &Clock) {
         let CircuitChange { destination, endpoint, record } = change;
         // An endpoint without a known uid has no persisted circuit.
-        let Some(key) = self.key(*destination, *endpoint, directory) else { return };
+        let Some(key) = self.journal_key(*destination, *endpoint, directory) else { return };
         if let Some((id, uid)) = endpoint.zip(key.uid.as_ref()) {
             match record {
                 Some(_) => drop(self.uids.insert(id, uid.clone())),
@@ -44,8 +47,9 @@
         self.unwritten.insert(key, circuit);
     }
 
-    /// Returns the journal's key of a route; None if the route is an endpoint whose uid is unknown.
-    fn key(
+    /// Returns the key of a route in the journal, which has the endpoint's uid in place of its id. None if the uid is
+    /// unknown.
+    fn journal_key(
         &self,
         destination: DestinationId,
         endpoint: Option<EndpointId>,
@@ -80,7 +84,7 @@
         errors.log_failure(written);
         let after = journal.state.circuits.open_count();
         if before != after {
-            if let Some(suppressed) = self.lines.due() {
+            if let Some(suppressed) = self.open_count_log.due() {
                 info!(before, after, suppressed, "open circuits changed");
             }
         }
@@ -88,7 +92,7 @@
 }
 
 impl EventLoop {
-    /// Persists all circuits of the scheduler, in place of those persisted before the start.
+    /// Persists all circuit records of the scheduler, in place of those that the journal has.
     pub(super) fn persist_all_circuits(&mut self) {
         self.persisted_circuits.mark_all_removed(self.journal.state.circuits.keys());
         let records: Vec<CircuitRecord> = self.scheduler.circuit_records().collect();
@@ -98,7 +102,7 @@
                 endpoint: record.endpoint,
                 record: Some(record),
             };
-            self.persisted_circuits.change(&change, &self.directory, &self.clock);
+            self.persisted_circuits.add_change(&change, &self.directory, &self.clock);
         }
         self.persisted_circuits.write(&mut self.journal, &mut self.journal_errors);
     }
@@ -106,7 +110,7 @@
     /// Persists the circuits that have changed since the last call.
     pub(super) fn persist_circuit_changes(&mut self) {
         for change in self.scheduler.take_circuit_changes() {
-            self.persisted_circuits.change(&change, &self.directory, &self.clock);
+            self.persisted_circuits.add_change(&change, &self.directory, &self.clock);
         }
         self.persisted_circuits.write(&mut self.journal, &mut self.journal_errors);
     }
--- a/src/bin/delivery-gateway/event_loop/reporting.rs
+++ b/src/bin/delivery-gateway/event_loop/reporting.rs
@@ -38,7 +38,7 @@
 /// Logs journal errors at a limited rate.
 #[derive(Default)]
 pub(super) struct JournalErrorLog {
-    lines: RateLimitedLog,
+    error_log: RateLimitedLog,
 }
 
 impl JournalErrorLog {
@@ -46,7 +46,7 @@
     /// the step that depends on it is not taken.
     pub(super) fn log_failure(&mut self, written: Result<(), JournalError>) -> bool {
         let Err(error) = written else { return true };
-        if let Some(suppressed) = self.lines.due() {
+        if let Some(suppressed) = self.error_log.due() {
             error!(%error, suppressed, "the journal cannot be written");
         }
         false
--- a/src/bin/delivery-gateway/event_loop/takeover.rs
+++ b/src/bin/delivery-gateway/event_loop/takeover.rs
@@ -35,7 +35,7 @@
 struct RetryAfterDelay {
     /// The uid of an endpoint that it applies to.
     uid: String,
-    /// The time until it ends.
+    /// The time until it ends, from the handover.
     delay: Duration,
 }
 
@@ -47,7 +47,8 @@
     elapsed: Duration,
     clock: ClockReading,
     endpoint_ids: EndpointIdTable,
-    /// Messages that more than one request was acknowledged for.
+    /// Messages for which a later request was acknowledged as well, so that the client of the first one can't withdraw
+    /// them.
     shared_messages: Vec<MessageId>,
     /// Calls in flight, which the predecessor finishes.
     calls: Vec<InFlightCall>,
@@ -61,7 +62,8 @@
 }
 
 impl EventLoop {
-    /// Continues from the predecessor's snapshot. The predecessor finishes its calls; `stop` asks it to stop one.
+    /// Continues from the predecessor's snapshot. The predecessor finishes its calls; `stop` asks it to stop one
+    /// of them.
     pub fn resume_from(
         &mut self,
         snapshot: HandoverSnapshot,
@@ -165,7 +167,7 @@
         self.resume_phase(ServicePhase::in_service(constraints.is_lame_duck));
     }
 
-    /// Restores the phase before the handover, and allows calls again.
+    /// Enters a phase, such as the one before a handover that has failed, and allows calls again.
     pub fn resume_phase(&mut self, phase: ServicePhase) {
         let now = self.clock.now();
         self.scheduler.handle(now, Event::LameDuck(phase == ServicePhase::LameDuck));
@@ -173,7 +175,7 @@
         self.channels.phase.send_replace(phase);
     }
 
-    /// Starts no more calls.
+    /// Starts no more calls until [`resume_phase`](Self::resume_phase) is called.
     pub fn stop_starting_calls(&mut self) {
         let now = self.clock.now();
         self.scheduler.handle(now, Event::ShutdownScheduled(now));
@@ -186,7 +188,7 @@
 
     /// Aborts the calls in flight, and handles events until all calls have ended, for at most [`ABORT_TIMEOUT`].
     pub async fn abort_calls(&mut self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.drop_calls();
+        self.abort_calls_without_waiting();
         let end = Instant::now() + ABORT_TIMEOUT;
         while self.has_calls_in_flight() {
             let Ok(Some(event)) = timeout_at(end, events.recv()).await else { return };
@@ -195,9 +197,10 @@
     }
 
     /// Aborts the calls in flight, and waits until their connections have been released, for at most
-    /// [`ABORT_TIMEOUT`]. Records nothing and accepts no message, because another process has written to the journal.
+    /// [`ABORT_TIMEOUT`]. Records nothing and accepts no message, because another process may have written to the
+    /// journal.
     pub async fn abandon_calls(&self, events: &mut UnboundedReceiver<GatewayEvent>) {
-        self.drop_calls();
+        self.abort_calls_without_waiting();
         let mut remaining = self.in_flight_messages();
         let all_ended = async {
             while !remaining.is_empty() {
@@ -221,13 +224,14 @@
         }
     }
 
-    /// Stops a call of this process at the successor's request, unless it has ended or can no longer be withdrawn.
+    /// Stops a call of this process at the successor's request, unless it has ended, or has been sent and is only to be
+    /// withdrawn.
     pub fn cancel_call(&self, message: MessageId, reason: StopReason) {
         self.in_flight.stop(message, reason);
     }
 
-    /// Aborts all calls, without waiting until they have ended.
-    pub fn drop_calls(&self) {
+    /// Aborts all calls of this process, without waiting until they have ended.
+    pub fn abort_calls_without_waiting(&self) {
         self.in_flight.abort_all();
     }
 
@@ -236,7 +240,8 @@
         self.in_flight.messages()
     }
 
-    /// Returns the latest time at which the process ends. None if no shutdown was requested.
+    /// Returns the time at which the process ends even if messages are pending or calls are in flight. None if no
+    /// shutdown was requested.
     pub fn exit_deadline(&self) -> Option<Instant> {
         self.shutdown.map(|shutdown| shutdown.latest)
     }
@@ -256,7 +261,7 @@
         self.journal.is_flushed()
     }
 
-    /// Returns whether no other process has written to the journal.
+    /// Returns whether no other process has written to the journal. False if that cannot be checked.
     pub fn journal_is_untouched(&self) -> bool {
         self.journal.is_untouched()
     }
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -64,7 +64,7 @@
     clients: ClientServer,
     /// Clients' connections to be transferred to the successor.
     transferred: UnboundedReceiver<TransferredConnection>,
-    /// Notifications are sent only while its single permit is free.
+    /// Each notification is sent with its single permit, which a handover takes.
     notification_gate: Arc<Semaphore>,
     agent: AgentAddress,
     /// Requests to watch the endpoint list again.
@@ -74,7 +74,7 @@
     ownership: Ownership,
 }
 
-/// The tasks that bring in work while this process is in service.
+/// The tasks that accept clients' connections and watch the endpoint list while this process is in service.
 struct Intake {
     accepting: JoinHandle<TcpListener>,
     watching: JoinHandle<()>,
@@ -157,8 +157,8 @@
         Ok((gateway, background))
     }
 
-    /// Restores the state from the journal or from the predecessor, and returns the listener for clients. Clients can
-    /// connect only after all accepted messages have been restored.
+    /// Restores the state from the journal or from the predecessor, and returns the listener for clients. No client
+    /// connection is accepted before all accepted messages have been restored.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -189,13 +189,14 @@
     /// Serves until the process exits after a shutdown request, or another process has taken over.
     ///
     /// # Errors
-    /// The state could not be restored after a handover that failed.
+    /// The task that accepts connections has failed, or the journal cannot be opened again after a handover that
+    /// failed.
     pub async fn serve(mut self, mut listener: TcpListener) -> Result<(), StartError> {
         loop {
             let intake = self.start_intake(listener);
             let handovers = self.ownership.listen_for_successor();
             let Some(successor) = self.run_until_handover_request(&handovers).await else { return Ok(()) };
-            if !successor.shares_state && self.drain_calls().await.is_none() {
+            if !successor.has_same_fingerprint && self.drain_calls().await.is_none() {
                 return Ok(());
             }
             let Some(paused) = self.pause(intake).await? else { return Ok(()) };
@@ -285,7 +286,7 @@
     /// fingerprint, this process finishes the calls in flight. For any other successor, it aborts them first.
     async fn hand_over(&mut self, successor: SuccessorConnection, listener: &TcpListener) -> HandoverResult {
         self.event_loop.process_queued(&mut self.events);
-        if !successor.shares_state {
+        if !successor.has_same_fingerprint {
             self.event_loop.abort_calls(&mut self.events).await;
         }
         if !self.event_loop.journal_is_flushed() {
@@ -296,15 +297,16 @@
         successor.hand_over(event_loop, events, transferred, listener, &ownership.lock).await
     }
 
-    /// Resumes service after the successor ended early. `missed_events` are the events that arrived meanwhile.
+    /// Resumes service after the handover failed or the successor has ended. `missed_events` are the events that
+    /// arrived meanwhile.
     async fn resume_service(&mut self, missed_events: Vec<GatewayEvent>) -> Result<(), StartError> {
         let journal_untouched = self.event_loop.journal_is_untouched();
-        warn!(journal_untouched, "the successor ended before it was in service: resuming service");
+        warn!(journal_untouched, "the successor ended, or the handover failed: resuming service");
         if journal_untouched {
             self.event_loop.resume_idle_connections();
             missed_events.into_iter().for_each(|event| self.event_loop.handle(event));
         } else {
-            // The successor's decisions and attempts are only in the journal.
+            // The successor's decisions and attempts, if any, are only in the journal.
             self.event_loop.abandon_calls(&mut self.events).await;
             self.event_loop = self.parameters.create_event_loop().await?;
             self.event_loop.recover(&self.configured_endpoints);
--- a/src/bin/delivery-gateway/handover/codec.rs
+++ b/src/bin/delivery-gateway/handover/codec.rs
@@ -63,7 +63,8 @@
         FrameReader { stream, buffer: Vec::new(), descriptors: VecDeque::new(), has_lost_descriptors: false }
     }
 
-    /// Returns the next message. None if the other process has ended or closed its side, or after a malformed frame.
+    /// Returns the next message. None if the other process has ended or closed its side, if a read fails, or after a
+    /// malformed frame.
     pub async fn next<M: DeserializeOwned>(&mut self) -> Option<Received<M>> {
         loop {
             match self.take_frame() {
--- a/src/bin/delivery-gateway/handover/fingerprint.rs
+++ b/src/bin/delivery-gateway/handover/fingerprint.rs
@@ -1,5 +1,6 @@
-//! Computes the fingerprint of a build and its settings, which covers the format and the meaning of a handover
-//! snapshot. A snapshot is passed only between processes with the same fingerprint; others continue from the journal.
+//! Computes the fingerprint of a build and the names in its settings, which covers the format and the meaning of a
+//! handover snapshot. A snapshot is passed only between processes with the same fingerprint; others continue from the
+//! journal.
 
 use delivery_gateway::ParsedSettings;
 
--- a/src/bin/delivery-gateway/handover/messages.rs
+++ b/src/bin/delivery-gateway/handover/messages.rs
@@ -20,9 +20,10 @@
 /// Messages from the successor, which is the new process.
 #[derive(Serialize, Deserialize)]
 pub enum ToPredecessor {
-    /// Asks for the handover. Processes with the same fingerprint can exchange a handover snapshot.
+    /// Asks for the handover. Must be the first message. Processes with the same fingerprint can exchange a handover
+    /// snapshot.
     Hello { format: u32, fingerprint: u32 },
-    /// Stops an in-flight call, which is identified by one of its messages.
+    /// Stops an in-flight call of the predecessor, which is identified by one of its messages.
     CancelCall { message: MessageId, reason: StopReason },
     /// The result of an [`AdminRequest`](ToSuccessor::AdminRequest).
     AdminResult { request: u64, result: AdminResult },
@@ -41,10 +42,10 @@
         buffer: Bytes,
         /// Whether a request on it has been answered.
         served: bool,
-        /// The time that is left for more bytes to arrive.
+        /// The time that is left for more bytes to arrive, from the transfer.
         time_left: Duration,
     },
-    /// An in-flight call has ended.
+    /// An in-flight call has ended for these messages; see [`GatewayEvent`](crate::events::GatewayEvent::CallEnded).
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
     /// A client disconnected before it received the reply that its message was accepted.
     AcceptanceNotReceived(MessageId),
--- a/src/bin/delivery-gateway/handover/mod.rs
+++ b/src/bin/delivery-gateway/handover/mod.rs
@@ -2,8 +2,11 @@
 //!
 //! One process owns a state folder: it holds the folder's lock, and only its scheduler makes decisions. A new process,
 //! the successor, asks the owner for a handover over a local socket. The owner, now the predecessor, passes on the
-//! listener, the lock, its clients' connections and its state. It finishes its calls in flight, and relays their
-//! results until it ends. If either process ends early, the other one continues.
+//! listener, the lock, its clients' connections and its state. If either process ends early, the other one continues.
+//!
+//! A successor with the same [`fingerprint`] gets a snapshot of the state. The predecessor then finishes its calls in
+//! flight, and relays their results until it ends. For any other successor, which continues from the journal, the
+//! predecessor finishes its calls before the handover, and aborts those that take too long.
 //!
 //! - [`successor`]: asks for the handover, takes over, and handles the predecessor's messages.
 //! - [`predecessor`]: listens for a successor, hands over, and relays.
@@ -43,6 +46,6 @@
 /// both builds of a handover must use the same path.
 pub fn socket_path(folder: &Path) -> PathBuf {
     let folder = folder.canonicalize().unwrap_or_else(|_| folder.to_owned());
-    let name = crc32fast::hash(folder.as_os_str().as_encoded_bytes());
-    std::env::temp_dir().join(format!("gullcart-{name:08x}.sock"))
+    let folder_hash = crc32fast::hash(folder.as_os_str().as_encoded_bytes());
+    std::env::temp_dir().join(format!("gullcart-{folder_hash:08x}.sock"))
 }
--- a/src/bin/delivery-gateway/handover/predecessor.rs
+++ b/src/bin/delivery-gateway/handover/predecessor.rs
@@ -1,5 +1,6 @@
-//! The predecessor's side of a handover: the owner of the state folder listens for a successor, hands over to it, and
-//! relays the events of its clients and its calls in flight until it ends.
+//! The predecessor's side of a handover: the owner of the state folder listens for a successor and hands over to it. It
+//! then relays its clients' connections, the results of its calls in flight and operators' requests until one of the
+//! two processes ends.
 
 use std::cell::OnceCell;
 use std::collections::{HashMap, HashSet};
@@ -30,8 +31,8 @@
 }
 
 impl HandoverListener {
-    /// Listens at a path. If that fails, the gateway serves without it, and [`next_successor`](Self::next_successor)
-    /// retries.
+    /// Listens at a path. If that fails, the gateway serves, but no process can take over until
+    /// [`next_successor`](Self::next_successor) has bound the path.
     pub fn new(path: &Path) -> Self {
         let listener = HandoverListener { path: path.to_owned(), listener: OnceCell::new() };
         if let Err(error) = listener.bind() {
@@ -40,7 +41,9 @@
         listener
     }
 
-    /// Waits for a process that asks for the handover. Refuses processes with another message format.
+    /// Waits for a process that asks for the handover. Refuses processes with another message format, and those whose
+    /// first message is not a `Hello`. `fingerprint` is that of this process: see
+    /// [`state_fingerprint`](super::state_fingerprint).
     pub async fn next_successor(&self, fingerprint: u32) -> SuccessorConnection {
         let listener = self.bound_listener().await;
         loop {
@@ -52,12 +55,16 @@
             let hello = timeout(ANSWER_TIMEOUT, reader.next()).await;
             let Ok(Some(Received { message, .. })) = hello else { continue };
             match message {
-                ToPredecessor::Hello { format: FORMAT, fingerprint: theirs } => {
-                    return SuccessorConnection { shares_state: theirs == fingerprint, reader, writer };
+                ToPredecessor::Hello { format: FORMAT, fingerprint: successor_fingerprint } => {
+                    return SuccessorConnection {
+                        has_same_fingerprint: successor_fingerprint == fingerprint,
+                        reader,
+                        writer,
+                    };
                 }
                 _ => {
-                    warn!("refused a handover: the other process uses another message format");
-                    SuccessorConnection { shares_state: false, reader, writer }.refuse().await;
+                    warn!("refused a handover: the first message is not a hello in this message format");
+                    SuccessorConnection { has_same_fingerprint: false, reader, writer }.refuse().await;
                 }
             }
         }
@@ -88,7 +95,7 @@
 pub struct SuccessorConnection {
     /// Whether it has the same fingerprint. It then continues from a handover snapshot, and this process finishes its
     /// calls in flight.
-    pub shares_state: bool,
+    pub has_same_fingerprint: bool,
     reader: FrameReader,
     writer: FrameWriter,
 }
@@ -97,9 +104,10 @@
 pub enum HandoverResult {
     /// Nothing was handed over. This process continues, and the other one asks again.
     Refused,
-    /// The successor owns the state folder. This process exits.
+    /// This process exits, because its shutdown was requested. The successor owns the state folder, unless it has ended
+    /// as well.
     Completed,
-    /// The handover failed, or the successor has ended although this process had no shutdown request. This process
+    /// The handover failed, or the successor has ended before a shutdown of this process was requested. This process
     /// continues, and handles these events, which arrived meanwhile.
     Reverted(Vec<GatewayEvent>),
 }
@@ -111,8 +119,9 @@
         self.writer.finish().await;
     }
 
-    /// Hands over, and relays the results of the calls in flight until this process ends. All events that have arrived
-    /// must have been handled before. The event loop makes no decisions meanwhile.
+    /// Hands over, and relays clients' connections, the results of the calls in flight and operators' requests. Returns
+    /// when this process may exit or the successor has ended. All events that have arrived must have been handled
+    /// before. The event loop makes no decisions meanwhile.
     pub async fn hand_over(
         self,
         event_loop: &mut EventLoop,
@@ -146,7 +155,7 @@
 
     /// Sends the state, the listener and the lock. The successor then owns the state folder.
     fn begin(&self, event_loop: &mut EventLoop, listener: &TcpListener, lock: &File) -> io::Result<()> {
-        let state = if self.shares_state {
+        let state = if self.has_same_fingerprint {
             BeginState::Snapshot(event_loop.handover_snapshot().map_err(io::Error::other)?)
         } else {
             BeginState::Constraints(event_loop.carried_over_constraints())
@@ -159,11 +168,11 @@
 
 /// The reason why the relay has ended.
 enum RelayEnd {
-    /// This process has a shutdown request, and its calls have ended or were dropped at the exit deadline.
+    /// A shutdown of this process was requested, and its calls have ended or were aborted at the exit deadline.
     ShutDown,
-    /// The successor has ended, and this process has a shutdown request as well.
+    /// The successor has ended, and a shutdown of this process was requested as well.
     SuccessorEndedInShutdown,
-    /// The successor has ended, and this process has no shutdown request.
+    /// The successor has ended, and no shutdown of this process was requested.
     SuccessorEnded,
 }
 
@@ -175,11 +184,11 @@
     in_flight: HashSet<MessageId>,
     /// Events that this process handles if the successor ends early.
     retained_events: Vec<GatewayEvent>,
-    /// Requests of operators that the successor has not answered yet, by request number.
-    admin_requests: HashMap<u64, oneshot::Sender<AdminResult>>,
-    last_admin_request: u64,
-    /// Whether the calls that were in flight at the exit deadline have been dropped.
-    has_dropped_calls: bool,
+    /// The reply channels of operators' requests that the successor has not answered yet, by request number.
+    admin_replies: HashMap<u64, oneshot::Sender<AdminResult>>,
+    last_request_number: u64,
+    /// Whether the calls that were in flight at the exit deadline have been aborted.
+    has_aborted_calls: bool,
 }
 
 impl<'a> Relay<'a> {
@@ -189,9 +198,9 @@
             event_loop,
             successor,
             retained_events: Vec::new(),
-            admin_requests: HashMap::new(),
-            last_admin_request: 0,
-            has_dropped_calls: false,
+            admin_replies: HashMap::new(),
+            last_request_number: 0,
+            has_aborted_calls: false,
         }
     }
 
@@ -206,7 +215,7 @@
             if deadline.is_some_and(|deadline| self.can_exit(deadline)) {
                 return RelayEnd::ShutDown;
             }
-            let wake = deadline.map(|at| if self.has_dropped_calls { at + FLUSH_TIMEOUT } else { at });
+            let wake_at = deadline.map(|at| if self.has_aborted_calls { at + FLUSH_TIMEOUT } else { at });
             // The disabled branch of `select!` needs a time, which is never waited for.
             let unused = Instant::now() + ANSWER_TIMEOUT;
             tokio::select! {
@@ -218,9 +227,9 @@
                 },
                 Some(connection) = transferred.recv() => self.send_client(connection),
                 Some(event) = events.recv() => self.handle_event(event),
-                () = sleep_until(wake.unwrap_or(unused)), if wake.is_some() => {
-                    self.has_dropped_calls = true;
-                    self.event_loop.drop_calls();
+                () = sleep_until(wake_at.unwrap_or(unused)), if wake_at.is_some() => {
+                    self.has_aborted_calls = true;
+                    self.event_loop.abort_calls_without_waiting();
                 }
             }
         }
@@ -234,7 +243,7 @@
         match message {
             ToPredecessor::CancelCall { message, reason } => self.event_loop.cancel_call(message, reason),
             ToPredecessor::AdminResult { request, result } => {
-                if let Some(reply) = self.admin_requests.remove(&request) {
+                if let Some(reply) = self.admin_replies.remove(&request) {
                     let _ = reply.send(result);
                 }
             }
@@ -249,7 +258,7 @@
                 let message = ToSuccessor::ClientConnection { buffer, served, time_left };
                 self.successor.send_with(&message, vec![stream.into()]);
             }
-            Err(error) => warn!(%error, "cannot hand over a client connection; it is closed"),
+            Err(error) => warn!(%error, "cannot hand over a client connection; closing it"),
         }
     }
 
@@ -274,17 +283,19 @@
                 self.successor.send(&ToSuccessor::AcceptanceNotReceived(message));
                 self.retained_events.push(GatewayEvent::AcceptanceNotReceived(message));
             }
+            // The successor sends the notifications of pending messages itself.
             GatewayEvent::OutcomesAcknowledged(messages) => {
                 self.retained_events.push(GatewayEvent::OutcomesAcknowledged(messages));
             }
             GatewayEvent::Admin(operation, reply) => {
-                self.last_admin_request += 1;
-                let request = self.last_admin_request;
-                self.admin_requests.retain(|_, reply| !reply.is_closed());
-                self.admin_requests.insert(request, reply);
+                self.last_request_number += 1;
+                let request = self.last_request_number;
+                self.admin_replies.retain(|_, reply| !reply.is_closed());
+                self.admin_replies.insert(request, reply);
                 self.successor.send(&ToSuccessor::AdminRequest { request, operation });
             }
             GatewayEvent::Terminate => self.event_loop.handle(GatewayEvent::Terminate),
+            // The process that is in service watches the endpoint list anew.
             GatewayEvent::Discovery(_) => {}
         }
     }
--- a/src/bin/delivery-gateway/handover/successor.rs
+++ b/src/bin/delivery-gateway/handover/successor.rs
@@ -38,13 +38,13 @@
 pub enum HandedOverState {
     /// The predecessor's state. Both processes have the same fingerprint.
     Snapshot(Box<HandoverSnapshot>),
-    /// Constraints from a predecessor with another fingerprint, which has no calls in flight.
+    /// Constraints from a predecessor with another fingerprint, which has finished or aborted its calls.
     Constraints(CarriedOverConstraints),
 }
 
-/// Becomes the owner of a state folder: at once if it has no owner, else as soon as the owner hands over or ends.
-/// `socket` is the path on which the owner listens. Returns None if there is no owner. This process then
-/// continues from the journal alone.
+/// Becomes the owner of a state folder: at once if it has no owner, otherwise as soon as the owner hands over or ends.
+/// `socket` is the path on which the owner listens. Returns None if there is no owner, or if it has ended without a
+/// handover. This process then continues from the journal alone.
 ///
 /// # Errors
 /// The lock cannot be requested, or the state handed over cannot be used. A retry would fail as well, so this process
@@ -138,8 +138,8 @@
         move |message, reason| sender.send(&ToPredecessor::CancelCall { message, reason })
     }
 
-    /// Takes over the predecessor's clients and the results of its calls until it has ended. Calls that are still in
-    /// flight then count as reset, because an endpoint may have processed them.
+    /// Takes over the predecessor's clients, the results of its calls and its operators' requests until it has ended.
+    /// Calls that are still in flight then count as reset, because an endpoint may have processed them.
     pub async fn follow(mut self, events: UnboundedSender<GatewayEvent>, clients: ClientServer) {
         while let Some(Received { message, descriptors }) = self.reader.next().await {
             match message {
@@ -184,7 +184,7 @@
                 unread_for: Duration::ZERO,
             }),
             Err(error) => {
-                warn!(%error, "cannot take over a client connection of the previous process; it is closed")
+                warn!(%error, "cannot take over a client connection of the previous process; closing it")
             }
         }
     }
