--- a/src/bin/delivery-gateway/background.rs
+++ b/src/bin/delivery-gateway/background.rs
@@ -1,5 +1,5 @@
-//! The background tasks, which run from the start of the service to the end of the process. They send notifications,
-//! and handle signals and the requests of operators.
+//! The background tasks, which run from the start of the service to the end of the process. They send notifications and
+//! handle signals.
 
 use delivery_gateway::discovery::AgentAddress;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
     pub events: UnboundedSender<GatewayEvent>,
     /// Receives the notifications to be sent.
     pub notifications: UnboundedReceiver<OutcomeNotification>,
-    /// Notifications are sent only while its single permit is free.
+    /// Each notification is sent with its single permit, which a handover takes.
     pub notification_gate: Arc<Semaphore>,
     /// The service phase, from which the admin endpoint derives whether the gateway is ready.
     pub phase: watch::Receiver<ServicePhase>,
@@ -45,7 +45,7 @@
 }
 
 /// Reads the configuration again at each SIGHUP. Only the address of the discovery agent can change while the process
-/// runs. A file that cannot be read changes nothing.
+/// runs. A file that cannot be read or parsed changes nothing.
 async fn reload_config(
     mut hang_up: UnboundedReceiver<()>,
     path: PathBuf,
--- a/src/bin/delivery-gateway/budget.rs
+++ b/src/bin/delivery-gateway/budget.rs
@@ -7,8 +7,8 @@
 
 /// The descriptors reserved for files, the runtime, the listener, discovery and notifications.
 const OTHER_DESCRIPTORS: usize = 32;
-/// The number of descriptors per idle client connection. Clients hold at most a third of the descriptors, and half of
-/// those may be idle.
+/// The number of descriptors per idle client connection. Clients limit themselves to a third of the descriptors, and
+/// half of those may be idle.
 const DESCRIPTORS_PER_IDLE_CLIENT: usize = 6;
 /// The maximum number of long requests that are read at the same time, per MB of memory. A long request has more than a
 /// few KiB and at most 68 KiB. Together they take up to about an eighth of the memory.
--- a/src/bin/delivery-gateway/clock.rs
+++ b/src/bin/delivery-gateway/clock.rs
@@ -32,7 +32,7 @@
 
 impl Clock {
     /// Creates a clock whose journal time continues from the journal's last reading if that was taken since the
-    /// machine's boot, else from the wall clock.
+    /// machine's boot, otherwise from the wall clock.
     pub fn new(last: Option<&ClockReading>) -> Self {
         // On a machine without a boot id, each boot has the same empty id.
         let boot_id = std::fs::read_to_string(BOOT_ID_FILE).unwrap_or_default();
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -22,7 +22,8 @@
     AcceptanceNotReceived(MessageId),
     /// The endpoint list, or the watch on it, has changed.
     Discovery(WatchEvent),
-    /// A call has ended, for all of its messages.
+    /// A call has ended for these messages: for all of it, or for those whose latest time to send had passed before it
+    /// was sent.
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
     /// The platform has acknowledged the notifications of these messages.
     OutcomesAcknowledged(Vec<MessageId>),
@@ -100,7 +101,8 @@
     AlreadyAccepted,
     /// The message was not accepted. The client may retry after this delay, or at once if there is none.
     Rejected(Option<Duration>),
-    /// The message was not accepted, and the client should not retry. Contains the error text.
+    /// The request failed, and the client should not retry. Contains the error text. The message was not accepted; only
+    /// after a failed write may the next process find its record and deliver it.
     Error(&'static str),
 }
 
@@ -159,7 +161,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
     Done,
-    /// No endpoint has that uid.
+    /// No listed or disabled endpoint has that uid.
     UnknownEndpoint,
     /// The operation could not be recorded in the journal, and has no effect.
     NotRecorded,
--- a/src/bin/delivery-gateway/journal/chunks.rs
+++ b/src/bin/delivery-gateway/journal/chunks.rs
@@ -31,8 +31,8 @@
     Ok(chunks)
 }
 
-/// Returns the records of an endpoint update: one if it fits, else its parts. The iterator creates each record when it
-/// is requested, so that a long list is not copied as a whole.
+/// Returns the records of an endpoint update: one if it fits, otherwise its parts. The iterator creates each record
+/// when it is requested, so that a long list is not copied as a whole.
 pub fn endpoint_records<'a>(
     revision: u64,
     is_snapshot: bool,
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -2,13 +2,14 @@
 //! checksummed records in the state folder, the [`JournalState`] that results from these records, and a separate file
 //! with the clock's last reading.
 //!
-//! A record is written before its step takes effect: the write call must have returned. No fsync is needed, because the
-//! state folder has to outlast the process, but not the machine.
+//! A record describes a step of the gateway, such as a message accepted or an attempt started. It is written before the
+//! step takes effect: the write call must have returned. No fsync is needed, because the state folder has to outlast
+//! the process, but not the machine.
 //!
 //! Writes may fail for a while. A record that must precede its step (a message accepted, an attempt started) is refused
 //! then, and the step is not taken. A record of a step that has already happened is applied to the state at once and
-//! deferred. Deferred records are written in order, before any other record, as soon as writes succeed again
-//! ([`Journal::flush`]).
+//! deferred. Deferred records are written in order, before any other record except those of the endpoint list, as soon
+//! as writes succeed again ([`Journal::flush`]).
 //!
 //! - [`record`]: the kinds of records. A new kind is added at the end, so that older journals can still be read.
 //! - [`state`]: the state that results from the records; [`compaction`]: rewrites the journal from the state.
@@ -71,7 +72,7 @@
 
 impl Journal {
     /// Opens the journal of a folder, and replays it. `disk_bytes` is the disk space for all its files. A torn tail is
-    /// truncated: its record was not written completely, so its step was not taken.
+    /// truncated: its record was not written completely, so no step that needs the record was taken.
     ///
     /// # Errors
     /// A file cannot be opened or read. No file has been changed, and the call may be retried.
@@ -113,7 +114,7 @@
         self.deferred.is_empty()
     }
 
-    /// Returns whether the file is unchanged since this process last wrote to it.
+    /// Returns whether the file is unchanged since this process last wrote to it. False if that cannot be checked.
     pub fn is_untouched(&self) -> bool {
         self.file.is_untouched()
     }
@@ -239,7 +240,8 @@
         self.write_ahead(Record::EndpointDisabled { uid: uid.to_owned(), is_disabled })
     }
 
-    /// Returns the last reading of the clock. None in the folder of an older build, whose journal has wall-clock times.
+    /// Returns the last reading of the clock. None in a new folder, if the clock's file is damaged, or in the folder of
+    /// an older build, whose journal has wall-clock times.
     pub fn clock_reading(&self) -> Option<&ClockReading> {
         self.clock.reading()
     }
--- a/src/bin/delivery-gateway/journal/record.rs
+++ b/src/bin/delivery-gateway/journal/record.rs
@@ -84,7 +84,7 @@
 /// The time and the zone of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentRecord {
-    /// The time at which the attempt was sent, in journal time.
+    /// The time at which the scheduler decided on the attempt, in journal time. The attempt is sent after it.
     pub sent_ms: u64,
     /// The number of the endpoint's zone in the endpoint directory. It stays valid after a restart if the zones of the
     /// settings are unchanged.
--- a/src/bin/delivery-gateway/journal/space.rs
+++ b/src/bin/delivery-gateway/journal/space.rs
@@ -7,7 +7,7 @@
 /// message that would exceed it is not accepted.
 const LIVE_FRACTION: f64 = 0.43;
 /// The file is compacted before it exceeds this fraction of the disk space, so that the old and the new file fit side
-/// by side.
+/// by side. It grows further only while compaction fails.
 const COMPACTION_FRACTION: f64 = 0.54;
 /// The maximum fraction of the disk space for the file. Nothing is appended beyond it, even if compaction fails.
 const FILE_FRACTION: f64 = 0.95;
--- a/src/bin/delivery-gateway/listener.rs
+++ b/src/bin/delivery-gateway/listener.rs
@@ -14,26 +14,26 @@
 use crate::start_error::StartError;
 
 /// The delay before the bind of the admin endpoint's address is retried.
-const ADMIN_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+const ADMIN_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Listens at an address, and returns the listener and the bound address. Transient errors are retried: a process that
-/// has just ended may hold the address for a moment longer than the lock.
+/// has just ended may hold the address for a moment longer than the lock of the state folder.
 ///
 /// # Errors
 /// The address cannot be bound.
 pub async fn bind(address: &str) -> Result<(TcpListener, SocketAddr), StartError> {
-    let failed = |source| StartError::Listen { address: address.to_owned(), source };
-    let is_in_use = Cell::new(false);
+    let listen_error = |source| StartError::Listen { address: address.to_owned(), source };
+    let has_warned = Cell::new(false);
     let listen = || async {
         TcpListener::bind(address).await.map_err(|error| {
-            if error.kind() == ErrorKind::AddrInUse && !is_in_use.replace(true) {
+            if error.kind() == ErrorKind::AddrInUse && !has_warned.replace(true) {
                 warn!(address, "address still in use: retrying");
             }
-            failed(error)
+            listen_error(error)
         })
     };
     let listener = retry_transient("binding an address", listen).await?;
-    let bound = local_address(&listener).await.map_err(failed)?;
+    let bound = local_address(&listener).await.map_err(listen_error)?;
     Ok((listener, bound))
 }
 
@@ -42,17 +42,17 @@
     retry_transient("getting the address of the listener", || async { listener.local_addr() }).await
 }
 
-/// Serves the admin endpoint. Retries until the address can be bound. A failure doesn't end the process, because the
-/// gateway delivers messages without an admin endpoint.
-pub async fn serve_admin(address: String, endpoint: Rc<AdminEndpoint>) {
+/// Serves the admin endpoint until the task is dropped. Retries until the address can be bound. A failure doesn't end
+/// the process, because the gateway delivers messages without an admin endpoint.
+pub async fn serve_admin(configured_address: String, endpoint: Rc<AdminEndpoint>) {
     loop {
-        match bind(&address).await {
+        match bind(&configured_address).await {
             Ok((listener, address)) => {
                 info!(%address, "admin endpoint open");
                 admin::serve(listener, endpoint.clone()).await;
             }
             Err(error) => error!(%error, "admin endpoint not open: retrying"),
         }
-        sleep(ADMIN_RETRY_INTERVAL).await;
+        sleep(ADMIN_RETRY_DELAY).await;
     }
 }
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -89,8 +89,8 @@
     gateway.serve(listener).await
 }
 
-/// Starts the admin endpoint. It starts before anything that takes time, so that it can report that the gateway is not
-/// ready yet.
+/// Starts the admin endpoint, if it has an address. It starts before anything that takes time, so that it can report
+/// that the gateway is not ready yet.
 fn start_admin_endpoint(config: &Config) -> Rc<AdminEndpoint> {
     let admin = Rc::new(AdminEndpoint::default());
     if let Some(address) = config.admin_address() {
--- a/src/bin/delivery-gateway/ownership.rs
+++ b/src/bin/delivery-gateway/ownership.rs
@@ -35,7 +35,7 @@
     }
 
     /// Waits until this process is the owner. Returns what the previous owner has handed over. None if there was no
-    /// owner, or if it has ended without a handover. No file of the folder may be read or written before.
+    /// owner, or if it has ended without a handover. No other file of the folder may be read or written before.
     ///
     /// # Errors
     /// The lock cannot be taken, or the state handed over cannot be used.
--- a/src/bin/delivery-gateway/start_error.rs
+++ b/src/bin/delivery-gateway/start_error.rs
@@ -1,5 +1,5 @@
-//! The errors that prevent the gateway from starting. Each ends the process, except when the configuration is read
-//! again after the start: then the previous configuration stays in force.
+//! The errors that prevent the gateway from starting, or from continuing after a handover. Each ends the process,
+//! except when the configuration is read again after the start: then the previous configuration stays in force.
 
 use delivery_gateway::socket::AsIoError;
 use delivery_gateway::SettingError;
@@ -10,7 +10,7 @@
 use crate::handover::HandoverError;
 use crate::journal::JournalError;
 
-/// The reason why the gateway cannot start.
+/// The reason why the gateway cannot start or continue.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("the environment variable {0} is not set; expected a path")]
