--- a/src/bin/delivery-gateway/event_loop/mod.rs
+++ b/src/bin/delivery-gateway/event_loop/mod.rs
@@ -118,11 +118,12 @@
     (IDLE_CONNECTIONS_PER_SLOT * slots).min(endpoint_sockets.saturating_sub(slots)).max(1)
 }
 
-/// Starts the clock from the journal's last reading if it can be continued. Otherwise records a new reading.
+/// Starts the clock from the journal's last reading if it can be continued. Otherwise starts it from the wall clock,
+/// and records a new reading.
 fn start_clock(journal: &mut Journal) -> Clock {
     let clock = Clock::new(journal.clock_reading());
     if !journal.clock_reading().is_some_and(|last| clock.continues(last)) {
-        // A failed write is retried later. Writing the next records reports the same error.
+        // A failed write is retried by `retry_unwritten_records`, which logs its error.
         let _ = journal.record_clock(clock.reading());
     }
     clock
--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -82,7 +82,8 @@
     pub tenant: String,
     /// The destination's number.
     pub destination: u32,
-    /// The time until the message's deadline, as the client requests it.
+    /// The time until the message's deadline, as the client requests it, less the time for which the request may have
+    /// waited unread.
     pub time_left: Duration,
     /// The key by which endpoints recognize a retry.
     pub idempotency_key: Option<String>,
@@ -129,7 +130,8 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
-    /// The time from the start of the call to its result.
+    /// The time from the start of the call to the head of its response, or to its end if it has none. Zero if it was
+    /// not started.
     pub latency: Duration,
     /// Whether the message is completed and needs no notification.
     pub completes_message: bool,
@@ -142,7 +144,8 @@
 pub struct CallResult {
     /// The result for each of its messages, in the order of the messages.
     pub attempts: Vec<AttemptResult>,
-    /// The `Retry-After` of a response that also has a result for each message. None if there is none.
+    /// The `Retry-After` of a response, where it applies in addition to those in the outcomes: a batch has a result for
+    /// each message, or the body is malformed or late. None if there is none.
     pub retry_after: Option<Duration>,
 }
 
--- a/src/bin/delivery-gateway/journal/compaction.rs
+++ b/src/bin/delivery-gateway/journal/compaction.rs
@@ -26,9 +26,9 @@
 pub fn compact(state: &JournalState, journal: &Path, available: u64) -> Result<CompactedFile, JournalError> {
     let copy = copy_path(journal);
     let file = File::create(&copy).map_err(JournalError::file(FileOperation::Compact, &copy))?;
-    let mut copied = Copy { path: &copy, file: BufWriter::new(file), size: 0, available };
-    copied.write_state(state)?;
-    let Copy { file, size, .. } = copied;
+    let mut writer = CopyWriter { path: &copy, file: BufWriter::new(file), size: 0, available };
+    writer.write_state(state)?;
+    let CopyWriter { file, size, .. } = writer;
     let file = file.into_inner().map_err(io::IntoInnerError::into_error);
     let file = file.map_err(JournalError::file(FileOperation::Compact, &copy))?;
     fs::rename(&copy, journal).map_err(JournalError::file(FileOperation::Compact, journal))?;
@@ -49,7 +49,7 @@
     journal.with_extension("new")
 }
 
-struct Copy<'a> {
+struct CopyWriter<'a> {
     path: &'a Path,
     file: BufWriter<File>,
     /// In bytes.
@@ -58,7 +58,7 @@
     available: u64,
 }
 
-impl Copy<'_> {
+impl CopyWriter<'_> {
     fn write(&mut self, record: Record) -> Result<(), JournalError> {
         let frame = encode_frame(&record)?;
         self.size += frame.len() as u64;
--- a/src/bin/delivery-gateway/journal/file.rs
+++ b/src/bin/delivery-gateway/journal/file.rs
@@ -71,7 +71,8 @@
     /// Writes whole records after the last one, over the torn tail of a failed write.
     ///
     /// # Errors
-    /// Not all bytes could be written. None of the records counts.
+    /// Not all bytes could be written. None of the records counts, but a torn tail that cannot be truncated may hold
+    /// some of them.
     pub fn append(&mut self, frames: &[u8]) -> Result<(), JournalError> {
         self.truncate_tail();
         if let Err(error) = self.file.write_all_at(frames, self.end) {
--- a/src/bin/delivery-gateway/journal/mod.rs
+++ b/src/bin/delivery-gateway/journal/mod.rs
@@ -65,7 +65,7 @@
     has_deferred_endpoints: bool,
     /// The size of a compacted copy that could not be removed; 0 if there is none.
     leftover_copy_bytes: u64,
-    /// The time of the last failed compaction. None if a later one has succeeded.
+    /// The time of the last failed compaction. None if none has failed, or if a later one has succeeded.
     compaction_failed_at: Option<Instant>,
     clock: ClockFile,
 }
--- a/src/bin/delivery-gateway/log.rs
+++ b/src/bin/delivery-gateway/log.rs
@@ -8,7 +8,8 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// The variable with the lowest level that is logged: `error`, `warn`, `info` (the default) or `debug`. Level `debug`
-/// adds a line for each step of each message, and the reason for each closed connection.
+/// adds lines for the steps of each message (its reply, attempts, final outcome and acknowledged notification), and the
+/// reason for each client connection that the gateway closes.
 const LEVEL_VARIABLE: &str = "DELIVERY_GATEWAY_LOG";
 /// The former name of the variable. It is read if [`LEVEL_VARIABLE`] is not set.
 const FORMER_LEVEL_VARIABLE: &str = "GULLCART_LOG";
@@ -18,8 +19,8 @@
 
 /// Starts the log. Must be called once, before the first line.
 pub fn start() {
-    let variable = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
-    let level = variable.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
+    let level_name = std::env::var(LEVEL_VARIABLE).or_else(|_| std::env::var(FORMER_LEVEL_VARIABLE)).ok();
+    let level = level_name.and_then(|level| level.parse().ok()).unwrap_or(Level::INFO);
     let lines = tracing_subscriber::fmt().with_writer(StandardError).with_ansi(false).with_target(false);
     // The library would report a failed write to standard error, and panic if that fails as well.
     lines.with_max_level(level).log_internal_errors(false).init();
