--- a/src/scheduler/watch_backoff.rs
+++ b/src/scheduler/watch_backoff.rs
@@ -1,7 +1,7 @@
 //! The backoff of the watch on the endpoint list: delays the first watch, and each new one after a failure or
 //! a rejection. It owns the number of rejections and the time of the next request.
 //!
-//! All gateways lose the watch at the same moment, and together they must not send requests faster than
+//! All gateways may lose the watch at the same moment, and together they must not send requests faster than
 //! discovery can answer them. So delays grow with the size of the fleet and are random.
 
 use super::backoff;
@@ -13,15 +13,15 @@
 /// How long discovery may take to answer a watch request. A shorter timeout would make it answer twice.
 pub const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The delay after the watch broke without a response from discovery.
+/// The delay after the watch broke or could not be started, other than by a rejection.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
 /// The upper end of the first random delay after a rejection, per gateway of the fleet.
 const FIRST_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_millis(200);
 /// The maximum upper end of later random delays after a rejection, per gateway of the fleet.
 const MAX_REJECTION_DELAY_PER_GATEWAY: Duration = Duration::from_secs(1);
-/// The maximum delay after a rejection, whatever the size of the fleet: a gateway must notice an endpoint
-/// that starts to drain within the drain grace period, and the answer itself may take
-/// [`WATCH_RESPONSE_TIMEOUT`].
+/// The maximum delay after a rejection, whatever the size of the fleet. Without a watch a gateway does not
+/// notice that an endpoint starts to drain, which it should within the drain grace period, and the answer
+/// itself may take [`WATCH_RESPONSE_TIMEOUT`].
 const MAX_REJECTION_DELAY: Duration = Duration::from_secs(5);
 /// The time per gateway of the fleet over which the first watch is spread, limited by
 /// [`MAX_START_SPREAD_DRAIN_GRACE_RATIO`].
