--- a/fault-shim/mapped_page.rs
+++ b/fault-shim/mapped_page.rs
@@ -62,7 +62,7 @@
 
     /// Returns the page's entry for a call.
     pub fn entry(self, call: Call) -> Entry {
-        Entry { address: self.address + WORD_BYTES * call.entry() }
+        Entry { address: self.address + WORD_BYTES * call.entry_word() }
     }
 }
 
--- a/src/bin/testbed/fault_page.rs
+++ b/src/bin/testbed/fault_page.rs
@@ -130,7 +130,7 @@
     ];
 
     /// Returns the word offset of the call's entry.
-    pub const fn entry(self) -> usize {
+    pub const fn entry_word(self) -> usize {
         HEADER_WORDS + self as usize * ENTRY_WORDS
     }
 }
@@ -231,5 +231,5 @@
 
 /// Returns the byte offset of a word in a call's entry.
 fn byte_of(call: Call, word: usize) -> u64 {
-    (WORD_BYTES * (call.entry() + word)) as u64
+    (WORD_BYTES * (call.entry_word() + word)) as u64
 }
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -119,11 +119,11 @@
     Signals(std::io::Error),
     #[error("interrupted")]
     Interrupted,
-    #[error("the soak cannot be set up or its logs cannot be written: {0}")]
+    #[error("the soak cannot be set up or finished: {0}")]
     Soak(std::io::Error),
     #[error("{0} is missing; cargo build --release --examples makes it")]
     Missing(PathBuf),
-    #[error("{0} rules were broken")]
+    #[error("{0} violations of the protocol's rules were found")]
     RulesBroken(usize),
 }
 
--- a/src/bin/testbed/soak/clients.rs
+++ b/src/bin/testbed/soak/clients.rs
@@ -130,7 +130,7 @@
         connection: &mut Option<Client>,
         split_at: usize,
     ) -> io::Result<()> {
-        let client = connected(clients, connection)?;
+        let client = reuse_or_connect(clients, connection)?;
         locked(&clients.ledger).message_enqueued(&self.id, clients.gateway, self.idempotency, self.time_left);
         client.try_send(&self.bytes[..split_at])?;
         if split_at < self.bytes.len() {
@@ -141,7 +141,10 @@
     }
 }
 
-fn connected<'a>(clients: &GatewayClients, connection: &'a mut Option<Client>) -> io::Result<&'a mut Client> {
+fn reuse_or_connect<'a>(
+    clients: &GatewayClients,
+    connection: &'a mut Option<Client>,
+) -> io::Result<&'a mut Client> {
     if connection.is_none() {
         *connection = Some(Client::connect(clients.address, REPLY_TIMEOUT)?);
     }
--- a/src/bin/testbed/soak/faults.rs
+++ b/src/bin/testbed/soak/faults.rs
@@ -97,7 +97,7 @@
 }
 
 /// Fails disk writes for a random time; in half of the cases truncations and renames, too. In three of four cases the
-/// gateway is restarted or handed over before the disk works again.
+/// gateway is restarted, or its successor is started, before the disk works again.
 fn fail_disk(
     gateway: &mut Gateway,
     plan: &Plan,
