--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -6,7 +6,8 @@
 //!   results.
 //! - `testbed soak` runs real gateways with injected faults, and checks the rules of the protocol; see `soak`.
 //!
-//! The testbed uses only loopback. Every loop is bounded, and all processes that were started end with the testbed.
+//! The testbed uses only loopback. Every run is bounded in time. The testbed kills the processes that it started before
+//! it ends, unless it is killed itself.
 #![forbid(unsafe_code)]
 
 mod bounds;
@@ -118,11 +119,11 @@
     Signals(std::io::Error),
     #[error("interrupted")]
     Interrupted,
-    #[error("the soak cannot be set up or its logs cannot be written: {0}")]
+    #[error("the soak cannot be set up or finished: {0}")]
     Soak(std::io::Error),
     #[error("{0} is missing; cargo build --release --examples makes it")]
     Missing(PathBuf),
-    #[error("{0} rules were broken")]
+    #[error("{0} violations of the protocol's rules were found")]
     RulesBroken(usize),
 }
 
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -13,8 +13,8 @@
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
-/// A message without an attempt keeps its time left across a restart. It would expire if its deadline were compared with
-/// a wall clock that was stepped forward meanwhile.
+/// A message without an attempt keeps its time left across a restart. It would expire if its deadline were compared
+/// with a wall clock that was stepped forward meanwhile.
 #[test]
 fn a_wall_clock_stepped_forward_across_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
