--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -599,7 +599,7 @@
     environment.expect_nothing();
 }
 
-/// Idle connections are kept at each endpoint, also where there are more endpoints than call slots. If only as many as
+/// Idle connections are kept at each endpoint, also where there are some times as many endpoints as call slots. If only as many as
 /// slots were kept, each call would evict a connection that is needed again soon.
 #[test]
 fn idle_connections_are_kept_at_more_endpoints_than_slots() {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -10,8 +10,8 @@
 /// Limits how long a predecessor may take to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A handover interrupts no client, no connection in the listener's accept queue and no call in flight, also when the
-/// predecessor has itself taken over before.
+/// A handover interrupts no client and no call in flight, also when the predecessor has itself taken over before. The
+/// listener is handed over with its accept queue, so that new clients reach the successor.
 #[test]
 fn repeated_handovers_interrupt_no_client_and_no_call() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -41,7 +41,8 @@
 }
 
 /// A long endpoint list could be applied in part or exceed the limits of the machine. It arrives by the watch, from the
-/// journal after a kill, and as a snapshot of another agent; each time all of it applies within the limits.
+/// journal after a kill, and as a snapshot of another agent. It must be applied each time; all endpoints and the limits
+/// are checked the first two times.
 #[test]
 fn a_thousand_endpoints_and_gateways_fit_a_small_machine() {
     let environment = large();
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Checks that a gateway with this log delivers a message, handles a signal, and exits with success.
+/// Checks that a gateway with this log delivers a message, serves after SIGHUP, and exits with success after SIGTERM.
 fn assert_serves_with_log(log: Stdio) {
     let environment = TestEnvironment::new(1, 3.0);
     let mut gateway = environment.start_logging_to(log);
