--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -74,7 +74,8 @@
 }
 
 /// The time until a message's deadline counts from the last byte of its request, also while the connection waits for a
-/// slot. The gateway subtracts the longest possible wait, as the final outcome would otherwise be late by the actual wait.
+/// slot. The gateway subtracts the longest possible wait, as the final outcome would otherwise be late by the actual
+/// wait.
 #[test]
 fn time_waiting_for_a_connection_slot_counts() {
     let mut environment = TestEnvironment::new(1, 3.0);
--- a/tests/delivery_guarantees.rs
+++ b/tests/delivery_guarantees.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// A process with a full journal is ready early enough to attempt messages that had no attempt: those that were enqueued
-/// with a deadline of 10 s just before the kill, idempotent or not, still get their calls.
+/// A process with a full journal is ready early enough to attempt messages that had no attempt: those that were
+/// enqueued with a deadline of 10 s just before the kill, idempotent or not, still get their calls.
 #[test]
 fn a_restart_with_a_full_journal_is_ready_in_time_for_unattempted_messages() {
     let mut environment = one_destination_each(4);
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -88,8 +88,8 @@
         self.connection.peer_addr().unwrap()
     }
 
-    /// Returns whether the gateway has closed or reset this call's connection, or shut down its sending side. The gateway
-    /// must not have sent further bytes on it.
+    /// Returns whether the gateway has closed or reset this call's connection, or shut down its sending side. The
+    /// gateway must not have sent further bytes on it.
     pub fn is_closed(&self) -> bool {
         let mut connection = &self.connection;
         connection.set_nonblocking(true).unwrap();
@@ -495,8 +495,8 @@
         agent.state.notification_requests.load(Ordering::SeqCst)
     }
 
-    /// Makes discovery leave further notifications without acknowledgement, or acknowledge further ones again. They arrive
-    /// as events in both cases.
+    /// Makes discovery leave further notifications without acknowledgement, or acknowledge further ones again. They
+    /// arrive as events in both cases.
     pub fn hold_notifications(&self, hold: bool) {
         self.discovery.state.is_holding_notifications.store(hold, Ordering::SeqCst);
     }
@@ -782,7 +782,8 @@
         self.send(&encode_command(words));
     }
 
-    /// Enqueues a message whose deadline is in 20 s and returns the reply. `class` may carry further fields, as in `notice,k=1`.
+    /// Enqueues a message whose deadline is in 20 s and returns the reply. `class` may carry further fields, as in
+    /// `notice,k=1`.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.send_enqueue(id, key, class, destination, body);
         self.read_line()
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -25,8 +25,8 @@
     environment.expect_nothing();
 }
 
-/// A tenant beyond its quota would delay one within its quota if messages were sent in the order of arrival. The tenant of
-/// a message has to be in the journal, so that the same holds after a restart.
+/// A tenant beyond its quota would delay one within its quota if messages were sent in the order of arrival. The tenant
+/// of a message has to be in the journal, so that the same holds after a restart.
 #[test]
 fn a_tenant_beyond_its_quota_is_served_last() {
     for restart in [false, true] {
@@ -599,8 +599,8 @@
     environment.expect_nothing();
 }
 
-/// Idle connections are kept at each endpoint, also where there are some times as many endpoints as call slots. If only as many as
-/// slots were kept, each call would evict a connection that is needed again soon.
+/// Idle connections are kept at each endpoint, also where there are several times as many endpoints as call slots. If
+/// only as many as slots were kept, each call would evict a connection that is needed again soon.
 #[test]
 fn idle_connections_are_kept_at_more_endpoints_than_slots() {
     let mut environment = TestEnvironment::with_long_deadlines(6, 3.0);
--- a/tests/machine_calls.rs
+++ b/tests/machine_calls.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// A signal handler sets a flag and wakes the gateway through a pair of Unix sockets. The signal must be handled also if
-/// a read or write on them is interrupted.
+/// A signal handler sets a flag and wakes the gateway through a pair of Unix sockets. The signal must be handled also
+/// if a read or write on them is interrupted.
 #[test]
 fn an_interrupted_signal_is_handled() {
     for call in [SystemCall::UnixRead, SystemCall::UnixWrite] {
--- a/tests/machine_kill.rs
+++ b/tests/machine_kill.rs
@@ -1,6 +1,6 @@
-//! A process may be killed at any write to its journal or to a peer, at the rename of a compaction, and during a handover
-//! also at any read from the other process. The process that continues must break no delivery rule with the state that
-//! it finds. The fault shim (`fault-shim/`) kills the process.
+//! A process may be killed at any write to its journal or to a peer, at the rename of a compaction, and during a
+//! handover also at any read from the other process. The process that continues must break no delivery rule with the
+//! state that it finds. The fault shim (`fault-shim/`) kills the process.
 
 mod environment;
 
--- a/tests/machine_sweep.rs
+++ b/tests/machine_sweep.rs
@@ -1,6 +1,6 @@
-//! Fails the system calls of the gateway with the transient errors that Linux documents for them, from the first call of
-//! the process on. Each case is a short run with a reload of the configuration, a shutdown and a restart, in which each
-//! accepted message must get its final outcome within the delivery rules.
+//! Fails the system calls of the gateway with the transient errors that Linux documents for them, from the first call
+//! of the process on. Each case is a short run with a reload of the configuration, a shutdown and a restart, in which
+//! each accepted message must get its final outcome within the delivery rules.
 
 mod environment;
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -85,8 +85,9 @@
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// When the previous process was killed, a call may have been in flight for any ordering key, and its endpoint may still
-/// be processing it. All keys are held back, also those of new messages, so that no two calls of a key run at once.
+/// When the previous process was killed, a call may have been in flight for any ordering key, and its endpoint may
+/// still be processing it. All keys are held back, also those of new messages, so that no two calls of a key run at
+/// once.
 #[test]
 fn ordering_keys_are_held_back_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
