--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -19,19 +19,19 @@
 /// The maximum number of messages in a call, in the settings below.
 const LARGEST_BATCH: usize = 3;
 
-/// One step of a sequence. `which`, or a `usize` alone, selects a message: it is taken modulo their number.
+/// One step of a sequence. `selector`, or a `usize` alone, selects a message: it is taken modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     /// Time passes, in milliseconds.
     Pass(u64),
-    /// A key of 0 stands for none.
+    /// A message is accepted; a key of 0 stands for none.
     Accept {
         class: u8,
         destination: u16,
         key: u64,
     },
     Finish {
-        which: usize,
+        selector: usize,
         outcome: usize,
     },
     Abandon(usize),
@@ -46,7 +46,7 @@
     let step = prop_oneof![
         5 => (1u64..400).prop_map(Step::Pass),
         5 => accept.prop_map(|(class, destination, key)| Step::Accept { class, destination, key }),
-        5 => (0usize..64, 0usize..9).prop_map(|(which, outcome)| Step::Finish { which, outcome }),
+        5 => (0usize..64, 0usize..9).prop_map(|(selector, outcome)| Step::Finish { selector, outcome }),
         1 => (0usize..64).prop_map(Step::Abandon),
         1 => (0u32..6, 0usize..3).prop_map(|(endpoint, availability)| {
             Step::SetAvailability { endpoint, availability }
@@ -198,8 +198,8 @@
         self.check_order(now, id);
     }
 
-    /// After an attempt that may have run, a message may be sent again only if it is idempotent, or is deduplicated
-    /// there.
+    /// After an attempt that may have run, a message may be sent again only if it is idempotent, or has a key that is
+    /// still deduplicated; and in every class only within the deduplication scope.
     fn check_retry(&self, now: Time, message: &CheckedMessage, endpoint: u32) {
         let Some(first) = message.first_uncertain else { return };
         let class = &self.settings.classes[message.class];
@@ -215,7 +215,7 @@
         );
     }
 
-    /// Messages with the same ordering key are sent one after the other.
+    /// Messages with the same ordering key are sent one after the other. A hold of the key does not bind retries.
     fn check_order(&self, now: Time, id: u32) {
         let message = &self.messages[&id];
         if !self.is_ordered(message) || message.key == 0 {
@@ -240,7 +240,7 @@
         let message = self.messages.get_mut(&id).expect("accepted");
         message.in_flight = Some(SentTo { endpoint, at: now });
         message.attempts += 1;
-        let in_flight = self.in_flight().len();
+        let in_flight = self.in_flight_ids().len();
         assert!(
             in_flight <= self.settings.max_in_flight_calls * LARGEST_BATCH,
             "more messages in flight than slots permit"
@@ -269,16 +269,16 @@
         attempt
     }
 
-    fn in_flight(&self) -> Vec<u32> {
+    fn in_flight_ids(&self) -> Vec<u32> {
         self.ids(|message| message.in_flight.is_some())
     }
 
-    fn open(&self) -> Vec<u32> {
+    fn open_ids(&self) -> Vec<u32> {
         self.ids(|message| !message.is_completed)
     }
 
-    fn ids(&self, which: impl Fn(&CheckedMessage) -> bool) -> Vec<u32> {
-        self.messages.iter().filter(|(_, message)| which(message)).map(|(id, _)| *id).collect()
+    fn ids(&self, is_wanted: impl Fn(&CheckedMessage) -> bool) -> Vec<u32> {
+        self.messages.iter().filter(|(_, message)| is_wanted(message)).map(|(id, _)| *id).collect()
     }
 }
 
@@ -312,18 +312,18 @@
         match *step {
             Step::Pass(span) => return self.pass(ms(span)),
             Step::Accept { class, destination, key } => {
-                if self.checker.open().len() >= self.checker.settings.max_pending_messages {
+                if self.checker.open_ids().len() >= self.checker.settings.max_pending_messages {
                     return;
                 }
                 self.accept(class, destination, key);
             }
-            Step::Finish { which, outcome: number } => {
-                if let Some(id) = pick(&self.checker.in_flight(), which) {
+            Step::Finish { selector, outcome: number } => {
+                if let Some(id) = pick(&self.checker.in_flight_ids(), selector) {
                     self.finish(id, outcome(number));
                 }
             }
-            Step::Abandon(which) => {
-                if let Some(id) = pick(&self.checker.open(), which) {
+            Step::Abandon(selector) => {
+                if let Some(id) = pick(&self.checker.open_ids(), selector) {
                     self.bench.handle(Event::MessageAbandoned(MessageId(id)));
                     self.checker.messages.get_mut(&id).expect("open").is_completed = true;
                 }
@@ -384,8 +384,8 @@
     }
 }
 
-fn pick(ids: &[u32], which: usize) -> Option<u32> {
-    ids.get(which.checked_rem(ids.len())?).copied()
+fn pick(ids: &[u32], selector: usize) -> Option<u32> {
+    ids.get(selector.checked_rem(ids.len())?).copied()
 }
 
 /// Runs the steps and then lets all deadlines pass; checks every action, and returns all of them.
@@ -393,7 +393,7 @@
     let mut run = Run::new(seed);
     let remaining = [const { Step::Pass(250) }; 120];
     steps.iter().chain(&remaining).for_each(|step| run.step(step));
-    assert!(run.checker.open().is_empty(), "messages without a final outcome");
+    assert!(run.checker.open_ids().is_empty(), "messages without a final outcome");
     run.actions
 }
 
@@ -448,8 +448,7 @@
     }
 }
 
-/// Returns the size of the serialized state after this number of messages has been completed, with outcomes of all
-/// kinds.
+/// Returns the size of the serialized state after this number of messages has been completed, with various outcomes.
 fn state_bytes_after(messages: u32) -> usize {
     let mut bench = new_bench();
     for id in 0..messages {
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -1,5 +1,5 @@
 //! Every decision of the frozen scheduler. The types of its state are in `state.rs`; events and actions are
-//! the product's own, under the name `interface` of `mod.rs`.
+//! those of the library, under the name `interface` of `mod.rs`.
 //!
 //! A message waits in the queue of its destination. A free call slot goes to the waiting destination with the
 //! fewest calls in flight. A message whose attempt may have been processed is sent again under the same
@@ -141,7 +141,8 @@
 /// While idle connections are closed, one is tried this long after the last loss, in shortest latency
 /// objectives.
 const PROBE_INTERVAL_IN_OBJECTIVES: f64 = 4.0;
-/// How long no connection is kept idle after an endpoint had too many, as others need them, in idle timeouts.
+/// How long no connection is kept idle after an endpoint had too many, as each idle one keeps another gateway
+/// out, in idle timeouts.
 const PAUSE_IN_IDLE_TIMEOUTS: u32 = 3;
 /// The delay after the watch broke without a response from discovery.
 const WATCH_DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
@@ -350,8 +351,8 @@
         START_SPREAD_PER_GATEWAY.mul_f64(fleet_size(&self.settings)).min(max_delay).mul_f64(self.rng.f64())
     }
 
-    /// Returns the destination with the longest queue, the number of messages in it and the status of the
-    /// destination's routes; None if no message waits.
+    /// Returns the destination with the most messages without a final outcome, in flight or not, their number
+    /// and the status of the destination's routes; None if there is no such message.
     pub fn longest_queue(&mut self, now: Time) -> Option<(DestinationId, usize, Vec<RouteStatus>)> {
         let (destination, queue) = self.queues.iter().max_by_key(|(_, queue)| queue.len())?;
         let (destination, waiting) = (*destination, queue.len());
--- a/tests/same_decisions/endpoint_behavior.rs
+++ b/tests/same_decisions/endpoint_behavior.rs
@@ -1,10 +1,10 @@
-//! The outcome of a call, by the behavior of its endpoint.
+//! The response of an endpoint to an attempt, by the endpoint's behavior.
 
 use super::history::{ms, Behavior};
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// The outcome of an attempt, and how long it takes.
+/// The outcome of an attempt, its load report, and the time from its start to the response.
 pub struct Response {
     pub duration: Duration,
     pub outcome: AttemptOutcome,
--- a/tests/same_decisions/history.rs
+++ b/tests/same_decisions/history.rs
@@ -1,4 +1,4 @@
-//! Random histories: the settings and endpoints of a case, and its steps.
+//! Random cases. A case has a scenario, which is its settings and endpoints, and a history, which is its steps.
 
 use delivery_gateway::*;
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
     /// Resets half of the calls, at random.
     Lossy,
     ErrorResponses,
-    /// All other outcomes, at random.
+    /// The outcomes that no other behavior has, and a Retry-After of zero, at random.
     UncommonOutcomes,
 }
 
@@ -80,7 +80,8 @@
     }
 }
 
-/// One step of a history. `which`, or a first `usize`, selects one of several things: it is taken modulo their number.
+/// One step of a history. `selector`, or a first `usize`, selects one of several things: it is taken modulo their
+/// number.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Lets time pass. Late timers fire at the end of it, others when they are due.
@@ -92,13 +93,13 @@
     ToRetryAfterEnd(usize, Offset),
     Accept(AcceptStep),
     SetBehavior {
-        which: usize,
+        selector: usize,
         scope: Scope,
         behavior: Behavior,
     },
-    /// A call in flight ends at once, with the outcome of this behavior.
+    /// An attempt in flight ends at once, with the outcome of this behavior.
     Finish {
-        which: usize,
+        selector: usize,
         behavior: Behavior,
     },
     /// A Retry-After in milliseconds, in a response that accepted its messages.
@@ -118,10 +119,12 @@
     Disable(usize),
     Enable(usize),
     LameDuck(bool),
-    /// The process ends after this time in milliseconds; None cancels the shutdown.
+    /// Schedules the end of the process, this many milliseconds from now; None cancels the shutdown. The process itself
+    /// goes on.
     Shutdown(Option<u64>),
     Restart,
     HandOver,
+    /// Compares the suggested Retry-After of this destination, and the longest queue.
     Query(u8),
 }
 
@@ -134,7 +137,7 @@
     pub key: u64,
     pub count: u8,
     pub tenant: u32,
-    /// The time that a message has left, as a ratio of its class's deadline.
+    /// The time from a message's acceptance to its deadline, as a ratio of the deadline of its class.
     pub time_left_ratio: f64,
     pub is_redelivered: bool,
 }
@@ -191,7 +194,7 @@
 }
 
 fn accept_steps() -> impl Strategy<Value = AcceptStep> {
-    // Most messages go to a few destinations, so that queues form there while other destinations wait too.
+    // Many messages go to a few destinations, so that queues form there while other destinations wait too.
     let destinations = prop_oneof![2 => 0u8..4, 3 => 0u8..40];
     let time_left_ratios = prop_oneof![4 => Just(1.0), 1 => 0.05f64..1.0];
     let redelivered = prop::bool::weighted(0.05);
@@ -208,9 +211,9 @@
     )
 }
 
-/// Generates steps of the clock, of messages and of responses.
+/// Generates steps of the clock, new messages, changes of the endpoints' behavior, and attempts that end at once.
 fn common_steps() -> impl Strategy<Value = Step> {
-    let which = 0usize..1000;
+    let selector = 0usize..1000;
     let late = || prop::bool::weighted(0.2);
     let pass = |(ms, late_timers)| Step::Pass { ms, late_timers };
     prop_oneof![
@@ -219,30 +222,31 @@
         8 => (5u64..400, late()).prop_map(pass),
         1 => (500u64..6000, late()).prop_map(pass),
         6 => offsets().prop_map(Step::ToTimer),
-        4 => (which.clone(), offsets()).prop_map(|(which, offset)| Step::ToRetryAfterEnd(which, offset)),
+        4 => (selector.clone(), offsets()).prop_map(|(selector, offset)| Step::ToRetryAfterEnd(selector, offset)),
         24 => accept_steps().prop_map(Step::Accept),
-        6 => (which.clone(), scopes(), behaviors()).prop_map(|(which, scope, behavior)| {
-            Step::SetBehavior { which, scope, behavior }
+        6 => (selector.clone(), scopes(), behaviors()).prop_map(|(selector, scope, behavior)| {
+            Step::SetBehavior { selector, scope, behavior }
         }),
-        6 => (which, behaviors()).prop_map(|(which, behavior)| Step::Finish { which, behavior }),
+        6 => (selector, behaviors()).prop_map(|(selector, behavior)| Step::Finish { selector, behavior }),
     ]
 }
 
-/// Generates changes of the endpoint list, steps of operators, abandoned messages, and ends of processes.
+/// Generates all other steps, such as changes of the endpoint list, operators' commands, abandoned messages, restarts
+/// and handovers.
 fn rare_steps() -> impl Strategy<Value = Step> {
-    let which = 0usize..1000;
-    let availability = (which.clone(), availabilities());
+    let selector = 0usize..1000;
+    let availability = (selector.clone(), availabilities());
     prop_oneof![
-        4 => (which.clone(), 0u64..1500).prop_map(|(which, ms)| Step::RetryAfter(which, ms)),
-        4 => which.clone().prop_map(Step::Abandon),
-        6 => availability.prop_map(|(which, availability)| Step::SetAvailability(which, availability)),
-        3 => which.clone().prop_map(Step::Reopen),
-        2 => (which.clone(), 0.0f64..200.0).prop_map(|(which, hint)| Step::SetCapacityHint(which, hint)),
-        3 => which.clone().prop_map(Step::NewEndpoint),
+        4 => (selector.clone(), 0u64..1500).prop_map(|(selector, ms)| Step::RetryAfter(selector, ms)),
+        4 => selector.clone().prop_map(Step::Abandon),
+        6 => availability.prop_map(|(selector, availability)| Step::SetAvailability(selector, availability)),
+        3 => selector.clone().prop_map(Step::Reopen),
+        2 => (selector.clone(), 0.0f64..200.0).prop_map(|(selector, hint)| Step::SetCapacityHint(selector, hint)),
+        3 => selector.clone().prop_map(Step::NewEndpoint),
         2 => prop::option::of(2usize..9).prop_map(Step::Snapshot),
         2 => any::<bool>().prop_map(|rejected| Step::WatchFails { rejected }),
-        4 => which.clone().prop_map(Step::Disable),
-        6 => which.prop_map(Step::Enable),
+        4 => selector.clone().prop_map(Step::Disable),
+        6 => selector.prop_map(Step::Enable),
         1 => prop::bool::weighted(0.4).prop_map(Step::LameDuck),
         1 => prop::option::weighted(0.5, 100u64..4000).prop_map(Step::Shutdown),
         2 => Just(Step::Restart),
@@ -327,8 +331,8 @@
         }
     }
 
-    /// Returns endpoint number `index` of a destination. Endpoints of a destination share its kind, and differ in zone
-    /// and capacity hint.
+    /// Returns endpoint number `index` of a destination. Endpoints of a destination share its kind; their zones
+    /// and capacity hints vary.
     pub fn endpoint(&self, id: u32, destination: u8, index: u32) -> Endpoint {
         const CAPACITY_HINTS: [f64; 5] = [100.0, 5.0, 0.0, 20.0, 40.0];
         let number = u32::from(destination);
@@ -343,7 +347,7 @@
     }
 }
 
-/// Returns classes of each kind of idempotency and deduplication scope, with and without order.
+/// Returns classes of each kind of idempotency and deduplication scope; two of them are ordered.
 fn classes() -> Vec<Class> {
     let latency_objective = Duration::from_secs(1);
     let deadline = Duration::from_secs(6);
--- a/tests/same_decisions/main.rs
+++ b/tests/same_decisions/main.rs
@@ -1,7 +1,8 @@
 //! The scheduler visits only what has changed or come due, and decides wrongly if its indexes miss a change. This
 //! differential test runs it beside a reference that visits everything at each step (`tests/reference/`): both get the
-//! same random histories, with fixed seeds, and at every decision all their actions are compared in order, with
-//! everything else that can be read from a scheduler.
+//! same random histories (sequences of events and times), with fixed seeds. At every decision all their actions are
+//! compared in order, with the circuit records and the remaining Retry-Afters; in between also admissions, suggested
+//! Retry-Afters and longest queues, and the initial watch delay after a restart.
 //!
 //! `SAME_DECISIONS_CASES=5000 cargo test --release --test same_decisions` runs that many cases for each seed.
 
@@ -21,13 +22,13 @@
 use simulation::Simulation;
 use std::time::Duration;
 
-/// Cases for each of the seeds, unless [`CASES_VARIABLE`] has another number.
+/// The number of cases for each seed, unless [`CASES_VARIABLE`] has another. A case is a scenario and a history.
 const CASES: u32 = 100;
 /// The environment variable with the number of cases for each seed.
 const CASES_VARIABLE: &str = "SAME_DECISIONS_CASES";
 /// The maximum number of attempts to find a shorter history that fails too.
 const MAX_SHRINK_ITERATIONS: u32 = 3000;
-/// The maximum number of decisions in a history; the rest of a longer one is left out.
+/// After more decisions than this, the remaining steps of a history are left out.
 const MAX_DECISIONS: usize = 1500;
 /// Seconds that pass after a history, so that most of its messages and calls complete.
 const SETTLING_SECONDS: usize = 12;
@@ -52,8 +53,8 @@
     Ok(())
 }
 
-/// Runs many histories of one seed, and requires that they reached all that is to be compared.
-fn same_decisions(seed: u8) {
+/// Runs many histories of one seed. Panics at a difference, and unless they reached all that is to be compared.
+fn assert_same_decisions(seed: u8) {
     let cases = std::env::var(CASES_VARIABLE).ok().and_then(|cases| cases.parse().ok());
     let config = Config {
         cases: cases.unwrap_or(CASES),
@@ -76,20 +77,20 @@
 
 #[test]
 fn same_decisions_by_seed_1() {
-    same_decisions(1);
+    assert_same_decisions(1);
 }
 
 #[test]
 fn same_decisions_by_seed_2() {
-    same_decisions(2);
+    assert_same_decisions(2);
 }
 
 #[test]
 fn same_decisions_by_seed_3() {
-    same_decisions(3);
+    assert_same_decisions(3);
 }
 
 #[test]
 fn same_decisions_by_seed_4() {
-    same_decisions(4);
+    assert_same_decisions(4);
 }
--- a/tests/same_decisions/messages.rs
+++ b/tests/same_decisions/messages.rs
@@ -1,7 +1,7 @@
 //! The messages of a simulation: how they are accepted, sent and completed. Compares what both schedulers return about
 //! admission, Retry-After and queues.
 
-use super::comparison::{near, same_queues};
+use super::comparison::{near_durations, same_queues};
 use super::endpoint_behavior::{respond, Response};
 use super::history::{ms, AcceptStep, Behavior};
 use super::reference::reached;
@@ -16,7 +16,8 @@
 const LONG_RETRY_AFTER_RATIO: f64 = 0.6;
 
 impl Simulation {
-    /// Accepts a message if the schedulers admit it; otherwise compares their suggested Retry-Afters.
+    /// Accepts a message if there is room and the schedulers admit it; otherwise compares their suggested Retry-Afters
+    /// and longest queues.
     pub fn accept(&mut self, step: &AcceptStep) -> Result<(), TestCaseError> {
         let destination = step.destination % self.scenario.destinations;
         let open = self.pending.values().filter(|pending| !pending.is_closed).count();
@@ -34,10 +35,10 @@
             is_redelivered: step.is_redelivered,
             tenant: TenantId(step.tenant),
         };
-        let product = self.schedulers.product.admits(self.now, &message);
+        let tested = self.schedulers.tested.admits(self.now, &message);
         let reference = self.schedulers.reference.admits(self.now, &message);
-        if product != reference {
-            return Err(self.difference("admissions", &(&message, product), &reference));
+        if tested != reference {
+            return Err(self.difference("admissions", &(&message, tested), &reference));
         }
         if !reference {
             return self.query(destination);
@@ -58,18 +59,18 @@
     pub fn query(&mut self, destination: u8) -> Result<(), TestCaseError> {
         let now = self.now;
         let destination = DestinationId(destination.into());
-        let product = self.schedulers.product.suggested_retry_after(now, destination);
+        let tested = self.schedulers.tested.suggested_retry_after(now, destination);
         let reference = self.schedulers.reference.suggested_retry_after(now, destination);
-        if !near(product, reference) {
-            return Err(self.difference("suggested Retry-Afters", &(destination, product), &reference));
+        if !near_durations(tested, reference) {
+            return Err(self.difference("suggested Retry-Afters", &(destination, tested), &reference));
         }
-        let product = self.schedulers.product.longest_queue(now);
+        let tested = self.schedulers.tested.longest_queue(now);
         let reference = self.schedulers.reference.longest_queue(now);
-        if reference.as_ref().is_some_and(|(_, waiting, _)| *waiting > LONG_QUEUE) {
+        if reference.as_ref().is_some_and(|(_, length, _)| *length > LONG_QUEUE) {
             reached("long queue");
         }
-        if !same_queues(product.as_ref(), reference.as_ref()) {
-            return Err(self.difference("longest queues", &product, &reference));
+        if !same_queues(tested.as_ref(), reference.as_ref()) {
+            return Err(self.difference("longest queues", &tested, &reference));
         }
         Ok(())
     }
@@ -110,7 +111,7 @@
         respond(behavior, self.draw(message), capacity_hint, attempt_timeout)
     }
 
-    /// Cancels an attempt, as the schedulers require: it ends within 2 ms.
+    /// Cancels an attempt, as the schedulers require: it ends within 2 ms, if it does not end earlier by itself.
     pub fn cancel(&mut self, message: MessageId) {
         let ends_at = self.now + ms(self.draw(message.0) % 3);
         let attempt = self.in_flight.get_mut(&message.0);
--- a/tests/same_decisions/simulation.rs
+++ b/tests/same_decisions/simulation.rs
@@ -1,4 +1,5 @@
-//! The run of one history: the clock, the timers and the comparison of both schedulers at each decision.
+//! The run of one history: the clock, the timers and the comparison of the scheduler under test with the reference
+//! at each decision.
 //!
 //! The simulation stands in for the endpoints, the clients, the journal and discovery. [`super::messages`] has its
 //! messages, [`super::steps`] the steps of a history.
@@ -13,10 +14,10 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// No step may be nearer than this to a moment at which a route's tokens come to a whole number, as rounding would
-/// decide there (see [`super::comparison`]).
+/// Steps that are nearer than this to a moment at which the rate-limit tokens of a route reach a whole number are
+/// moved, as rounding could decide there (see [`super::comparison`]).
 const TOKEN_EDGE_MARGIN: Duration = Duration::from_micros(2);
-/// A step that is nearer is moved by this time, repeatedly if needed.
+/// Such a step is moved by this time, repeatedly if needed.
 const TOKEN_EDGE_MOVE: Duration = Duration::from_micros(5);
 /// The maximum number of such moves for one step.
 const MAX_TOKEN_EDGE_MOVES: usize = 20;
@@ -65,7 +66,7 @@
     pub disabled: BTreeSet<u32>,
     /// When each Retry-After ends.
     pub retry_after_ends: BTreeSet<Time>,
-    /// Circuits by the changes that the product reported, as a journal records them.
+    /// Circuits as they follow from the changes that the scheduler under test reported, as a journal records them.
     pub recorded_circuits: BTreeMap<CircuitKey, CircuitRecord>,
     /// When discovery answers the watch request, if one is pending.
     pub watch_established_at: Option<Time>,
@@ -85,7 +86,7 @@
             schedulers: SchedulerPair::new(&settings, scenario.seed),
             settings,
             now: Time::ZERO + Duration::from_secs(100),
-            timers: Sides { product: None, reference: None },
+            timers: Sides { tested: None, reference: None },
             pending: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             endpoints: BTreeMap::new(),
@@ -135,22 +136,22 @@
     }
 
     /// Returns the failure of a case: what differs, when, and the events before it.
-    pub fn difference(&self, what: &str, product: &dyn Debug, reference: &dyn Debug) -> TestCaseError {
+    pub fn difference(&self, subject: &str, tested: &dyn Debug, reference: &dyn Debug) -> TestCaseError {
         let (decision, now, events) = (self.decisions, self.now.0, self.events.join("\n    "));
         TestCaseError::fail(format!(
-            "{what} differ first at decision {decision}, {now} ns\n  events since the one before:\n    {events}\n  \
-             product:   {product:?}\n  reference: {reference:?}\n"
+            "{subject} differ first at decision {decision}, {now} ns\n  events since the decision before:\n    \
+             {events}\n  tested:    {tested:?}\n  reference: {reference:?}\n"
         ))
     }
 
     /// Lets both schedulers decide, compares their results, and performs their actions.
     pub fn decide(&mut self) -> Result<(), TestCaseError> {
         self.decisions += 1;
-        let mut product = Vec::new();
+        let mut tested = Vec::new();
         let mut reference = Vec::new();
-        self.schedulers.product.decide(self.now, &mut product);
+        self.schedulers.tested.decide(self.now, &mut tested);
         self.schedulers.reference.decide(self.now, &mut reference);
-        self.compare_actions(&product, &reference)?;
+        self.compare_actions(&tested, &reference)?;
         self.compare_circuits()?;
         self.compare_retry_afters()?;
         self.events.clear();
@@ -161,31 +162,32 @@
     }
 
     /// Compares the actions of one decision, and sets the timers that they request.
-    fn compare_actions(&mut self, product: &[Action], reference: &[Action]) -> Result<(), TestCaseError> {
+    fn compare_actions(&mut self, tested: &[Action], reference: &[Action]) -> Result<(), TestCaseError> {
         let timers_before = self.timers;
-        let (product_timer, product_actions) = split_timer(self.now, product);
+        let (tested_timer, tested_actions) = split_timer(self.now, tested);
         let (reference_timer, reference_actions) = split_timer(self.now, reference);
-        self.timers.product = product_timer.or(self.timers.product);
+        self.timers.tested = tested_timer.or(self.timers.tested);
         self.timers.reference = reference_timer.or(self.timers.reference);
-        let was_set = Sides { product: product_timer.is_some(), reference: reference_timer.is_some() };
-        if same_actions(product_actions, reference_actions)
+        let was_set = Sides { tested: tested_timer.is_some(), reference: reference_timer.is_some() };
+        if same_actions(tested_actions, reference_actions)
             && same_timers(&timers_before, &self.timers, &was_set)
         {
             return Ok(());
         }
-        let product = format!("{product:?}, timer {:?}", self.timers.product);
+        let tested = format!("{tested:?}, timer {:?}", self.timers.tested);
         let reference = format!("{reference:?}, timer {:?}", self.timers.reference);
-        Err(self.difference("actions", &product, &reference))
+        Err(self.difference("actions", &tested, &reference))
     }
 
-    /// Compares the circuits as both report them, all at once and by their changes; returns the reference's.
+    /// Compares the circuit records of the scheduler under test, and those that its reported changes add up to, with
+    /// the records of the reference; returns the latter.
     pub fn compare_circuits(&mut self) -> Result<Vec<CircuitRecord>, TestCaseError> {
-        let product = sorted_circuits(self.schedulers.product.circuit_records());
+        let tested = sorted_circuits(self.schedulers.tested.circuit_records());
         let reference = sorted_circuits(self.schedulers.reference.circuit_records());
-        if !same_circuits(&product, &reference) {
-            return Err(self.difference("circuits", &product, &reference));
+        if !same_circuits(&tested, &reference) {
+            return Err(self.difference("circuits", &tested, &reference));
         }
-        for change in self.schedulers.product.take_circuit_changes() {
+        for change in self.schedulers.tested.take_circuit_changes() {
             let key = (change.destination, change.endpoint);
             match change.record {
                 Some(record) => self.recorded_circuits.insert(key, record),
@@ -200,17 +202,17 @@
     }
 
     fn compare_retry_afters(&self) -> Result<(), TestCaseError> {
-        let mut product: Vec<_> = self.schedulers.product.retry_after_delays(self.now).collect();
+        let mut tested: Vec<_> = self.schedulers.tested.retry_after_delays(self.now).collect();
         let mut reference: Vec<_> = self.schedulers.reference.retry_after_delays(self.now).collect();
-        product.sort();
+        tested.sort();
         reference.sort();
-        if product != reference {
-            return Err(self.difference("Retry-After delays", &product, &reference));
+        if tested != reference {
+            return Err(self.difference("Retry-After delays", &tested, &reference));
         }
         Ok(())
     }
 
-    /// Performs an action of both schedulers.
+    /// Performs an action of the reference; the scheduler under test has decided the same.
     fn perform(&mut self, action: Action) {
         match action {
             Action::StartAttempt { message, endpoint, attempt_timeout, .. } => {
@@ -225,7 +227,8 @@
         }
     }
 
-    /// Lets time pass, and handles what is due at its time; late timers fire at the end.
+    /// Lets time pass, and handles what is due at its time; late timers fire at the end. Near a whole token, the end is
+    /// moved to an earlier time with `stay_before`, otherwise to a later one.
     pub fn advance(&mut self, to: Time, late_timers: bool, stay_before: bool) -> Result<(), TestCaseError> {
         for _ in 0..MAX_STOPS {
             let Some(due) = self.next_due(late_timers).filter(|due| *due <= to) else { break };
@@ -251,8 +254,9 @@
         finished.chain(acknowledged).chain(timer).chain(self.watch_established_at).min()
     }
 
-    /// Returns the first moment from this one on, or the last one up to it, that is not near a whole token; this one
-    /// unchanged where it is not later than now.
+    /// Moves a moment by [`TOKEN_EDGE_MOVE`] until no route's tokens are near a whole number, at most
+    /// [`MAX_TOKEN_EDGE_MOVES`] times: to an earlier time with `stay_before`, otherwise to a later one. Returns now if
+    /// the moment is not later.
     fn off_token_edges(&self, at: Time, stay_before: bool) -> Time {
         let mut at = at;
         for _ in 0..MAX_TOKEN_EDGE_MOVES {
@@ -264,11 +268,12 @@
         self.now.max(at)
     }
 
-    /// Returns when the first and the last of the two timers fire, which differ by rounding at most.
+    /// Returns when the first and the last of the two timers fire, which differ by rounding at most; None if they are
+    /// not set.
     pub fn timer_times(&self) -> Option<(Time, Time)> {
-        let product = self.timers.product?.0;
+        let tested = self.timers.tested?.0;
         let reference = self.timers.reference?.0;
-        Some((product.min(reference), product.max(reference)))
+        Some((tested.min(reference), tested.max(reference)))
     }
 
     fn deliver_due(&mut self, late_timers: bool) {
@@ -297,15 +302,15 @@
     }
 
     fn fire_timers(&mut self) {
-        let timers = std::mem::replace(&mut self.timers, Sides { product: None, reference: None });
+        let timers = std::mem::replace(&mut self.timers, Sides { tested: None, reference: None });
         self.events.push("TimerFired".to_owned());
-        if let (Some((_, product)), Some((_, reference))) = (timers.product, timers.reference) {
-            self.schedulers.product.handle(self.now, Event::TimerFired(product));
+        if let (Some((_, tested)), Some((_, reference))) = (timers.tested, timers.reference) {
+            self.schedulers.tested.handle(self.now, Event::TimerFired(tested));
             self.schedulers.reference.handle(self.now, Event::TimerFired(reference));
         }
     }
 
-    /// Returns when an outcome that is given now will be acknowledged.
+    /// Returns when the client will acknowledge an outcome that is given now.
     pub fn acknowledgement_time(&self, message: u32) -> Time {
         self.now + ms(10 + 10 * (self.draw(message) % 40))
     }
--- a/tests/same_decisions/steps.rs
+++ b/tests/same_decisions/steps.rs
@@ -15,28 +15,28 @@
         match *step {
             Step::Pass { ms: span, late_timers } => self.advance(self.now + ms(span), late_timers, false)?,
             Step::ToTimer(offset) => self.advance_to_timer(offset)?,
-            Step::ToRetryAfterEnd(which, offset) => self.advance_to_retry_after_end(which, offset)?,
+            Step::ToRetryAfterEnd(selector, offset) => self.advance_to_retry_after_end(selector, offset)?,
             Step::Accept(ref messages) => {
                 for _ in 0..u32::from(messages.count) * u32::from(self.scenario.message_multiplier) {
                     self.accept(messages)?;
                 }
             }
-            Step::SetBehavior { which, scope, behavior } => self.set_behavior(which, scope, behavior),
-            Step::Finish { which, behavior } => self.finish_at_once(which, behavior),
-            Step::RetryAfter(which, delay_ms) => self.retry_after(which, ms(delay_ms)),
-            Step::Abandon(which) => self.abandon(which),
-            Step::SetAvailability(which, availability) => self.set_availability(which, availability),
-            Step::Reopen(which) => self.reopen(which),
-            Step::SetCapacityHint(which, hint) => {
-                if let Some(id) = self.pick_endpoint(which) {
+            Step::SetBehavior { selector, scope, behavior } => self.set_behavior(selector, scope, behavior),
+            Step::Finish { selector, behavior } => self.finish_at_once(selector, behavior),
+            Step::RetryAfter(selector, delay_ms) => self.retry_after(selector, ms(delay_ms)),
+            Step::Abandon(selector) => self.abandon(selector),
+            Step::SetAvailability(selector, availability) => self.set_availability(selector, availability),
+            Step::Reopen(selector) => self.reopen(selector),
+            Step::SetCapacityHint(selector, hint) => {
+                if let Some(id) = self.pick_endpoint(selector) {
                     self.change_endpoint(id, |endpoint| endpoint.capacity_hint = hint);
                 }
             }
-            Step::NewEndpoint(which) => self.add_endpoint(which),
+            Step::NewEndpoint(selector) => self.add_endpoint(selector),
             Step::Snapshot(without_every) => self.remove_some_and_send_snapshot(without_every),
             Step::WatchFails { rejected } => self.fail_watch(rejected),
-            Step::Disable(which) => self.disable(which),
-            Step::Enable(which) => self.enable(which),
+            Step::Disable(selector) => self.disable(selector),
+            Step::Enable(selector) => self.enable(selector),
             Step::LameDuck(on) => {
                 reached("lame duck");
                 self.handle(Event::LameDuck(on));
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Advances to a moment near the one when the timers fire; after it they are late.
+    /// Advances to a moment near the one when the timers fire. If it is after that one, the timers fire late.
     fn advance_to_timer(&mut self, offset: Offset) -> Result<(), TestCaseError> {
         let Some((first, last)) = self.timer_times() else { return Ok(()) };
         reached(match offset.0 {
@@ -61,10 +61,10 @@
         self.advance(offset.from(at), offset.is_after(), offset.is_before())
     }
 
-    /// Advances to a moment near the end of a Retry-After; after it timers are late.
-    fn advance_to_retry_after_end(&mut self, which: usize, offset: Offset) -> Result<(), TestCaseError> {
+    /// Advances to a moment near the end of a Retry-After. If it is after the end, timers fire late.
+    fn advance_to_retry_after_end(&mut self, selector: usize, offset: Offset) -> Result<(), TestCaseError> {
         let ends: Vec<Time> = self.retry_after_ends.iter().copied().collect();
-        let Some(end) = pick(&ends, which) else { return Ok(()) };
+        let Some(end) = pick(&ends, selector) else { return Ok(()) };
         reached(match offset.0 {
             0 => "at the end of a Retry-After",
             ..0 => "just before the end of a Retry-After",
@@ -73,8 +73,8 @@
         self.advance(offset.from(*end), offset.is_after(), offset.is_before())
     }
 
-    fn set_behavior(&mut self, which: usize, scope: Scope, behavior: Behavior) {
-        let Some(id) = self.pick_endpoint(which) else { return };
+    fn set_behavior(&mut self, selector: usize, scope: Scope, behavior: Behavior) {
+        let Some(id) = self.pick_endpoint(selector) else { return };
         let chosen = &self.endpoints[&id];
         let is_affected = |endpoint: &&Endpoint| match scope {
             Scope::Endpoint => endpoint.id == chosen.id,
@@ -86,10 +86,10 @@
         self.behaviors.extend(affected.map(|id| (id, behavior)));
     }
 
-    /// Ends a call in flight. Where its endpoint would respond too late or not at all, it times out now.
-    fn finish_at_once(&mut self, which: usize, behavior: Behavior) {
+    /// Ends an attempt in flight now, with the outcome of this behavior. With a slow or unresponsive one it times out.
+    fn finish_at_once(&mut self, selector: usize, behavior: Behavior) {
         let ids: Vec<u32> = self.in_flight.keys().copied().collect();
-        let Some(&message) = pick(&ids, which) else { return };
+        let Some(&message) = pick(&ids, selector) else { return };
         let endpoint = self.in_flight[&message].endpoint;
         let response = self.response(behavior, message, endpoint, Duration::ZERO);
         let attempt = self.in_flight.get_mut(&message).expect("in flight");
@@ -98,26 +98,26 @@
         self.finish(message);
     }
 
-    fn retry_after(&mut self, which: usize, delay: Duration) {
-        let Some(id) = self.pick_endpoint(which) else { return };
+    fn retry_after(&mut self, selector: usize, delay: Duration) {
+        let Some(id) = self.pick_endpoint(selector) else { return };
         reached("Retry-After of a delivery");
         self.retry_after_ends.insert(self.now + delay);
         self.handle(Event::RetryAfter { endpoint: EndpointId(id), delay });
     }
 
-    fn abandon(&mut self, which: usize) {
+    fn abandon(&mut self, selector: usize) {
         let open = self.pending.iter().filter(|(_, pending)| !pending.is_closed);
         let open: Vec<u32> = open.map(|(id, _)| *id).collect();
-        let Some(&message) = pick(&open, which) else { return };
+        let Some(&message) = pick(&open, selector) else { return };
         reached("message abandoned");
         self.pending.get_mut(&message).expect("pending").is_closed = true;
         self.handle(Event::MessageAbandoned(MessageId(message)));
         self.forget_if_completed(message);
     }
 
-    fn pick_endpoint(&self, which: usize) -> Option<u32> {
+    fn pick_endpoint(&self, selector: usize) -> Option<u32> {
         let ids: Vec<u32> = self.endpoints.keys().copied().collect();
-        pick(&ids, which).copied()
+        pick(&ids, selector).copied()
     }
 
     /// Changes an endpoint, and sends the change in a delta.
@@ -128,8 +128,8 @@
         self.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint])));
     }
 
-    fn set_availability(&mut self, which: usize, availability: Availability) {
-        let Some(id) = self.pick_endpoint(which) else { return };
+    fn set_availability(&mut self, selector: usize, availability: Availability) {
+        let Some(id) = self.pick_endpoint(selector) else { return };
         match availability {
             Availability::Ready => {}
             Availability::Draining => reached("endpoint drained"),
@@ -138,22 +138,22 @@
         self.change_endpoint(id, |endpoint| endpoint.availability = availability);
     }
 
-    fn reopen(&mut self, which: usize) {
+    fn reopen(&mut self, selector: usize) {
         let draining =
             self.endpoints.values().filter(|endpoint| endpoint.availability == Availability::Draining);
         let ids: Vec<u32> = draining.map(|endpoint| endpoint.id.0).collect();
-        if let Some(&id) = pick(&ids, which) {
+        if let Some(&id) = pick(&ids, selector) {
             self.change_endpoint(id, |endpoint| endpoint.availability = Availability::Ready);
         }
     }
 
     /// Lists a copy of an endpoint under a new id. Every other time it replaces a removed endpoint, if there is one.
-    fn add_endpoint(&mut self, which: usize) {
+    fn add_endpoint(&mut self, selector: usize) {
         let all: Vec<u32> = self.endpoints.keys().copied().collect();
         let is_removed = |id: &u32| self.endpoints[id].availability == Availability::Removed;
         let removed: Vec<u32> = all.iter().copied().filter(is_removed).collect();
-        let ids = if which.is_multiple_of(2) && !removed.is_empty() { removed } else { all };
-        let Some(original) = pick(&ids, which).map(|id| self.endpoints[id].clone()) else { return };
+        let ids = if selector.is_multiple_of(2) && !removed.is_empty() { removed } else { all };
+        let Some(original) = pick(&ids, selector).map(|id| self.endpoints[id].clone()) else { return };
         if original.availability == Availability::Removed {
             reached("endpoint back under a new id");
             self.endpoints.remove(&original.id.0);
@@ -185,16 +185,16 @@
         self.handle(Event::EndpointsUpdated(update));
     }
 
-    fn disable(&mut self, which: usize) {
-        let Some(id) = self.pick_endpoint(which) else { return };
+    fn disable(&mut self, selector: usize) {
+        let Some(id) = self.pick_endpoint(selector) else { return };
         reached("endpoint disabled");
         self.disabled.insert(id);
         self.handle(Event::EndpointDisabled(EndpointId(id)));
     }
 
-    fn enable(&mut self, which: usize) {
+    fn enable(&mut self, selector: usize) {
         let ids: Vec<u32> = self.disabled.iter().copied().collect();
-        let Some(&id) = pick(&ids, which) else { return };
+        let Some(&id) = pick(&ids, selector) else { return };
         self.disabled.remove(&id);
         self.handle(Event::EndpointEnabled(EndpointId(id)));
     }
@@ -207,7 +207,7 @@
         self.handle(Event::ShutdownScheduled(at));
     }
 
-    /// Hands over to a successor. The predecessor first decides on the events that it has recorded.
+    /// Hands over to a successor. The predecessor first decides on the events since its last decision.
     fn hand_over(&mut self) -> Result<(), TestCaseError> {
         reached("handover");
         self.decide()?;
@@ -215,7 +215,7 @@
         let placeholder = SchedulerPair::new(&self.settings, 0);
         let schedulers = std::mem::replace(&mut self.schedulers, placeholder);
         self.schedulers = schedulers.handed_over(&self.settings, self.scenario.seed ^ self.processes)?;
-        self.timers = Sides { product: None, reference: None };
+        self.timers = Sides { tested: None, reference: None };
         Ok(())
     }
 
@@ -229,12 +229,12 @@
         self.processes += 1;
         self.schedulers = SchedulerPair::new(&self.settings, self.scenario.seed ^ self.processes);
         self.recorded_circuits.clear();
-        self.timers = Sides { product: None, reference: None };
+        self.timers = Sides { tested: None, reference: None };
         self.watch_established_at = None;
-        let product = self.schedulers.product.initial_watch_delay();
+        let tested = self.schedulers.tested.initial_watch_delay();
         let reference = self.schedulers.reference.initial_watch_delay();
-        if product != reference {
-            return Err(self.difference("initial watch delays", &product, &reference));
+        if tested != reference {
+            return Err(self.difference("initial watch delays", &tested, &reference));
         }
         self.restore_messages();
         self.send_snapshot();
@@ -277,6 +277,6 @@
     }
 }
 
-fn pick<T>(of: &[T], which: usize) -> Option<&T> {
-    of.get(which.checked_rem(of.len())?)
+fn pick<T>(items: &[T], selector: usize) -> Option<&T> {
+    items.get(selector.checked_rem(items.len())?)
 }
