--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -42,10 +42,10 @@
 
 /// The result of one run.
 pub struct Observed {
-    /// The most that gateways which had seen the outage sent in an overload window, as a ratio of what the
-    /// destination can take without failing again.
+    /// The most that gateways which had seen the outage sent in an overload window since the recovery, as a ratio of
+    /// what the destination can take without failing again.
     pub max_overload: f64,
-    /// Ratio of the messages enqueued since the recovery that were delivered.
+    /// Ratio of the messages enqueued since the recovery that were delivered before the end of the slow start.
     pub delivered_ratio: f64,
     /// Calls served before the outage, as a ratio of what the destination could have served.
     pub served_ratio: f64,
@@ -59,7 +59,8 @@
     }
 }
 
-/// How unevenly messages are spread over gateways: at 0 evenly, at 1 most go to a few gateways.
+/// How unevenly messages are spread over gateways: at 0 evenly; at 1 the second gateway gets half as many as the first,
+/// the third a third, and so on.
 const SKEW: f64 = 0.9;
 /// Weight of each further message in a call, as a ratio of the weight of the call.
 const FURTHER_MESSAGE_WEIGHT: f64 = 0.15;
@@ -80,7 +81,7 @@
     traffic_ratio: f64,
     /// It has handled events since its last decision.
     has_events: bool,
-    /// One of its calls failed or was rejected during the outage.
+    /// It received the outcome of a failed or rejected attempt during the outage.
     saw_outage: bool,
 }
 
@@ -310,8 +311,9 @@
         }
     }
 
-    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share one call: it has
-    /// one outcome, and each message after the first adds a small weight.
+    /// Lets a gateway decide if it has handled events since its last decision, and sends the attempts that it starts.
+    /// Attempts of one decision share one call: it has one outcome, and each message after the first adds a small
+    /// weight.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -60,7 +60,8 @@
     for capacity_hints in [CapacityHints::Ignored, CapacityHints::Approximate, CapacityHints::Exact] {
         for capacity_hint in [0.0, -5.0, f64::NAN, 1e-9, f64::MIN_POSITIVE, 1e300, f64::INFINITY] {
             for fleet_size in [0, 1, 100, u32::MAX] {
-                let case = format!("{capacity_hints:?} {capacity_hint} {fleet_size}");
+                let case =
+                    format!("{capacity_hints:?}, capacity hint {capacity_hint}, {fleet_size} gateways");
                 let listed = Endpoint { capacity_hint, ..endpoint(7, 1) };
                 let base = settings(vec![idempotent()]);
                 let mut bench = TestBench::new(Settings { fleet_size, capacity_hints, ..base }, vec![listed]);
@@ -136,5 +137,5 @@
         }
     }
     // The gateway's share is one call a second.
-    assert!(served >= 11, "{served} calls in 20 s");
+    assert!(served >= 11, "only {served} calls in 20 s");
 }
--- a/tests/rules/choice.rs
+++ b/tests/rules/choice.rs
@@ -57,13 +57,13 @@
         bench.scheduler.admits(bench.now, &new)
     };
     for id in 0..18 {
-        assert!(admits(&mut bench, 0), "{id}");
+        assert!(admits(&mut bench, 0), "message {id} is not admitted");
         bench.accept(id, 0, 1, None);
     }
     assert!(bench.advance_until_action(ms(5)).is_empty());
     assert!(!admits(&mut bench, 0));
     assert!(admits(&mut bench, 1));
-    // Late and near its deadline, the least valuable message has no value left.
+    // The accepted messages are late: they have less value than a new one, and shedding them has no cost any more.
     bench.now = bench.now + classes[0].deadline.mul_f64(0.8);
     assert!(admits(&mut bench, 0));
 }
--- a/tests/rules/circuits.rs
+++ b/tests/rules/circuits.rs
@@ -16,7 +16,7 @@
     let mut probes = 0;
     while bench.now - started_at < Duration::from_secs(6) {
         let actions = bench.advance_until_action(Duration::from_secs(6));
-        assert_eq!(actions.len(), 1, "one probe at a time");
+        assert_eq!(actions.len(), 1, "not one probe alone: {actions:?}");
         let Action::StartAttempt { message, .. } = actions[0] else { panic!("{actions:?}") };
         probes += 1;
         bench.finish(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
@@ -80,7 +80,7 @@
             }
         }
     }
-    assert!(healthy >= 70, "{healthy} of 80 delivered at the healthy destination");
+    assert!(healthy >= 70, "only {healthy} of 80 delivered at the healthy destination");
 }
 
 /// Attempt timeouts grow with the latency of a destination that slows down. Otherwise each retry would arrive while the
@@ -105,7 +105,7 @@
             _ => break,
         }
     }
-    assert!(last > first, "{first:?} {last:?}");
+    assert!(last > first, "timeouts from {first:?} to {last:?}");
 }
 
 /// While a route loses many calls, though not all, a non-idempotent message would likely be lost with its only attempt.
@@ -141,8 +141,8 @@
             }
             bench.now = bench.now + ms(100);
         }
-        let waited = waited.expect("sent before its deadline");
-        assert!(others > 25, "{others} other messages were sent first");
+        let waited = waited.expect("never sent");
+        assert!(others > 25, "only {others} other messages were sent first");
         assert!(waited > ms(300) && waited < deadline, "{waited:?}");
         assert_eq!(waited < deadline / 2, recovers, "{waited:?}");
     }
@@ -183,7 +183,7 @@
 /// One lost response does not open the circuit: where some responses are lost, messages must not wait for probes.
 #[test]
 fn a_single_reset_opens_no_circuit_but_a_failed_connect_does() {
-    let next_send = |outcome: AttemptOutcome| {
+    let sends_next_message = |outcome: AttemptOutcome| {
         let mut bench = single_destination(idempotent());
         let listed = Endpoint { capacity_hint: 10_000.0, ..endpoint(7, 1) };
         bench.restart(Settings { fleet_size: 100, ..bench.settings.clone() }, 1, vec![listed]);
@@ -195,8 +195,8 @@
         bench.accept(2, 0, 1, None);
         !bench.start_attempts().is_empty()
     };
-    assert!(next_send(AttemptOutcome::Reset));
-    assert!(!next_send(AttemptOutcome::ConnectFailed));
+    assert!(sends_next_message(AttemptOutcome::Reset));
+    assert!(!sends_next_message(AttemptOutcome::ConnectFailed));
 }
 
 /// Unresponsive calls that use all slots would delay the messages of healthy destinations: the oldest is cancelled.
@@ -303,7 +303,7 @@
                 other => panic!("{other:?} after {:?}", bench.now - started_at),
             }
         }
-        let (after, token) = timer.expect("a timer was set");
+        let (after, token) = timer.expect("neither an attempt nor a timer");
         bench.now = bench.now + after;
         bench.handle(Event::TimerFired(token));
     }
--- a/tests/rules/rate_limits.rs
+++ b/tests/rules/rate_limits.rs
@@ -42,7 +42,7 @@
 
 /// Where endpoints have limits of their own, the Retry-After of one must not hold back the others.
 #[test]
-fn with_limits_per_endpoint_a_retry_after_binds_its_endpoint_only() {
+fn with_limits_per_endpoint_a_retry_after_holds_back_only_its_endpoint() {
     let base = settings(vec![idempotent()]);
     let destination_kinds = vec![DestinationKind { max_batch_size: 1, has_per_endpoint_limits: true }];
     let mut bench =
@@ -57,10 +57,10 @@
 }
 
 /// A destination that hangs with a full queue rejects calls although its limit has headroom. That is a failure, and
-/// must reduce the calls more than rejections by the limit do.
+/// must lead to fewer calls than rejections by the rate limit do.
 #[test]
 fn rejections_with_headroom_left_count_as_failures() {
-    let sends_after = |headroom: f64| {
+    let sends_with_headroom = |headroom: f64| {
         let mut bench = single_destination(idempotent());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
         let mut sends = 0;
@@ -74,12 +74,17 @@
         }
         sends
     };
-    assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
+    assert!(
+        sends_with_headroom(0.9) < sends_with_headroom(0.0),
+        "{} calls with headroom left, {} without",
+        sends_with_headroom(0.9),
+        sends_with_headroom(0.0)
+    );
 }
 
-/// A gateway that stays within its even share of the listed limit sends without delay.
+/// A gateway that stays within its even share of the listed limit must not be delayed.
 #[test]
-fn a_low_traffic_gateway_sends_at_once_inside_its_budget() {
+fn a_gateway_within_its_even_share_sends_at_once() {
     let mut bench = single_destination(idempotent());
     bench.restart(Settings { fleet_size: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
@@ -91,17 +96,16 @@
     }
 }
 
-/// Rejected calls use up the destination's limit as well, and the first two attempts of all messages alone can keep it
-/// used up. Where a call carries many messages, one call a latency objective is enough.
+/// Rejected calls use up the destination's limit as well: if each message is rejected only twice, that alone can keep
+/// the limit used up. Where a call carries many messages, one call per latency objective is enough for all that wait.
 #[test]
-fn with_batches_one_rejection_slows_down_to_a_call_a_latency_objective() {
-    let calls_after_a_rejection = |batch: usize, seconds: u64| {
+fn with_batches_rejections_slow_down_to_one_call_per_latency_objective() {
+    let calls_while_rejected = |max_batch_size: usize, duration_secs: u64| {
         let base = settings(vec![idempotent()]);
-        let destination_kinds =
-            vec![DestinationKind { max_batch_size: batch, has_per_endpoint_limits: false }];
+        let destination_kinds = vec![DestinationKind { max_batch_size, has_per_endpoint_limits: false }];
         let listed = Endpoint { capacity_hint: 40_000.0, ..endpoint(7, 1) };
         let mut bench = TestBench::new(Settings { fleet_size: 400, destination_kinds, ..base }, vec![listed]);
-        // The gateway's rate is now far above its share of the listed limit.
+        // The listed limit falls: the gateway's rate is then far above its share.
         bench
             .scheduler
             .handle(bench.now, Event::EndpointsUpdated(EndpointUpdate::Delta(vec![endpoint(7, 1)])));
@@ -109,7 +113,7 @@
         bench.accept(1, 0, 1, None);
         let mut calls = 0;
         let started_at = bench.now;
-        while bench.now - started_at < Duration::from_secs(seconds) {
+        while bench.now - started_at < Duration::from_secs(duration_secs) {
             let sent = bench.start_attempts();
             calls += sent.len();
             for StartedAttempt { message: id, endpoint: to, .. } in sent {
@@ -119,13 +123,13 @@
         }
         calls
     };
-    assert!(calls_after_a_rejection(20, 12) < calls_after_a_rejection(1, 12));
-    assert_eq!(calls_after_a_rejection(20, 3), 1);
+    assert!(calls_while_rejected(20, 12) < calls_while_rejected(1, 12));
+    assert_eq!(calls_while_rejected(20, 3), 1);
 }
 
 /// When many gateways with low traffic are rejected at the same time, they must not all retry at the same moment.
 #[test]
-fn low_traffic_gateways_rejected_together_retry_apart() {
+fn low_traffic_gateways_rejected_together_retry_at_different_times() {
     let backoff = |seed: u64| {
         let mut bench = single_destination(idempotent());
         bench.restart(Settings { fleet_size: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
@@ -145,16 +149,16 @@
     let latency_objective = idempotent().latency_objective;
     assert!(
         backoffs[39] - backoffs[0] > latency_objective,
-        "from {:?} to {:?}, objective {latency_objective:?}",
+        "all retry {:?} to {:?} after the rejection; the latency objective is {latency_objective:?}",
         backoffs[0],
         backoffs[39]
     );
 }
 
-/// A rejection for too many connections does not reflect the rate limit, so it must not reduce the rate. No gateway may
-/// keep connections idle for a while after it, as others need them.
+/// A rejection for too many connections does not reflect the rate limit, so it must not reduce the rate. For a while
+/// after it no connection may be kept idle, as each idle one keeps another gateway out.
 #[test]
-fn too_many_connections_is_no_rate_limit_and_none_is_kept_idle() {
+fn too_many_connections_keeps_the_rate_and_closes_idle_connections() {
     let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 2)]);
     let closes =
         |actions: &[Action], id| actions.contains(&Action::CloseIdleConnections { endpoint: EndpointId(id) });
@@ -165,17 +169,17 @@
     for id in 2..12 {
         bench.now = bench.now + ms(100);
         bench.accept(id, 0, 1, None);
-        assert_eq!(bench.start_attempts().len(), 1, "{id}: the rate is not reduced");
+        assert_eq!(bench.start_attempts().len(), 1, "message {id} was not sent at once: the rate is reduced");
         bench.finish(id, 7, AttemptOutcome::TooManyConnections, ms(20));
         bench.handle(Event::MessageAbandoned(MessageId(id)));
     }
     bench.accept(20, 0, 2, None);
     assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(20, 8, AttemptOutcome::Delivered, ms(20));
-    assert!(closes(&bench.decide(), 8), "idle connections to other endpoints are closed, too");
+    assert!(closes(&bench.decide(), 8), "idle connections to another endpoint are kept");
     bench.now = bench.now + bench.settings.connection_idle_timeout * 4;
     bench.accept(21, 0, 2, None);
     assert_eq!(bench.start_attempts().len(), 1);
     bench.finish(21, 8, AttemptOutcome::Delivered, ms(20));
-    assert!(!closes(&bench.decide(), 8), "connections are kept idle again later");
+    assert!(!closes(&bench.decide(), 8), "idle connections are still closed four idle timeouts later");
 }
--- a/tests/rules/retry.rs
+++ b/tests/rules/retry.rs
@@ -68,7 +68,7 @@
 fn a_message_with_a_key_is_retried_inside_its_idempotency_window_only() {
     let mut bench = single_destination(idempotent_with_key());
     bench.accept(1, 0, 1, None);
-    let sent = bench.now;
+    let sent_at = bench.now;
     assert_eq!(bench.start_attempts().len(), 1);
     let mut retries = 0;
     loop {
@@ -76,7 +76,7 @@
         bench.finish(1, 7, AttemptOutcome::ErrorResponse, ms(30));
         match bench.advance_until_action(Duration::from_secs(30)).first() {
             Some(Action::StartAttempt { .. }) => {
-                assert!(bench.now < sent + bench.settings.classes[0].idempotency_window);
+                assert!(bench.now < sent_at + bench.settings.classes[0].idempotency_window);
                 retries += 1;
             }
             Some(Action::ReportFailure { .. }) => break,
@@ -91,20 +91,24 @@
 /// deadline of its message and, for a retry, the end of its idempotency window.
 #[test]
 fn an_attempt_has_a_time_limit_for_sending_its_message() {
-    let within = |actions: &[Action]| match actions {
+    let time_to_send = |actions: &[Action]| match actions {
         [Action::StartAttempt { send_within, .. }, ..] => *send_within,
         other => panic!("{other:?}"),
     };
     let mut bench = single_destination(idempotent_with_key());
     bench.accept(1, 0, 1, None);
-    let sent = bench.now;
-    assert_eq!(within(&bench.decide()), bench.settings.classes[0].deadline);
+    let sent_at = bench.now;
+    assert_eq!(time_to_send(&bench.decide()), bench.settings.classes[0].deadline);
     bench.now = bench.now + ms(50);
     bench.finish(1, 7, AttemptOutcome::Reset, ms(50));
     let retry = bench.advance_until_action(Duration::from_secs(10));
-    let last = bench.now + within(&retry);
+    let latest = bench.now + time_to_send(&retry);
     let window = bench.settings.classes[0].idempotency_window;
-    assert!(last < sent + window && last > sent + window / 2, "{:?}", last - sent);
+    assert!(
+        latest < sent_at + window && latest > sent_at + window / 2,
+        "{:?} after the first attempt",
+        latest - sent_at
+    );
 }
 
 /// Keys are deduplicated within a zone here: another zone would process the message a second time.
@@ -155,7 +159,7 @@
             for StartedAttempt { message, endpoint: to, .. } in bench.start_attempts() {
                 calls[usize::from(to == first)] += 1;
                 if message == 1 {
-                    assert_eq!(to, first, "{has_per_endpoint_limits}");
+                    assert_eq!(to, first, "with limits per endpoint: {has_per_endpoint_limits}");
                 }
                 // An endpoint that rejects is not preferred, so that both get calls.
                 bench.finish(message, to, AttemptOutcome::Rejected(None), ms(5));
--- a/tests/rules/watch.rs
+++ b/tests/rules/watch.rs
@@ -7,10 +7,10 @@
 /// An endpoint that drains or is removed must get no new calls, whether a delta or a snapshot shows the change.
 #[test]
 fn a_draining_or_removed_endpoint_gets_nothing_new() {
-    for mode in [Availability::Draining, Availability::Removed] {
+    for new_availability in [Availability::Draining, Availability::Removed] {
         let mut bench = TestBench::new(settings(vec![idempotent()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         bench.handle(Event::EndpointsUpdated(EndpointUpdate::Delta(vec![Endpoint {
-            availability: mode,
+            availability: new_availability,
             ..endpoint(7, 1)
         }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
@@ -80,17 +80,20 @@
     // Backoff of 1.5 s in the mean once it has grown, and of 3.75 s where its cap binds.
     let span = Duration::from_secs(240);
     let (few, _) = retries_in(3, &EndpointUpdate::WatchRejected, span);
-    assert!((100..=300).contains(&few), "{few}");
+    assert!((100..=300).contains(&few), "3 gateways: {few} retries");
     for fleet_size in [48, 318, 6900] {
         let (many, longest) = retries_in(fleet_size, &EndpointUpdate::WatchRejected, span);
-        assert!((58..=72).contains(&many) && longest <= ms(5005), "{fleet_size}: {many}, {longest:?}");
+        assert!(
+            (58..=72).contains(&many) && longest <= ms(5005),
+            "{fleet_size} gateways: {many} retries, longest backoff {longest:?}"
+        );
     }
     assert!(retries_in(3, &EndpointUpdate::WatchFailed, Duration::from_secs(1)).0 >= 8);
 }
 
 /// Gateways whose watches are rejected at the same moment must not all retry at the same moment.
 #[test]
-fn watches_rejected_together_are_retried_apart() {
+fn watches_rejected_together_are_retried_at_different_times() {
     let backoff = |seed: u64| {
         let mut bench = fleet_member(1);
         bench.restart(
@@ -129,9 +132,12 @@
             (0..fleet_size.into()).map(|seed| initial_delay(fleet_size, seed)).collect();
         delays.sort();
         let last = delays[delays.len() - 1];
-        assert!(last > drain_grace / 3 && last <= drain_grace / 2, "{fleet_size}: {last:?}");
+        assert!(
+            last > drain_grace / 3 && last <= drain_grace / 2,
+            "{fleet_size} gateways: the last after {last:?}"
+        );
         let second_quarter = delays[delays.len() / 2] - delays[delays.len() / 4];
-        assert!(second_quarter > drain_grace / 16, "{fleet_size}: {delays:?}");
+        assert!(second_quarter > drain_grace / 16, "{fleet_size} gateways: {delays:?}");
     }
     assert!(initial_delay(3, 1) < ms(300));
 }
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -51,7 +51,7 @@
     timer: Option<(Time, u64)>,
     /// It has handled events since its last decision.
     has_events: bool,
-    /// One of its calls failed or was rejected during the outage.
+    /// It received the outcome of a failed or rejected attempt during the outage.
     saw_outage: bool,
     pending: BTreeMap<MessageId, PendingMessage>,
 }
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share calls, up to the
-    /// batch size.
+    /// Lets a gateway decide if it has handled events since its last decision, and sends the attempts that it starts.
+    /// Attempts of one decision share calls, up to the batch size.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
@@ -413,7 +413,7 @@
 /// fleet kept the budget by sending almost nothing.
 fn overload_after_outage(scenario: Scenario, seed: u64) -> Option<String> {
     let Recovery { overload, served_ratio } = Fleet::new(scenario, seed).run();
-    assert!(served_ratio > MIN_SERVED_RATIO, "{scenario:?}, seed {seed}: {served_ratio:.2} served");
+    assert!(served_ratio > MIN_SERVED_RATIO, "{scenario:?}, seed {seed}: only {served_ratio:.2} served");
     let Overload { calls, calls_after_outage, allowed } = overload?;
     (calls_after_outage * 3 > calls * 2).then(|| {
         format!("{scenario:?}, seed {seed}: {calls_after_outage} of {calls} calls, {allowed:.1} allowed")
--- a/tests/scheduler_guarantees/idempotency_window.rs
+++ b/tests/scheduler_guarantees/idempotency_window.rs
@@ -114,7 +114,7 @@
 /// A message sent after its idempotency window could be processed twice. With a window of 1 s, that must not happen
 /// whenever the first attempt was sent, and however often the process was killed since.
 #[test]
-fn nothing_is_sent_outside_a_one_second_window_over_kills() {
+fn nothing_is_sent_outside_a_one_second_window_across_kills() {
     let mut resent = 0;
     for elapsed_ms in (0..1_200).step_by(40) {
         for seed in 1..=4 {
--- a/tests/scheduler_guarantees/restart.rs
+++ b/tests/scheduler_guarantees/restart.rs
@@ -97,7 +97,7 @@
         restore_messages(&mut bench, all, time_left);
         let deadline = bench.now + time_left;
         let Outcomes { attempted, given_up } = run_until(&mut bench, deadline, all);
-        // Load shedding may reject a tenth at most, down to the number that may be pending.
+        // Load shedding may reject a tenth at most: it ends a little below the maximum number of pending messages.
         assert!(
             given_up.iter().all(|given_up| given_up * 10 <= all / 3),
             "seed {seed}: {given_up:?} of {} each given up",
--- a/tests/work_per_step.rs
+++ b/tests/work_per_step.rs
@@ -16,9 +16,10 @@
 const PENDING: usize = 10_000;
 /// Number of messages that are delivered while visits are counted.
 const ROUNDS: usize = 50;
-/// The first of the destinations with calls that stay in flight.
+/// The first of the destinations that get many messages at once.
 const BUSY_DESTINATION: usize = 40;
-/// Far longer than any test takes: no message expires, no call becomes unresponsive, and nothing becomes due.
+/// Far longer than any test takes: no message expires, no call becomes unresponsive, and no Retry-After of this
+/// length ends.
 const LONG: Duration = Duration::from_secs(24 * 3600);
 
 /// A scheduler and its simulated clock.
@@ -137,17 +138,17 @@
         for round in 0..ROUNDS {
             self.accept(round % 32);
             let sent = self.step();
-            assert_eq!(sent.len(), 1, "only the new message is sent, and at once");
+            assert_eq!(sent.len(), 1, "attempts started when one message was accepted");
             self.finish(sent[0], AttemptOutcome::Delivered);
             assert_eq!(self.step(), []);
             self.scheduler.take_circuit_changes();
         }
-        since(before, self.scheduler.work_counters())
+        visits_between(before, self.scheduler.work_counters())
     }
 }
 
 /// Returns the visits between two readings of the counters.
-fn since(before: WorkCounters, after: WorkCounters) -> WorkCounters {
+fn visits_between(before: WorkCounters, after: WorkCounters) -> WorkCounters {
     WorkCounters {
         destinations_visited: after.destinations_visited - before.destinations_visited,
         messages_compared: after.messages_compared - before.messages_compared,
@@ -212,7 +213,7 @@
         }
     }
     assert_eq!(sent.len(), ROUNDS, "messages sent whose Retry-After has ended");
-    let visits = since(before, bench.scheduler.work_counters());
+    let visits = visits_between(before, bench.scheduler.work_counters());
     assert!(
         visits.destinations_visited <= 4 * ROUNDS as u64 && visits.messages_compared <= 4 * ROUNDS as u64,
         "{visits:?}"
@@ -244,7 +245,7 @@
             bench.finish(call, AttemptOutcome::Delivered);
             assert_eq!(bench.step(), []);
         }
-        since(before, bench.scheduler.work_counters())
+        visits_between(before, bench.scheduler.work_counters())
     };
     assert_at_most(2, visits(20), visits(90));
     assert_at_most(2, visits(100), visits(450));
@@ -263,7 +264,7 @@
             bench.finish(sent[0], AttemptOutcome::Delivered);
             sent = bench.step();
         }
-        since(before, bench.scheduler.work_counters())
+        visits_between(before, bench.scheduler.work_counters())
     };
     assert_at_most(2, visits(PENDING / 100), visits(PENDING));
 }
@@ -288,7 +289,7 @@
     assert_eq!(
         bench.scheduler.take_circuit_changes().len(),
         WAITING,
-        "each restored circuit is reported once"
+        "changes reported for the restored circuits"
     );
     assert_eq!(bench.count_visits().circuits_compared, 0);
     assert_eq!(bench.scheduler.take_circuit_changes(), []);
@@ -302,7 +303,7 @@
     assert_eq!(changed.len(), 1);
     assert_eq!((changed[0].destination, changed[0].endpoint), (destination(5), None));
     assert!(changed[0].record.is_some_and(|record| record.has_lost_calls == Some(true)));
-    assert_eq!(since(before, bench.scheduler.work_counters()).circuits_compared, 1);
+    assert_eq!(visits_between(before, bench.scheduler.work_counters()).circuits_compared, 1);
 }
 
 /// A delta must cost only visits of its own entries, however long the list is.
@@ -320,12 +321,9 @@
             }])));
             assert_eq!(bench.step(), []);
         }
-        since(before, bench.scheduler.work_counters()).endpoints_visited
+        visits_between(before, bench.scheduler.work_counters()).endpoints_visited
     };
     let few = visits(SMALL);
-    assert!(
-        (4..=16).contains(&few),
-        "each of four entries is visited one to four times, not {few} times in total"
-    );
+    assert!((4..=16).contains(&few), "{few} visits of four entries");
     assert_eq!(visits(LARGE), few);
 }
