--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -31,8 +31,8 @@
     pub capacity_hint_ratio: f64,
     /// Messages a second, as a ratio of the capacity.
     pub load: f64,
-    /// Messages that a call may carry.
-    pub batch: usize,
+    /// The maximum number of messages in a call.
+    pub max_batch_size: usize,
     /// Time from the start to the outage.
     pub outage_after: Duration,
     /// Rejected calls use up the destination's limit as well.
@@ -161,7 +161,7 @@
         classes: vec![class],
         fleet_size: scenario.fleet_size,
         destination_kinds: vec![DestinationKind {
-            max_batch_size: scenario.batch,
+            max_batch_size: scenario.max_batch_size,
             has_per_endpoint_limits: false,
         }],
         max_in_flight_calls: 4,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
     capacity_per_sec: 20.0,
     capacity_hint_ratio: 1.0,
     load: 2.0,
-    batch: 1,
+    max_batch_size: 1,
     outage_after: Duration::from_secs(6),
     rejections_use_capacity: true,
     seed: 1,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -13,7 +13,7 @@
     capacity_per_sec: 60.0,
     capacity_hint_ratio: 1.0,
     load: 0.8,
-    batch: 1,
+    max_batch_size: 1,
     outage_after: Duration::from_secs(6),
     rejections_use_capacity: false,
     seed: 1,
@@ -31,7 +31,7 @@
                 scenario.fleet_size,
                 scenario.capacity_per_sec,
                 scenario.capacity_hint_ratio,
-                scenario.batch,
+                scenario.max_batch_size,
                 scenario.load
             );
             let max_overload = observed.max_overload;
@@ -63,7 +63,7 @@
     let tiny = Scenario { capacity_per_sec: 12.0, ..base };
     let highest_load = Scenario { load: 4.0, ..small };
     let high_load = Scenario { load: 1.5, ..base };
-    let batches = Scenario { batch: 20, ..base };
+    let batches = Scenario { max_batch_size: 20, ..base };
     assert_budget_is_kept(&[base, small, tiny, highest_load, high_load, batches]);
 }
 
@@ -77,7 +77,7 @@
         let high_capacity_hint = Scenario { capacity_hint_ratio: 1.5, ..base };
         let tiny = Scenario { capacity_per_sec: 6.0, ..base };
         let few_gateways = Scenario { fleet_size: 20, capacity_per_sec: 20.0, ..base };
-        let batches = Scenario { batch: 20, ..base };
+        let batches = Scenario { max_batch_size: 20, ..base };
         assert_budget_is_kept(&[
             base,
             high_load,
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -33,8 +33,8 @@
     capacity_per_sec: f64,
     /// Messages a second, as a ratio of the capacity.
     load: f64,
-    /// Messages that a call may carry.
-    batch: usize,
+    /// The maximum number of messages in a call.
+    max_batch_size: usize,
     /// All processes are killed at the recovery, and restore only what their journals hold.
     killed_at_recovery: bool,
 }
@@ -130,7 +130,7 @@
         classes: vec![class],
         fleet_size: scenario.fleet_size,
         destination_kinds: vec![DestinationKind {
-            max_batch_size: scenario.batch,
+            max_batch_size: scenario.max_batch_size,
             has_per_endpoint_limits: false,
         }],
         limits,
@@ -316,7 +316,7 @@
                     self.gateways[number].timer = Some((self.now + after, token));
                 }
                 Action::StartAttempt { message, attempt_timeout, .. } => {
-                    if messages_in_call == self.scenario.batch {
+                    if messages_in_call == self.scenario.max_batch_size {
                         call = None;
                         messages_in_call = 0;
                     }
@@ -399,9 +399,15 @@
         for (fleet_size, capacity_per_sec) in
             [(20, 6.0), (20, 20.0), (20, 60.0), (30, 6.0), (30, 20.0), (30, 60.0)]
         {
-            for (load, batch) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
-                let scenario =
-                    Scenario { outage, fleet_size, capacity_per_sec, load, batch, killed_at_recovery };
+            for (load, max_batch_size) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
+                let scenario = Scenario {
+                    outage,
+                    fleet_size,
+                    capacity_per_sec,
+                    load,
+                    max_batch_size,
+                    killed_at_recovery,
+                };
                 overloads.extend((1..=3).filter_map(|seed| overload_after_outage(scenario, seed)));
             }
         }
