--- a/src/bin/delivery-gateway/events.rs
+++ b/src/bin/delivery-gateway/events.rs
@@ -22,7 +22,8 @@
     AcceptanceNotReceived(MessageId),
     /// The endpoint list, or the watch on it, has changed.
     Discovery(WatchEvent),
-    /// A call has ended, for all of its messages.
+    /// A call has ended for these messages: for all of it, or for those whose latest time to send had passed before it
+    /// was sent.
     CallEnded { endpoint: EndpointId, messages: Vec<MessageId>, result: CallResult },
     /// The platform has acknowledged the notifications of these messages.
     OutcomesAcknowledged(Vec<MessageId>),
@@ -81,7 +82,8 @@
     pub tenant: String,
     /// The destination's number.
     pub destination: u32,
-    /// The time until the message's deadline, as the client requests it.
+    /// The time until the message's deadline, as the client requests it, less the time for which the request may have
+    /// waited unread.
     pub time_left: Duration,
     /// The key by which endpoints recognize a retry.
     pub idempotency_key: Option<String>,
@@ -100,7 +102,8 @@
     AlreadyAccepted,
     /// The message was not accepted. The client may retry after this delay, or at once if there is none.
     Rejected(Option<Duration>),
-    /// The message was not accepted, and the client should not retry. Contains the error text.
+    /// The request failed, and the client should not retry. Contains the error text. The message was not accepted; only
+    /// after a failed write may the next process find its record and deliver it.
     Error(&'static str),
 }
 
@@ -127,7 +130,8 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptResult {
     pub outcome: AttemptOutcome,
-    /// The time from the start of the call to its result.
+    /// The time from the start of the call to the head of its response, or to its end if it has none. Zero if it was
+    /// not started.
     pub latency: Duration,
     /// Whether the message is completed and needs no notification.
     pub completes_message: bool,
@@ -140,7 +144,8 @@
 pub struct CallResult {
     /// The result for each of its messages, in the order of the messages.
     pub attempts: Vec<AttemptResult>,
-    /// The `Retry-After` of a response that also has a result for each message. None if there is none.
+    /// The `Retry-After` of a response, where it applies in addition to those in the outcomes: a batch has a result for
+    /// each message, or the body is malformed or late. None if there is none.
     pub retry_after: Option<Duration>,
 }
 
@@ -159,7 +164,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
     Done,
-    /// No endpoint has that uid.
+    /// No listed or disabled endpoint has that uid.
     UnknownEndpoint,
     /// The operation could not be recorded in the journal, and has no effect.
     NotRecorded,
