--- a/tests/common/recovering_fleet.rs
+++ b/tests/common/recovering_fleet.rs
@@ -31,8 +31,8 @@
     pub capacity_hint_ratio: f64,
     /// Messages a second, as a ratio of the capacity.
     pub load: f64,
-    /// Messages that a call may carry.
-    pub batch: usize,
+    /// The maximum number of messages in a call.
+    pub max_batch_size: usize,
     /// Time from the start to the outage.
     pub outage_after: Duration,
     /// Rejected calls use up the destination's limit as well.
@@ -42,10 +42,10 @@
 
 /// The result of one run.
 pub struct Observed {
-    /// The most that gateways which had seen the outage sent in an overload window, as a ratio of what the
-    /// destination can take without failing again.
+    /// The most that gateways which had seen the outage sent in an overload window since the recovery, as a ratio of
+    /// what the destination can take without failing again.
     pub max_overload: f64,
-    /// Ratio of the messages enqueued since the recovery that were delivered.
+    /// Ratio of the messages enqueued since the recovery that were delivered before the end of the slow start.
     pub delivered_ratio: f64,
     /// Calls served before the outage, as a ratio of what the destination could have served.
     pub served_ratio: f64,
@@ -59,7 +59,8 @@
     }
 }
 
-/// How unevenly messages are spread over gateways: at 0 evenly, at 1 most go to a few gateways.
+/// How unevenly messages are spread over gateways: at 0 evenly; at 1 the second gateway gets half as many as the first,
+/// the third a third, and so on.
 const SKEW: f64 = 0.9;
 /// Weight of each further message in a call, as a ratio of the weight of the call.
 const FURTHER_MESSAGE_WEIGHT: f64 = 0.15;
@@ -80,7 +81,7 @@
     traffic_ratio: f64,
     /// It has handled events since its last decision.
     has_events: bool,
-    /// One of its calls failed or was rejected during the outage.
+    /// It received the outcome of a failed or rejected attempt during the outage.
     saw_outage: bool,
 }
 
@@ -160,7 +161,7 @@
         classes: vec![class],
         fleet_size: scenario.fleet_size,
         destination_kinds: vec![DestinationKind {
-            max_batch_size: scenario.batch,
+            max_batch_size: scenario.max_batch_size,
             has_per_endpoint_limits: false,
         }],
         max_in_flight_calls: 4,
@@ -310,8 +311,9 @@
         }
     }
 
-    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share one call: it has
-    /// one outcome, and each message after the first adds a small weight.
+    /// Lets a gateway decide if it has handled events since its last decision, and sends the attempts that it starts.
+    /// Attempts of one decision share one call: it has one outcome, and each message after the first adds a small
+    /// weight.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
--- a/tests/scheduler_guarantees/fleet_recovery.rs
+++ b/tests/scheduler_guarantees/fleet_recovery.rs
@@ -33,8 +33,8 @@
     capacity_per_sec: f64,
     /// Messages a second, as a ratio of the capacity.
     load: f64,
-    /// Messages that a call may carry.
-    batch: usize,
+    /// The maximum number of messages in a call.
+    max_batch_size: usize,
     /// All processes are killed at the recovery, and restore only what their journals hold.
     killed_at_recovery: bool,
 }
@@ -51,7 +51,7 @@
     timer: Option<(Time, u64)>,
     /// It has handled events since its last decision.
     has_events: bool,
-    /// One of its calls failed or was rejected during the outage.
+    /// It received the outcome of a failed or rejected attempt during the outage.
     saw_outage: bool,
     pending: BTreeMap<MessageId, PendingMessage>,
 }
@@ -130,7 +130,7 @@
         classes: vec![class],
         fleet_size: scenario.fleet_size,
         destination_kinds: vec![DestinationKind {
-            max_batch_size: scenario.batch,
+            max_batch_size: scenario.max_batch_size,
             has_per_endpoint_limits: false,
         }],
         limits,
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Lets a gateway decide, and sends the attempts that it starts. Attempts of one decision share calls, up to the
-    /// batch size.
+    /// Lets a gateway decide if it has handled events since its last decision, and sends the attempts that it starts.
+    /// Attempts of one decision share calls, up to the batch size.
     fn decide(&mut self, number: usize) {
         if !std::mem::take(&mut self.gateways[number].has_events) {
             return;
@@ -316,7 +316,7 @@
                     self.gateways[number].timer = Some((self.now + after, token));
                 }
                 Action::StartAttempt { message, attempt_timeout, .. } => {
-                    if messages_in_call == self.scenario.batch {
+                    if messages_in_call == self.scenario.max_batch_size {
                         call = None;
                         messages_in_call = 0;
                     }
@@ -399,9 +399,15 @@
         for (fleet_size, capacity_per_sec) in
             [(20, 6.0), (20, 20.0), (20, 60.0), (30, 6.0), (30, 20.0), (30, 60.0)]
         {
-            for (load, batch) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
-                let scenario =
-                    Scenario { outage, fleet_size, capacity_per_sec, load, batch, killed_at_recovery };
+            for (load, max_batch_size) in [(0.8, 1), (1.5, 1), (4.0, 1), (1.5, 20)] {
+                let scenario = Scenario {
+                    outage,
+                    fleet_size,
+                    capacity_per_sec,
+                    load,
+                    max_batch_size,
+                    killed_at_recovery,
+                };
                 overloads.extend((1..=3).filter_map(|seed| overload_after_outage(scenario, seed)));
             }
         }
@@ -413,7 +419,7 @@
 /// fleet kept the budget by sending almost nothing.
 fn overload_after_outage(scenario: Scenario, seed: u64) -> Option<String> {
     let Recovery { overload, served_ratio } = Fleet::new(scenario, seed).run();
-    assert!(served_ratio > MIN_SERVED_RATIO, "{scenario:?}, seed {seed}: {served_ratio:.2} served");
+    assert!(served_ratio > MIN_SERVED_RATIO, "{scenario:?}, seed {seed}: only {served_ratio:.2} served");
     let Overload { calls, calls_after_outage, allowed } = overload?;
     (calls_after_outage * 3 > calls * 2).then(|| {
         format!("{scenario:?}, seed {seed}: {calls_after_outage} of {calls} calls, {allowed:.1} allowed")
