--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
 //! The handover from one process to the next: which state is handed over, and which guarantees hold when either process
-//! dies during it.
+//! dies during or after it.
 
 mod environment;
 
@@ -10,8 +10,8 @@
 /// Limits how long a predecessor may take to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A handover interrupts no client, no connection in the listener's accept queue and no call in flight, also when the
-/// predecessor has itself taken over before.
+/// A handover interrupts no client and no call in flight, also when the predecessor has itself taken over before. The
+/// listener is handed over with its accept queue, so that new clients reach the successor.
 #[test]
 fn repeated_handovers_interrupt_no_client_and_no_call() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -255,7 +255,7 @@
     environment.expect_nothing();
 }
 
-/// A call that does not finish in time is dropped before the successor continues.
+/// A call that does not finish while the predecessor waits for it is dropped before the successor continues.
 #[test]
 fn an_unresponsive_call_does_not_delay_a_successor_of_another_build() {
     let environment = TestEnvironment::with_long_deadlines(1, 3.0);
--- a/tests/machine_clock.rs
+++ b/tests/machine_clock.rs
@@ -1,4 +1,4 @@
-//! Steps of the wall clock must not change deadlines and idempotency windows, which count elapsed time, also over
+//! Steps of the wall clock must not change deadlines and idempotency windows, which count elapsed time, also across
 //! restarts and handovers. The fault shim (`fault-shim/`) steps the clock.
 
 mod environment;
@@ -16,7 +16,7 @@
 /// A message without an attempt keeps its time left across a restart. It would expire if its deadline were compared
 /// with a wall clock that was stepped forward meanwhile.
 #[test]
-fn a_wall_clock_stepped_forward_over_a_restart_expires_no_message() {
+fn a_wall_clock_stepped_forward_across_a_restart_expires_no_message() {
     let mut environment = TestEnvironment::with_faults(1, 1);
     environment.max_in_flight_calls = 1;
     let gateway = environment.start();
@@ -43,7 +43,7 @@
 /// An idempotency window that has ended would be open again, and its message sent again, if it were compared with a
 /// wall clock that was stepped back meanwhile.
 #[test]
-fn a_wall_clock_stepped_back_over_a_restart_reopens_no_idempotency_window() {
+fn a_wall_clock_stepped_back_across_a_restart_reopens_no_idempotency_window() {
     let environment = TestEnvironment::with_faults(1, 1);
     let gateway = environment.start();
     assert_eq!(gateway.client().enqueue("b1", "0", "brief,k=aa", 1, b"x"), "+OK");
