--- a/src/model/circuit.rs
+++ b/src/model/circuit.rs
@@ -19,8 +19,9 @@
     pub last_success_at: Time,
     /// Sum of the severity scores of the failures since the last success.
     pub failure_score: u32,
-    /// While the circuit is open: whether a call failed in another way than by a rejection, or has no
-    /// response; false if all failures were rejections. None while the circuit is closed.
+    /// While the circuit is open: whether it opened because of a missing response, or a call that opened it
+    /// or ended while it was open failed in another way than by a rejection. A loss that an idle connection
+    /// most likely caused does not count. None while the circuit is closed.
     pub has_lost_calls: Option<bool>,
     /// Start of the slow start; None if no slow start is active. May lie in the future, if the destination
     /// has announced when it is back.
--- a/src/scheduler/circuit_breaker.rs
+++ b/src/scheduler/circuit_breaker.rs
@@ -3,8 +3,8 @@
 //! operators enable the endpoint again.
 //!
 //! It owns the failure score, the open interval and the time of the last success. Probes back off with jitter
-//! and stay within this gateway's share of the overload budget, as the probes of many gateways alone could
-//! overload a recovering destination.
+//! and keep to about this gateway's share of the overload budget, as the probes of many gateways alone could
+//! overload a recovering destination. The share is not exact, as jitter shortens the budget's delay too.
 
 use super::backoff;
 use crate::model::{CircuitRecord, LoadReport, Settings, Time};
@@ -15,10 +15,13 @@
 const OPENING_SCORE: u32 = 6;
 /// Failure score from which a failure while the circuit is open confirms the outage and reschedules the next
 /// probe.
-const REOPENING_SCORE: u32 = 3;
-/// The initial delay between probes, as a ratio of the overload window.
+const CONFIRMING_SCORE: u32 = 3;
+/// The exponential backoff before the first probe, as a ratio of the overload window. It doubles with each
+/// probe. Jitter and the overload budget apply to the result. If a missing response opens the circuit, the
+/// first probe has another delay.
 const BASE_PROBE_DELAY_WINDOW_RATIO: f64 = 0.1;
-/// The maximum delay between probes, as a ratio of the overload window.
+/// The maximum of the exponential backoff, as a ratio of the overload window. The overload budget may require
+/// longer delays.
 const MAX_PROBE_DELAY_WINDOW_RATIO: f64 = 0.6;
 /// The minimum ratio of a delay that is left after jitter.
 const MIN_JITTER_RATIO: f64 = 0.25;
@@ -52,8 +55,8 @@
 }
 
 impl Severity {
-    /// Returns the severity of a rejection. If the destination reports unused headroom, it is closed or hangs
-    /// with a full queue.
+    /// Returns the severity of a rejection. If the destination reports unused headroom, it is unavailable or
+    /// hangs with a full queue.
     pub fn of_rejection(report: Option<LoadReport>) -> Severity {
         let has_headroom =
             |report: LoadReport| report.limit_per_sec > 0.0 && report.headroom > MAX_HEADROOM_AT_LIMIT;
@@ -75,7 +78,7 @@
 }
 
 /// The inputs that determine the time of the next probe.
-pub struct ProbeBudget {
+pub struct ProbeTiming {
     /// This gateway's overload budget, in calls per second.
     pub calls_per_sec: f64,
     /// No probe is sent before this time: the end of the destination's Retry-After, possibly in the past.
@@ -95,16 +98,18 @@
 /// A period without success during which the circuit is open.
 #[derive(Default, Serialize, Deserialize)]
 struct OpenInterval {
-    /// The last success before the circuit opened (the creation of the route if there was none), or an
-    /// earlier time at which a call without a response was started.
-    since: Time,
+    /// The start of the outage, before the circuit opened: the last success (the creation of the route if
+    /// there was none), or an earlier time at which a call without a response was started.
+    outage_since: Time,
     next_probe_at: Time,
     /// Number of probes sent in this interval.
     probes_sent: u32,
-    /// Whether failures have confirmed the outage, as their score has reached [`REOPENING_SCORE`], or the
-    /// state was restored; otherwise the circuit opened only because of a missing response.
-    has_failures: bool,
-    /// Whether a call failed in another way than by a rejection, or has no response.
+    /// True if a failure opened the circuit, if the score was at least [`CONFIRMING_SCORE`] after a failure
+    /// while it was open, or if the state was restored. Otherwise the circuit opened because of a missing
+    /// response, and no failure has confirmed the outage yet.
+    is_outage_confirmed: bool,
+    /// Whether the circuit opened because of a missing response, or a call that opened it or ended while it
+    /// was open failed in another way than by a rejection. Earlier failures do not count.
     has_lost_calls: bool,
 }
 
@@ -129,8 +134,9 @@
         self.open.as_ref().map(|open| open.next_probe_at)
     }
 
-    /// Returns whether a probe may be lost, and so may carry only one message. If calls were only rejected,
-    /// it carries a full batch, as a rejection does not harm its messages.
+    /// Returns whether a probe may be lost, and so may carry only one message: whether the circuit is open
+    /// and [`Self::has_lost_calls`] is true. Otherwise it carries a full batch, as a rejection does not harm
+    /// its messages.
     pub fn probe_may_be_lost(&self) -> bool {
         self.open.as_ref().is_some_and(|open| open.has_lost_calls)
     }
@@ -140,8 +146,9 @@
         at >= self.last_success_at
     }
 
-    /// Returns when a call that was started at `sent_at` opens the circuit if it has no response. The time
-    /// counts from the last success of any call of the route if that is later.
+    /// Returns when a call that was started at `sent_at` opens the circuit if it has no response:
+    /// `unresponsive_after` after `sent_at`, or after the last success of any call of the route if that is
+    /// later.
     pub fn unresponsive_at(&self, sent_at: Time, unresponsive_after: Duration) -> Time {
         sent_at.max(self.last_success_at) + unresponsive_after
     }
@@ -150,14 +157,14 @@
     /// that few calls are lost.
     pub fn open_on_missing_response(&mut self, now: Time, sent_at: Time, unresponsive_after: Duration) {
         self.open = Some(OpenInterval {
-            since: self.last_success_at.min(sent_at),
+            outage_since: self.last_success_at.min(sent_at),
             next_probe_at: now + unresponsive_after,
             has_lost_calls: true,
             ..OpenInterval::default()
         });
     }
 
-    /// Counts a call that is started as a probe if the circuit is open.
+    /// If the circuit is open, counts the started call as a probe.
     pub fn on_call_sent(&mut self) {
         if let Some(open) = &mut self.open {
             open.probes_sent += 1;
@@ -167,8 +174,9 @@
     /// Returns whether a success now ends an outage that was long enough for a slow start. The outage counts
     /// from the last success, so that gateways that saw only its end recognize it too.
     pub fn success_ends_outage(&self, now: Time, settings: &Settings) -> bool {
-        let is_outage =
-            |open: &OpenInterval| open.has_failures && now - open.since > max_transient_outage(settings);
+        let is_outage = |open: &OpenInterval| {
+            open.is_outage_confirmed && now - open.outage_since > max_transient_outage(settings)
+        };
         self.open.as_ref().is_some_and(is_outage)
     }
 
@@ -186,7 +194,7 @@
     }
 
     /// Records a call that did not deliver. Returns true if the circuit is open now and the failure score is
-    /// at least [`REOPENING_SCORE`].
+    /// at least [`CONFIRMING_SCORE`].
     pub fn on_failure(&mut self, failure: Failure) -> bool {
         let (severity, is_lost) = match failure {
             Failure::Rejected(severity) => (severity, false),
@@ -194,27 +202,27 @@
         };
         self.failure_score += severity.score();
         let opens = self.failure_score >= OPENING_SCORE
-            || (self.open.is_some() && self.failure_score >= REOPENING_SCORE);
+            || (self.open.is_some() && self.failure_score >= CONFIRMING_SCORE);
         if opens {
-            let since = self.last_success_at;
-            let open = self.open.get_or_insert(OpenInterval { since, ..OpenInterval::default() });
-            open.has_failures = true;
+            let outage_since = self.last_success_at;
+            let open = self.open.get_or_insert(OpenInterval { outage_since, ..OpenInterval::default() });
+            open.is_outage_confirmed = true;
             open.has_lost_calls |= is_lost;
         }
         opens
     }
 
     /// Schedules the next probe if the circuit is open.
-    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, budget: &ProbeBudget) {
+    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, timing: &ProbeTiming) {
         let Some(open) = &mut self.open else { return };
-        let budget_delay = Duration::from_secs_f64(budget.calls_per_sec.max(0.001).recip());
+        let budget_delay = Duration::from_secs_f64(timing.calls_per_sec.max(0.001).recip());
         let window = settings.limits.overload_window;
         let delay = backoff::exponential(window, BASE_PROBE_DELAY_WINDOW_RATIO, open.probes_sent)
             .min(window.mul_f64(MAX_PROBE_DELAY_WINDOW_RATIO));
-        let jitter = MIN_JITTER_RATIO + budget.random_fraction * (1.0 - MIN_JITTER_RATIO);
+        let jitter = MIN_JITTER_RATIO + timing.random_fraction * (1.0 - MIN_JITTER_RATIO);
         // The delay starts after a Retry-After, so that gateways that wait for the same one do not call
         // together.
-        open.next_probe_at = now.max(budget.not_before) + delay.max(budget_delay).mul_f64(jitter);
+        open.next_probe_at = now.max(timing.not_before) + delay.max(budget_delay).mul_f64(jitter);
     }
 
     /// Closes the circuit because operators have enabled the endpoint again: earlier failures are no evidence
@@ -230,8 +238,8 @@
         self.failure_score = record.failure_score;
         if let Some(has_lost_calls) = record.has_lost_calls {
             self.open = Some(OpenInterval {
-                since: record.last_success_at,
-                has_failures: true,
+                outage_since: record.last_success_at,
+                is_outage_confirmed: true,
                 has_lost_calls,
                 ..OpenInterval::default()
             });
@@ -241,7 +249,7 @@
     /// Returns the last success, or the creation of the route if there was none; while the circuit is open,
     /// the start of the outage.
     pub fn last_success_at(&self) -> Time {
-        self.open.as_ref().map_or(self.last_success_at, |open| open.since)
+        self.open.as_ref().map_or(self.last_success_at, |open| open.outage_since)
     }
 
     /// Returns the sum of the severity scores of all failures since the last success, or since operators last
@@ -250,8 +258,8 @@
         self.failure_score
     }
 
-    /// Returns whether a call failed in another way than by a rejection, or has no response; None if the
-    /// circuit is closed.
+    /// Returns whether the circuit opened because of a missing response, or a call that opened it or ended
+    /// while it was open failed in another way than by a rejection; None if the circuit is closed.
     pub fn has_lost_calls(&self) -> Option<bool> {
         self.open.as_ref().map(|open| open.has_lost_calls)
     }
--- a/src/scheduler/route.rs
+++ b/src/scheduler/route.rs
@@ -1,7 +1,7 @@
 //! A route: a destination, or one endpoint of it, that has its own rate limit, circuit breaker and slow
 //! start. This module only holds the state of the rules of a route.
 
-use super::circuit_breaker::{CircuitBreaker, ProbeBudget};
+use super::circuit_breaker::{CircuitBreaker, ProbeTiming};
 use super::loss_ratio::LossRatio;
 use super::rate_limit::RateLimit;
 use super::retry_after::RetryAfter;
@@ -69,7 +69,7 @@
     /// `0.0..1.0`.
     pub fn schedule_probe(&mut self, now: Time, settings: &Settings, random_fraction: f64) {
         let calls_per_sec = self.overload_budget_per_sec(now, settings, 0.0);
-        let budget = ProbeBudget { calls_per_sec, not_before: self.retry_after.until(), random_fraction };
-        self.circuit.schedule_probe(now, settings, &budget);
+        let timing = ProbeTiming { calls_per_sec, not_before: self.retry_after.until(), random_fraction };
+        self.circuit.schedule_probe(now, settings, &timing);
     }
 }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -2,9 +2,9 @@
 //! from being overloaded.
 //!
 //! A recovering destination has only a part of its capacity, and fails again if it gets more than a multiple
-//! of that during the overload window. Half-open probes, slow starts and the minimum rate after rejections
-//! share one budget, which limits the rate of `rate_limit` and delays the probes of `circuit_breaker`. This
-//! module owns the start time of the slow start.
+//! of that during the overload window. Three rules use the same overload budget: it is the maximum rate
+//! during a slow start and the minimum rate after a cut by `rate_limit`, and it delays the probes of
+//! `circuit_breaker`. This module owns the start time of the slow start.
 
 use super::derived_settings::{fleet_size, shortest_deadline_secs, warm_up_secs};
 use super::traffic::Traffic;
@@ -85,7 +85,8 @@
     warm_up_progress: f64,
 ) -> f64 {
     // A gateway with low traffic may send one call per deadline, as its messages would expire unsent
-    // otherwise. Few gateways have low traffic and messages for the same destination at the same time.
+    // otherwise. Of the gateways with low traffic, only a few have messages for the same destination at the
+    // same time.
     let min_per_sec =
         if traffic.is_low(now, settings) { shortest_deadline_secs(settings).recip() } else { 0.0 };
     let share_per_sec = traffic.expected_per_sec(now, settings).max(limit_per_sec / fleet_size(settings));
--- a/src/socket/transfer.rs
+++ b/src/socket/transfer.rs
@@ -16,8 +16,8 @@
     Bytes(usize),
     /// There is nothing to read, or no room to write. The runtime notifies when there is.
     WouldBlock,
-    /// The system is short of memory. The connection is intact, but there is no notification of when to retry; wait
-    /// with [`memory_backoff`].
+    /// The system is short of memory. The connection is intact, but there is no notification of when to retry: async
+    /// callers wait with [`memory_backoff`], and poll functions are pending and have their task polled again soon.
     OutOfMemory,
 }
 
@@ -61,7 +61,8 @@
     Ok(())
 }
 
-/// Polls for a read. It is pending until there is something to read.
+/// Polls for a read. It is pending until there is something to read. Without memory it is pending too, and the task is
+/// polled again soon.
 ///
 /// # Errors
 /// The connection is broken.
@@ -76,7 +77,8 @@
     }
 }
 
-/// Polls for a write. It is pending until there is room.
+/// Polls for a write. It is pending until there is room. Without memory it is pending too, and the task is polled again
+/// soon.
 ///
 /// # Errors
 /// The connection is broken.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -289,8 +289,9 @@
     assert_eq!(environment.notification(), r#"{"id":"h1","state":"failed"}"#);
 }
 
-/// A journal at its size limit rejects messages instead of losing accepted ones. During a compaction the old and the
-/// new file together stay within the limit, and a restart finds all accepted messages.
+/// A journal without room for more messages rejects them instead of losing accepted ones. The disk space in use stays
+/// within the limit, and a restart finds all accepted messages. Pending messages may take less than half of the limit,
+/// so that the old and the new file of a compaction fit within it together.
 #[test]
 fn a_full_journal_rejects_messages_and_keeps_accepted_ones() {
     let environment = TestEnvironment::with_long_deadlines(1, 0.3);
@@ -329,7 +330,7 @@
 
 /// A disk limit that leaves no room for one record leads to rejections, not to a crash.
 #[test]
-fn an_unwritable_journal_rejects_messages() {
+fn a_journal_without_room_for_a_record_rejects_messages() {
     let environment = TestEnvironment::new(1, 0.0001);
     let gateway = environment.start();
     assert!(gateway.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
@@ -337,7 +338,7 @@
 }
 
 /// Messages whose final outcome is not acknowledged count as pending too: at the limit, one more message is rejected
-/// with a Retry-After.
+/// with the time after which the client may enqueue it again.
 #[test]
 fn no_more_messages_are_pending_than_the_settings_allow() {
     let mut environment = TestEnvironment::with_long_deadlines(1, 3.0);
@@ -396,7 +397,7 @@
 }
 
 /// Endpoint lists may be indented, also on the watch, and arrive in pieces. One that breaks off at an empty line is
-/// malformed: the watch is established again with the next line instead of waiting for the rest.
+/// malformed: the watch fails at that line, and is established again instead of waiting for the rest.
 #[test]
 fn an_indented_endpoint_list_is_read_and_a_broken_one_is_not_waited_for() {
     let environment = TestEnvironment::new(2, 3.0);
@@ -453,9 +454,9 @@
     }
 }
 
-/// A connection to the agent may stop responding while the agent itself responds on others. A final outcome has to be
-/// notified within 300 ms of its message's deadline, so that the notification is resent early on another connection,
-/// together with those queued behind it.
+/// A connection to the agent may stop responding while the agent itself responds on others. An outer requirement is
+/// that a final outcome is notified within 300 ms of its message's deadline. So the notification is resent early on
+/// another connection, together with those queued behind it. The test allows 500 ms from the resets of the calls.
 #[test]
 fn a_notification_on_an_unresponsive_connection_is_resent_in_time() {
     let environment = TestEnvironment::new(1, 3.0);
@@ -513,8 +514,9 @@
     environment.expect_nothing();
 }
 
-/// A call may still be connecting when a Retry-After arrives. As when draining begins, it must not be sent once its
-/// connection is established.
+/// A call may still be connecting when a Retry-After arrives. It must not be sent before the Retry-After ends, even if
+/// its connection is established earlier. Calls that still connect when their endpoint begins to drain are withdrawn in
+/// the same way.
 #[test]
 fn calls_still_connecting_are_withdrawn_on_a_retry_after() {
     let mut environment = TestEnvironment::new(2, 3.0);
--- a/tests/reference/scheduler.rs
+++ b/tests/reference/scheduler.rs
@@ -47,7 +47,7 @@
 const MAX_DEMAND_BASELINE_MULTIPLE: f64 = 1.5;
 /// The number of messages over the length of a slow start below which traffic is low. The overload budget of
 /// a gateway with low traffic is at least one call per shortest deadline, as its messages would expire unsent
-/// otherwise. Few gateways have low traffic and messages for the same destination at the same time.
+/// otherwise. Of the gateways with low traffic, only a few have messages for the same destination at the same time.
 const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
 /// The maximum random delay of a gateway with low traffic after a rejection, in intervals between calls at
 /// its rate. Such gateways are many, and must not all call at the same moment.
@@ -1623,8 +1623,8 @@
     /// `warm_up_progress` runs from 0 to 1 over a slow start. The share follows the calls that this gateway had
     /// served before, and is at least an even share. The calls that all gateways had served add up to the
     /// capacity of the destination, whatever the number of waiting messages; their demand does not, and was
-    /// thirty times the limit in one case (h1c8921). Half-open probes, slow starts and the minimum rate after
-    /// rejections share this budget.
+    /// thirty times the limit in one case (h1c8921). The budget is the maximum rate during a slow start and the
+    /// minimum rate after a cut, and it delays half-open probes.
     fn overload_budget_per_sec(&mut self, now: Time, settings: &Settings, warm_up_progress: f64) -> f64 {
         let demand_per_sec = self.demand.per_sec(now, warm_up_secs(settings), 0.0);
         let min_per_sec =
--- a/tests/scheduler_guarantees/watch.rs
+++ b/tests/scheduler_guarantees/watch.rs
@@ -1,11 +1,11 @@
 //! Delays of the watch on the endpoint list: gateways must receive a change of the list before it counts as announced,
-//! as calls to draining endpoints have to stop then.
+//! as no new call may reach a draining endpoint later than the drain grace period after that.
 
 use super::common::*;
 use delivery_gateway::*;
 use std::time::Duration;
 
-/// A change of the list counts as announced this time after discovery has it and can be reached.
+/// A change of the list counts as announced once discovery has had it, and has been reachable, for this long.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 /// Number of gateways in fleets from very small to the largest expected.
 const FLEET_SIZES: [u32; 4] = [3, 30, 300, 6_900];
@@ -50,8 +50,8 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// A watch request may fail as late as [`WATCH_RESPONSE_TIMEOUT`]. Even then the next one must be made before a change
-/// counts as announced, in a fleet of any size.
+/// A watch request without a response fails only after [`WATCH_RESPONSE_TIMEOUT`]. Even then the next one must be made
+/// before a change counts as announced, in a fleet of any size.
 #[test]
 fn a_failed_watch_is_retried_before_a_change_counts_as_announced() {
     for fleet_size in FLEET_SIZES {
@@ -67,8 +67,9 @@
     }
 }
 
-/// Changes announced before a process started apply to it from its start. So its first watch request must leave half of
-/// the grace period after which calls to draining endpoints have to stop, in a fleet of any size.
+/// A change that was announced before a process started applies to it from its start. Its first watch request must be
+/// due within half of the drain grace period, after which no new call may reach a draining endpoint, in a fleet of any
+/// size.
 #[test]
 fn the_first_watch_is_in_time_in_every_fleet_size() {
     let drain_grace = Settings::default().limits.drain_grace;
