--- a/src/bin/delivery-gateway/background.rs
+++ b/src/bin/delivery-gateway/background.rs
@@ -21,7 +21,7 @@
     pub events: UnboundedSender<GatewayEvent>,
     /// Receives the notifications to be sent.
     pub notifications: UnboundedReceiver<OutcomeNotification>,
-    /// Each notification is sent with its single permit, which a handover takes.
+    /// Its single permit is held while a batch of notifications is sent. A handover takes it.
     pub notification_gate: Arc<Semaphore>,
     /// The service phase, from which the admin endpoint derives whether the gateway is ready.
     pub phase: watch::Receiver<ServicePhase>,
--- a/src/bin/delivery-gateway/gateway.rs
+++ b/src/bin/delivery-gateway/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway's service: creates its parts, restores its state, and serves until the process exits or another process
-//! has taken over.
+//! The gateway's service: creates its parts, restores its state, and serves until the process may exit after a
+//! shutdown request.
 
 use delivery_gateway::discovery::{AgentAddress, DiscoveryUpdate, EndpointWatch};
 use delivery_gateway::socket::retry_transient;
@@ -29,14 +29,16 @@
 use crate::resp2::{ClientServer, TransferredConnection};
 use crate::start_error::StartError;
 
-/// The maximum time to wait for the notification in flight, and then for clients' connections, before a handover. Both
-/// waits together are shorter than the 400 ms for which clients wait for a reply. A connection that is not transferred
-/// in time has a client that doesn't read.
+/// The maximum time to wait for the batch of notifications in flight, and then for clients' connections, before a
+/// handover. Both waits together are shorter than the 400 ms for which clients wait for a reply. A connection that is
+/// not transferred in time usually has a client that doesn't read. It may also be a new connection to a lame duck,
+/// which has up to 400 ms for its first request.
 const PAUSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// The interval between checks whether the last call has ended.
 const CALLS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The parameters of an event loop, except for the state in the journal and the endpoint list.
+/// The parameters from which each event loop of this process is created. The journal is opened anew for each, and
+/// [`EventLoop::recover`] gets the configured endpoint list.
 struct EventLoopParameters {
     parsed: ParsedSettings,
     seed: u64,
@@ -64,7 +66,7 @@
     clients: ClientServer,
     /// Clients' connections to be transferred to the successor.
     transferred: UnboundedReceiver<TransferredConnection>,
-    /// Each notification is sent with its single permit, which a handover takes.
+    /// Its single permit is held while a batch of notifications is sent. A handover takes it.
     notification_gate: Arc<Semaphore>,
     agent: AgentAddress,
     /// Requests to watch the endpoint list again.
@@ -80,7 +82,7 @@
     watching: JoinHandle<()>,
 }
 
-/// The service during a handover: it accepts no connections and sends no notifications.
+/// The service during a handover: it accepts no connections and starts no batch of notifications.
 struct Paused {
     listener: TcpListener,
     /// The phase before the handover.
@@ -88,7 +90,8 @@
     _gate: ClosedGate,
 }
 
-/// Blocks further notifications until it is dropped. The notification in flight is still answered.
+/// Blocks further batches of notifications: none is sent until it is dropped. A batch in flight is still sent to its
+/// end, after a 400 with one request for each notification. If it fails, its retry waits as well.
 struct ClosedGate {
     closing: JoinHandle<Result<OwnedSemaphorePermit, AcquireError>>,
     _permit: Option<OwnedSemaphorePermit>,
@@ -186,7 +189,8 @@
         Ok(listener)
     }
 
-    /// Serves until the process exits after a shutdown request, or another process has taken over.
+    /// Serves until the process may exit after a shutdown request. After another process has taken over, relays to it
+    /// until then, and serves again if that process ends first.
     ///
     /// # Errors
     /// The task that accepts connections has failed, or the journal cannot be opened again after a handover that
@@ -203,8 +207,8 @@
             match self.hand_over(successor, &paused.listener).await {
                 HandoverResult::Completed => return Ok(()),
                 HandoverResult::Refused => self.event_loop.resume_phase(paused.phase),
-                HandoverResult::Reverted(missed_events) => {
-                    self.resume_service(missed_events).await?;
+                HandoverResult::Reverted(retained_events) => {
+                    self.resume_service(retained_events).await?;
                     self.event_loop.resume_phase(paused.phase);
                 }
             }
@@ -228,8 +232,8 @@
         Intake { accepting, watching: spawn_local(watch.run(delay, report)) }
     }
 
-    /// Runs until another process asks for the handover and may get it. None if this process exits first. Refuses the
-    /// handover while this process shuts down, or while the journal is not flushed.
+    /// Runs until another process asks for the handover and may get it. None if this process may exit first. Refuses
+    /// the handover while this process shuts down, or while the journal is not flushed.
     async fn run_until_handover_request(
         &mut self,
         handovers: &HandoverListener,
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Runs until no call is in flight, for at most [`CALL_DRAIN_TIMEOUT`]. None if the process exits first.
+    /// Runs until no call is in flight, for at most [`CALL_DRAIN_TIMEOUT`]. None if the process may exit first.
     async fn drain_calls(&mut self) -> Option<()> {
         info!("finishing calls before the handover: the successor cannot continue them");
         self.event_loop.stop_starting_calls();
@@ -261,8 +265,9 @@
         Some(())
     }
 
-    /// Stops the intake. Each connection is transferred once its open request, if any, has been answered. None if the
-    /// process exits first.
+    /// Stops the intake. Each connection is transferred once the complete requests that were read from it have been
+    /// answered. A partly received request goes to the successor with its connection. None if the process may exit
+    /// first.
     async fn pause(&mut self, intake: Intake) -> Result<Option<Paused>, StartError> {
         let phase = self.parameters.channels.phase.send_replace(ServicePhase::HandingOver);
         intake.watching.abort();
@@ -297,14 +302,14 @@
         successor.hand_over(event_loop, events, transferred, listener, &ownership.lock).await
     }
 
-    /// Resumes service after the handover failed or the successor has ended. `missed_events` are the events that
-    /// arrived meanwhile.
-    async fn resume_service(&mut self, missed_events: Vec<GatewayEvent>) -> Result<(), StartError> {
+    /// Resumes service after the handover failed or the successor has ended. `retained_events` are the events of the
+    /// meantime that this process must handle itself if the journal is untouched.
+    async fn resume_service(&mut self, retained_events: Vec<GatewayEvent>) -> Result<(), StartError> {
         let journal_untouched = self.event_loop.journal_is_untouched();
         warn!(journal_untouched, "the successor ended, or the handover failed: resuming service");
         if journal_untouched {
             self.event_loop.resume_idle_connections();
-            missed_events.into_iter().for_each(|event| self.event_loop.handle(event));
+            retained_events.into_iter().for_each(|event| self.event_loop.handle(event));
         } else {
             // The successor's decisions and attempts, if any, are only in the journal.
             self.event_loop.abandon_calls(&mut self.events).await;
--- a/src/bin/delivery-gateway/journal/file.rs
+++ b/src/bin/delivery-gateway/journal/file.rs
@@ -15,7 +15,8 @@
     file: File,
     /// The offset of the next record, in bytes.
     end: u64,
-    /// Whether there may be bytes after `end`. The next process could read them as a record.
+    /// Whether there may be bytes after `end` that the next process could read as a record. Bytes behind an
+    /// [`END_OF_RECORDS`] that this process has written there don't count.
     has_torn_tail: bool,
 }
 
@@ -56,12 +57,13 @@
         self.end
     }
 
-    /// Returns whether there may be bytes after the last record.
+    /// Returns whether there may be bytes after the last record that the next process could read as a record.
     pub fn has_torn_tail(&self) -> bool {
         self.has_torn_tail
     }
 
-    /// Returns whether no other process has replaced the file or appended to it. False if that cannot be checked.
+    /// Returns whether no other process has replaced the file or appended to it. Also false if that cannot be checked,
+    /// or while bytes that this process wrote itself follow the last record.
     pub fn is_untouched(&self) -> bool {
         let Ok(at_path) = fs::metadata(&self.path) else { return false };
         let Ok(own) = self.file.metadata() else { return false };
--- a/src/bin/delivery-gateway/main.rs
+++ b/src/bin/delivery-gateway/main.rs
@@ -61,7 +61,7 @@
     Ok((handlers, runtime))
 }
 
-/// Runs until the process exits after a shutdown request, or another process has taken over.
+/// Runs until the process may exit after a shutdown request. A takeover by another process alone does not end it.
 async fn run(handlers: Handlers) -> Result<(), StartError> {
     let mut signals = handlers.listen().await.map_err(StartError::system("listen for signals"))?;
     let environment = Environment::read()?;
--- a/src/bin/delivery-gateway/ownership.rs
+++ b/src/bin/delivery-gateway/ownership.rs
@@ -1,5 +1,6 @@
-//! The ownership of the state folder. Only one process may use the folder: the one that holds its lock, which it got
-//! from the system or from the previous owner.
+//! The ownership of the state folder. Only one process may use the folder: its owner, which holds the folder's lock and
+//! got it from the system or from the previous owner. During a handover both processes hold the lock, through a
+//! duplicated descriptor, and only the successor uses the folder.
 
 use delivery_gateway::socket::retry_transient;
 use delivery_gateway::ParsedSettings;
@@ -14,8 +15,8 @@
     /// The lock file. The owner of the folder holds its lock.
     pub lock: File,
     socket: PathBuf,
-    /// The fingerprint of this build and its settings. Only processes with the same fingerprint can exchange a handover
-    /// snapshot.
+    /// The fingerprint of the sources that define a handover snapshot and of the names in the settings. Only processes
+    /// with the same fingerprint can exchange a handover snapshot.
     pub fingerprint: u32,
 }
 
--- a/src/bin/delivery-gateway/resp2/mod.rs
+++ b/src/bin/delivery-gateway/resp2/mod.rs
@@ -7,8 +7,9 @@
 //! - [`enqueue`] maps the elements of an `ENQUEUE` to an [`EnqueueRequest`](crate::events::EnqueueRequest).
 //! - [`drain`] discards what a refused client still sends, so that its error reply is not lost.
 //!
-//! The event loop alone decides whether a message is accepted. A connection that breaks or sends malformed RESP2 is
-//! closed, which does not affect others.
+//! A connection itself refuses a message that is malformed or too long, or whose client has closed its side. The event
+//! loop decides whether any other message is accepted. A connection that breaks or sends malformed RESP2 is closed,
+//! which does not affect others.
 
 mod codec;
 mod connection;
--- a/src/bin/testbed/main.rs
+++ b/src/bin/testbed/main.rs
@@ -6,8 +6,8 @@
 //!   results.
 //! - `testbed soak` runs real gateways with injected faults, and checks the rules of the protocol; see `soak`.
 //!
-//! The testbed uses only loopback. Every run is bounded in time. The testbed kills the processes that it started before
-//! it ends, unless it is killed itself.
+//! The testbed uses only loopback. Each run of `testbed scale` and each single soak is bounded in time; `--seeds` has
+//! no maximum. The testbed kills the processes that it started before it ends, unless it is killed itself.
 #![forbid(unsafe_code)]
 
 mod bounds;
@@ -90,7 +90,8 @@
         /// The number of gateways that run at the same time.
         #[arg(long = "couriers", default_value_t = 24, value_parser = clap::value_parser!(u16).range(1..=100))]
         gateways: u16,
-        /// The length of each soak, in seconds.
+        /// How long clients send and faults are drawn in each soak, in seconds. The starts of the gateways and the wait
+        /// for outcomes come on top.
         #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(1..=3600))]
         seconds: u64,
         /// The gateway's binary; defaults to `delivery-gateway` next to this program.
@@ -112,9 +113,9 @@
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error("{0} cannot be written: {1}")]
-    Json(PathBuf, std::io::Error),
+    ResultsNotWritten(PathBuf, std::io::Error),
     #[error("the results cannot be encoded as JSON: {0}")]
-    Figures(#[from] serde_json::Error),
+    ResultsNotEncoded(#[from] serde_json::Error),
     #[error("the signal handlers cannot be registered: {0}")]
     Signals(std::io::Error),
     #[error("interrupted")]
@@ -188,12 +189,14 @@
     fn create(path: PathBuf) -> Result<Self, TestbedError> {
         match File::create(&path) {
             Ok(file) => Ok(JsonFile { path, file }),
-            Err(error) => Err(TestbedError::Json(path, error)),
+            Err(error) => Err(TestbedError::ResultsNotWritten(path, error)),
         }
     }
 
     fn write(mut self, text: &str) -> Result<(), TestbedError> {
-        self.file.write_all(text.as_bytes()).map_err(|error| TestbedError::Json(self.path, error))
+        self.file
+            .write_all(text.as_bytes())
+            .map_err(|error| TestbedError::ResultsNotWritten(self.path, error))
     }
 }
 
--- a/src/bin/testbed/soak/gateway.rs
+++ b/src/bin/testbed/soak/gateway.rs
@@ -22,9 +22,9 @@
 const TERM_TO_KILL: Duration = Duration::from_millis(3700);
 /// The time from the end of a process to the next start, and from the start of a successor until a failing disk works
 /// again.
-const KILL_TO_START: Duration = Duration::from_millis(600);
-/// The maximum time from the start of a process until it listens and replies to PING. A slower process counts as one
-/// that never becomes ready.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// The maximum time to wait until a started process logs its listening address, and from its start until the last PING
+/// is tried. The reply to one PING may take as long again. A slower process counts as one that never becomes ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// The interval between two checks of a process that starts or ends.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -140,7 +140,8 @@
         self.record_violation("did not reply to PING in time");
     }
 
-    /// Records that this gateway has broken a rule. `text` is the predicate of a sentence about the gateway.
+    /// Records that this gateway has broken a rule, or that the injection of a fault has failed. `text` is the
+    /// predicate of a sentence about the gateway.
     pub fn record_violation(&self, text: &str) {
         locked(&self.ledger).record_violation(format!("gateway {} {text}", self.number));
     }
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Returns whether the process has exited. Only a signal from the soak may cause that.
+    /// Returns whether the process has exited. An exit that the soak didn't cause is a violation.
     pub fn has_exited(&mut self) -> bool {
         self.process
             .as_mut()
@@ -182,7 +183,7 @@
         self.collect_log();
         // Dropping the process kills it.
         self.process = None;
-        thread::sleep(KILL_TO_START);
+        thread::sleep(RESTART_DELAY);
         self.start(plan, endpoints)
     }
 
@@ -197,13 +198,13 @@
     }
 
     /// Hands over like [`Gateway::hand_over`], with a disk that fails when the next process starts and works again
-    /// after [`KILL_TO_START`]. The caller has set the faults.
+    /// after [`RESTART_DELAY`]. The caller has set the faults.
     ///
     /// # Errors
     /// Returns an error if the next process cannot be started or the faults cannot be cleared.
     pub fn hand_over_while_disk_fails(&mut self, plan: &Plan) -> io::Result<()> {
         let next = self.spawn(plan)?;
-        thread::sleep(KILL_TO_START);
+        thread::sleep(RESTART_DELAY);
         self.clear_disk_faults()?;
         self.hand_over_to(next);
         Ok(())
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Breaks the watches, and leaves requests for new ones unanswered for `duration`.
+    /// Breaks the watches, and waits for `duration`. Requests for new watches that arrive within it are never answered.
     pub fn silence_discovery(&self, duration: Duration) {
         self.agent.state.is_ignoring_watches.store(true, Ordering::SeqCst);
         self.agent.break_watches();
--- a/src/bin/testbed/stubs/client.rs
+++ b/src/bin/testbed/stubs/client.rs
@@ -28,7 +28,8 @@
         self.stream.get_mut().write_all(bytes)
     }
 
-    /// Reads the next line and returns it without its line break; returns an empty line at the end of the connection.
+    /// Reads the next line and returns it without trailing white space. At the end of the connection returns what has
+    /// arrived of it, possibly nothing.
     ///
     /// # Errors
     /// Returns an error if no line arrives before the read timeout, or if the connection is broken.
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 //! - `directory` maps the list's names to the numbers that the scheduler uses, and to addresses.
 //!
 //! This module stores nothing on disk, and no file of the scheduler depends on it. The scheduler decides when a failed
-//! watch is started again.
+//! watch is started again, unless the agent's address changes first.
 
 mod client;
 mod directory;
